--- a/bench/failure_detector.py
+++ b/bench/failure_detector.py
@@ -1,4 +1,4 @@
-"""Figures of the failure detector on the network of tests/detector_sim.py, in simulated time. Outside CI.
+"""Figures of the failure detector on a simulated network (tests/support/detector_simulation.py). Outside CI.
 
     python bench/failure_detector.py kill [--sizes 2,7,25,100 --rounds 10]
     python bench/failure_detector.py false [--sizes 2,7,25,100 --minutes 5 --runs 3]
@@ -30,8 +30,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bench.figures import quantile
-from orchidledge.members import Reachability, Standing
-from tests.detector_sim import Gone, Node, World
+from loadbalancer.membership import Reachability, Standing
+from tests.support.detector_simulation import Gone, Node, World
 
 FAST, SLOW = (0.3, 1.0), (20.0, 200.0)
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -28,7 +28,7 @@
 
 from bench import fleet_detection, fleet_routes, fleet_traffic
 from bench.fleet_world import Figures, load_average
-from tests.fleet import ROOT
+from tests.support.registry_processes import ROOT
 
 
 @dataclasses.dataclass(frozen=True)
--- a/bench/fleet_detection.py
+++ b/bench/fleet_detection.py
@@ -15,9 +15,9 @@
 from bench.figures import quantile, rss_mb
 from bench.fleet_world import LIMIT_S, Figures, Plan, Samples, Tail, World, cpu_ms, spread
 from bench.renewals import renewals
-from orchidledge.members import Reachability
-from tests.fleet import until
-from tests.watch import least_share
+from loadbalancer.membership import Reachability
+from tests.support.invariant_sampler import least_share
+from tests.support.registry_processes import until
 
 STEP_S = 0.02  # between the moments at which shares are summed
 
--- a/bench/fleet_routes.py
+++ b/bench/fleet_routes.py
@@ -14,9 +14,9 @@
 
 from bench.figures import quantile
 from bench.fleet_world import LIMIT_S, Figures, Plan, Samples, Tail, World, spread
-from tests.fleet import until
-from tests.load import Load, Outcome
-from tests.watch import Sample, apart, overtaken
+from tests.support.invariant_sampler import Sample, apart, overtaken
+from tests.support.load import Load, Outcome
+from tests.support.registry_processes import until
 
 SWITCHED = re.compile(r"routes: version (\d+) from now on, ([\d.]+) ms after its moment")
 SKEWED = (0.0, 2_000.0, -2_000.0, 900.0)
--- a/bench/fleet_traffic.py
+++ b/bench/fleet_traffic.py
@@ -18,14 +18,14 @@
 
 from bench.figures import quantile
 from bench.fleet_world import LIMIT_S, Figures, Plan, World, cpu_ms, spread
-from orchidledge.interface import Mark
-from orchidledge.net.web import call
-from tests.faults import LoopThread
-from tests.fleet import until
-from tests.load import Load
-from tests.loopback import Message
-from tests.nodes import Node
-from tests.servers import Conduct, ServerPool
+from loadbalancer.interface import Mark
+from loadbalancer.node.http.service_http import call
+from tests.support.faults import LoopThread
+from tests.support.load import Load
+from tests.support.loopback import Message
+from tests.support.node_processes import Node
+from tests.support.registry_processes import until
+from tests.support.stand_in_servers import Conduct, ServerPool
 
 
 def _read(aim_ms: float) -> list[dict[str, object]]:
--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -17,13 +17,13 @@
 import orjson
 
 from bench.figures import quantile
-from orchidledge.net.web import call
-from tests.faults import LoopThread, Net, Post
-from tests.fleet import Registry, ask, until
-from tests.nodes import Node
-from tests.ports import free_port
-from tests.servers import ServerPool
-from tests.watch import Sample
+from loadbalancer.node.http.service_http import call
+from tests.support.faults import LoopThread, Net, Post
+from tests.support.invariant_sampler import Sample
+from tests.support.node_processes import Node
+from tests.support.ports import free_port
+from tests.support.registry_processes import Registry, ask, until
+from tests.support.stand_in_servers import ServerPool
 
 LIMIT_S = 180.0  # for anything that has to come about: the machine may be slow
 AT_ONCE = 12  # processes started together
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -31,14 +31,14 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
-from orchidledge.net import snapshot
-from orchidledge.net.discovery import Listing
-from tests.helpers import servers, settings
-from tests.load import Load
-from tests.nodes import Node
-from tests.servers import ServerPool
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
+from loadbalancer.node.discovery.watcher import Listing
+from loadbalancer.node.state import snapshot
+from tests.support.builders import servers, settings
+from tests.support.load import Load
+from tests.support.node_processes import Node
+from tests.support.stand_in_servers import ServerPool
 
 
 def write(count: int, writes: int) -> dict[str, Any]:
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -6,8 +6,8 @@
     python bench/registry.py outage [--seconds 30]
     python bench/registry.py node [--servers 10000]
 
-Each starts three instances and the agents as processes (tests/fleet.py) in a fresh folder
-and prints one JSON line of figures. A watcher in this process follows each agent as a node
+Each starts three instances and the agents as processes (tests/support/registry_processes.py) in a fresh
+folder and prints one JSON line of figures. A watcher in this process follows each agent as a node
 does (a watch, then the next one at once), so "seen" is when a node would have the change.
 """
 
@@ -28,9 +28,9 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bench.figures import quantile, rss_mb
-from orchidledge.net.web import call
-from tests.fleet import Registry, until
-from tests.nodes import Node
+from loadbalancer.node.http.service_http import call
+from tests.support.node_processes import Node
+from tests.support.registry_processes import Registry, until
 
 
 async def follow(port: int, seen: dict[str, float], stop: asyncio.Event) -> None:
--- a/bench/renewals.py
+++ b/bench/renewals.py
@@ -25,8 +25,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bench.figures import cpu_s, quantile
-from orchidledge.net.web import call
-from tests.fleet import Registry
+from loadbalancer.node.http.service_http import call
+from tests.support.registry_processes import Registry
 
 SEED = 7
 
--- a/bench/scale/chain_model.py
+++ b/bench/scale/chain_model.py
@@ -3,7 +3,7 @@
 A tier is some nodes, each a Balancer over all of the tier's servers. A server works on a call, calls the next
 tier through one of its nodes, and answers once that has answered: an error where the call was refused or
 failed, as a server that depends on it must. It passes on the time that it was given, as a node's deadline
-header tells it (orchidledge/net/requests.py). The same seed gives the same run.
+header tells it (loadbalancer/node/listener/requests.py). The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from itertools import count
 from random import Random
 
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
-from orchidledge.net.requests import WAY_BACK_S
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
+from loadbalancer.node.listener.requests import WAY_BACK_S
 
 CLASS = "read"
 WAY_BACK_MS = WAY_BACK_S * 1000.0
@@ -184,7 +184,7 @@
 
 
 class Node:
-    """The host of one Balancer in front of a tier's servers, as orchidledge/net/ is in a real node."""
+    """The host of one Balancer in front of a tier's servers, as loadbalancer/node/ is in a real node."""
 
     def __init__(
         self, clock: Clock, tier: int, settings: api.Settings, servers: Sequence[Server], seed: int
--- a/bench/scale/datapath.py
+++ b/bench/scale/datapath.py
@@ -26,8 +26,8 @@
 from bench.scale.paired import DIRECT, NOISE, Paired, PairedRun, quantile_ms
 from bench.scale.platform import read_size
 from bench.scale.stub_pool import StubPool
-from tests.fleet import until
-from tests.nodes import Node
+from tests.support.node_processes import Node
+from tests.support.registry_processes import until
 
 KIND = "datapath"
 OFF, ON = "off", "on"  # the node without and with `members`
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -22,16 +22,16 @@
 from bench.scale.histograms import Times
 from bench.scale.hollow_names import CHANGE
 from bench.scale.messages import HollowSpec, Setup
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
-from orchidledge.net import web
-from orchidledge.net.clock import Clock
-from orchidledge.net.config import Config, parse_config
-from orchidledge.net.fleet import part as fleet_part
-from orchidledge.net.fleet.agent import Agent
-from orchidledge.registry.agent import Follower
-from orchidledge.registry.settings import Agent as AgentSettings
-from tests.loopback import config_row
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.control import control_plane as fleet_part
+from loadbalancer.node.control.registry_client import Agent
+from loadbalancer.node.http import service_http as web
+from loadbalancer.registry.agent import Follower
+from loadbalancer.registry.settings import Agent as AgentSettings
+from tests.support.loopback import config_row
 
 ALL = "all"  # the group where shares are not by service
 LATE = 0.25  # of the term: a renewal that took longer counts as late
@@ -163,7 +163,7 @@
         self._tasks.append(asyncio.create_task(self._see_servers()))
 
     def _make_part(self) -> Any:
-        """The fleet's part as net/node.py makes it, with stand-ins for the rest of the node."""
+        """The fleet's part as node/node.py makes it, with stand-ins for the rest of the node."""
         config = _config(self.spec, self._setup)
         where: Any = self.agent if self.agent is not None else ("127.0.0.1", self.spec.agent_port or 0)
         watcher = SimpleNamespace(address=where)
--- a/bench/scale/listing.py
+++ b/bench/scale/listing.py
@@ -16,7 +16,7 @@
 from bench.scale.program import RealAgent, RealNode
 from bench.scale.records import Record, Run
 from bench.scale.world import Options, World, say
-from tests.ports import free_port
+from tests.support.ports import free_port
 
 SIZES = (10, 350, 700, 1400)
 SETTLE_S, TTL_MS = 5.0, 5_000
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -15,9 +15,9 @@
 from bench.scale import sockets
 from bench.scale.processes import Watched
 from bench.scale.records import Role
-from tests.fleet import Registry, running, until
-from tests.nodes import Node
-from tests.ports import free_port
+from tests.support.node_processes import Node
+from tests.support.ports import free_port
+from tests.support.registry_processes import Registry, running, until
 
 HERE = Path(__file__).resolve().parent.parent.parent
 CUSTOMIZE = "from bench.scale.sockets import install_from_environment\n\ninstall_from_environment()\n"
@@ -92,7 +92,7 @@
 
     def start(self, index: int) -> None:
         name = f"r{index}"
-        arguments = ["-m", "orchidledge.registry", "serve", "--config", str(self.config(index))]
+        arguments = ["-m", "loadbalancer.registry", "serve", "--config", str(self.config(index))]
         ports = {"http": self.http[index], "raft": self.raft[index]}
         ports |= {f"raft{other}": port for other, port in enumerate(self.raft) if other != index}
         process = self.processes[index] = self._program.spawn("service", name, arguments, ports)
@@ -111,7 +111,7 @@
         registries = ", ".join(f'"127.0.0.1:{port}"' for port in instances)
         config = program.folder / f"{name}.toml"
         config.write_text(f'[agent]\nlisten = "127.0.0.1:{self.port}"\nregistries = [{registries}]\n')
-        arguments = ["-m", "orchidledge.registry", "agent", "--config", str(config)]
+        arguments = ["-m", "loadbalancer.registry", "agent", "--config", str(config)]
         self.process = program.spawn("agent", name, arguments, {"node": self.port})
 
     def stop(self) -> None:
--- a/bench/scale/stub_pool.py
+++ b/bench/scale/stub_pool.py
@@ -8,9 +8,9 @@
 from contextlib import suppress
 from pathlib import Path
 
-from tests.fleet import spawn, until
-from tests.ports import free_port
-from tests.servers import ServerPool
+from tests.support.ports import free_port
+from tests.support.registry_processes import spawn, until
+from tests.support.stand_in_servers import ServerPool
 
 
 class StubPool(ServerPool):
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -21,8 +21,8 @@
 from bench.scale.platform import NodePlace, Platform
 from bench.scale.program import Instances, Program, RealAgent, RealNode
 from bench.scale.shares import RealShare
-from orchidledge.net.web import call
-from tests.ports import free_port
+from loadbalancer.node.http.service_http import call
+from tests.support.ports import free_port
 
 RAFT_LEADER = 2  # pysyncobj's number of the state
 SERVERS_SHOWN = 48  # a view's entry has facts on so many servers at most
@@ -252,7 +252,7 @@
 
 def _is_scoped(program: Program) -> bool:
     """Whether the program under test has shares by service."""
-    texts = [path.read_text() for path in (program.checkout / "orchidledge").rglob("*.py")]
+    texts = [path.read_text() for path in (program.checkout / "loadbalancer").rglob("*.py")]
     settings = [text.partition("class FleetSettings")[2] for text in texts]
     return any("\n    service: " in text for text in settings)
 
--- a/bench/view.py
+++ b/bench/view.py
@@ -1,4 +1,4 @@
-"""Figures of the view (`orchidledge/view`) on a simulated fleet: intervals, marks and what they cost.
+"""Figures of the view (`loadbalancer/staleness`) on a simulated fleet: intervals, marks and what they cost.
 
     python bench/view.py [--seed 1 --nodes 20 --servers 40 --seconds 60 --jump 0]
 
@@ -33,9 +33,9 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from orchidledge.interface import Mark, Result
-from orchidledge.view import Marks, Offsets, View, server_edge, sibling_edge
-from orchidledge.view.marks import BOUNDS
+from loadbalancer.interface import Mark, Result
+from loadbalancer.staleness import Marks, Offsets, View, server_edge, sibling_edge
+from loadbalancer.staleness.confidence import BOUNDS
 
 P, EVERY, CALL, SAMPLE = 15.0, 30.0, 200.0, 100.0  # ms
 LOSS = 0.02
--- a/orchidledge/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,6 +1,6 @@
-"""One real node: `python -m orchidledge`, told what it is by the file that PROXY_CONFIG names.
+"""One real node: `python -m loadbalancer`, told what it is by the file that PROXY_CONFIG names.
 
-`python -m orchidledge state show FILE [--node NAME]` prints a state file's verdict and contents as JSON;
+`python -m loadbalancer state show FILE [--node NAME]` prints a state file's verdict and contents as JSON;
 it exits 0 where the file is whole, 1 where a rule rejects it, 2 on a wrong command line.
 """
 
@@ -15,9 +15,9 @@
 import sys
 from pathlib import Path
 
-from orchidledge.net.config import Config, parse_config
-from orchidledge.net.node import Node
-from orchidledge.net.snapshot import show
+from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.node import Node
+from loadbalancer.node.state.snapshot import show
 
 LONGEST_SAID = 400  # characters of what is wrong: a value that it quotes may be of any length
 
@@ -61,7 +61,7 @@
 
 
 def state(argv: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python -m orchidledge state", description="Inspect a state file.")
+    parser = argparse.ArgumentParser(prog="python -m loadbalancer state", description="Inspect a state file.")
     parser.add_argument("verb", choices=["show"])
     parser.add_argument("file", type=Path)
     parser.add_argument("--node", help="check it against this node's name, as a start would")
@@ -79,12 +79,12 @@
         config = read_config()
     except (OSError, ValueError) as error:
         said = " ".join(str(error).split())[:LONGEST_SAID]
-        print(f"orchidledge: bad configuration: {said}", file=sys.stderr)
+        print(f"loadbalancer: bad configuration: {said}", file=sys.stderr)
         return 2
     try:
         asyncio.run(serve(config))
     except OSError as error:
-        print(f"orchidledge: {error}", file=sys.stderr)
+        print(f"loadbalancer: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/orchidledge/decide/__init__.py
+++ b/loadbalancer/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""The decision module of orchidledge. Its types, events and actions are in orchidledge/interface.py.
+"""The decision module of loadbalancer. Its types, events and actions are in loadbalancer/interface.py.
 
 Cursor-table admission: every period the pool's load moves a cursor one step over a table of queue
 thresholds; a call that meets its row's threshold is refused at once; an admitted call goes to the
@@ -6,6 +6,6 @@
 Sans-I/O: `Balancer.handle(now_ms, event)` returns actions; no clock, no globals, a random source of its own.
 """
 
-from orchidledge.decide.balancer import Balancer
+from loadbalancer.balancing.balancer import Balancer
 
 __all__ = ["Balancer"]
--- a/orchidledge/decide/admission.py
+++ b/loadbalancer/balancing/admission.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from orchidledge import interface as api
-from orchidledge.decide import table
-from orchidledge.decide.state import State
+from loadbalancer import interface as api
+from loadbalancer.balancing import cursor_table as table
+from loadbalancer.balancing.state import State
 
 RETRY_WORTH = 0.5  # a marked retry counts as this share of its class's worth
 LET_IN_GAIN = 0.1  # smoothing of the share let in, per request
--- a/orchidledge/decide/balancer.py
+++ b/loadbalancer/balancing/balancer.py
@@ -4,11 +4,16 @@
 
 from random import Random
 
-from orchidledge import interface as api
-from orchidledge.decide import fleet, health, learning, load, servers, table
-from orchidledge.decide.admission import Admission
-from orchidledge.decide.attempts import Attempts
-from orchidledge.decide.state import Peer, State
+from loadbalancer import interface as api
+from loadbalancer.balancing import cursor_table as table
+from loadbalancer.balancing import endpoints as servers
+from loadbalancer.balancing import fleet_control as fleet
+from loadbalancer.balancing import learned_state as learning
+from loadbalancer.balancing import load_estimate as load
+from loadbalancer.balancing import outliers as health
+from loadbalancer.balancing.admission import Admission
+from loadbalancer.balancing.retries import Attempts
+from loadbalancer.balancing.state import Peer, State
 
 
 class Balancer:
--- a/orchidledge/decide/table.py
+++ b/loadbalancer/balancing/cursor_table.py
@@ -4,7 +4,7 @@
 
 import math
 
-from orchidledge.decide.state import State
+from loadbalancer.balancing.state import State
 
 FLAT = 2  # n: slots of T1 at the table's left
 STEPS = 14  # slots after them
--- a/orchidledge/decide/ranking.py
+++ b/loadbalancer/balancing/endpoint_selection.py
@@ -4,9 +4,11 @@
 
 import math
 
-from orchidledge import interface as api
-from orchidledge.decide import fleet, load, table
-from orchidledge.decide.state import Job, Peer, State
+from loadbalancer import interface as api
+from loadbalancer.balancing import cursor_table as table
+from loadbalancer.balancing import fleet_control as fleet
+from loadbalancer.balancing import load_estimate as load
+from loadbalancer.balancing.state import Job, Peer, State
 
 FORGET_MS = 8000.0  # an unheard server drifts back to the mean at this pace
 STALE_MS = 500.0  # a reported queue is believed for about this long
--- a/orchidledge/decide/servers.py
+++ b/loadbalancer/balancing/endpoints.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from orchidledge import interface as api
-from orchidledge.decide.state import Peer, Return, State
+from loadbalancer import interface as api
+from loadbalancer.balancing.state import Peer, Return, State
 
 WATCH_MS = 250.0  # half the first wait before discovery is asked again; doubled at each failure
 WATCH_MAX_MS = 4000.0  # the longest such wait
--- a/orchidledge/decide/fleet.py
+++ b/loadbalancer/balancing/fleet_control.py
@@ -9,8 +9,8 @@
 
 import math
 
-from orchidledge import interface as api
-from orchidledge.decide.state import Job, Peer, Shared, State
+from loadbalancer import interface as api
+from loadbalancer.balancing.state import Job, Peer, Shared, State
 
 # How much of a server's measured latency counts by its route's mark; the rest is the others' mean, as for
 # one unheard.
--- a/orchidledge/decide/learning.py
+++ b/loadbalancer/balancing/learned_state.py
@@ -4,10 +4,10 @@
 
 import math
 
-from orchidledge import interface as api
-from orchidledge.decide.load import BASE_LEAST, PEAK_MS
-from orchidledge.decide.state import State
-from orchidledge.decide.table import START_MS, clamped
+from loadbalancer import interface as api
+from loadbalancer.balancing.cursor_table import START_MS, clamped
+from loadbalancer.balancing.load_estimate import BASE_LEAST, PEAK_MS
+from loadbalancer.balancing.state import State
 
 TRUST_MS = PEAK_MS  # restored load figures older than this tell of another load than the present one
 
--- a/orchidledge/decide/load.py
+++ b/loadbalancer/balancing/load_estimate.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from orchidledge.decide.state import State, Window
-from orchidledge.decide.table import FLAT, clamped
+from loadbalancer.balancing.cursor_table import FLAT, clamped
+from loadbalancer.balancing.state import State, Window
 
 SLACK = 0.11  # target: quiet latency plus this share of the way from there to the aim
 SLACK_SEEN = 0.35  # the same where utilisation is reported: latency then stands for the tiers below only
--- a/orchidledge/decide/health.py
+++ b/loadbalancer/balancing/outliers.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from orchidledge import interface as api
-from orchidledge.decide.state import Job, Peer, State, Try
+from loadbalancer import interface as api
+from loadbalancer.balancing.state import Job, Peer, State, Try
 
 GAIN = 0.2  # smoothing of a server's latency and errors, per outcome
 CLASS_GAIN = 0.03  # smoothing of a class's latency and of the mean aim, per outcome
--- a/orchidledge/decide/attempts.py
+++ b/loadbalancer/balancing/retries.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from orchidledge import interface as api
-from orchidledge.decide import health, ranking
-from orchidledge.decide.admission import Admission
-from orchidledge.decide.state import Job, State, Try
+from loadbalancer import interface as api
+from loadbalancer.balancing import endpoint_selection as ranking
+from loadbalancer.balancing import outliers as health
+from loadbalancer.balancing.admission import Admission
+from loadbalancer.balancing.state import Job, State, Try
 
 AIM_MARGIN = 0.98  # attempts worth nothing late are given up at this share of the aim
 
--- a/orchidledge/decide/state.py
+++ b/loadbalancer/balancing/state.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from orchidledge import interface as api
+from loadbalancer import interface as api
 
 PERIOD = 0.15  # P, as a share of the shortest aim
 
--- a/orchidledge/interface.py
+++ b/loadbalancer/interface.py
@@ -274,7 +274,7 @@
 
 @dataclass(slots=True)
 class Restored:
-    """What this node had learned when it wrote its state file, `age_ms` before now (net/snapshot.py)."""
+    """What a node had learned when it wrote its state file (node/state/snapshot.py), `age_ms` before now."""
 
     learned: Learned
     age_ms: float
--- a/orchidledge/members/__init__.py
+++ b/loadbalancer/membership/__init__.py
@@ -19,14 +19,31 @@
 Sources: Das, Gupta, Motivala, "SWIM", 2002; Dadgar, Phillips, Currey, "Lifeguard", 2017.
 """
 
-from .actions import Ack, Action, Changed, DetectorConfig, IndirectProbe, Probe, Sibling, Viewed
-from .enrolment import Call, Enrolment, Share, Word
-from .failure_detector import FailureDetector
-from .leases import LeaseClock
-from .ledger import Ledger, Row, State
-from .messages import LeaseGrant, Member
-from .payload import Standing
-from .verdict import VERDICTS, Connectivity, LeaseStatus, Reachability, Verdict, connectivity, verdict
+from loadbalancer.membership.actions import (
+    Ack,
+    Action,
+    Changed,
+    DetectorConfig,
+    IndirectProbe,
+    Probe,
+    Sibling,
+    Viewed,
+)
+from loadbalancer.membership.failure_detector import FailureDetector
+from loadbalancer.membership.lease_clock import LeaseClock
+from loadbalancer.membership.member_lease import Call, Enrolment, Share, Word
+from loadbalancer.membership.messages import LeaseGrant, Member
+from loadbalancer.membership.payload import Standing
+from loadbalancer.membership.quota_ledger import Ledger, Row, State
+from loadbalancer.membership.verdict import (
+    VERDICTS,
+    Connectivity,
+    LeaseStatus,
+    Reachability,
+    Verdict,
+    connectivity,
+    verdict,
+)
 
 __all__ = [
     "VERDICTS",
--- a/orchidledge/members/actions.py
+++ b/loadbalancer/membership/actions.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from .payload import MAX_ACCUSERS, MAX_UPDATES
-from .verdict import Reachability
+from loadbalancer.membership.payload import MAX_ACCUSERS, MAX_UPDATES
+from loadbalancer.membership.verdict import Reachability
 
 
 @dataclass(frozen=True, slots=True)
--- a/orchidledge/members/failure_detector.py
+++ b/loadbalancer/membership/failure_detector.py
@@ -12,13 +12,13 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from .actions import Ack, Action, DetectorConfig, Sibling
-from .gossip import Gossip
-from .local_state import LocalState
-from .member_list import MemberList
-from .payload import Standing, read
-from .probing import Probing
-from .verdict import Reachability
+from loadbalancer.membership.actions import Ack, Action, DetectorConfig, Sibling
+from loadbalancer.membership.gossip import Gossip
+from loadbalancer.membership.local_state import LocalState
+from loadbalancer.membership.member_list import MemberList
+from loadbalancer.membership.payload import Standing, read
+from loadbalancer.membership.probing import Probing
+from loadbalancer.membership.verdict import Reachability
 
 
 class FailureDetector:
--- a/orchidledge/members/gossip.py
+++ b/loadbalancer/membership/gossip.py
@@ -4,11 +4,18 @@
 
 import random
 
-from .actions import Viewed
-from .local_state import LocalState
-from .member_list import MemberList
-from .payload import MAX_VIEW_BYTES, MemberStatus, MemberUpdate, Message, ProbeResult, write
-from .standings import Standings
+from loadbalancer.membership.actions import Viewed
+from loadbalancer.membership.local_state import LocalState
+from loadbalancer.membership.member_list import MemberList
+from loadbalancer.membership.payload import (
+    MAX_VIEW_BYTES,
+    MemberStatus,
+    MemberUpdate,
+    Message,
+    ProbeResult,
+    write,
+)
+from loadbalancer.membership.quota_reports import Standings
 
 
 class Gossip:
--- a/orchidledge/members/leases.py
+++ b/loadbalancer/membership/lease_clock.py
@@ -8,7 +8,7 @@
 term ago: a renewal names the last one that was answered. (That renewals arrive is not enough: where answers
 get lost, the process counts itself as cut off.) It counts for a majority once it has been so without a gap
 for a whole term, which is longer than any sibling rests on its word that it was cut off
-(members/enrolment.py).
+(membership/member_lease.py).
 """
 
 from __future__ import annotations
--- a/orchidledge/members/local_state.py
+++ b/loadbalancer/membership/local_state.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from .actions import DetectorConfig
-from .payload import MAX_COUNT, MemberStatus, MemberUpdate
+from loadbalancer.membership.actions import DetectorConfig
+from loadbalancer.membership.payload import MAX_COUNT, MemberStatus, MemberUpdate
 
 MAX_COUNT_JUMP = 1000  # a count at second hand that is this far over the known one is rejected
 
--- a/orchidledge/members/enrolment.py
+++ b/loadbalancer/membership/member_lease.py
@@ -15,8 +15,9 @@
   at any other the whole list is asked for, and the node goes on acknowledging what it has.
 - An enrolment that is refused (the group is full) is said again after a jittered pause that grows.
 
-A node says `holding` from the moment it can't be among the surely attached any more (members/leases.py),
-which is before its lease ends, so that siblings cut off together hear of each other in time.
+A node says `holding` from the moment it can't be among the surely attached any more
+(membership/lease_clock.py), which is before its lease ends, so that siblings cut off together
+hear of each other in time.
 """
 
 from __future__ import annotations
@@ -29,10 +30,10 @@
 
 from msgspec import UNSET
 
-from orchidledge.members.leases import LATE, SUPPORT
-from orchidledge.members.ledger import is_majority
-from orchidledge.members.messages import LeaseGrant, Member
-from orchidledge.members.payload import Standing
+from loadbalancer.membership.lease_clock import LATE, SUPPORT
+from loadbalancer.membership.messages import LeaseGrant, Member
+from loadbalancer.membership.payload import Standing
+from loadbalancer.membership.quota_ledger import is_majority
 
 RENEW = 0.2  # of the term: from one renewal to the next
 RETRY = 0.1  # after a failure, drawn from half of it up
--- a/orchidledge/members/member_list.py
+++ b/loadbalancer/membership/member_list.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .actions import Changed, DetectorConfig, Sibling
-from .local_state import MAX_COUNT_JUMP, LocalState
-from .payload import MemberStatus, MemberUpdate
-from .verdict import Reachability
+from loadbalancer.membership.actions import Changed, DetectorConfig, Sibling
+from loadbalancer.membership.local_state import MAX_COUNT_JUMP, LocalState
+from loadbalancer.membership.payload import MemberStatus, MemberUpdate
+from loadbalancer.membership.verdict import Reachability
 
 SUSPECTED = (MemberStatus.SUSPECT, MemberStatus.REFUSED)
 
--- a/orchidledge/members/messages.py
+++ b/loadbalancer/membership/messages.py
@@ -51,7 +51,7 @@
     """The body of the answer to an enrolment or a renewal."""
 
     ttl_ms: Annotated[float, Meta(ge=100.0, le=600_000.0)]
-    routes: dict[str, Any]  # read by routes/follower.py
+    routes: dict[str, Any]  # read by routing/participant.py
     t2: Moment  # when the service had the call, and
     t3: Moment  # when it answered
     term: int = 0  # of the leader whose clock t2 and t3 are by
--- a/orchidledge/members/probing.py
+++ b/loadbalancer/membership/probing.py
@@ -6,12 +6,12 @@
 import random
 from dataclasses import dataclass, field
 
-from .actions import Ack, IndirectProbe, Probe
-from .gossip import Gossip
-from .local_state import LocalState
-from .member_list import MemberList, Peer
-from .payload import MemberStatus, MemberUpdate, Message, ProbeResult
-from .probe_order import ProbeOrder
+from loadbalancer.membership.actions import Ack, IndirectProbe, Probe
+from loadbalancer.membership.gossip import Gossip
+from loadbalancer.membership.local_state import LocalState
+from loadbalancer.membership.member_list import MemberList, Peer
+from loadbalancer.membership.payload import MemberStatus, MemberUpdate, Message, ProbeResult
+from loadbalancer.membership.probe_order import ProbeOrder
 
 GRACE_MS = 1000.0  # a request that the caller never ends is dropped this long after its timeout
 
--- a/orchidledge/members/ledger.py
+++ b/loadbalancer/membership/quota_ledger.py
@@ -20,8 +20,8 @@
 
 from msgspec.structs import replace
 
-from .change_log import ChangeLog
-from .messages import LeaseGrant, Member
+from loadbalancer.membership.change_log import ChangeLog
+from loadbalancer.membership.messages import LeaseGrant, Member
 
 
 class State(StrEnum):
@@ -160,8 +160,8 @@
 
     def expire(self, lapsed: list[tuple[int, int]], support: list[int]) -> tuple[list[int], list[int]]:
         """Leases that ran out, each with the seq of the renewal it ran out after, and the rows that the
-        leader knows to be attached for a whole term (members/leases.py). Returns those that lapsed now and
-        those removed."""
+        leader knows to be attached for a whole term (membership/lease_clock.py). Returns those that lapsed
+        now and those removed."""
         out = [self.by_incarnation[number] for number, seq in lapsed if self._still(number, seq)]
         newly = [row for row in out if row.state in (State.LIVE, State.LEAVING)]
         for row in newly:
--- a/orchidledge/members/standings.py
+++ b/loadbalancer/membership/quota_reports.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Container, Iterable
 
-from .local_state import LocalState
-from .payload import MAX_STATEMENTS, MAX_TIME_MS, Standing, Statement
+from loadbalancer.membership.local_state import LocalState
+from loadbalancer.membership.payload import MAX_STATEMENTS, MAX_TIME_MS, Standing, Statement
 
 
 class Standings:
@@ -57,9 +57,9 @@
 
         An `ATTACHED` statement of another is not passed on, as no node acts on one. A node that holds its
         share past its lease rests on `HOLDING` statements alone, each for HOLD of a term from its making
-        (members/enrolment.py). Its maker, attached again, counts towards a majority that could give the share
-        away only after a whole term without a gap (members/leases.py), so a `HOLDING` statement that has been
-        overtaken has expired by then, whether or not the later one was heard of.
+        (membership/member_lease.py). Its maker, attached again, counts towards a majority that could give the
+        share away only after a whole term without a gap (membership/lease_clock.py), so a `HOLDING` statement
+        that has been overtaken has expired by then, whether or not the later one was heard of.
         """
         own = () if self._own is None else (self._own,)
         others = [known for known in self._known.values() if known.standing is not Standing.ATTACHED]
--- /dev/null
+++ b/loadbalancer/node/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' HTTP server and the counters that it shows."""
--- a/orchidledge/net/operator.py
+++ b/loadbalancer/node/admin/server.py
@@ -10,9 +10,9 @@
 
 import httptools
 
-from orchidledge.net.upstream import Address
+from loadbalancer.node.address import Address
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 MAX_CALL = 16 * 1024  # bytes of one call, head and body
 VISITS = 16  # calls under way at once; of more, the oldest goes
--- a/orchidledge/net/attempts.py
+++ b/loadbalancer/node/attempts.py
@@ -6,13 +6,13 @@
 from collections import Counter
 from collections.abc import Callable
 
-from orchidledge import interface as api
-from orchidledge.net.clock import Clock
-from orchidledge.net.http import Response
-from orchidledge.net.jobs import Job, Jobs
-from orchidledge.net.requests import forwarded
-from orchidledge.net.upstream import Pool
-from orchidledge.settings import report_from
+from loadbalancer import interface as api
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.http.client_connection import Response
+from loadbalancer.node.listener.requests import forwarded
+from loadbalancer.node.request_registry import Job, Jobs
+from loadbalancer.node.upstream.pool import Pool
+from loadbalancer.settings import report_from
 
 
 class Attempts:
--- a/orchidledge/net/driver.py
+++ b/loadbalancer/node/balancer_driver.py
@@ -7,14 +7,14 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
-from orchidledge.net.attempts import Attempts
-from orchidledge.net.clock import Clock
-from orchidledge.net.discovery import Watcher
-from orchidledge.net.jobs import Jobs
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
+from loadbalancer.node.attempts import Attempts
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.discovery.watcher import Watcher
+from loadbalancer.node.request_registry import Jobs
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 FAULT_PAUSE_S = 0.5  # before an alarm is tried again that a fault of the module has lost
 
--- a/orchidledge/net/config.py
+++ b/loadbalancer/node/config.py
@@ -10,14 +10,15 @@
 
 import orjson
 
-from orchidledge.interface import Settings, check_within
-from orchidledge.net import handover, maintenance
-from orchidledge.net.discovery import Listing, parse_address, parse_listing
-from orchidledge.net.upstream import Address
-from orchidledge.settings import Row, section, settings_from, text_of
+from loadbalancer.interface import Settings, check_within
+from loadbalancer.node.address import Address, parse_address
+from loadbalancer.node.discovery.watcher import Listing, parse_listing
+from loadbalancer.node.state import ejections as maintenance
+from loadbalancer.node.state import handover
+from loadbalancer.settings import Row, section, settings_from, text_of
 
 if TYPE_CHECKING:
-    from orchidledge.net.fleet_settings import FleetSettings
+    from loadbalancer.node.membership_settings import FleetSettings
 
 
 LEAST = 0.001  # of any figure that has to be above 0
@@ -103,7 +104,7 @@
     if row is None:
         return None
     # Only a node that is told of members pays for the libraries that it needs for them.
-    from orchidledge.net.fleet_settings import parse_settings
+    from loadbalancer.node.membership_settings import parse_settings
 
     return parse_settings(row)
 
--- a/orchidledge/net/fleet/__init__.py
+++ b/loadbalancer/node/control/__init__.py
@@ -6,6 +6,6 @@
 only.
 """
 
-from orchidledge.net.fleet.part import FleetPart
+from loadbalancer.node.control.control_plane import FleetPart
 
 __all__ = ["FleetPart"]
--- a/orchidledge/net/fleet/part.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-from orchidledge import interface as api
-from orchidledge.members import (
+from loadbalancer import interface as api
+from loadbalancer.membership import (
     Changed,
     Connectivity,
     DetectorConfig,
@@ -25,29 +25,29 @@
     connectivity,
     verdict,
 )
-from orchidledge.members.messages import LeaseAnswer
-from orchidledge.net.clock import Clock
-from orchidledge.net.config import Config as NodeConfig
-from orchidledge.net.discovery import Watcher
-from orchidledge.net.driver import Driver
-from orchidledge.net.fleet import lease as lease_shell
-from orchidledge.net.fleet.agent import Agent
-from orchidledge.net.fleet.probing import ProbeTransport, log
-from orchidledge.net.fleet.routing import Routing
-from orchidledge.net.fleet.sight import Sight
-from orchidledge.net.fleet.store import RouteStore
-from orchidledge.net.fleet.times import FleetClock
-from orchidledge.net.operator import Answer, Calls
-from orchidledge.net.serverlist import ServerList
-from orchidledge.routes import Follower
-from orchidledge.view import Offsets
+from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.node.admin.server import Answer, Calls
+from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.config import Config as NodeConfig
+from loadbalancer.node.control import lease as lease_shell
+from loadbalancer.node.control.freshness_tracker import Sight
+from loadbalancer.node.control.probe_transport import ProbeTransport, log
+from loadbalancer.node.control.registry_client import Agent
+from loadbalancer.node.control.route_activation import Routing
+from loadbalancer.node.control.route_store import RouteStore
+from loadbalancer.node.control.timers import FleetClock
+from loadbalancer.node.discovery.watcher import Watcher
+from loadbalancer.node.endpoint_list import ServerList
+from loadbalancer.routing import Follower
+from loadbalancer.staleness import Offsets
 
 ORDER_MS = 3_000.0  # an operator's word that the list service has not answered by then is a no
 SIBLING_MS = 3_000.0  # a node that no sibling has answered for so long, nor the list service, is alone
 
 
 class FleetPart:
-    """A part of the node (net/part.py) where the configuration names `members`."""
+    """A part of the node (node/component.py) where the configuration names `members`."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
 
     async def start(self) -> None:
         """Listening comes before enrolment: it shows that no other process of this node lives
-        (members/ledger.py)."""
+        (membership/quota_ledger.py)."""
         self.routing.start()
         self._on_share()
         self.sight.start()
--- a/orchidledge/net/fleet/sight.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -6,15 +6,15 @@
 import logging
 from collections.abc import Callable, Collection
 
-from orchidledge import interface as api
-from orchidledge.members import Viewed
-from orchidledge.net.driver import Driver
-from orchidledge.net.fleet.times import Alarm, FleetClock
-from orchidledge.net.fleet_settings import FleetSettings
-from orchidledge.net.serverlist import ServerList
-from orchidledge.view import Marks, Offsets, Stand, View
-
-log = logging.getLogger("orchidledge")
+from loadbalancer import interface as api
+from loadbalancer.membership import Viewed
+from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.control.timers import Alarm, FleetClock
+from loadbalancer.node.endpoint_list import ServerList
+from loadbalancer.node.membership_settings import FleetSettings
+from loadbalancer.staleness import Marks, Offsets, Stand, View
+
+log = logging.getLogger("loadbalancer")
 
 PERIODS = 4.0  # between two updates of the marks, at most
 LEAST_MS = 50.0  # but no less, for what an update costs
--- a/orchidledge/net/fleet/lease.py
+++ b/loadbalancer/node/control/lease.py
@@ -11,13 +11,13 @@
 
 import orjson
 
-from orchidledge.members import Call, Enrolment
-from orchidledge.members.messages import LeaseAnswer
-from orchidledge.net.fleet.agent import Agent, read_lease
-from orchidledge.net.fleet.times import Alarm, FleetClock, Tasks
-from orchidledge.view import Offsets
+from loadbalancer.membership import Call, Enrolment
+from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.node.control.registry_client import Agent, read_lease
+from loadbalancer.node.control.timers import Alarm, FleetClock, Tasks
+from loadbalancer.staleness import Offsets
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 SERVICE = "service"  # the list service among the peers whose clocks are known
 # Of each watch for a change of members or routes. One that a cut leaves hanging costs little: the answers to
--- a/orchidledge/net/fleet/probing.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -10,13 +10,12 @@
 
 import tenacity
 
-from orchidledge.members import Ack, Action, Changed, FailureDetector, IndirectProbe, Probe, Viewed
-from orchidledge.net import web
-from orchidledge.net.discovery import parse_address
-from orchidledge.net.fleet.times import Alarm, FleetClock, Tasks
-from orchidledge.net.upstream import Address
+from loadbalancer.membership import Ack, Action, Changed, FailureDetector, IndirectProbe, Probe, Viewed
+from loadbalancer.node.address import Address, parse_address
+from loadbalancer.node.control.timers import Alarm, FleetClock, Tasks
+from loadbalancer.node.http import service_http as web
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 PROBE_PATH, INDIRECT_PROBE_PATH = "/members/ask", "/members/ask-through"
 INDIRECT_TIMEOUT_S = 3.0  # an indirect probe that has no result by then is refused
--- a/orchidledge/net/fleet/agent.py
+++ b/loadbalancer/node/control/registry_client.py
@@ -8,9 +8,9 @@
 import msgspec
 import orjson
 
-from orchidledge.members.messages import LeaseAnswer
-from orchidledge.net import web
-from orchidledge.net.upstream import Address
+from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.node.address import Address
+from loadbalancer.node.http import service_http as web
 
 KEPT_CONNECTIONS = 2  # idle at once: the watch has one of its own while it is open
 
--- a/orchidledge/net/fleet/routing.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -7,14 +7,14 @@
 import math
 from collections.abc import Callable, Sequence
 
-from orchidledge.interface import Event
-from orchidledge.members.messages import LeaseAnswer
-from orchidledge.net.fleet.agent import Agent
-from orchidledge.net.fleet.store import RouteStore
-from orchidledge.net.fleet.times import Alarm, FleetClock, Tasks
-from orchidledge.routes import Action, Apply, Fetch, Follower, Forget, Store, Vote
-
-log = logging.getLogger("orchidledge")
+from loadbalancer.interface import Event
+from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.node.control.registry_client import Agent
+from loadbalancer.node.control.route_store import RouteStore
+from loadbalancer.node.control.timers import Alarm, FleetClock, Tasks
+from loadbalancer.routing import Action, Apply, Fetch, Follower, Forget, Store, Vote
+
+log = logging.getLogger("loadbalancer")
 
 CALL_MS = 2_000.0
 LATE_MS = 50.0  # a switch so much after its moment is worth a line
--- a/orchidledge/net/fleet/store.py
+++ b/loadbalancer/node/control/route_store.py
@@ -11,9 +11,9 @@
 
 import msgpack
 
-from orchidledge.net.snapshot import FORMAT, decode, frame, put, sync_folder
+from loadbalancer.node.state.snapshot import FORMAT, decode, frame, put, sync_folder
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 
 class RouteStore:
--- a/orchidledge/net/fleet/times.py
+++ b/loadbalancer/node/control/timers.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from orchidledge.net.clock import Clock
+from loadbalancer.node.clock import Clock
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 
 class FleetClock:
--- /dev/null
+++ b/loadbalancer/node/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoint list as discovery publishes it, and the watch that follows it."""
--- a/orchidledge/net/discovery.py
+++ b/loadbalancer/node/discovery/watcher.py
@@ -11,11 +11,11 @@
 
 import orjson
 
-from orchidledge.interface import ListForm, Server, ServerState
-from orchidledge.net.http import ClientConnection, Response
-from orchidledge.net.upstream import Address
+from loadbalancer.interface import ListForm, Server, ServerState
+from loadbalancer.node.address import Address, parse_address
+from loadbalancer.node.http.client_connection import ClientConnection, Response
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
 SLACK_S = 0.3  # of it, for a busy event loop
@@ -52,13 +52,6 @@
     origin_rev: int = 0  # the list service's revision, alike at all nodes, where the agent tells it
 
 
-def parse_address(text: object) -> Address:
-    host, _, port = str(text).rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise ValueError(f"{text!r} is not an address and a port")
-    return host, int(port)
-
-
 def parse_listing(row: object) -> Listing:
     """A listing from its JSON; ValueError on any that is malformed."""
     if not isinstance(row, dict):
--- a/orchidledge/net/serverlist.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -6,13 +6,14 @@
 from collections import Counter
 from collections.abc import Callable
 
-from orchidledge import interface as api
-from orchidledge.net.clock import Clock
-from orchidledge.net.discovery import Listing
-from orchidledge.net.maintenance import Bans
-from orchidledge.net.operator import Answer, Calls, yes_or_no
-from orchidledge.net.server import Server
-from orchidledge.net.upstream import Address, Pool
+from loadbalancer import interface as api
+from loadbalancer.node.address import Address
+from loadbalancer.node.admin.server import Answer, Calls, yes_or_no
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.discovery.watcher import Listing
+from loadbalancer.node.listener.server import Server
+from loadbalancer.node.state.ejections import Bans
+from loadbalancer.node.upstream.pool import Pool
 
 
 class ServerList:
--- a/orchidledge/net/http.py
+++ b/loadbalancer/node/http/client_connection.py
@@ -9,8 +9,8 @@
 
 import httptools
 
-from orchidledge.net.body import HIGH_WATER, LONGEST, Body
-from orchidledge.net.pending import readable
+from loadbalancer.node.http.body import HIGH_WATER, LONGEST, Body
+from loadbalancer.node.http.socket_buffer import readable
 
 MAX_BODY = HIGH_WATER  # of a body that is held whole
 MAX_HEAD = 16 * 1024
--- a/orchidledge/net/web.py
+++ b/loadbalancer/node/http/service_http.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from orchidledge.net.upstream import Address
+from loadbalancer.node.address import Address
 
 MAX_BODY = 4 * 1024 * 1024
 MAX_HEAD = 64 * 1024
--- a/orchidledge/net/call.py
+++ b/loadbalancer/node/listener/call.py
@@ -7,8 +7,8 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from orchidledge.net.body import Body
-from orchidledge.net.http import LAST_CHUNK, chunk
+from loadbalancer.node.http.body import Body
+from loadbalancer.node.http.client_connection import LAST_CHUNK, chunk
 
 
 class CallerConnection(Protocol):
--- a/orchidledge/net/connection.py
+++ b/loadbalancer/node/listener/connection.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Callable
 
-from orchidledge.net.body import HIGH_WATER, Body
-from orchidledge.net.call import Call, LongAnswer, head
-from orchidledge.net.closing import ClosableConnection, ConnectionOwner, State
-from orchidledge.net.flow import Reading, Writing
-from orchidledge.net.request_parser import RequestParser
+from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.listener.call import Call, LongAnswer, head
+from loadbalancer.node.listener.connection_states import ClosableConnection, ConnectionOwner, State
+from loadbalancer.node.listener.flow_control import Reading, Writing
+from loadbalancer.node.listener.request_parser import RequestParser
 
 READY_PATH = b"/up"
 
--- a/orchidledge/net/closing.py
+++ b/loadbalancer/node/listener/connection_states.py
@@ -8,10 +8,10 @@
 from enum import Enum
 from typing import Protocol
 
-from orchidledge.net.call import Call, head
-from orchidledge.net.flow import Linger, Writing
-from orchidledge.net.pending import ended, readable
-from orchidledge.net.request_parser import Receiving, RequestParser
+from loadbalancer.node.http.socket_buffer import ended, readable
+from loadbalancer.node.listener.call import Call, head
+from loadbalancer.node.listener.flow_control import Linger, Writing
+from loadbalancer.node.listener.request_parser import Receiving, RequestParser
 
 
 class ConnectionOwner(Protocol):
--- a/orchidledge/net/flow.py
+++ b/loadbalancer/node/listener/flow_control.py
@@ -7,7 +7,7 @@
 import struct
 from collections.abc import Callable
 
-from orchidledge.net.pending import readable
+from loadbalancer.node.http.socket_buffer import readable
 
 LINGER_S = (
     1.0  # how long after a fatal answer, and after the last that a caller still sends, that is dropped,
--- a/orchidledge/net/request_parser.py
+++ b/loadbalancer/node/listener/request_parser.py
@@ -8,9 +8,9 @@
 
 import httptools
 
-from orchidledge.net.body import LONGEST
-from orchidledge.net.call import Call
-from orchidledge.net.http import MAX_BODY, MAX_HEAD
+from loadbalancer.node.http.body import LONGEST
+from loadbalancer.node.http.client_connection import MAX_BODY, MAX_HEAD
+from loadbalancer.node.listener.call import Call
 
 HEAD_S = (
     2.3  # how long a request's head may take, the first one from its connection's start (a slow one: 2 s),
--- a/orchidledge/net/requests.py
+++ b/loadbalancer/node/listener/requests.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 from urllib.parse import unquote_to_bytes
 
-from orchidledge import interface as api
-from orchidledge.net.call import Call
+from loadbalancer import interface as api
+from loadbalancer.node.listener.call import Call
 
 WAY_BACK_S = 0.015  # an answer leaves this long before the client's time is up
 
--- a/orchidledge/net/server.py
+++ b/loadbalancer/node/listener/server.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Iterable
 from itertools import islice
 
-from orchidledge.net.call import Call
-from orchidledge.net.closing import ClosableConnection
-from orchidledge.net.connection import ServerConnection
+from loadbalancer.node.listener.call import Call
+from loadbalancer.node.listener.connection import ServerConnection
+from loadbalancer.node.listener.connection_states import ClosableConnection
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 BACKLOG = 1024
 ACCEPT_PAUSE_S = 0.002  # while there is no room: a connection that is closed goes a turn of the loop later
--- a/orchidledge/net/fleet_settings.py
+++ b/loadbalancer/node/membership_settings.py
@@ -8,8 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from orchidledge.net.discovery import parse_address
-from orchidledge.net.upstream import Address
+from loadbalancer.node.address import Address, parse_address
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/orchidledge/net/node.py
+++ b/loadbalancer/node/node.py
@@ -10,31 +10,31 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
-from orchidledge.net.attempts import Attempts
-from orchidledge.net.call import Call
-from orchidledge.net.clock import Clock
-from orchidledge.net.clockwork import Clockwork
-from orchidledge.net.config import Config
-from orchidledge.net.discovery import PAUSE_S, Patience, Watcher
-from orchidledge.net.driver import Driver
-from orchidledge.net.figures import Figures
-from orchidledge.net.handover import Handover
-from orchidledge.net.jobs import Jobs
-from orchidledge.net.keeper import Keeper
-from orchidledge.net.maintenance import Bans
-from orchidledge.net.operator import Answer, Calls, Door, yes_or_no
-from orchidledge.net.part import Part
-from orchidledge.net.server import Server
-from orchidledge.net.serverlist import ServerList
-from orchidledge.net.sharing import Sharing
-from orchidledge.net.upstream import Pool
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
+from loadbalancer.node.admin.metrics import Figures
+from loadbalancer.node.admin.server import Answer, Calls, Door, yes_or_no
+from loadbalancer.node.attempts import Attempts
+from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.component import Part
+from loadbalancer.node.config import Config
+from loadbalancer.node.discovery.watcher import PAUSE_S, Patience, Watcher
+from loadbalancer.node.endpoint_list import ServerList
+from loadbalancer.node.listener.call import Call
+from loadbalancer.node.listener.server import Server
+from loadbalancer.node.periodic_tasks import Clockwork
+from loadbalancer.node.request_registry import Jobs
+from loadbalancer.node.sibling_process import Sharing
+from loadbalancer.node.state.ejections import Bans
+from loadbalancer.node.state.handover import Handover
+from loadbalancer.node.state_writer import Keeper
+from loadbalancer.node.upstream.pool import Pool
 
 if TYPE_CHECKING:
-    from orchidledge.net.fleet import FleetPart
+    from loadbalancer.node.control import FleetPart
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 SPARE_SOCKETS = 32  # for the listener, discovery, standard streams and the event loop
 INBOUND_SHARE = 0.45  # of the other descriptors: callers' connections;
@@ -102,7 +102,7 @@
         if self.config.members is None:
             return None
         # Only a node that is told of members pays for the libraries that it needs for them.
-        from orchidledge.net.fleet import FleetPart
+        from loadbalancer.node.control import FleetPart
 
         part = FleetPart(self.config, self.clock, self.servers, self.watcher, self.driver)
         self.attempts.on_outcome.append(part.sight.saw)
--- a/orchidledge/net/clockwork.py
+++ b/loadbalancer/node/periodic_tasks.py
@@ -7,12 +7,12 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from orchidledge.net.driver import Driver
-from orchidledge.net.jobs import Jobs
-from orchidledge.net.server import Server
-from orchidledge.net.upstream import Pool
+from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.listener.server import Server
+from loadbalancer.node.request_registry import Jobs
+from loadbalancer.node.upstream.pool import Pool
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 STATS_S = 5.0
 BEAT_S = 0.1
--- a/orchidledge/net/jobs.py
+++ b/loadbalancer/node/request_registry.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidledge import interface as api
-from orchidledge.net.body import Body
-from orchidledge.net.call import Call
-from orchidledge.net.clock import Clock
-from orchidledge.net.config import Config
-from orchidledge.net.figures import Figures
-from orchidledge.net.requests import BadRequestError, parse
-from orchidledge.net.server import Server
-from orchidledge.net.upstream import Attempt
+from loadbalancer import interface as api
+from loadbalancer.node.admin.metrics import Figures
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.config import Config
+from loadbalancer.node.http.body import Body
+from loadbalancer.node.listener.call import Call
+from loadbalancer.node.listener.requests import BadRequestError, parse
+from loadbalancer.node.listener.server import Server
+from loadbalancer.node.upstream.pool import Attempt
 
 BACKSTOP_S = 0.005  # after which a request that the module left unanswered is answered for it
 CUT_OFF_S = 0.25  # past its caller's time a long answer is given up at a silence of its server of so long
--- a/orchidledge/net/sharing.py
+++ b/loadbalancer/node/sibling_process.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from orchidledge import interface as api
-from orchidledge.net.clock import Clock
-from orchidledge.net.driver import Driver
-from orchidledge.net.handover import Handover
+from loadbalancer import interface as api
+from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.state.handover import Handover
 
 
 class Sharing:
--- a/orchidledge/net/maintenance.py
+++ b/loadbalancer/node/state/ejections.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 FOLDER = "orchidledge-maintenance"
 PREFIX = "server-"  # of a ban's file; what else lies in the folder is not ours
--- a/orchidledge/net/handover.py
+++ b/loadbalancer/node/state/handover.py
@@ -12,9 +12,9 @@
 
 import orjson
 
-from orchidledge.interface import Learned
+from loadbalancer.interface import Learned
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 FOLDER = "orchidledge-handover"
 PREFIX = "process-"
--- a/orchidledge/net/snapshot.py
+++ b/loadbalancer/node/state/snapshot.py
@@ -28,12 +28,12 @@
 import orjson
 import xxhash
 
-from orchidledge.interface import Learned, Server, ServerState
-from orchidledge.net.discovery import Listing, parse_listing
-from orchidledge.net.handover import learned_from
-from orchidledge.net.upstream import Address
+from loadbalancer.interface import Learned, Server, ServerState
+from loadbalancer.node.address import Address
+from loadbalancer.node.discovery.watcher import Listing, parse_listing
+from loadbalancer.node.state.handover import learned_from
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 MAGIC = b"OLST"
 HEADER = struct.Struct(">4sQI")
--- a/orchidledge/net/keeper.py
+++ b/loadbalancer/node/state_writer.py
@@ -5,17 +5,17 @@
 import asyncio
 from pathlib import Path
 
-from orchidledge import interface as api
-from orchidledge.net.clock import Clock
-from orchidledge.net.config import Config
-from orchidledge.net.discovery import Watcher
-from orchidledge.net.driver import Driver
-from orchidledge.net.serverlist import ServerList
-from orchidledge.net.snapshot import StateFile, encode, listing_of, read
+from loadbalancer import interface as api
+from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.config import Config
+from loadbalancer.node.discovery.watcher import Watcher
+from loadbalancer.node.endpoint_list import ServerList
+from loadbalancer.node.state.snapshot import StateFile, encode, listing_of, read
 
 
 class Keeper:
-    """A part of the node (net/part.py) where the configuration names a state file."""
+    """A part of the node (node/component.py) where the configuration names a state file."""
 
     def __init__(
         self,
--- /dev/null
+++ b/loadbalancer/node/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to servers and the attempts that run on them."""
--- a/orchidledge/net/upstream.py
+++ b/loadbalancer/node/upstream/pool.py
@@ -8,13 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidledge.interface import Result
-from orchidledge.net.body import Body
-from orchidledge.net.http import ClientConnection, Response
+from loadbalancer.interface import Result
+from loadbalancer.node.address import Address
+from loadbalancer.node.http.body import Body
+from loadbalancer.node.http.client_connection import ClientConnection, Response
 
-log = logging.getLogger("orchidledge")
-
-Address = tuple[str, int]
+log = logging.getLogger("loadbalancer")
 
 SILENT_S = 10.0  # a long answer of which nothing has come for so long will not be finished
 IDLE_SHARE = 0.5  # of the time after which a server closes an idle connection: ours goes well before
--- a/orchidledge/registry/__main__.py
+++ b/loadbalancer/registry/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m orchidledge.registry`: serve an instance, run an agent, or ask an instance.
+"""`python -m loadbalancer.registry`: serve an instance, run an agent, or ask an instance.
 
     serve --config registry.toml     one instance of the list service
     agent --config agent.toml        the per-machine agent a node asks ($PROXY_DISCOVERY)
@@ -18,14 +18,14 @@
 
 import orjson
 
-from orchidledge.net.web import call
-from orchidledge.registry import agent, local, service
-from orchidledge.registry.settings import ConfigError, address, load_agent, load_instance, start_logs
+from loadbalancer.node.http.service_http import call
+from loadbalancer.registry import agent, local, service
+from loadbalancer.registry.settings import ConfigError, address, load_agent, load_instance, start_logs
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
-        prog="python -m orchidledge.registry", description=__doc__.split("\n")[0]
+        prog="python -m loadbalancer.registry", description=__doc__.split("\n")[0]
     )
     parser.add_argument("--log-level", default="info", choices=["debug", "info", "warning", "error"])
     commands = parser.add_subparsers(dest="command", required=True)
--- a/orchidledge/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -29,12 +29,12 @@
 import structlog
 import tenacity
 
-from orchidledge.net.upstream import Address
-from orchidledge.net.web import Answer, Call, call, serve
-from orchidledge.registry import watch
-from orchidledge.registry.passing import Passing
-from orchidledge.registry.settings import Agent
-from orchidledge.registry.store import Page, Target
+from loadbalancer.node.address import Address
+from loadbalancer.node.http.service_http import Answer, Call, call, serve
+from loadbalancer.registry import watch
+from loadbalancer.registry.catalog import Page, Target
+from loadbalancer.registry.forwarding import Passing
+from loadbalancer.registry.settings import Agent
 
 KEEP_GONE = 10_000
 
--- a/orchidledge/registry/clock_file.py
+++ b/loadbalancer/registry/clock_file.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from orchidledge.registry.service_clock import Bound
+from loadbalancer.registry.service_clock import Bound
 
 NEAR_MS = 2.0  # a bound that moved less is not written again
 
--- a/orchidledge/registry/fleet_web.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -15,20 +15,20 @@
 import orjson
 import structlog
 
-from orchidledge.members.messages import LeaseAnswer
-from orchidledge.net.web import Answer, Call, Client
-from orchidledge.registry import watch
-from orchidledge.registry.commands import EnrolMember
-from orchidledge.registry.fleet import Ended, FleetCatalog, MemberGrant, Refused, Renewal
-from orchidledge.registry.fleet_leader import FleetLeader
-from orchidledge.registry.fleet_state import LimitReachedError
-from orchidledge.registry.messages import Enrol, Halt, One, Renew, Rollback, Vote
-from orchidledge.registry.passing import pass_on
-from orchidledge.registry.relay import HOP, PASS_S, RenewalRelay, answer_batch, read_batch
-from orchidledge.registry.relay import MAX_BODY as MAX_BATCH_BODY
-from orchidledge.registry.settings import address
-from orchidledge.routes.activation import Ruling
-from orchidledge.routes.table import MAX_TEXT, parse
+from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.node.http.service_http import Answer, Call, Client
+from loadbalancer.registry import watch
+from loadbalancer.registry.commands import EnrolMember
+from loadbalancer.registry.fleet_catalog import Ended, FleetCatalog, MemberGrant, Refused, Renewal
+from loadbalancer.registry.fleet_leader import FleetLeader
+from loadbalancer.registry.fleet_state import LimitReachedError
+from loadbalancer.registry.forwarding import pass_on
+from loadbalancer.registry.messages import Enrol, Halt, One, Renew, Rollback, Vote
+from loadbalancer.registry.renewal_relay import HOP, PASS_S, RenewalRelay, answer_batch, read_batch
+from loadbalancer.registry.renewal_relay import MAX_BODY as MAX_BATCH_BODY
+from loadbalancer.registry.settings import address
+from loadbalancer.routing.coordinator import Ruling
+from loadbalancer.routing.route_table import MAX_TEXT, parse
 
 MAX_BODY = 8 * 1024
 LIMITS = {("PUT", "routes"): MAX_TEXT, ("POST", "renew-many"): MAX_BATCH_BODY}  # of bodies, in bytes
--- a/orchidledge/registry/fleet.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -20,12 +20,12 @@
 from msgspec import Struct
 from pysyncobj import SyncObjConsumer, replicated
 
-from orchidledge.members.ledger import Row
-from orchidledge.members.messages import LeaseGrant
-from orchidledge.registry.commands import EndService, EnrolMember, RemoveMembers, decode
-from orchidledge.registry.fleet_state import Begun, FleetState, LimitReachedError, ServiceInUseError
-from orchidledge.registry.service_clock import ServiceClock
-from orchidledge.routes.activation import Ruling
+from loadbalancer.membership.messages import LeaseGrant
+from loadbalancer.membership.quota_ledger import Row
+from loadbalancer.registry.commands import EndService, EnrolMember, RemoveMembers, decode
+from loadbalancer.registry.fleet_state import Begun, FleetState, LimitReachedError, ServiceInUseError
+from loadbalancer.registry.service_clock import ServiceClock
+from loadbalancer.routing.coordinator import Ruling
 
 LEADER = 2  # pysyncobj's number of the state
 
--- a/orchidledge/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -13,14 +13,14 @@
 
 import structlog
 
-from orchidledge.members.leases import LATE, LeaseClock
-from orchidledge.registry.batch import Batch
-from orchidledge.registry.clock_file import ClockFile
-from orchidledge.registry.commands import Command, EndService, EnrolMember, RemoveMembers, encode
-from orchidledge.registry.fleet import Ended, FleetCatalog, MemberGrant, Outcome, Refused, Renewal
-from orchidledge.registry.fleet_state import Begun, LimitReachedError
-from orchidledge.registry.service_clock import ServiceClock
-from orchidledge.registry.settings import Members
+from loadbalancer.membership.lease_clock import LATE, LeaseClock
+from loadbalancer.registry.batch import Batch
+from loadbalancer.registry.clock_file import ClockFile
+from loadbalancer.registry.commands import Command, EndService, EnrolMember, RemoveMembers, encode
+from loadbalancer.registry.fleet_catalog import Ended, FleetCatalog, MemberGrant, Outcome, Refused, Renewal
+from loadbalancer.registry.fleet_state import Begun, LimitReachedError
+from loadbalancer.registry.service_clock import ServiceClock
+from loadbalancer.registry.settings import Members
 
 Commit = Callable[..., Awaitable[Any]]  # a command and its arguments; ConnectionError or TimeoutError
 
--- a/orchidledge/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -27,9 +27,9 @@
 
 from msgspec.structs import replace
 
-from orchidledge.members.ledger import Beside, Ledger, Row, State
-from orchidledge.members.messages import LeaseGrant
-from orchidledge.routes.activation import Activations, Ruling
+from loadbalancer.membership.messages import LeaseGrant
+from loadbalancer.membership.quota_ledger import Beside, Ledger, Row, State
+from loadbalancer.routing.coordinator import Activations, Ruling
 
 # Guards: enrolments that never end must not grow the log's state without bound.
 MAX_ROWS = 1_000  # of members that name no service
--- a/orchidledge/registry/passing.py
+++ b/loadbalancer/registry/forwarding.py
@@ -11,10 +11,10 @@
 
 import structlog
 
-from orchidledge.net.upstream import Address
-from orchidledge.net.web import Answer, Call, Client
-from orchidledge.registry.relay import HOP
-from orchidledge.registry.watch import query
+from loadbalancer.node.address import Address
+from loadbalancer.node.http.service_http import Answer, Call, Client
+from loadbalancer.registry.renewal_relay import HOP
+from loadbalancer.registry.watch import query
 
 KEPT = ("content-type",)  # of the answer's headers
 TRY_S = 1.2  # for one instance's answer, over what a watch waits: longer than it waits for its leader's
--- a/orchidledge/registry/local.py
+++ b/loadbalancer/registry/local.py
@@ -1,6 +1,6 @@
-"""`python -m orchidledge.registry local`: a node with its own list service, all on loopback.
+"""`python -m loadbalancer.registry local`: a node with its own list service, all on loopback.
 
-It starts three instances, an agent and a node (`python -m orchidledge`) as processes in a
+It starts three instances, an agent and a node (`python -m loadbalancer`) as processes in a
 folder of its own, and serves a few stand-in servers from this process that register and
 renew their leases as real ones would. It is a way to see the parts work together, and the
 operators' first try of them: Ctrl-C ends every process it started, by its id.
@@ -21,8 +21,8 @@
 import orjson
 import structlog
 
-from orchidledge.net.web import Answer, Call, call, serve
-from orchidledge.registry import watch
+from loadbalancer.node.http.service_http import Answer, Call, call, serve
+from loadbalancer.registry import watch
 
 # The node's settings: three classes of worth, as a small shop has; see BRIEF for the keys.
 NODE_SETTINGS: dict[str, Any] = {
@@ -117,7 +117,7 @@
 ) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     http, raft, agent_port, ttl_ms = ports[:3], ports[3:6], ports[6], 6000
-    me = [sys.executable, "-m", "orchidledge.registry"]
+    me = [sys.executable, "-m", "loadbalancer.registry"]
     commands = [[*me, "serve", "--config", str(path)] for path in _instance_files(folder, http, raft, ttl_ms)]
     registries = ", ".join(f'"127.0.0.1:{port}"' for port in http)
     (folder / "agent.toml").write_text(
@@ -136,7 +136,7 @@
     root = str(Path(__file__).resolve().parents[2])  # the processes run in the folder, not the checkout
     path = os.pathsep.join(part for part in (root, os.environ.get("PYTHONPATH")) if part)
     environment = {**os.environ, "PROXY_CONFIG": str(folder / "node.json"), "PYTHONPATH": path}
-    commands.append([sys.executable, "-m", "orchidledge"])
+    commands.append([sys.executable, "-m", "loadbalancer"])
     children = []
     for number, command in enumerate(commands):
         with (folder / f"process-{number}.log").open("ab") as out:
--- a/orchidledge/registry/relay.py
+++ b/loadbalancer/registry/renewal_relay.py
@@ -13,10 +13,10 @@
 import structlog
 from msgspec import Raw, Struct
 
-from orchidledge.net.web import Answer, Client
-from orchidledge.registry.batch import MOST, Batch
-from orchidledge.registry.messages import Renew
-from orchidledge.registry.settings import address
+from loadbalancer.node.http.service_http import Answer, Client
+from loadbalancer.registry.batch import MOST, Batch
+from loadbalancer.registry.messages import Renew
+from loadbalancer.registry.settings import address
 
 PATH = "/fleet/renew-many"
 HOP = "fleet-hop"  # marks a call that an instance passed on: the next one answers it or says 503
--- a/orchidledge/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -19,17 +19,17 @@
 import structlog
 from pysyncobj import SyncObj, SyncObjConf, SyncObjConsumer
 
-from orchidledge.net.web import Answer, Call, serve
-from orchidledge.registry import watch
-from orchidledge.registry.clock_file import ClockFile, Clocks
-from orchidledge.registry.dump import Dump
-from orchidledge.registry.fleet import FleetCatalog
-from orchidledge.registry.fleet_leader import FleetLeader
-from orchidledge.registry.fleet_web import FleetWeb
-from orchidledge.registry.leases import TargetLeases
-from orchidledge.registry.service_clock import ServiceClock
-from orchidledge.registry.settings import CONNECTION_TIMEOUT_MS, Instance
-from orchidledge.registry.store import Catalog, clean_target
+from loadbalancer.node.http.service_http import Answer, Call, serve
+from loadbalancer.registry import watch
+from loadbalancer.registry.catalog import Catalog, clean_target
+from loadbalancer.registry.clock_file import ClockFile, Clocks
+from loadbalancer.registry.fleet_api import FleetWeb
+from loadbalancer.registry.fleet_catalog import FleetCatalog
+from loadbalancer.registry.fleet_leader import FleetLeader
+from loadbalancer.registry.service_clock import ServiceClock
+from loadbalancer.registry.settings import CONNECTION_TIMEOUT_MS, Instance
+from loadbalancer.registry.snapshot_file import Dump
+from loadbalancer.registry.target_leases import TargetLeases
 
 COMMIT_S = 2.0  # a write not committed in this time is refused; the caller tries again
 
--- a/orchidledge/registry/settings.py
+++ b/loadbalancer/registry/settings.py
@@ -16,7 +16,7 @@
 
 import structlog
 
-from orchidledge.net.upstream import Address
+from loadbalancer.node.address import Address
 
 # A peer unheard so long is dialled anew; pysyncobj starts with no election time above it, nor with one that
 # is not above so many append periods.
--- a/orchidledge/registry/dump.py
+++ b/loadbalancer/registry/snapshot_file.py
@@ -16,6 +16,8 @@
 from pysyncobj import SyncObjConsumer
 from pysyncobj import pickle as wire
 
+from loadbalancer.registry import stored_form
+
 LEVEL = 1  # of gzip: files are written in Raft's thread, and the default level takes several times as long
 
 
@@ -34,7 +36,7 @@
     def read(self, path: str) -> tuple[Any, ...]:
         """Give each consumer its part and return pysyncobj's; any error is pysyncobj's to log."""
         with gzip.open(Path(path), "rb") as file:
-            parts, *raft = wire.load(file)
+            parts, *raft = stored_form.load(file)
         for consumer, part in zip(self._consumers, parts[1:], strict=False):
             consumer._deserialize(part)
         return tuple(raft)
--- a/orchidledge/registry/leases.py
+++ b/loadbalancer/registry/target_leases.py
@@ -15,7 +15,7 @@
 import structlog
 from pysyncobj import SyncObj
 
-from orchidledge.registry.store import Catalog
+from loadbalancer.registry.catalog import Catalog
 
 RENEW_BATCH_S = 0.05  # renewals gathered into one command
 TICK_S = 0.25  # of the leader's duties
--- a/orchidledge/registry/watch.py
+++ b/loadbalancer/registry/watch.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from orchidledge.net.web import Answer, Call
-from orchidledge.registry.store import Page
+from loadbalancer.node.http.service_http import Answer, Call
+from loadbalancer.registry.catalog import Page
 
 CAP_MS = 60_000  # PROTOCOL: a watch waits 60,000 ms at the most
 
--- a/orchidledge/routes/__init__.py
+++ b/loadbalancer/routing/__init__.py
@@ -17,9 +17,9 @@
 4. An outcome, once in the log, is final; a number stands for one activation of one text.
 """
 
-from orchidledge.routes.activation import Activations, Ruling
-from orchidledge.routes.follower import Action, Apply, Fetch, Follower, Forget, Store, Vote
-from orchidledge.routes.table import NEUTRAL, RouteTable, check, parse
+from loadbalancer.routing.coordinator import Activations, Ruling
+from loadbalancer.routing.participant import Action, Apply, Fetch, Follower, Forget, Store, Vote
+from loadbalancer.routing.route_table import NEUTRAL, RouteTable, check, parse
 
 __all__ = [
     "NEUTRAL",
--- a/orchidledge/routes/activation.py
+++ b/loadbalancer/routing/coordinator.py
@@ -34,7 +34,7 @@
 from dataclasses import dataclass, field, fields, replace
 from typing import Any
 
-from orchidledge.routes.table import NEUTRAL
+from loadbalancer.routing.route_table import NEUTRAL
 
 HISTORY = 50
 MAX_WHY = 300
--- a/orchidledge/routes/follower.py
+++ b/loadbalancer/routing/participant.py
@@ -28,9 +28,9 @@
 from enum import Enum
 from typing import Any
 
-from orchidledge.interface import RouteVersion, Server
-from orchidledge.routes.activation import DECIDED, MAX_WHY, PREPARING, digest
-from orchidledge.routes.table import RouteTable, check, parse
+from loadbalancer.interface import RouteVersion, Server
+from loadbalancer.routing.coordinator import DECIDED, MAX_WHY, PREPARING, digest
+from loadbalancer.routing.route_table import RouteTable, check, parse
 
 
 @dataclass(slots=True, frozen=True)
--- a/orchidledge/routes/table.py
+++ b/loadbalancer/routing/route_table.py
@@ -21,7 +21,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from orchidledge.interface import Group, Server, ServerState
+from loadbalancer.interface import Group, Server, ServerState
 
 DEFAULT = "default"
 NEUTRAL = "neutral = true\n"
--- a/orchidledge/settings.py
+++ b/loadbalancer/settings.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-from orchidledge.interface import Effect, Scope, ServiceClass, Settings, Tenant
+from loadbalancer.interface import Effect, Scope, ServiceClass, Settings, Tenant
 
 Row = dict[str, Any]
 T = TypeVar("T")
--- a/orchidledge/simhost.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,6 +1,6 @@
 """The wire adapter: reads the simulator's batches on standard input and writes replies on standard output.
 
-Translation only; every decision is made by orchidledge.decide. One process hosts many nodes, which share
+Translation only; every decision is made by loadbalancer.balancing. One process hosts many nodes, which share
 nothing.
 """
 
@@ -13,8 +13,8 @@
 
 import orjson
 
-from orchidledge.decide import Balancer
-from orchidledge.interface import (
+from loadbalancer.balancing import Balancer
+from loadbalancer.interface import (
     Action,
     Alarm,
     Cancel,
@@ -35,7 +35,7 @@
     Wake,
     Watch,
 )
-from orchidledge.settings import Row, settings_from
+from loadbalancer.settings import Row, settings_from
 
 RESULTS = {
     0: Result.OK,
@@ -231,7 +231,7 @@
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"orchidledge.simhost: {error}", file=sys.stderr)
+        print(f"loadbalancer.simulator_adapter: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/orchidledge/view/__init__.py
+++ b/loadbalancer/staleness/__init__.py
@@ -15,9 +15,9 @@
    is bounded by the server list and the members.
 """
 
-from orchidledge.view.clock import Offsets, Reading
-from orchidledge.view.edges import Edge, server_edge, sibling_edge
-from orchidledge.view.facts import View
-from orchidledge.view.marks import Marks, Stand
+from loadbalancer.staleness.clock_offsets import Offsets, Reading
+from loadbalancer.staleness.confidence import Marks, Stand
+from loadbalancer.staleness.edges import Edge, server_edge, sibling_edge
+from loadbalancer.staleness.freshness import View
 
 __all__ = ["Edge", "Marks", "Offsets", "Reading", "Stand", "View", "server_edge", "sibling_edge"]
--- a/orchidledge/view/marks.py
+++ b/loadbalancer/staleness/confidence.py
@@ -22,9 +22,9 @@
 from collections.abc import Hashable
 from typing import Literal
 
-from orchidledge.interface import Mark
-from orchidledge.view.edges import Edge, server_edge, sibling_edge
-from orchidledge.view.facts import View
+from loadbalancer.interface import Mark
+from loadbalancer.staleness.edges import Edge, server_edge, sibling_edge
+from loadbalancer.staleness.freshness import View
 
 Stand = Literal["attached", "adrift", "alone"]
 
--- a/orchidledge/view/edges.py
+++ b/loadbalancer/staleness/edges.py
@@ -11,8 +11,8 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-from orchidledge.view.clock import Interval
-from orchidledge.view.facts import View
+from loadbalancer.staleness.clock_offsets import Interval
+from loadbalancer.staleness.freshness import View
 
 UNKNOWN: Interval = (math.inf, math.inf)  # nothing was ever heard
 
--- a/orchidledge/view/facts.py
+++ b/loadbalancer/staleness/freshness.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from itertools import chain, islice
 
-from orchidledge.interface import Result
-from orchidledge.view import wire
-from orchidledge.view.clock import Interval, Offsets
-from orchidledge.view.told import Hearsay, narrowed, own_time, relayed
+from loadbalancer.interface import Result
+from loadbalancer.staleness import wire
+from loadbalancer.staleness.clock_offsets import Interval, Offsets
+from loadbalancer.staleness.gossip_reports import Hearsay, narrowed, own_time, relayed
 
 FLIPPED = 16  # servers in a share that have lately begun or ceased to fail,
 FRESH = 16  # those with the latest facts,
--- a/orchidledge/view/told.py
+++ b/loadbalancer/staleness/gossip_reports.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from orchidledge.interface import Result
-from orchidledge.view.clock import Interval, Reading
-from orchidledge.view.wire import ServerFact
+from loadbalancer.interface import Result
+from loadbalancer.staleness.clock_offsets import Interval, Reading
+from loadbalancer.staleness.wire import ServerFact
 
 RELAYED = 3  # siblings' facts kept of one server: those heard last
 _GOOD = (None, Result.OK, Result.FULL)
--- a/orchidledge/view/wire.py
+++ b/loadbalancer/staleness/wire.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from orchidledge.interface import Result
-from orchidledge.view.clock import MAX_TIME_MS
+from loadbalancer.interface import Result
+from loadbalancer.staleness.clock_offsets import MAX_TIME_MS
 
 MAX_BYTES = 65_536  # of one entry; the largest that `share` makes is under this
 MAX_NAME = 256  # characters of a server's or a pool's name
--- a/tests/test_decide_fleet.py
+++ b/tests/balancing/test_fleet_control.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from orchidledge import interface as api
-from tests.helpers import SAFE, Bed, kinds, sent
+from loadbalancer import interface as api
+from tests.support.builders import SAFE, Bed, kinds, sent
 
 M1, M2 = api.Group("m1", None, 1.0), api.Group("m2", None, 3.0)
 
--- a/tests/test_guards.py
+++ b/tests/balancing/test_guards.py
@@ -6,12 +6,12 @@
 import math
 
 import pytest
-from helpers import Bed, kinds, sent, servers
 
-from orchidledge import interface as api
-from orchidledge.decide import ranking
-from orchidledge.decide.ranking import paced
-from orchidledge.decide.table import SHAPE
+from loadbalancer import interface as api
+from loadbalancer.balancing import endpoint_selection as ranking
+from loadbalancer.balancing.cursor_table import SHAPE
+from loadbalancer.balancing.endpoint_selection import paced
+from tests.support.builders import Bed, kinds, sent, servers
 
 NEVER_RAN = [api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT]
 MAY_HAVE_RUN = [api.Result.ERROR, api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED]
--- a/tests/test_limits.py
+++ b/tests/balancing/test_limits.py
@@ -6,13 +6,13 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 TEXTS = [(ROOT / name).read_text() for name in DEPLOY["policy"]]
 
 
 def test_the_policy_is_the_whole_decision_package():
-    package = (ROOT / "orchidledge" / "decide").glob("*.py")
+    package = (ROOT / "loadbalancer" / "balancing").glob("*.py")
     assert sorted(DEPLOY["policy"]) == sorted(str(path.relative_to(ROOT)) for path in package)
 
 
@@ -23,8 +23,8 @@
 
 
 def test_the_module_names_its_interface_file_at_the_top():
-    assert DEPLOY["policy"][0] == "orchidledge/decide/__init__.py"
-    assert "orchidledge/interface.py" in TEXTS[0].split('"""')[1]
+    assert DEPLOY["policy"][0] == "loadbalancer/balancing/__init__.py"
+    assert "loadbalancer/interface.py" in TEXTS[0].split('"""')[1]
 
 
 def test_every_named_constant_is_used_and_explained_or_plainly_named():
@@ -36,5 +36,5 @@
 def test_the_module_reads_no_clock_no_environment_and_no_files():
     text = "\n".join(TEXTS)
     imports = set(re.findall(r"^(?:from|import) (\w+)", text, flags=re.MULTILINE))
-    assert imports <= {"__future__", "math", "collections", "dataclasses", "random", "orchidledge"}
+    assert imports <= {"__future__", "math", "collections", "dataclasses", "random", "loadbalancer"}
     assert "open(" not in text
--- a/tests/test_mechanism.py
+++ b/tests/balancing/test_mechanism.py
@@ -5,12 +5,12 @@
 from itertools import pairwise
 
 import pytest
-from helpers import SAFE, Bed, kinds, sent, servers
 
-from orchidledge import interface as api
-from orchidledge.decide.health import judge
-from orchidledge.decide.state import Job, Try
-from orchidledge.decide.table import SHAPE
+from loadbalancer import interface as api
+from loadbalancer.balancing.cursor_table import SHAPE
+from loadbalancer.balancing.outliers import judge
+from loadbalancer.balancing.state import Job, Try
+from tests.support.builders import SAFE, Bed, kinds, sent, servers
 
 
 def load_period(bed: Bed, latency: float, count: int = 30) -> None:
--- a/tests/test_decide_stream.py
+++ b/tests/balancing/test_recorded_streams.py
@@ -17,8 +17,8 @@
 import pytest
 import xxhash
 
-from orchidledge import Balancer
-from orchidledge import interface as api
+from loadbalancer import Balancer
+from loadbalancer import interface as api
 
 LASTS_MS = 20000.0
 SAFE = api.ServiceClass("read", aim_ms=400, give_up_ms=1500, worth=12, effect=api.Effect.SAFE)
--- a/tests/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
 
 NEVER = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT)
 CLASSES = (
--- a/tests/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
 
 CLASSES = tuple(
     api.ServiceClass(name, aim_ms=1000.0, give_up_ms=3000.0, late_worth=0.5, effect=api.Effect.SAFE)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import HealthCheck, settings
 
-from tests.members import Fleet
+from tests.support.node_fleet import Fleet
 
 pytest_plugins = ["tests.known_red"]
 
--- a/tests/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 
-from orchidledge.members.payload import (
+from loadbalancer.membership.payload import (
     MAX_COUNT,
     MemberStatus,
     MemberUpdate,
@@ -23,9 +23,9 @@
     Statement,
     write,
 )
-from tests.fleet import until
-from tests.members import LIMIT_S, TTL_MS, Fleet
-from tests.watch import GAP_S, Sample, Status, apart, overtaken
+from tests.support.invariant_sampler import GAP_S, Sample, Status, apart, overtaken
+from tests.support.node_fleet import LIMIT_S, TTL_MS, Fleet
+from tests.support.registry_processes import until
 
 Row = tuple[float, float, int]  # when asked, share, version followed
 
--- a/tests/test_fleet_routes.py
+++ b/tests/fleet/test_fleet_routes.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from tests.faults import Hold
-from tests.fleet import until
-from tests.members import LIMIT_S, Fleet
+from tests.support.faults import Hold
+from tests.support.node_fleet import LIMIT_S, Fleet
+from tests.support.registry_processes import until
 
 ALL = (0, 1, 2, 3, 4)
 
--- a/tests/test_groups_small.py
+++ b/tests/fleet/test_groups_small.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from tests.fleet import until
-from tests.members import LIMIT_S, TTL_MS, Fleet
-from tests.watch import Sample, Status, Watch
+from tests.support.invariant_sampler import Sample, Status, Watch
+from tests.support.node_fleet import LIMIT_S, TTL_MS, Fleet
+from tests.support.registry_processes import until
 
 ALONE, FIRST, SECOND = 0, 1, 2  # the only node in front of `pay`, and two in front of `find`
 PAIR = (FIRST, SECOND)
--- a/tests/test_detector_paces.py
+++ b/tests/membership/test_detector_paces.py
@@ -6,13 +6,15 @@
 
 import pytest
 
-from orchidledge.members import DetectorConfig, Probe, Reachability, Standing
-from orchidledge.members.payload import MemberStatus, MemberUpdate, Message, write
-from tests.detector_sim import Gone, World
-from tests.test_failure_detector import HOSTILE, MINUTE, all_have, answer, core
+from loadbalancer.membership import DetectorConfig, Probe, Reachability, Standing
+from loadbalancer.membership.payload import MemberStatus, MemberUpdate, Message, write
+from tests.membership.test_failure_detector import HOSTILE, MINUTE, all_have, answer, core
+from tests.support.detector_simulation import Gone, World
 
 ONE_PACE = DetectorConfig(urgent_period_ms=1000.0)  # without the urgent pace
-HOLDS_FOR = 0.45  # of the lease term: from a node's first `HOLDING` to its lease's end (members/enrolment.py)
+HOLDS_FOR = (
+    0.45  # of the lease term: from a node's first `HOLDING` to its lease's end (membership/member_lease.py)
+)
 
 
 def waits_for_a_majority(
--- a/tests/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge.members import (
+from loadbalancer.membership import (
     Ack,
     Changed,
     DetectorConfig,
@@ -22,7 +22,7 @@
     Sibling,
     Standing,
 )
-from orchidledge.members.payload import (
+from loadbalancer.membership.payload import (
     MAX_PAYLOAD_BYTES,
     MAX_STATEMENTS,
     MemberStatus,
@@ -33,7 +33,7 @@
     read,
     write,
 )
-from tests.detector_sim import Gone, World
+from tests.support.detector_simulation import Gone, World
 
 HOSTILE = {"delay": (20.0, 200.0), "loss": 0.02}
 MINUTE = 60_000.0
--- a/tests/test_members_holding.py
+++ b/tests/membership/test_lease_holding.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from orchidledge.members import Call, Enrolment, Standing, Word
-from orchidledge.members.leases import LeaseClock
-from orchidledge.members.ledger import Ledger
-from tests.detector_sim import Node, World
-from tests.members import TTL_MS
+from loadbalancer.membership import Call, Enrolment, Standing, Word
+from loadbalancer.membership.lease_clock import LeaseClock
+from loadbalancer.membership.quota_ledger import Ledger
+from tests.support.detector_simulation import Node, World
+from tests.support.node_fleet import TTL_MS
 
 ANSWER_MS = 25.0  # from a renewal to its answer
 STEP_MS = 5.0
--- a/tests/test_orders.py
+++ b/tests/membership/test_orders.py
@@ -1,7 +1,7 @@
 """Every order of messages, faults and time for a small fleet of the real cores, to a stated depth.
 
-`tests/orders` is the checker. Each search prints its counts (`pytest -s`); each seeded mistake has to be
-found and prints its shortest trace.
+`tests/support/orders` is the checker. Each search prints its counts (`pytest -s`); each seeded mistake has to
+be found and prints its shortest trace.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 import pytest
 
-from orchidledge.routes import follower
-from tests.orders import mistakes
-from tests.orders.explore import Found, explore, walk
-from tests.orders.parts import Bounds
-from tests.orders.rounds import Rounds
-from tests.orders.routes import Routes, Talk
-from tests.orders.routes_check import routes_check, routes_probe
-from tests.orders.shares import Shares
-from tests.orders.shares_check import quiet_check, share_check, share_probe
+from loadbalancer.routing import participant as follower
+from tests.support.orders import mistakes
+from tests.support.orders.explore import Found, explore, walk
+from tests.support.orders.parts import Bounds
+from tests.support.orders.rounds import Rounds
+from tests.support.orders.routes import Routes, Talk
+from tests.support.orders.routes_check import routes_check, routes_probe
+from tests.support.orders.shares import Shares
+from tests.support.orders.shares_check import quiet_check, share_check, share_probe
 
 SKEWS = (0.0, 2000.0, -2000.0, 1000.0)
 ALL = Bounds().kinds
--- a/tests/test_members_shares.py
+++ b/tests/membership/test_shares.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from orchidledge.members.enrolment import Enrolment, Word
-from orchidledge.members.leases import LATE, LeaseClock
-from orchidledge.members.ledger import Ledger, Row, State, is_majority
-from orchidledge.members.payload import Standing
+from loadbalancer.membership.lease_clock import LATE, LeaseClock
+from loadbalancer.membership.member_lease import Enrolment, Word
+from loadbalancer.membership.payload import Standing
+from loadbalancer.membership.quota_ledger import Ledger, Row, State, is_majority
 
 TTL = 1000.0
 STEP = 10.0
--- a/tests/test_members_verdict.py
+++ b/tests/membership/test_verdict.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from orchidledge.members import (
+from loadbalancer.membership import (
     VERDICTS,
     Connectivity,
     LeaseStatus,
--- a/tests/test_operator.py
+++ b/tests/node/admin/test_admin_server.py
@@ -7,13 +7,23 @@
 
 import orjson
 import pytest
-from callers import LEAVING, Leave
-from loopback import Caller, Held, Message, Peer, config_row, read_message, request, running, until
 
-from orchidledge.net import operator as door_module
-from orchidledge.net.config import parse_config
-from orchidledge.net.node import Node
-from orchidledge.net.operator import VISITS, Answer, Door
+from loadbalancer.node.admin import server as door_module
+from loadbalancer.node.admin.server import VISITS, Answer, Door
+from loadbalancer.node.config import parse_config
+from loadbalancer.node.node import Node
+from tests.support.callers import LEAVING, Leave
+from tests.support.loopback import (
+    Caller,
+    Held,
+    Message,
+    Peer,
+    config_row,
+    read_message,
+    request,
+    running,
+    until,
+)
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 DOOR = {"operator": "127.0.0.1:0"}
--- a/tests/test_figures.py
+++ b/tests/node/admin/test_metrics.py
@@ -5,13 +5,24 @@
 import asyncio
 
 import orjson
-from loopback import Caller, Held, Peer, Scripted, ask, config_row, reply, request, running, until
-from test_operator import DOOR, call, say, status
 
-from orchidledge import interface as api
-from orchidledge.__main__ import reload
-from orchidledge.net.figures import Figures
-from orchidledge.net.node import Node
+from loadbalancer import interface as api
+from loadbalancer.__main__ import reload
+from loadbalancer.node.admin.metrics import Figures
+from loadbalancer.node.node import Node
+from tests.node.admin.test_admin_server import DOOR, call, say, status
+from tests.support.loopback import (
+    Caller,
+    Held,
+    Peer,
+    Scripted,
+    ask,
+    config_row,
+    reply,
+    request,
+    running,
+    until,
+)
 
 
 async def figures(node: Node) -> dict[str, int]:
--- a/tests/test_fleet_agent.py
+++ b/tests/node/control/test_registry_client.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from orchidledge.net.fleet.agent import Agent
+from loadbalancer.node.control.registry_client import Agent
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
--- a/tests/test_discovery_lists.py
+++ b/tests/node/discovery/test_discovery_lists.py
@@ -8,11 +8,11 @@
 
 import orjson
 import pytest
-from clocks import run
-from discoveries import MODES, TOLD_S, Source, now, row, watching
 
-from orchidledge.interface import ListForm
-from orchidledge.net.discovery import parse_listing
+from loadbalancer.interface import ListForm
+from loadbalancer.node.discovery.watcher import parse_listing
+from tests.support.clocks import run
+from tests.support.discoveries import MODES, TOLD_S, Source, now, row, watching
 
 
 def target(**more: Any) -> dict[str, Any]:
--- a/tests/test_discovery_process.py
+++ b/tests/node/discovery/test_discovery_process.py
@@ -6,10 +6,10 @@
 import signal
 
 import orjson
-from loopback import Discovery, config_row, listing, until
-from test_main import next_line, start
 
-from tests.ports import free_port
+from tests.support.loopback import Discovery, config_row, listing, until
+from tests.support.ports import free_port
+from tests.test_main import next_line, start
 
 
 def test_news_a_bad_file_and_two_sighups_in_one_turn_move_the_watch_and_sighup_in_a_drain_harms_nothing(
--- a/tests/test_discovery_silence.py
+++ b/tests/node/discovery/test_discovery_silence.py
@@ -7,11 +7,11 @@
 from random import Random
 
 import pytest
-from clocks import run
-from discoveries import MODES, MOVED_S, PUSH_S, TOLD_S, Luck, Source, now, watching
 
-from orchidledge.interface import ListForm
-from orchidledge.net.discovery import Patience
+from loadbalancer.interface import ListForm
+from loadbalancer.node.discovery.watcher import Patience
+from tests.support.clocks import run
+from tests.support.discoveries import MODES, MOVED_S, PUSH_S, TOLD_S, Luck, Source, now, watching
 
 # ------------------------------------------------------------------------- the clock
 
--- a/tests/test_web_client.py
+++ b/tests/node/http/test_service_http.py
@@ -1,4 +1,4 @@
-"""The client that keeps its connections (net/web.py): which are used again, and which never."""
+"""The client that keeps its connections (service_http.py): which are used again, and which never."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import pytest
 
-from orchidledge.net.web import Client
-from tests.loopback import Message, Peer, reply, until
+from loadbalancer.node.http.service_http import Client
+from tests.support.loopback import Message, Peer, reply, until
 
 
 async def _echo(message: Message) -> bytes:
--- a/tests/test_connection_closes.py
+++ b/tests/node/listener/test_connection_closes.py
@@ -8,7 +8,12 @@
 from collections.abc import Callable
 
 import pytest
-from callers import (
+
+from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.http.socket_buffer import readable
+from loadbalancer.node.listener import connection_states as closing_module
+from loadbalancer.node.node import Node
+from tests.support.callers import (
     ANSWER,
     MIB,
     Ends,
@@ -20,12 +25,7 @@
     slow_reader,
     turns,
 )
-from loopback import Caller, Held, Peer, ask, request, running, until
-
-from orchidledge.net import closing as closing_module
-from orchidledge.net.body import HIGH_WATER, Body
-from orchidledge.net.node import Node
-from orchidledge.net.pending import readable
+from tests.support.loopback import Caller, Held, Peer, ask, request, running, until
 
 # ------------------------------------------------------------- last answers, idle closes
 
--- a/tests/test_connection_pieces.py
+++ b/tests/node/listener/test_connection_pieces.py
@@ -8,11 +8,11 @@
 from collections.abc import AsyncIterator
 
 import pytest
-from callers import connect
-from clocks import run
-from loopback import Held, Message, Peer, reply, request, running, targets, until
 
-from orchidledge.net.node import Node
+from loadbalancer.node.node import Node
+from tests.support.callers import connect
+from tests.support.clocks import run
+from tests.support.loopback import Held, Message, Peer, reply, request, running, targets, until
 
 DEADLINE_S = 1.0
 LATE_S = 0.5  # past its time by so much a request is lost, by the operators' terms
--- a/tests/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -5,11 +5,20 @@
 import asyncio
 
 import pytest
-from callers import ANSWER, LEAVING, Ends, Leave, connect, half_close, read_to_the_end, slow_reader
-from loopback import Held, Peer, request, running, until
 
-from orchidledge.net.body import HIGH_WATER, Body
-from orchidledge.net.flow import LINGER_MOST_S, LINGER_S, UNREAD_S
+from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.listener.flow_control import LINGER_MOST_S, LINGER_S, UNREAD_S
+from tests.support.callers import (
+    ANSWER,
+    LEAVING,
+    Ends,
+    Leave,
+    connect,
+    half_close,
+    read_to_the_end,
+    slow_reader,
+)
+from tests.support.loopback import Held, Peer, request, running, until
 
 # ----------------------------------------------------------------------- leaving
 
--- a/tests/test_descriptors.py
+++ b/tests/node/listener/test_descriptors.py
@@ -14,13 +14,13 @@
 from pathlib import Path
 
 import pytest
-from loopback import Caller, Discovery, Peer, listing, request, running
-from test_restarts import UP, connect, frozen, status
 
-from tests.faults import LoopThread
-from tests.fleet import ROOT, until
-from tests.nodes import Node
-from tests.servers import ServerPool
+from tests.node.test_restarts import UP, connect, frozen, status
+from tests.support.faults import LoopThread
+from tests.support.loopback import Caller, Discovery, Peer, listing, request, running
+from tests.support.node_processes import Node
+from tests.support.registry_processes import ROOT, until
+from tests.support.stand_in_servers import ServerPool
 
 HALF = request(name="half")[:30]
 
--- a/tests/test_maintenance.py
+++ b/tests/node/state/test_ejections.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 
 import pytest
-from helpers import Bed, sent, servers
-from loopback import Caller, Discovery, Held, Peer, ask, listing, request, running, until
-from test_operator import DOOR, status
-
-from orchidledge import interface as api
-from orchidledge.decide.ranking import paced
-from orchidledge.net.maintenance import FOLDER, KEEP_MS, PREFIX, Ban, Bans
-from orchidledge.net.node import Node
+
+from loadbalancer import interface as api
+from loadbalancer.balancing.endpoint_selection import paced
+from loadbalancer.node.node import Node
+from loadbalancer.node.state.ejections import FOLDER, KEEP_MS, PREFIX, Ban, Bans
+from tests.node.admin.test_admin_server import DOOR, status
+from tests.support.builders import Bed, sent, servers
+from tests.support.loopback import Caller, Discovery, Held, Peer, ask, listing, request, running, until
 
 ENTER, EXIT = "/maintenance/enter", "/maintenance/exit"
 
--- a/tests/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -7,14 +7,14 @@
 
 import orjson
 import pytest
-from helpers import Bed, sent
-from loopback import Caller, Held, request, running, until
-from test_upgrade import listening
-
-from orchidledge import interface as api
-from orchidledge.decide.table import SHAPE
-from orchidledge.net.handover import FOLDER, FRESH_MS, KEEP_MS, PREFIX, Handover
-from orchidledge.net.node import Node
+
+from loadbalancer import interface as api
+from loadbalancer.balancing.cursor_table import SHAPE
+from loadbalancer.node.node import Node
+from loadbalancer.node.state.handover import FOLDER, FRESH_MS, KEEP_MS, PREFIX, Handover
+from tests.node.test_upgrade import listening
+from tests.support.builders import Bed, sent
+from tests.support.loopback import Caller, Held, request, running, until
 
 
 def learned(**changes: object) -> api.Learned:
--- a/tests/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -18,18 +18,18 @@
 import msgpack
 import pytest
 
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
-from orchidledge.decide.learning import TRUST_MS
-from orchidledge.net import snapshot
-from orchidledge.net.discovery import Listing
-from tests.fleet import ROOT, until
-from tests.helpers import servers, settings
-from tests.load import Load
-from tests.loopback import Discovery, listing, targets
-from tests.nodes import Node
-from tests.ports import free_port
-from tests.servers import Served, ServerPool
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
+from loadbalancer.balancing.learned_state import TRUST_MS
+from loadbalancer.node.discovery.watcher import Listing
+from loadbalancer.node.state import snapshot
+from tests.support.builders import servers, settings
+from tests.support.load import Load
+from tests.support.loopback import Discovery, listing, targets
+from tests.support.node_processes import Node
+from tests.support.ports import free_port
+from tests.support.registry_processes import ROOT, until
+from tests.support.stand_in_servers import Served, ServerPool
 
 LEARNED = api.Learned(0.2, 0.3, 7, 0.01, 0.02, 0.02, 100.0, {"read": 20.0}, {"s0": 3.0})
 
--- a/tests/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -7,15 +7,15 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 
 import pytest
-from helpers import Bed, sent
-from loopback import Caller, Peer, Scripted, ask, reply, request, running, targets, until
 
-from orchidledge import interface as api
-from orchidledge.net import http as http_module
-from orchidledge.net import request_parser as request_parser_module
-from orchidledge.net import upstream as upstream_module
-from orchidledge.net.body import HIGH_WATER, Body
-from orchidledge.net.node import Node
+from loadbalancer import interface as api
+from loadbalancer.node.http import client_connection as http_module
+from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.listener import request_parser as request_parser_module
+from loadbalancer.node.node import Node
+from loadbalancer.node.upstream import pool as upstream_module
+from tests.support.builders import Bed, sent
+from tests.support.loopback import Caller, Peer, Scripted, ask, reply, request, running, targets, until
 
 MIB = 1024 * 1024
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -163,7 +163,7 @@
     ],
 )
 def test_a_long_answer_is_passed_on_whole_and_the_connections_are_kept(serve, monkeypatch):
-    monkeypatch.setattr("orchidledge.net.upstream.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
 
     async def main():
         async with behind(serve) as node:
@@ -429,7 +429,7 @@
 
 @pytest.mark.parametrize("data", [request("post", "q1", LONG), chunked(LONG)])
 def test_a_long_request_reaches_the_server_whole_and_the_connections_are_kept(data, monkeypatch):
-    monkeypatch.setattr("orchidledge.net.upstream.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
 
     async def main():
         server = Taking()
--- a/tests/test_parts.py
+++ b/tests/node/test_components.py
@@ -6,11 +6,11 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from loopback import Discovery, Peer, ask, config, request, targets
 
-from orchidledge import interface as api
-from orchidledge.net import node as node_module
-from orchidledge.net.node import Node
+from loadbalancer import interface as api
+from loadbalancer.node import node as node_module
+from loadbalancer.node.node import Node
+from tests.support.loopback import Discovery, Peer, ask, config, request, targets
 
 
 class Recorded:
--- a/tests/test_long_answers.py
+++ b/tests/node/test_long_answers.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 import pytest
-from callers import connect
-from clocks import run
-from loopback import SETTINGS, request, running, targets, until
 
-from orchidledge.net.node import Node
-from orchidledge.net.upstream import SILENT_S
+from loadbalancer.node.node import Node
+from loadbalancer.node.upstream.pool import SILENT_S
+from tests.support.callers import connect
+from tests.support.clocks import run
+from tests.support.loopback import SETTINGS, request, running, targets, until
 
 DEADLINE_S = 1.0
 LATE_S = 0.5  # past its time by so much a request is lost, by the operators' terms
--- a/tests/test_node.py
+++ b/tests/node/test_node.py
@@ -12,7 +12,15 @@
 from random import Random
 
 import pytest
-from loopback import (
+
+from loadbalancer import interface as api
+from loadbalancer.node import balancer_driver as driver_module
+from loadbalancer.node.address import parse_address
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.discovery.watcher import Listing, Patience
+from loadbalancer.node.listener.request_parser import BODY_S, HEAD_S, PACE, Receiving
+from loadbalancer.node.listener.server import SWEEP_S
+from tests.support.loopback import (
     Caller,
     Discovery,
     Held,
@@ -27,13 +35,6 @@
     until,
 )
 
-from orchidledge import interface as api
-from orchidledge.net import driver as driver_module
-from orchidledge.net.clock import Clock
-from orchidledge.net.discovery import Listing, Patience, parse_address
-from orchidledge.net.request_parser import BODY_S, HEAD_S, PACE, Receiving
-from orchidledge.net.server import SWEEP_S
-
 
 def send_to(*names):
     """Acts for a scripted module: each request goes to the first name, and on each failure to the next."""
@@ -95,7 +96,7 @@
 
 @pytest.mark.parametrize("kind", ["post", "read"])
 def test_nothing_is_sent_again_but_by_the_module(kind, monkeypatch):
-    monkeypatch.setattr("orchidledge.net.upstream.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
 
     async def main():
         async def script(message):
@@ -581,7 +582,7 @@
 
 def test_a_list_larger_than_any_may_be_is_a_failure_and_keeps_the_list(monkeypatch, caplog):
     async def main():
-        monkeypatch.setattr("orchidledge.net.discovery.MAX_LIST", 400)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.MAX_LIST", 400)
         huge = listing(2, True, **{f"s{n}": (f"127.0.0.1:{1000 + n}", "Ready") for n in range(20)})
         async with running(Peer(), discovery=Discovery(huge)) as node:
             node.driver.balancer = scripted = Scripted()
@@ -595,7 +596,7 @@
 
 def test_a_hung_discovery_call_fails_and_the_module_asks_again(monkeypatch):
     async def main():
-        monkeypatch.setattr("orchidledge.net.discovery.LATE_S", 0.05)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.LATE_S", 0.05)
         discovery = Discovery()
         async with running(
             Peer(), discovery=discovery, settings={"invariants": {"askWithinMs": 100.0}}
@@ -609,7 +610,7 @@
 
 def test_a_pushed_list_is_followed_unasked_and_through_failures(monkeypatch):
     async def main():
-        monkeypatch.setattr("orchidledge.net.discovery.PAUSE_S", 0.01)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.PAUSE_S", 0.01)
         discovery = Discovery(reply(503), listing(5, True, s9=("127.0.0.1:9", "Ready")))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: set(node.pool._servers) == {"s9"})
@@ -633,8 +634,8 @@
 
 def test_a_pushed_list_that_is_silent_from_the_start_is_asked_again_at_once(monkeypatch):
     """Guard: what an agent has counts as told from a process's first moment; its silence showed after 6 s."""
-    monkeypatch.setattr("orchidledge.net.discovery.LATE_S", 0.05)
-    monkeypatch.setattr("orchidledge.net.discovery.PAUSE_S", 0.01)
+    monkeypatch.setattr("loadbalancer.node.discovery.watcher.LATE_S", 0.05)
+    monkeypatch.setattr("loadbalancer.node.discovery.watcher.PAUSE_S", 0.01)
 
     async def main():
         discovery = Deaf(listing(5, True, s9=("127.0.0.1:9", "Ready")), reply(503))
@@ -666,7 +667,7 @@
 
 def test_a_stale_list_is_a_failure_and_the_newer_one_holds(monkeypatch, caplog):
     async def main():
-        monkeypatch.setattr("orchidledge.net.discovery.PAUSE_S", 0.01)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.PAUSE_S", 0.01)
         discovery = Discovery(
             listing(5, True, s5=("127.0.0.1:5", "Ready")),
             listing(3, True, s3=("127.0.0.1:3", "Ready")),
@@ -685,8 +686,8 @@
 
 def test_a_rebuilt_discovery_counting_again_is_taken_once_it_has_said_so_long_enough(monkeypatch, caplog):
     async def main():
-        monkeypatch.setattr("orchidledge.net.discovery.PAUSE_S", 0.01)
-        monkeypatch.setattr("orchidledge.net.discovery.REBUILT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.PAUSE_S", 0.01)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.REBUILT_S", 0.0)
         discovery = Discovery(
             listing(50, True, s5=("127.0.0.1:5", "Ready")),
             listing(2, True, s2=("127.0.0.1:2", "Ready")),
@@ -800,7 +801,7 @@
 
 
 def test_connections_from_before_a_servers_restart_are_not_used(monkeypatch):
-    monkeypatch.setattr("orchidledge.net.upstream.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
 
     async def main():
         server = Peer()
--- a/tests/test_nodes.py
+++ b/tests/node/test_nodes.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from tests.fleet import Registry, until
-from tests.load import Load
-from tests.nodes import Nodes
-from tests.servers import Conduct, ServerPool
+from tests.support.load import Load
+from tests.support.node_processes import Nodes
+from tests.support.registry_processes import Registry, until
+from tests.support.stand_in_servers import Conduct, ServerPool
 
 
 def test_a_node_killed_and_one_frozen_cost_only_their_own_requests_and_repeat_none(tmp_path: Path) -> None:
--- a/tests/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -21,13 +21,13 @@
 from typing import Any
 
 import pytest
-from loopback import Message, Peer, reply, request, running, targets
-from loopback import until as reached
 
-from tests.faults import LoopThread
-from tests.fleet import ROOT, until
-from tests.nodes import Node
-from tests.servers import ServerPool
+from tests.support.faults import LoopThread
+from tests.support.loopback import Message, Peer, reply, request, running, targets
+from tests.support.loopback import until as reached
+from tests.support.node_processes import Node
+from tests.support.registry_processes import ROOT, until
+from tests.support.stand_in_servers import ServerPool
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 LONGEST_S = 0.3  # deadline of the short-lived class
--- a/tests/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -7,12 +7,12 @@
 import socket
 
 import pytest
-from loopback import Caller, Held, Peer, ask, request, running, until
 
-from orchidledge.net import node as node_module
-from orchidledge.net.config import Config
-from orchidledge.net.node import Node
-from orchidledge.net.server import inherited
+from loadbalancer.node import node as node_module
+from loadbalancer.node.config import Config
+from loadbalancer.node.listener.server import inherited
+from loadbalancer.node.node import Node
+from tests.support.loopback import Caller, Held, Peer, ask, request, running, until
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- a/tests/test_pooled.py
+++ b/tests/node/upstream/test_pooled.py
@@ -7,12 +7,12 @@
 import socket
 
 import pytest
-from loopback import reply, until
-from pooled import ACTS, BIG, DATA, Coming, Full, act, bed, close, heard
 
-from orchidledge.interface import Result
-from orchidledge.net.body import HIGH_WATER, Body
-from orchidledge.net.http import ClientConnection
+from loadbalancer.interface import Result
+from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.http.client_connection import ClientConnection
+from tests.support.loopback import reply, until
+from tests.support.pooled import ACTS, BIG, DATA, Coming, Full, act, bed, close, heard
 
 
 def test_a_connection_whose_last_answer_was_held_to_its_end_is_read_on():
--- a/tests/test_pooled_answers.py
+++ b/tests/node/upstream/test_pooled_answers.py
@@ -7,11 +7,11 @@
 import tracemalloc
 
 import pytest
-from loopback import reply, until
-from pooled import DATA, HALF, Full, act, bed, heard
 
-from orchidledge.interface import Result
-from orchidledge.net.body import HIGH_WATER
+from loadbalancer.interface import Result
+from loadbalancer.node.http.body import HIGH_WATER
+from tests.support.loopback import reply, until
+from tests.support.pooled import DATA, HALF, Full, act, bed, heard
 
 LENGTH = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 CLOSE = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
--- a/tests/test_pooled_frozen.py
+++ b/tests/node/upstream/test_pooled_frozen.py
@@ -8,12 +8,12 @@
 import time
 
 import pytest
-from loopback import reply, request
-from pooled import ACTS, HALF, close
 
-from tests.fleet import until
-from tests.nodes import Node
-from tests.test_restarts import connect, frozen
+from tests.node.test_restarts import connect, frozen
+from tests.support.loopback import reply, request
+from tests.support.node_processes import Node
+from tests.support.pooled import ACTS, HALF, close
+from tests.support.registry_processes import until
 
 KNOWN = {"uid": "s0", "az": "a", "pod_group": 1, "state": "Ready", "boot_ms": 0}
 
--- a/tests/test_pooled_limit.py
+++ b/tests/node/upstream/test_pooled_limit.py
@@ -10,12 +10,12 @@
 from collections.abc import Iterator
 
 import pytest
-from loopback import Caller, Peer, never_up, reply, request, running, until
-from pooled import DATA, act, bed, heard
 
-from orchidledge.interface import Result
-from orchidledge.net.body import HIGH_WATER
-from orchidledge.net.http import Response
+from loadbalancer.interface import Result
+from loadbalancer.node.http.body import HIGH_WATER
+from loadbalancer.node.http.client_connection import Response
+from tests.support.loopback import Caller, Peer, never_up, reply, request, running, until
+from tests.support.pooled import DATA, act, bed, heard
 
 
 def test_a_resting_connection_that_has_ended_makes_no_room():
@@ -237,7 +237,7 @@
 
 
 def test_an_outcome_may_send_on_the_connection_that_brought_it(monkeypatch):
-    monkeypatch.setattr("orchidledge.net.upstream.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
 
     async def main():
         async with bed() as here:
--- a/tests/test_upstream.py
+++ b/tests/node/upstream/test_upstream.py
@@ -8,13 +8,13 @@
 import struct
 
 import pytest
-from loopback import Held, Message, Peer, never_up, reply, until
 
-from orchidledge.interface import Result
-from orchidledge.net.http import ClientConnection, Response
-from orchidledge.net.pending import readable
-from orchidledge.net.upstream import Pool
-from tests.ports import free_port
+from loadbalancer.interface import Result
+from loadbalancer.node.http.client_connection import ClientConnection, Response
+from loadbalancer.node.http.socket_buffer import readable
+from loadbalancer.node.upstream.pool import Pool
+from tests.support.loopback import Held, Message, Peer, never_up, reply, until
+from tests.support.ports import free_port
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 
@@ -265,7 +265,7 @@
 
 def test_a_connection_settles_before_its_next_request_and_closes_if_more_comes_meanwhile(monkeypatch):
     """Guard: a second answer that came some milliseconds late passed for the next request's."""
-    monkeypatch.setattr("orchidledge.net.upstream.SETTLE_S", 20.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 20.0)
 
     async def main():
         server, servers = await Peer().start(), pool(server_idle_s=100.0)
@@ -285,7 +285,7 @@
 
 
 def test_the_newest_idle_connection_is_used_first_and_an_old_one_never(monkeypatch):
-    monkeypatch.setattr("orchidledge.net.upstream.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
 
     async def main():
         server, servers = await Peer().start(), pool()
--- a/tests/test_writes.py
+++ b/tests/node/upstream/test_writes.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable
 
 import pytest
-from loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
 
-from orchidledge import interface as api
-from orchidledge.net.body import HIGH_WATER, Body
-from orchidledge.net.http import ClientConnection
-from orchidledge.net.node import Node
-from orchidledge.net.upstream import Attempt, Pool
+from loadbalancer import interface as api
+from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.http.client_connection import ClientConnection
+from loadbalancer.node.node import Node
+from loadbalancer.node.upstream.pool import Attempt, Pool
+from tests.support.loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 LEAVINGS = ("closes", "resets", "half-closes")
@@ -89,7 +89,7 @@
 @CANCELS
 @pytest.mark.parametrize("how", LEAVINGS)
 def test_a_client_that_left_before_its_request_was_read_is_not_sent_on(how, cancel, monkeypatch):
-    monkeypatch.setattr("orchidledge.net.upstream.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
 
     async def main():
         async with running(Peer(), bounds=can(cancel)) as node:
--- a/tests/test_fleet_parts.py
+++ b/tests/registry/test_fleet_catalog.py
@@ -10,11 +10,11 @@
 import pytest
 from msgspec import UNSET
 
-from orchidledge.registry.clock_file import ClockFile, Clocks
-from orchidledge.registry.dump import Dump
-from orchidledge.registry.fleet import FleetCatalog
-from orchidledge.registry.service_clock import Bound, ServiceClock
-from orchidledge.registry.store import Catalog, clean_target
+from loadbalancer.registry.catalog import Catalog, clean_target
+from loadbalancer.registry.clock_file import ClockFile, Clocks
+from loadbalancer.registry.fleet_catalog import FleetCatalog
+from loadbalancer.registry.service_clock import Bound, ServiceClock
+from loadbalancer.registry.snapshot_file import Dump
 
 ABOUT = ("n1", "127.0.0.1:9001", "z", "s1")
 
--- a/tests/test_group_commands.py
+++ b/tests/registry/test_group_commands.py
@@ -6,10 +6,10 @@
 
 from pysyncobj import SyncObj, SyncObjConf
 
-from orchidledge.registry.commands import EnrolMember, encode
-from orchidledge.registry.fleet import FleetCatalog
-from orchidledge.registry.service_clock import ServiceClock
-from orchidledge.registry.store import Catalog
+from loadbalancer.registry.catalog import Catalog
+from loadbalancer.registry.commands import EnrolMember, encode
+from loadbalancer.registry.fleet_catalog import FleetCatalog
+from loadbalancer.registry.service_clock import ServiceClock
 
 # What the journals of the first release with a fleet hold in place of names, from 0 on: a journal is read by
 # these numbers, so each must name the same command with the same arguments for good.
--- a/tests/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -10,12 +10,12 @@
 from msgspec import UNSET
 from msgspec.structs import replace
 
-from orchidledge.members.change_log import ChangeLog
-from orchidledge.members.enrolment import Enrolment
-from orchidledge.members.ledger import Ledger, Row, State
-from orchidledge.members.messages import LeaseGrant
-from orchidledge.registry import fleet_state
-from orchidledge.registry.fleet_state import NO_SERVICE, FleetState, LimitReachedError, ServiceInUseError
+from loadbalancer.membership.change_log import ChangeLog
+from loadbalancer.membership.member_lease import Enrolment
+from loadbalancer.membership.messages import LeaseGrant
+from loadbalancer.membership.quota_ledger import Ledger, Row, State
+from loadbalancer.registry import fleet_state
+from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, LimitReachedError, ServiceInUseError
 
 TTL = 1_000.0
 MOST = 1.0 + 1e-9
--- a/tests/test_groups_crowd.py
+++ b/tests/registry/test_groups_crowd.py
@@ -13,11 +13,11 @@
 import orjson
 import pytest
 
-from orchidledge.net.web import Client
-from orchidledge.registry.fleet_state import MAX_GROUP_ROWS
-from tests.fleet import ask, until
-from tests.groups import LIMIT_S, GroupRegistry
-from tests.hollow import Hollows
+from loadbalancer.node.http.service_http import Client
+from loadbalancer.registry.fleet_state import MAX_GROUP_ROWS
+from tests.support.group_registry import LIMIT_S, GroupRegistry
+from tests.support.hollow_members import Hollows
+from tests.support.registry_processes import ask, until
 
 TTL_MS = 60_000  # of rows that nobody renews: they have to last for the test
 SIZES = [100, 60, 40, *[6] * 100, *[5] * 40]  # of 143 groups: 1,000 members
@@ -102,7 +102,7 @@
     assert len(before) == MAX_GROUP_ROWS
     [further] = hollows.add("full", 1)
     [elsewhere] = hollows.add("not-full", 1)
-    with caplog.at_level(logging.WARNING, logger="orchidledge"):
+    with caplog.at_level(logging.WARNING, logger="loadbalancer"):
         hollows.start([further, elsewhere])
         until(lambda: further.line.answers["enrol", 409] >= 3, LIMIT_S, "three refusals")
     lines = [line for line in caplog.messages if "not enrolled" in line]
--- a/tests/test_groups_faults.py
+++ b/tests/registry/test_groups_faults.py
@@ -14,10 +14,10 @@
 import orjson
 import pytest
 
-from orchidledge.net.web import Reply
-from tests.fleet import until
-from tests.groups import LIMIT_S, GroupRegistry
-from tests.hollow import Hollow, Hollows, Post
+from loadbalancer.node.http.service_http import Reply
+from tests.support.group_registry import LIMIT_S, GroupRegistry
+from tests.support.hollow_members import Hollow, Hollows, Post
+from tests.support.registry_processes import until
 
 TTL_MS = 3_000  # longer than a busy machine holds a renewal up
 
--- a/tests/test_groups_upgrade.py
+++ b/tests/registry/test_groups_upgrade.py
@@ -13,15 +13,15 @@
 import pytest
 from msgspec import UNSET
 
-from orchidledge.members import Enrolment
-from orchidledge.net.fleet.agent import read_lease
-from orchidledge.net.web import Reply
-from tests.fleet import until
-from tests.groups import LIMIT_S, GroupRegistry, GroupSampler
-from tests.hollow import Hollow, Hollows, Post
-from tests.test_registry_fleet import Member
-
-DATA = Path(__file__).parent / "data"
+from loadbalancer.membership import Enrolment
+from loadbalancer.node.control.registry_client import read_lease
+from loadbalancer.node.http.service_http import Reply
+from tests.registry.test_registry_fleet import Member
+from tests.support.group_registry import LIMIT_S, GroupRegistry, GroupSampler
+from tests.support.hollow_members import Hollow, Hollows, Post
+from tests.support.registry_processes import until
+
+DATA = Path(__file__).parents[1] / "data"
 TTL_MS = 4_000
 ADDED = ("aim", "service", "since", "removed")  # to an answer, since the first release
 
--- a/tests/test_hollow.py
+++ b/tests/registry/test_hollow_members.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from tests.fleet import Registry, until
-from tests.groups import GroupSampler
-from tests.hollow import Hollow, Hollows
+from tests.support.group_registry import GroupSampler
+from tests.support.hollow_members import Hollow, Hollows
+from tests.support.registry_processes import Registry, until
 
 
 def seen_by_sampler(*pages: list[dict[str, Any]]) -> int:
--- a/tests/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from tests.fleet import Registry, ask, until
+from tests.support.registry_processes import Registry, ask, until
 
 
 @pytest.fixture
--- a/tests/test_registry_fleet.py
+++ b/tests/registry/test_registry_fleet.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.fleet import Registry, ask, until
+from tests.support.registry_processes import Registry, ask, until
 
 TTL_MS, BOUND_MS = 3_000, 200  # a term longer than a busy machine holds a renewal up
 TABLE = '[[class.default.group]]\nmodel = "m1"\nweight = 3.0\n[[class.default.group]]\nweight = 1.0\n'
--- a/tests/test_registry_node.py
+++ b/tests/registry/test_registry_node.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from tests.fleet import Registry, until
-from tests.load import Load
-from tests.nodes import Node
-from tests.ports import free_port
-from tests.relay import Relay
-from tests.servers import ServerPool
+from tests.support.load import Load
+from tests.support.node_processes import Node
+from tests.support.ports import free_port
+from tests.support.registry_processes import Registry, until
+from tests.support.relay import Relay
+from tests.support.stand_in_servers import ServerPool
 
 PUSH = {"registryMode": "push"}
 
--- a/tests/test_registry_parts.py
+++ b/tests/registry/test_registry_parts.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from orchidledge.net.web import MAX_HEAD, Answer, Call, Limits, serve
-from orchidledge.registry import watch
-from orchidledge.registry.settings import ConfigError, load_agent, load_instance
-from orchidledge.registry.store import Catalog, clean_target
+from loadbalancer.node.http.service_http import MAX_HEAD, Answer, Call, Limits, serve
+from loadbalancer.registry import watch
+from loadbalancer.registry.catalog import Catalog, clean_target
+from loadbalancer.registry.settings import ConfigError, load_agent, load_instance
 
 GOOD = '[instance]\nname = "r0"\nlisten = "127.0.0.1:7401"\nraft = "127.0.0.1:7501"\npeers = []\ndata = "d"\n'
 
--- a/tests/test_registry_relay.py
+++ b/tests/registry/test_renewal_relay.py
@@ -10,10 +10,10 @@
 import pytest
 import structlog
 
-from orchidledge.net.web import Answer, Call, Client, serve
-from orchidledge.registry.batch import MOST
-from orchidledge.registry.messages import Renew
-from orchidledge.registry.relay import PATH, RenewalRelay, answer_batch, read_batch
+from loadbalancer.node.http.service_http import Answer, Call, Client, serve
+from loadbalancer.registry.batch import MOST
+from loadbalancer.registry.messages import Renew
+from loadbalancer.registry.renewal_relay import PATH, RenewalRelay, answer_batch, read_batch
 
 Handler = Callable[[Call], Awaitable[Answer]]
 LOG = structlog.stdlib.get_logger()
--- a/tests/test_service_clock.py
+++ b/tests/registry/test_service_clock.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidledge.registry.service_clock import DRIFT, Bound, ServiceClock
+from loadbalancer.registry.service_clock import DRIFT, Bound, ServiceClock
 
 
 class Machine:
--- a/tests/test_routes.py
+++ b/tests/routing/test_routing.py
@@ -15,10 +15,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidledge import interface as api
-from orchidledge.routes import NEUTRAL, Activations, Apply, Fetch, Follower, Forget, Store, Vote, check, parse
-from orchidledge.routes.activation import HISTORY
-from orchidledge.routes.table import MAX_CLASSES
+from loadbalancer import interface as api
+from loadbalancer.routing import (
+    NEUTRAL,
+    Activations,
+    Apply,
+    Fetch,
+    Follower,
+    Forget,
+    Store,
+    Vote,
+    check,
+    parse,
+)
+from loadbalancer.routing.coordinator import HISTORY
+from loadbalancer.routing.route_table import MAX_CLASSES
 
 READ = '[[class.read.group]]\nmodel = "m2"\naz = "a"\nweight = 3.0\n'
 REST = "[[class.default.group]]\nweight = 1\n"
--- a/tests/test_scale_datapath.py
+++ b/tests/scale/test_scale_datapath.py
@@ -12,7 +12,7 @@
 from bench.scale.core_waits import CoreWaits
 from bench.scale.datapath import groups_at, parse_rates
 from bench.scale.paired import DIRECT, NOISE, UNDISTURBED_NS, Paired, PairedRun, PathTimes
-from tests.loopback import Message, Peer, reply
+from tests.support.loopback import Message, Peer, reply
 
 SLOW_S = 0.02
 
--- a/tests/test_view.py
+++ b/tests/staleness/test_staleness.py
@@ -10,12 +10,12 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from orchidledge.interface import Mark, Result
-from orchidledge.view import Marks, Offsets, View, server_edge, sibling_edge
-from orchidledge.view.clock import DRIFT_PPM, PEERS, SAMPLES
-from orchidledge.view.facts import FLIPPED, FRESH, TURN
-from orchidledge.view.marks import BOUNDS, LASTING, SPARE
-from orchidledge.view.told import RELAYED
+from loadbalancer.interface import Mark, Result
+from loadbalancer.staleness import Marks, Offsets, View, server_edge, sibling_edge
+from loadbalancer.staleness.clock_offsets import DRIFT_PPM, PEERS, SAMPLES
+from loadbalancer.staleness.confidence import BOUNDS, LASTING, SPARE
+from loadbalancer.staleness.freshness import FLIPPED, FRESH, TURN
+from loadbalancer.staleness.gossip_reports import RELAYED
 
 P, EVERY = 15.0, 30.0
 delays = st.floats(0.0, 500.0)
--- a/tests/helpers.py
+++ b/tests/support/builders.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
 
 SAFE = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE)
 UNSAFE = api.ServiceClass("post", aim_ms=1000, give_up_ms=2500, worth=1, effect=api.Effect.UNSAFE)
--- a/tests/callers.py
+++ b/tests/support/callers.py
@@ -7,10 +7,9 @@
 import struct
 from collections.abc import Callable
 
-from loopback import Message, Peer, reply, request, until
-
-from orchidledge.net.connection import ServerConnection
-from orchidledge.net.node import Node
+from loadbalancer.node.listener.connection import ServerConnection
+from loadbalancer.node.node import Node
+from tests.support.loopback import Message, Peer, reply, request, until
 
 
 def connect(node: Node) -> socket.socket:
--- a/tests/detector_sim.py
+++ b/tests/support/detector_simulation.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from orchidledge.members import (
+from loadbalancer.membership import (
     Ack,
     Action,
     Changed,
--- a/tests/discoveries.py
+++ b/tests/support/discoveries.py
@@ -11,10 +11,10 @@
 
 import orjson
 import pytest
-from loopback import read_message, reply
 
-from orchidledge.interface import ListForm
-from orchidledge.net.discovery import Listing, Patience, Watcher
+from loadbalancer.interface import ListForm
+from loadbalancer.node.discovery.watcher import Listing, Patience, Watcher
+from tests.support.loopback import read_message, reply
 
 TOLD_S = 6.0  # by the operators' terms, not by the program's own constant
 MOVED_S = 4.0  # so too, from SIGHUP on
--- a/tests/faults/__init__.py
+++ b/tests/support/faults/__init__.py
@@ -4,9 +4,9 @@
 chances are drawn from seeded sources of the relay's own.
 """
 
-from tests.faults.loops import LoopThread
-from tests.faults.net import Net
-from tests.faults.post import Hold, Post
-from tests.faults.relay import Relay
+from tests.support.faults.loops import LoopThread
+from tests.support.faults.net import Net
+from tests.support.faults.post import Hold, Post
+from tests.support.faults.relay import Relay
 
 __all__ = ["Hold", "LoopThread", "Net", "Post", "Relay"]
--- a/tests/faults/link.py
+++ b/tests/support/faults/link.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Literal
 
-from tests.faults.flow import Ending, Flow, Way, reset
+from tests.support.faults.flow import Ending, Flow, Way, reset
 
 Ways = Literal["there", "back", "both"]
 Address = tuple[str, int]
--- a/tests/faults/net.py
+++ b/tests/support/faults/net.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from tests.faults.link import Address, Link
-from tests.faults.loops import LoopThread
+from tests.support.faults.link import Address, Link
+from tests.support.faults.loops import LoopThread
 
 Group = int | Iterable[int]
 
--- a/tests/faults/post.py
+++ b/tests/support/faults/post.py
@@ -10,9 +10,9 @@
 
 import orjson
 
-from orchidledge.net.web import Answer, Call, call, serve
-from tests.faults.link import Address
-from tests.faults.loops import LoopThread
+from loadbalancer.node.http.service_http import Answer, Call, call, serve
+from tests.support.faults.link import Address
+from tests.support.faults.loops import LoopThread
 
 PATIENCE_S = 70.0  # longer than any call a node makes
 
--- a/tests/faults/relay.py
+++ b/tests/support/faults/relay.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from tests.faults.link import Address, Link, Ways
-from tests.faults.loops import LoopThread
+from tests.support.faults.link import Address, Link, Ways
+from tests.support.faults.loops import LoopThread
 
 
 class Relay:
--- a/tests/groups.py
+++ b/tests/support/group_registry.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any
 
-from tests.fleet import Registry, ask, until
-from tests.test_registry_fleet import Sampler
+from tests.registry.test_registry_fleet import Sampler
+from tests.support.registry_processes import Registry, ask, until
 
 LIMIT_S = 60.0  # for anything that should come about: the machine may be slow
 MOST = 1.0 + 1e-9
--- a/tests/hollow.py
+++ b/tests/support/hollow_members.py
@@ -16,18 +16,18 @@
 from random import Random
 from typing import Any
 
-from orchidledge.members import Enrolment, Word
-from orchidledge.members.messages import LeaseAnswer
-from orchidledge.net.clock import Clock
-from orchidledge.net.fleet.agent import Agent
-from orchidledge.net.fleet.lease import Lease
-from orchidledge.net.fleet.times import FleetClock
-from orchidledge.net.upstream import Address
-from orchidledge.net.web import Reply
-from orchidledge.view import Offsets
-from tests.faults import LoopThread
-from tests.fleet import Registry, until
-from tests.groups import LIMIT_S, MOST
+from loadbalancer.membership import Enrolment, Word
+from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.node.address import Address
+from loadbalancer.node.clock import Clock
+from loadbalancer.node.control.lease import Lease
+from loadbalancer.node.control.registry_client import Agent
+from loadbalancer.node.control.timers import FleetClock
+from loadbalancer.node.http.service_http import Reply
+from loadbalancer.staleness import Offsets
+from tests.support.faults import LoopThread
+from tests.support.group_registry import LIMIT_S, MOST
+from tests.support.registry_processes import Registry, until
 
 SAMPLE_S = 0.02
 WORDS_S = 0.1  # how often siblings hear of each other
--- a/tests/loopback.py
+++ b/tests/support/loopback.py
@@ -11,9 +11,9 @@
 
 import orjson
 
-from orchidledge import interface as api
-from orchidledge.net.config import Config, parse_config
-from orchidledge.net.node import Node
+from loadbalancer import interface as api
+from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.node import Node
 
 SETTINGS: dict[str, Any] = {
     "bounds": {
--- a/tests/members.py
+++ b/tests/support/node_fleet.py
@@ -13,13 +13,13 @@
 from pathlib import Path
 from typing import Any
 
-from tests.faults import LoopThread, Net, Post
-from tests.fleet import Registry, ask, until
-from tests.load import Load, Outcome
-from tests.nodes import Node
-from tests.ports import free_port
-from tests.servers import ServerPool
-from tests.watch import Status, Watch, apart, overtaken
+from tests.support.faults import LoopThread, Net, Post
+from tests.support.invariant_sampler import Status, Watch, apart, overtaken
+from tests.support.load import Load, Outcome
+from tests.support.node_processes import Node
+from tests.support.ports import free_port
+from tests.support.registry_processes import Registry, ask, until
+from tests.support.stand_in_servers import ServerPool
 
 LIMIT_S = 120.0  # for anything that should come about: the machine may be slow
 # Leases, elections and the preparing of a version end by the real clock, and on a busy machine a process may
--- a/tests/nodes.py
+++ b/tests/support/node_processes.py
@@ -1,4 +1,4 @@
-"""Node processes (`python -m orchidledge`) for tests: one on its own, or many beside the list service."""
+"""Node processes (`python -m loadbalancer`) for tests: one on its own, or many beside the list service."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 import orjson
 
-from tests.fleet import Agent, Registry, metric_at, running, spawn, until
-from tests.loopback import config_row
-from tests.ports import free_port
+from tests.support.loopback import config_row
+from tests.support.ports import free_port
+from tests.support.registry_processes import Agent, Registry, metric_at, running, spawn, until
 
 Spawn = Callable[[list[str], Path, dict[str, str]], "subprocess.Popen[bytes]"]
 
@@ -43,7 +43,7 @@
     def launch(self, run: Spawn = spawn) -> None:
         """Start it without waiting, so that many come up at once."""
         self.config.write_bytes(orjson.dumps(self.row))
-        self.process = run(["-m", "orchidledge"], self.log, {"PROXY_CONFIG": str(self.config)})
+        self.process = run(["-m", "loadbalancer"], self.log, {"PROXY_CONFIG": str(self.config)})
 
     def wait_up(self) -> None:
         """Until it takes connections; AssertionError with its log's end where it ended instead."""
--- a/tests/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -7,12 +7,12 @@
 
 from msgspec import UNSET
 
-from orchidledge.members.enrolment import WHOLE_LIST, Call
-from orchidledge.members.leases import SUPPORT
-from orchidledge.members.ledger import Ledger, Row
-from orchidledge.members.messages import LeaseGrant
-from orchidledge.registry.fleet_state import NO_SERVICE, Expiry
-from tests.orders.parts import TTL, Bounds, Node, Service, members_key, past
+from loadbalancer.membership.lease_clock import SUPPORT
+from loadbalancer.membership.member_lease import WHOLE_LIST, Call
+from loadbalancer.membership.messages import LeaseGrant
+from loadbalancer.membership.quota_ledger import Ledger, Row
+from loadbalancer.registry.fleet_state import NO_SERVICE, Expiry
+from tests.support.orders.parts import TTL, Bounds, Node, Service, members_key, past
 
 
 class Keyed:
--- a/tests/orders/mistakes.py
+++ b/tests/support/orders/mistakes.py
@@ -10,12 +10,12 @@
 from msgspec import UNSET
 from msgspec.structs import replace as replace_fields
 
-from orchidledge.members.enrolment import WHOLE_LIST, Enrolment, Standing, Word
-from orchidledge.members.ledger import Beside, Ledger, Row
-from orchidledge.members.messages import LeaseGrant
-from orchidledge.registry.fleet_state import NO_SERVICE, FleetState, ended_before
-from orchidledge.routes.activation import PREPARING, Activations
-from orchidledge.routes.follower import Action, Follower, Stage, Store
+from loadbalancer.membership.member_lease import WHOLE_LIST, Enrolment, Standing, Word
+from loadbalancer.membership.messages import LeaseGrant
+from loadbalancer.membership.quota_ledger import Beside, Ledger, Row
+from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, ended_before
+from loadbalancer.routing.coordinator import PREPARING, Activations
+from loadbalancer.routing.participant import Action, Follower, Stage, Store
 
 Mistake = Callable[[pytest.MonkeyPatch], None]
 
--- a/tests/orders/parts.py
+++ b/tests/support/orders/parts.py
@@ -7,11 +7,11 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from orchidledge.members.enrolment import Call, Enrolment, Word
-from orchidledge.members.leases import LeaseClock
-from orchidledge.members.ledger import Ledger, Row, State
-from orchidledge.members.messages import LeaseGrant
-from orchidledge.registry.fleet_state import NO_SERVICE, FleetState
+from loadbalancer.membership.lease_clock import LeaseClock
+from loadbalancer.membership.member_lease import Call, Enrolment, Word
+from loadbalancer.membership.messages import LeaseGrant
+from loadbalancer.membership.quota_ledger import Ledger, Row, State
+from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState
 
 TTL = 1000.0
 MOST = 1.0 + 1e-6
--- a/tests/orders/rounds.py
+++ b/tests/support/orders/rounds.py
@@ -17,8 +17,8 @@
 from itertools import combinations
 from typing import Any
 
-from tests.orders.parts import Bounds, Node
-from tests.orders.shares import Shares
+from tests.support.orders.parts import Bounds, Node
+from tests.support.orders.shares import Shares
 
 FREE = {"renew", "hear", "tick", "expire"}  # of the fine world: part of a step
 
--- a/tests/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -23,15 +23,15 @@
 
 from msgspec.structs import asdict
 
-from orchidledge.interface import Server, ServerState
-from orchidledge.members.enrolment import Call
-from orchidledge.members.ledger import Row
-from orchidledge.members.messages import LeaseAnswer, LeaseGrant
-from orchidledge.registry.fleet_state import FleetState
-from orchidledge.routes.follower import Action, Apply, Fetch, Follower, Forget, Store, Vote
-from tests.orders.parts import NEVER, TTL, Bounds, Node
-from tests.orders.routes_check import BOUND, PREPARE, routes_check
-from tests.orders.shares import Shares
+from loadbalancer.interface import Server, ServerState
+from loadbalancer.membership.member_lease import Call
+from loadbalancer.membership.messages import LeaseAnswer, LeaseGrant
+from loadbalancer.membership.quota_ledger import Row
+from loadbalancer.registry.fleet_state import FleetState
+from loadbalancer.routing.participant import Action, Apply, Fetch, Follower, Forget, Store, Vote
+from tests.support.orders.parts import NEVER, TTL, Bounds, Node
+from tests.support.orders.routes_check import BOUND, PREPARE, routes_check
+from tests.support.orders.shares import Shares
 
 LAG = 10.0
 WAKES = 100
--- a/tests/orders/routes_check.py
+++ b/tests/support/orders/routes_check.py
@@ -5,11 +5,11 @@
 import math
 from typing import TYPE_CHECKING
 
-from orchidledge.routes.activation import ABORTED, Version
-from tests.orders.parts import TTL
+from loadbalancer.routing.coordinator import ABORTED, Version
+from tests.support.orders.parts import TTL
 
 if TYPE_CHECKING:
-    from tests.orders.routes import Routes
+    from tests.support.orders.routes import Routes
 
 BOUND = 20.0  # the clock bound, ms
 PREPARE = 4 * TTL  # from a proposal to its deadline
--- a/tests/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -37,14 +37,14 @@
 from collections.abc import Iterator
 from typing import Any
 
-from orchidledge.members.change_log import ChangeLog
-from orchidledge.members.enrolment import HOLD, Call, Enrolment, Standing, Word
-from orchidledge.members.leases import LATE, LeaseClock, _Lease
-from orchidledge.members.ledger import Row
-from orchidledge.members.messages import LeaseGrant
-from orchidledge.registry.fleet_state import NO_SERVICE, Expiry, FleetState
-from tests.orders.keys import Keyed
-from tests.orders.parts import NEVER, RNG, TTL, Bounds, LateWord, Node, Sent, Service, copied, waits
+from loadbalancer.membership.change_log import ChangeLog
+from loadbalancer.membership.lease_clock import LATE, LeaseClock, _Lease
+from loadbalancer.membership.member_lease import HOLD, Call, Enrolment, Standing, Word
+from loadbalancer.membership.messages import LeaseGrant
+from loadbalancer.membership.quota_ledger import Row
+from loadbalancer.registry.fleet_state import NO_SERVICE, Expiry, FleetState
+from tests.support.orders.keys import Keyed
+from tests.support.orders.parts import NEVER, RNG, TTL, Bounds, LateWord, Node, Sent, Service, copied, waits
 
 
 class Shares(Keyed):
--- a/tests/orders/shares_check.py
+++ b/tests/support/orders/shares_check.py
@@ -10,12 +10,12 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from orchidledge.registry.fleet_state import NO_SERVICE
-from tests.orders.explore import Check
-from tests.orders.parts import MOST, TTL
+from loadbalancer.registry.fleet_state import NO_SERVICE
+from tests.support.orders.explore import Check
+from tests.support.orders.parts import MOST, TTL
 
 if TYPE_CHECKING:
-    from tests.orders.shares import Shares
+    from tests.support.orders.shares import Shares
 
 NEARLY = 0.99
 
--- a/tests/pooled.py
+++ b/tests/support/pooled.py
@@ -8,13 +8,12 @@
 import struct
 from collections.abc import AsyncIterator
 
-from loopback import reply, until
-
-from orchidledge.interface import Result
-from orchidledge.net.body import Body
-from orchidledge.net.http import ClientConnection, Response
-from orchidledge.net.pending import readable
-from orchidledge.net.upstream import Pool
+from loadbalancer.interface import Result
+from loadbalancer.node.http.body import Body
+from loadbalancer.node.http.client_connection import ClientConnection, Response
+from loadbalancer.node.http.socket_buffer import readable
+from loadbalancer.node.upstream.pool import Pool
+from tests.support.loopback import reply, until
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 BIG = 30_000_000  # more than the kernel's buffers take
--- a/tests/fleet.py
+++ b/tests/support/registry_processes.py
@@ -1,6 +1,6 @@
 """Processes of the list service on loopback for multi-process tests: instances, agents, calls.
 
-Every port is kept for the program it is given to (tests/ports.py); every wait is bounded and polls a
+Every port is kept for the program it is given to (tests/support/ports.py); every wait is bounded and polls a
 condition, and a failure says what was last seen.
 """
 
@@ -20,10 +20,10 @@
 
 import orjson
 
-from tests.ports import free_port
-from tests.relay import Relay
+from tests.support.ports import free_port
+from tests.support.relay import Relay
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 def until(check: Callable[[], Any], within_s: float = 20.0, what: str = "condition") -> Any:
@@ -144,7 +144,7 @@
                 link.set_silent(silent)
 
     def start(self, index: int) -> None:
-        arguments = ["-m", "orchidledge.registry", "serve", "--config", str(self.config(index))]
+        arguments = ["-m", "loadbalancer.registry", "serve", "--config", str(self.config(index))]
         log = self.folder / f"r{index}.log"
         process = self.processes[index] = spawn(arguments, log)
         until(lambda: running(process, log) and self.status(index), what=f"r{index} answering")
@@ -231,7 +231,7 @@
         extra = "".join(f"{key} = {value}\n" for key, value in keys.items())
         path.write_text(f'[agent]\nlisten = "127.0.0.1:{self.port}"\nregistries = [{quoted}]\n{extra}')
         self.process = spawn(
-            ["-m", "orchidledge.registry", "agent", "--config", str(path)], folder / f"{path.stem}.log"
+            ["-m", "loadbalancer.registry", "agent", "--config", str(path)], folder / f"{path.stem}.log"
         )
 
     def page(self, since: int | None = None, wait_ms: int = 0) -> dict[str, Any]:
--- a/tests/relay.py
+++ b/tests/support/relay.py
@@ -1,5 +1,5 @@
 """The relay between two programs; its faults and the net of many are in tests/faults."""
 
-from tests.faults import Relay
+from tests.support.faults import Relay
 
 __all__ = ["Relay"]
--- a/tests/servers.py
+++ b/tests/support/stand_in_servers.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Literal
 
-from tests.faults import LoopThread
-from tests.loopback import Message, Peer, reply, targets
+from tests.support.faults import LoopThread
+from tests.support.loopback import Message, Peer, reply, targets
 
 Conduct = Literal["answer", "hang", "fail", "drop"]
 
--- a/tests/test_faults.py
+++ b/tests/support/test_faults.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.faults import LoopThread, Net, Relay
-from tests.loopback import Message, Peer, reply
+from tests.support.faults import LoopThread, Net, Relay
+from tests.support.loopback import Message, Peer, reply
 
 ASK = b"GET /read/%d HTTP/1.1\r\n\r\n"
 SHORT_S = 0.15  # for what must not come: a wait that is too short can't fail a good relay
--- a/tests/test_ports.py
+++ b/tests/support/test_ports.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.ports import free_port
+from tests.support.ports import free_port
 
 
 def test_a_port_given_out_is_kept_from_all_but_the_program_told_of_it() -> None:
--- a/tests/threads.py
+++ b/tests/support/thread_cases.py
@@ -1,6 +1,6 @@
-"""Cases for tests/test_threads.py, run one at a time as `frontrun python -m tests.threads NAME`, which is how
-frontrun takes over locks and files. Each prints how many interleavings were explored, whether its rule held
-in all of them, and frontrun's account of the first in which it did not, as one line of JSON.
+"""Cases for tests/test_threads.py, run one at a time as `frontrun python -m tests.support.thread_cases NAME`,
+which is how frontrun takes over locks and files. Each prints how many interleavings were explored, whether its
+rule held in all of them, and frontrun's account of the first in which it did not, as one line of JSON.
 
 A name with `-wrong` runs the same threads over a class with a seeded mistake.
 """
@@ -17,12 +17,12 @@
 import frontrun
 import orjson
 
-from orchidledge.net import snapshot
-from orchidledge.net.fleet.store import RouteStore
-from orchidledge.net.snapshot import StateFile
-from orchidledge.registry.fleet import FleetCatalog, Renewed
-from orchidledge.registry.service_clock import ServiceClock
-from orchidledge.registry.store import Catalog, Page
+from loadbalancer.node.control.route_store import RouteStore
+from loadbalancer.node.state import snapshot
+from loadbalancer.node.state.snapshot import StateFile
+from loadbalancer.registry.catalog import Catalog, Page
+from loadbalancer.registry.fleet_catalog import FleetCatalog, Renewed
+from loadbalancer.registry.service_clock import ServiceClock
 
 MOST = 1_000  # interleavings of a case
 
@@ -207,7 +207,7 @@
         max_executions=MOST,
         total_timeout=60.0,
         reproduce_on_failure=2,
-        trace_packages=["orchidledge.*"],
+        trace_packages=["loadbalancer.*"],
     )
     said = {"explored": found.num_explored, "holds": found.property_holds, "why": found.explanation}
     print(orjson.dumps(said | {"inconclusive": found.inconclusive_reason}).decode())
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[1]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -11,7 +11,8 @@
 
 import orjson
 import pytest
-from loopback import (
+
+from tests.support.loopback import (
     Caller,
     Discovery,
     Message,
@@ -24,10 +25,9 @@
     targets,
     until,
 )
+from tests.support.ports import free_port
 
-from tests.ports import free_port
-
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[1]
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -36,7 +36,7 @@
     if path is not None:
         environment["PROXY_CONFIG"] = str(path)
     return subprocess.Popen(
-        [sys.executable, "-m", "orchidledge"], cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True
+        [sys.executable, "-m", "loadbalancer"], cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True
     )
 
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-README = Path(__file__).parent.parent / "README.md"
+README = Path(__file__).parents[1] / "README.md"
 
 
 def test_the_example_runs():
--- a/tests/test_settings_bad.py
+++ b/tests/test_settings_bad.py
@@ -12,13 +12,13 @@
 
 import orjson
 import pytest
-from loopback import config_row, targets
 
-from orchidledge import interface as api
-from orchidledge.decide import Balancer
-from orchidledge.net.config import Config, parse_config
+from loadbalancer import interface as api
+from loadbalancer.balancing import Balancer
+from loadbalancer.node.config import Config, parse_config
+from tests.support.loopback import config_row, targets
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[1]
 GONE = object()
 HUGE = 1e308
 SHAPES: tuple[Any, ...] = (
@@ -253,7 +253,7 @@
     told = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")} | environment
     if path is not None:
         told["PROXY_CONFIG"] = str(path)
-    command = [sys.executable, "-m", "orchidledge"]
+    command = [sys.executable, "-m", "loadbalancer"]
     return subprocess.run(
         command, cwd=ROOT, env=told, capture_output=True, text=True, timeout=60, check=False
     )
--- a/tests/test_settings_kinds.py
+++ b/tests/test_settings_kinds.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 import pytest
-from loopback import Caller, Held, Message, Peer, ask, reply, request, running, targets, until
 
-from orchidledge import interface as api
-from orchidledge.net.node import Node
+from loadbalancer import interface as api
+from loadbalancer.node.node import Node
+from tests.support.loopback import Caller, Held, Message, Peer, ask, reply, request, running, targets, until
 
 LONG = {"aimMs": 20000.0, "giveUpMs": 30000.0}
 KEYED = {"effect": "guarded", "memorySpanMs": 9000.0}
--- a/tests/test_simhost.py
+++ b/tests/test_simulator_adapter.py
@@ -11,10 +11,10 @@
 import orjson
 import pytest
 
-from orchidledge.settings import settings_from
-from orchidledge.simhost import Host, WireError, run
+from loadbalancer.settings import settings_from
+from loadbalancer.simulator_adapter import Host, WireError, run
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[1]
 
 CONFIG: dict[str, Any] = {
     "accounts": [{"name": "t", "quotaPerS": 10.0, "fraction": 1.0}],
@@ -266,7 +266,7 @@
 
 
 def test_the_process_exits_cleanly_at_the_end_and_plainly_on_nonsense():
-    command = [sys.executable, "-m", "orchidledge.simhost"]
+    command = [sys.executable, "-m", "loadbalancer.simulator_adapter"]
     good = subprocess.run(command, input=batch(1.0, 1), capture_output=True, cwd=ROOT, check=False)
     assert (good.returncode, good.stdout, good.stderr) == (0, b'{"kind":"READY","seq":1}\n', b"")
     bad = subprocess.run(command, input=b"nonsense\n", capture_output=True, cwd=ROOT, check=False)
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -1,8 +1,8 @@
 """Threads of the real classes in every order that matters, by frontrun (DPOR), at most two of them preempted.
 
-Each case of tests/threads.py runs in a process of its own under the `frontrun` command, so the one test
-command stays `python -m pytest`. A lock taken out, or an order not kept, is the seeded mistake: it has to
-be found.
+Each case of tests/support/thread_cases.py runs in a process of its own under the `frontrun` command, so the
+one test command stays `python -m pytest`. A lock taken out, or an order not kept, is the seeded mistake: it has
+to be found.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 def explored(name: str, folder: Path) -> dict[str, Any]:
-    command = [sys.executable, "-m", "frontrun.cli", sys.executable, "-m", "tests.threads", name]
+    command = [sys.executable, "-m", "frontrun.cli", sys.executable, "-m", "tests.support.thread_cases", name]
     done = subprocess.run(
         command,
-        cwd=Path(__file__).parent.parent,
+        cwd=Path(__file__).parents[1],
         env={**os.environ, "TMPDIR": str(folder)},
         capture_output=True,
         timeout=120,
