--- a/bench/fleet_traffic.py
+++ b/bench/fleet_traffic.py
@@ -18,7 +18,7 @@
 
 from bench.figures import quantile
 from bench.fleet_world import LIMIT_S, Figures, Plan, World, cpu_ms, spread
-from loadbalancer.interface import Mark
+from loadbalancer.endpoints import Confidence
 from loadbalancer.node.http.service_http import call
 from tests.support.faults import LoopThread
 from tests.support.load import Load
@@ -235,7 +235,7 @@
             (watch.mark(int(name[1:].split("-")[0]), server, came), failed)
             for came, server, name, failed in list(world.pool.noted)
         )
-    totals = {mark: counts[mark.value, True] + counts[mark.value, False] for mark in Mark}
+    totals = {mark: counts[mark.value, True] + counts[mark.value, False] for mark in Confidence}
     shares = [counts[mark.value, True] / total for mark, total in totals.items() if total >= 20]
     yield {
         "figure": "marks",
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -31,8 +31,16 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import Balancer
+from loadbalancer.balancing.actions import Send
+from loadbalancer.balancing.events import (
+    AttemptOutcome,
+    EndpointListUpdate,
+    Request,
+    StateRestored,
+    TimerFired,
+)
+from loadbalancer.endpoints import AttemptResult, EndpointListKind
 from loadbalancer.node.discovery.watcher import Listing
 from loadbalancer.node.state import snapshot
 from tests.support.builders import servers, settings
@@ -150,23 +158,23 @@
 def threshold() -> dict[str, Any]:
     listed = servers(8)
     busy = Balancer(settings(), 1, 0.0)
-    busy.handle(0.0, api.Membership(api.ListForm.FULL, listed))
+    busy.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, listed))
     now, number = 0.0, 0
     while now < 20_000.0:  # twenty seconds of a busy pool whose servers answer in 40 ms
         now += 5.0
-        for act in busy.handle(now, api.Request(f"r{number}", "read", now + 1000.0)):
-            if isinstance(act, api.Send):
-                busy.handle(now + 40.0, api.Outcome(act.id, 0, act.server, api.Result.OK, 40.0, True))
+        for act in busy.handle(now, Request(f"r{number}", "read", now + 1000.0)):
+            if isinstance(act, Send):
+                busy.handle(now + 40.0, AttemptOutcome(act.id, 0, act.server, AttemptResult.OK, 40.0, True))
         number += 1
-        busy.handle(now, api.Alarm("period"))
+        busy.handle(now, TimerFired("period"))
     before = busy.threshold(1.0, len(busy.ready))
     found = {}
-    for kind, event in (("warm", api.Restored(busy.learned(), 500.0)), ("cold", None)):
+    for kind, event in (("warm", StateRestored(busy.learned(), 500.0)), ("cold", None)):
         node = Balancer(settings(), 2, 0.0)
-        node.handle(0.0, api.Membership(api.ListForm.FULL, listed))
+        node.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, listed))
         if event is not None:
             node.handle(0.0, event)
-        node.handle(0.0, api.Alarm("period"))
+        node.handle(0.0, TimerFired("period"))
         found[kind] = round(node.threshold(1.0, len(node.ready)), 1)
     return {"before_kill": round(before, 1), "first_period": found}
 
--- a/bench/scale/chain_model.py
+++ b/bench/scale/chain_model.py
@@ -17,9 +17,19 @@
 from itertools import count
 from random import Random
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import Balancer
+from loadbalancer.balancing.actions import Action, Cancel, Fail, Reject, Send, SetTimer, Watch
+from loadbalancer.balancing.events import (
+    AttemptOutcome,
+    EndpointListUpdate,
+    Event,
+    Request,
+    RequestCancelled,
+    TimerFired,
+)
+from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind
 from loadbalancer.node.listener.requests import WAY_BACK_S
+from loadbalancer.service_settings import Effect, ServiceClass, Settings
 
 CLASS = "read"
 WAY_BACK_MS = WAY_BACK_S * 1000.0
@@ -121,7 +131,7 @@
 
     def receive(self, attempt: Attempt) -> None:
         if len(self._queue) >= self.room:
-            self._respond(attempt, api.Result.FULL)
+            self._respond(attempt, AttemptResult.REJECTED)
             return
         self._queue.append(attempt)
         self._work()
@@ -161,12 +171,12 @@
 
     def _finish(self, attempt: Attempt) -> None:
         failed = self._random.random() < self.conduct.error_share
-        self._respond(attempt, api.Result.ERROR if failed else api.Result.OK)
+        self._respond(attempt, AttemptResult.ERROR if failed else AttemptResult.OK)
 
     def _answered(self, attempt: Attempt, answer: Answer) -> None:
-        self._respond(attempt, api.Result.OK if answer is Answer.OK else api.Result.ERROR)
+        self._respond(attempt, AttemptResult.OK if answer is Answer.OK else AttemptResult.ERROR)
 
-    def _respond(self, attempt: Attempt, result: api.Result) -> None:
+    def _respond(self, attempt: Attempt, result: AttemptResult) -> None:
         report = self.report()
         self.clock.after(NETWORK_MS, lambda: attempt.call.node.end(attempt, result, report))
 
@@ -187,66 +197,66 @@
     """The host of one Balancer in front of a tier's servers, as loadbalancer/node/ is in a real node."""
 
     def __init__(
-        self, clock: Clock, tier: int, settings: api.Settings, servers: Sequence[Server], seed: int
+        self, clock: Clock, tier: int, settings: Settings, servers: Sequence[Server], seed: int
     ) -> None:
         self.clock, self.tier = clock, tier
         self.balancer = Balancer(settings, seed, clock.now_ms)
         self._servers = {server.name: server for server in servers}
         self._calls: dict[str, Call] = {}
         self._numbers = count(1)
-        listed = tuple(api.Server(name) for name in self._servers)
-        self._tell(api.Membership(api.ListForm.FULL, listed))
+        listed = tuple(Endpoint(name) for name in self._servers)
+        self._tell(EndpointListUpdate(EndpointListKind.FULL, listed))
 
     def call(self, user: UserCall, give_up_at_ms: float, on_answer: Callable[[Answer], None]) -> Call:
         call = Call(f"call-{next(self._numbers)}", self, user, give_up_at_ms - WAY_BACK_MS, on_answer)
         self._calls[call.id] = call
-        self._tell(api.Request(call.id, CLASS, call.give_up_at_ms))
+        self._tell(Request(call.id, CLASS, call.give_up_at_ms))
         return call
 
     def lapse(self, call: Call) -> None:
         """Its caller has gone."""
         if not call.done:
             call.done = True
-            self._tell(api.Lapsed(call.id))
+            self._tell(RequestCancelled(call.id))
             self._forget(call)
 
-    def end(self, attempt: Attempt, result: api.Result, report: dict[str, float] | None) -> None:
+    def end(self, attempt: Attempt, result: AttemptResult, report: dict[str, float] | None) -> None:
         """An attempt's one outcome; the first good answer goes to the caller before the Balancer hears it."""
         if attempt.ended:
             return
         attempt.ended = True
         call = attempt.call
-        if result is api.Result.OK:
+        if result is AttemptResult.OK:
             self._answer(call, Answer.OK)
-        elif result in (api.Result.TIMEOUT, api.Result.CANCELLED):
+        elif result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED):
             attempt.server.abandon(attempt)
         latency_ms = self.clock.now_ms - attempt.sent_ms
         server = attempt.server.name
-        self._tell(api.Outcome(call.id, attempt.number, server, result, latency_ms, call.done, report))
+        self._tell(AttemptOutcome(call.id, attempt.number, server, result, latency_ms, call.done, report))
         self._forget(call)
 
-    def _tell(self, event: api.Event) -> None:
+    def _tell(self, event: Event) -> None:
         for action in self.balancer.handle(self.clock.now_ms, event):
             self._act(action)
 
-    def _act(self, action: api.Action) -> None:
+    def _act(self, action: Action) -> None:
         match action:
-            case api.Send():
+            case Send():
                 self._send(self._calls[action.id], action)
-            case api.Refuse():
+            case Reject():
                 self._calls[action.id].user.refusals[self.tier] += 1
                 self._answer(self._calls[action.id], Answer.REFUSED)
-            case api.Fail():
+            case Fail():
                 self._answer(self._calls[action.id], Answer.FAILED)
-            case api.Cancel():
+            case Cancel():
                 attempt = self._calls[action.id].attempts[action.attempt]
-                self.clock.after(0.0, lambda: self.end(attempt, api.Result.CANCELLED, None))
-            case api.Wake():
-                self.clock.after(action.delay_ms, lambda: self._tell(api.Alarm(action.name)))
-            case api.Watch():
+                self.clock.after(0.0, lambda: self.end(attempt, AttemptResult.CANCELLED, None))
+            case SetTimer():
+                self.clock.after(action.delay_ms, lambda: self._tell(TimerFired(action.name)))
+            case Watch():
                 pass  # the list never changes here
 
-    def _send(self, call: Call, action: api.Send) -> None:
+    def _send(self, call: Call, action: Send) -> None:
         now_ms = self.clock.now_ms
         left_ms = call.give_up_at_ms - now_ms
         timeout_ms = min(left_ms, action.timeout_ms) if action.timeout_ms > 0.0 else left_ms
@@ -255,7 +265,7 @@
         call.attempts.append(attempt)
         call.user.sends[self.tier] += 1
         self.clock.after(NETWORK_MS, lambda: server.receive(attempt))
-        self.clock.after(timeout_ms, lambda: self.end(attempt, api.Result.TIMEOUT, None))
+        self.clock.after(timeout_ms, lambda: self.end(attempt, AttemptResult.TIMEOUT, None))
 
     def _answer(self, call: Call, answer: Answer) -> None:
         if not call.done:
@@ -288,15 +298,19 @@
     error_share: float = 0.3
     overload: float = 1.5  # a saturated last tier is sent so many times what it could serve
 
-    def settings(self, tier: int) -> api.Settings:
-        read = api.ServiceClass(
-            CLASS, aim_ms=self.aim_ms, give_up_ms=self.give_up_ms, worth=12.0, effect=api.Effect.SAFE
+    def settings(self, tier: int) -> Settings:
+        read = ServiceClass(
+            CLASS,
+            latency_objective_ms=self.aim_ms,
+            client_timeout_ms=self.give_up_ms,
+            priority_weight=12.0,
+            effect=Effect.IDEMPOTENT,
         )
-        return api.Settings(
+        return Settings(
             classes=(read,),
             tier=tier,
             siblings=self.nodes,
-            report_fields=("queue", "util"),
+            load_report_fields=("queue", "util"),
             may_cancel=True,
             max_attempts=self.max_attempts,
         )
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -22,8 +22,8 @@
 from bench.scale.histograms import Times
 from bench.scale.hollow_names import CHANGE
 from bench.scale.messages import HollowSpec, Setup
-from loadbalancer import interface as api
 from loadbalancer.balancing import Balancer
+from loadbalancer.endpoints import AttemptResult, Endpoint
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import Config, parse_config
 from loadbalancer.node.control import control_plane as fleet_part
@@ -195,7 +195,7 @@
         while True:
             now = self.part.clock.ms()
             for uid in self._setup.servers[self.spec.service]:
-                view.saw(now, uid, api.Result.OK)
+                view.saw(now, uid, AttemptResult.OK)
             await asyncio.sleep(SEEN_EVERY_S)
 
     async def leave(self) -> None:
@@ -271,7 +271,7 @@
 
     def __init__(self, clock: Clock, uids: list[str]) -> None:
         self._clock = clock
-        self.listed = {uid: (api.Server(uid), ("127.0.0.1", 9)) for uid in uids}
+        self.listed = {uid: (Endpoint(uid), ("127.0.0.1", 9)) for uid in uids}
         self.listed_rev = self.origin_rev = 1
 
     @property
--- a/bench/view.py
+++ b/bench/view.py
@@ -33,14 +33,14 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from loadbalancer.interface import Mark, Result
+from loadbalancer.endpoints import AttemptResult, Confidence
 from loadbalancer.staleness import Marks, Offsets, View, server_edge, sibling_edge
 from loadbalancer.staleness.confidence import BOUNDS
 
 P, EVERY, CALL, SAMPLE = 15.0, 30.0, 200.0, 100.0  # ms
 LOSS = 0.02
 SLACK = 0.01  # ms: rounding in the simulation's own arithmetic
-LIMITS = {mark: bound * P for mark, bound in zip(Mark, BOUNDS, strict=False)}  # blind has none
+LIMITS = {mark: bound * P for mark, bound in zip(Confidence, BOUNDS, strict=False)}  # blind has none
 NEVER = -math.inf
 
 
@@ -80,9 +80,9 @@
         self.turn = 0
         self.down: set[str] = set()
         self.held: Counter[tuple[str, bool]] = Counter()
-        self.over: Counter[Mark] = Counter()
-        self.given: Counter[Mark] = Counter()
-        self.calls: Counter[tuple[Mark, bool]] = Counter()
+        self.over: Counter[Confidence] = Counter()
+        self.given: Counter[Confidence] = Counter()
+        self.calls: Counter[tuple[Confidence, bool]] = Counter()
         self.widths: list[float] = []
 
     def _link(self) -> tuple[float, float]:
@@ -132,7 +132,7 @@
         self.at(now + self.draw.expovariate(1.0 / gap), self.use, node, server, gap)
 
     def used(self, now: float, node: Node, server: str, bad: bool) -> None:
-        node.view.saw(node.clock(now), server, Result.RESET if bad else Result.OK)
+        node.view.saw(node.clock(now), server, AttemptResult.RESET if bad else AttemptResult.OK)
         if not bad:
             node.heard[server] = now
         node.facts[server, node.view.seen[server].version] = node.heard.get(server, NEVER)
@@ -185,7 +185,7 @@
             self.given[mark] += 1
             if mark in LIMITS:
                 known = node.heard.get(server, NEVER)
-                if mark is not Mark.SURE:
+                if mark is not Confidence.HIGH:
                     known = max(known, self.told_of(node, server))
                 self.over[mark] += (now - known) * (1.0 + node.rate) > LIMITS[mark] + SLACK
 
@@ -220,7 +220,7 @@
         self.held[what, interval[0] - SLACK <= true <= interval[1] + SLACK] += 1
 
     def figures(self) -> dict[str, Any]:
-        marks = [mark for mark in Mark if self.given[mark]]
+        marks = [mark for mark in Confidence if self.given[mark]]
         return {
             "age_held": _share(self.held, "age", True),
             "age_samples": self.held["age", True] + self.held["age", False],
@@ -250,7 +250,7 @@
     names = iter(fleet.servers * 100)
     ahead = iter(range(10_000, 30_000, 30))
     return {
-        "saw": _us(lambda: view.saw(now, next(names), Result.OK), 10_000),
+        "saw": _us(lambda: view.saw(now, next(names), AttemptResult.OK), 10_000),
         "share": _us(lambda: view.share(now), 500),
         "told": _us(lambda: view.told(now, 1, next(entries)), 500),
         "sample": _us(lambda: view.offsets.sample(1, now, now, now, now), 500),
--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,6 +1,6 @@
 """loadbalancer: load balancing decisions for services that call services in tiers."""
 
 from loadbalancer.balancing import Balancer
-from loadbalancer.interface import Settings
+from loadbalancer.service_settings import Settings
 
 __all__ = ["Balancer", "Settings"]
--- a/loadbalancer/balancing/__init__.py
+++ b/loadbalancer/balancing/__init__.py
@@ -1,9 +1,12 @@
-"""The decision module of loadbalancer. Its types, events and actions are in loadbalancer/interface.py.
+"""The balancing policy: admission by a cursor table, endpoint selection, retries. Sans-I/O.
 
-Cursor-table admission: every period the pool's load moves a cursor one step over a table of queue
-thresholds; a call that meets its row's threshold is refused at once; an admitted call goes to the
-best-ranked ready server. Exceptions are marked `Guard:` with the failure they answer.
-Sans-I/O: `Balancer.handle(now_ms, event)` returns actions; no clock, no globals, a random source of its own.
+Every period the pool's load moves a cursor one step over a table of queue thresholds. A request that meets
+the threshold of its row is rejected at once; an admitted one goes to the best-ranked ready endpoint.
+`Balancer.handle(now_ms, event)` returns actions. It reads no clock and owns its random source.
+Its types are in loadbalancer/balancing/events.py, loadbalancer/balancing/actions.py,
+loadbalancer/service_settings.py and loadbalancer/endpoints.py.
+
+Source: M. Villen-Altamirano, "Overload control strategy for fully distributed control systems (System 12)".
 """
 
 from loadbalancer.balancing.balancer import Balancer
--- a/loadbalancer/balancing/admission.py
+++ b/loadbalancer/balancing/admission.py
@@ -4,9 +4,10 @@
 
 from dataclasses import dataclass
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import cursor_table as table
+from loadbalancer.balancing.events import Request
 from loadbalancer.balancing.state import State
+from loadbalancer.service_settings import ServiceClass
 
 RETRY_WORTH = 0.5  # a marked retry counts as this share of its class's worth
 LET_IN_GAIN = 0.1  # smoothing of the share let in, per request
@@ -32,21 +33,21 @@
     def __init__(self, state: State, now_ms: float) -> None:
         self.state = state
         cfg = state.cfg
-        self.top_worth = max(kind.worth for kind in cfg.classes) or 1.0
+        self.top_worth = max(kind.priority_weight for kind in cfg.classes) or 1.0
         quotas = {tenant.name: tenant.quota_per_s for tenant in cfg.tenants}
         parts = state.shared.at(now_ms)
         self.buckets = {name: Bucket(quota, _depth(quota / parts), now_ms) for name, quota in quotas.items()}
         self.mean_hint = 0.0
 
-    def units(self, request: api.Request) -> float:
+    def units(self, request: Request) -> float:
         """Its weight in the queue: 1, or where worth goes by work what it costs over the mean."""
         hint = request.cost_hint_ms
-        if not self.state.cfg.worth_by_work or not hint:
+        if not self.state.cfg.weight_by_work or not hint:
             return 1.0
         self.mean_hint += (hint - self.mean_hint) * (HINT_GAIN if self.mean_hint else 1.0)
         return min(4.0, max(0.25, hint / self.mean_hint))
 
-    def refuses(self, now: float, request: api.Request, kind: api.ServiceClass) -> bool:
+    def refuses(self, now: float, request: Request, kind: ServiceClass) -> bool:
         """Whether the queue has met the threshold of this call's row. Takes a token of its tenant's."""
         state = self.state
         queue = sum([peer.held for peer in state.ready])
@@ -56,8 +57,8 @@
         state.let_in += LET_IN_GAIN * ((not refused) - state.let_in)
         return refused
 
-    def worth(self, now: float, request: api.Request, kind: api.ServiceClass) -> float:
-        worth = kind.worth / self.top_worth
+    def worth(self, now: float, request: Request, kind: ServiceClass) -> float:
+        worth = kind.priority_weight / self.top_worth
         if request.is_retry:
             worth *= RETRY_WORTH
         bucket = self.buckets.get(request.tenant or "")
@@ -66,6 +67,6 @@
             bucket.tokens = min(_depth(quota), bucket.tokens + quota * (now - bucket.then) / 1000.0)
             bucket.then = now
             if bucket.tokens < 1.0:
-                return worth * self.state.cfg.over_share_worth
+                return worth * self.state.cfg.over_quota_weight
             bucket.tokens -= 1.0
         return worth
--- a/loadbalancer/balancing/balancer.py
+++ b/loadbalancer/balancing/balancer.py
@@ -4,72 +4,92 @@
 
 from random import Random
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import cursor_table as table
 from loadbalancer.balancing import endpoints as servers
 from loadbalancer.balancing import fleet_control as fleet
 from loadbalancer.balancing import learned_state as learning
 from loadbalancer.balancing import load_estimate as load
 from loadbalancer.balancing import outliers as health
+from loadbalancer.balancing.actions import Action, SetTimer, Watch
 from loadbalancer.balancing.admission import Admission
+from loadbalancer.balancing.events import (
+    AttemptOutcome,
+    ConfidenceUpdate,
+    EndpointEjected,
+    EndpointListUpdate,
+    EndpointRestored,
+    Event,
+    HealthCheckCompleted,
+    LearnedState,
+    QuotaGrant,
+    Request,
+    RequestCancelled,
+    RequestReceived,
+    SiblingProcessLoad,
+    StateRestored,
+    StreamStarted,
+    TimerFired,
+)
 from loadbalancer.balancing.retries import Attempts
 from loadbalancer.balancing.state import Peer, State
+from loadbalancer.endpoints import RouteVersion
+from loadbalancer.service_settings import Settings
 
 
 class Balancer:
     """One node's decisions. Times are ms on a clock that only advances; the same seed and events give the
     same actions. Raises KeyError for a request of a class that the settings don't name."""
 
-    def __init__(self, settings: api.Settings, seed: int, now_ms: float) -> None:
+    def __init__(self, settings: Settings, seed: int, now_ms: float) -> None:
         self.state = state = State(settings, Random(seed))
         self.cfg, self.kinds, self.period_ms, self.jobs = settings, state.kinds, state.period_ms, state.jobs
         self.admission = Admission(state, now_ms)
         self.attempts = Attempts(state, self.admission)
         self.begun = False
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        acts: list[api.Action] = []
+    def handle(self, now: float, event: Event) -> list[Action]:
+        acts: list[Action] = []
         self.state.now = now
         if not self.begun:
             self.begun = True
-            acts.append(api.Wake(self.period_ms, "period"))
-            if self.cfg.ask_discovery:
-                acts.append(api.Watch())
+            acts.append(SetTimer(self.period_ms, "period"))
+            if self.cfg.poll_discovery:
+                acts.append(Watch())
         match event:
-            case api.Request():
+            case Request():
                 self.attempts.requested(now, event, acts)
-            case api.Outcome():
+            case AttemptOutcome():
                 self.attempts.returned(now, event, acts)
-            case api.Arrived():
+            case RequestReceived():
                 self.attempts.arrived(now, event)
-            case api.Lapsed():
+            case RequestCancelled():
                 self.attempts.lapsed(event, acts)
-            case api.Started():
+            case StreamStarted():
                 self.attempts.started(event, acts)
-            case api.Alarm(name="period"):
-                acts.append(api.Wake(self.period_ms, "period"))
+            case TimerFired(name="period"):
+                acts.append(SetTimer(self.period_ms, "period"))
                 load.end_period(self.state, now)
-            case api.Alarm(name="watch"):
-                acts.append(api.Watch())
-            case api.Probed():
-                health.hear(self.state, now, event.server, event.report)
-            case api.Membership():
+            case TimerFired(name="watch"):
+                acts.append(Watch())
+            case HealthCheckCompleted():
+                health.hear(self.state, now, event.server, event.load_report)
+            case EndpointListUpdate():
                 servers.listed(self.state, event, acts)
-            case api.TakenOut():
+            case EndpointEjected():
                 servers.taken_out(self.state, event)
-            case api.BroughtBack():
+            case EndpointRestored():
                 servers.brought_back(self.state, event)
-            case api.Beside():
+            case SiblingProcessLoad():
                 servers.held_beside(self.state, event)
-            case api.Learned():
+            case LearnedState():
                 learning.learn(self.state, now, event)
-            case api.Restored():
+            case StateRestored():
                 learning.restore(self.state, now, event)
-            case api.Siblings():
+            case QuotaGrant():
                 fleet.shared(self.state, event)
-            case api.Marks():
+            case ConfidenceUpdate():
                 fleet.marked(self.state, event)
-            case api.RouteVersion():
+            case RouteVersion():
                 fleet.switched(self.state, event)
         return acts
 
@@ -94,7 +114,7 @@
         """Calls in flight to `ready` servers at which one of this worth (1: the most) is refused."""
         return table.threshold(self.state, worth, ready)
 
-    def learned(self) -> api.Learned:
+    def learned(self) -> LearnedState:
         """What a process that starts beside this one may start from."""
         return learning.learned(self.state)
 
--- a/loadbalancer/balancing/endpoint_selection.py
+++ b/loadbalancer/balancing/endpoint_selection.py
@@ -4,11 +4,11 @@
 
 import math
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import cursor_table as table
 from loadbalancer.balancing import fleet_control as fleet
 from loadbalancer.balancing import load_estimate as load
 from loadbalancer.balancing.state import Job, Peer, State
+from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass
 
 FORGET_MS = 8000.0  # an unheard server drifts back to the mean at this pace
 STALE_MS = 500.0  # a reported queue is believed for about this long
@@ -51,9 +51,9 @@
 def _open_to(state: State, now: float, job: Job) -> list[Peer]:
     """The ready servers at which another attempt cannot have a second effect."""
     ran, effect = job.may_have_run(), job.kind.effect
-    if now >= repeat_before(job) or (ran and effect is api.Effect.UNSAFE):
+    if now >= repeat_before(job) or (ran and effect is Effect.NON_IDEMPOTENT):
         return []
-    bound = _group(job.kind, ran[0].peer) if ran and effect is api.Effect.KEYED else None
+    bound = _group(job.kind, ran[0].peer) if ran and effect is Effect.IDEMPOTENCY_KEY else None
     tried = [item.peer for item in job.tries]
     return [
         peer
@@ -66,15 +66,15 @@
     """Until when another attempt may be written: at any time, unless the key of one that may have run is
     forgotten some day."""
     ran = job.may_have_run()
-    if not ran or job.kind.effect is not api.Effect.KEYED:
+    if not ran or job.kind.effect is not Effect.IDEMPOTENCY_KEY:
         return math.inf
-    return ran[0].sent_ms + job.kind.memory_ms - REPEAT_MARGIN_MS
+    return ran[0].sent_ms + job.kind.deduplication_window_ms - REPEAT_MARGIN_MS
 
 
-def _group(kind: api.ServiceClass, peer: Peer) -> tuple[str, int]:
+def _group(kind: ServiceClass, peer: Peer) -> tuple[str, int]:
     """The servers among which a repeat of this keyed class is dropped."""
-    zone = "" if kind.scope is api.Scope.ALL else peer.info.zone
-    return zone, peer.info.cell if kind.scope is api.Scope.CELL else 0
+    zone = "" if kind.deduplication_scope is DeduplicationScope.ALL else peer.info.zone
+    return zone, peer.info.cell if kind.deduplication_scope is DeduplicationScope.CELL else 0
 
 
 def _rank(state: State, now: float, peer: Peer) -> float:
@@ -104,9 +104,9 @@
         # Guard: it was restarted while out, and the list that tells of it comes seconds late.
         launched = back.back_ms
     age = math.inf if launched is None else max(0.0, now - launched)
-    if age >= cfg.cold_ms:
+    if age >= cfg.slow_start_ms:
         return True
-    warmth = cfg.cold_from + (1.0 - cfg.cold_from) * age / cfg.cold_ms
+    warmth = cfg.slow_start_from + (1.0 - cfg.slow_start_from) * age / cfg.slow_start_ms
     return state.rng.random() * _servers_worth(state) < COLD_SHARE * cfg.overload_factor * warmth
 
 
--- a/loadbalancer/balancing/endpoints.py
+++ b/loadbalancer/balancing/endpoints.py
@@ -2,27 +2,34 @@
 
 from __future__ import annotations
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.actions import Action, SetTimer
+from loadbalancer.balancing.events import (
+    EndpointEjected,
+    EndpointListUpdate,
+    EndpointRestored,
+    SiblingProcessLoad,
+)
 from loadbalancer.balancing.state import Peer, Return, State
+from loadbalancer.endpoints import EndpointListKind, EndpointStatus
 
 WATCH_MS = 250.0  # half the first wait before discovery is asked again; doubled at each failure
 WATCH_MAX_MS = 4000.0  # the longest such wait
 
 
-def listed(state: State, event: api.Membership, acts: list[api.Action]) -> None:
-    if event.form is api.ListForm.FAILED:  # subscribe anew, backing off so as not to crowd discovery
+def listed(state: State, event: EndpointListUpdate, acts: list[Action]) -> None:
+    if event.kind is EndpointListKind.FAILED:  # subscribe anew, backing off so as not to crowd discovery
         state.watch_failures += 1
         # Guard: a long outage's thousandth failure overflowed the power.
         wait = min(WATCH_MAX_MS, WATCH_MS * 2.0 ** min(state.watch_failures, 16))
-        acts.append(api.Wake(wait * state.rng.uniform(0.5, 1.0), "watch"))
+        acts.append(SetTimer(wait * state.rng.uniform(0.5, 1.0), "watch"))
         return
-    if event.form is not api.ListForm.CACHED:
+    if event.kind is not EndpointListKind.CACHED:
         state.watch_failures = 0
-    if event.form is not api.ListForm.DELTA:  # a server absent from a whole list is gone
-        named = {server.address for server in event.servers}
+    if event.kind is not EndpointListKind.DELTA:  # a server absent from a whole list is gone
+        named = {server.address for server in event.endpoints}
         state.peers = {address: peer for address, peer in state.peers.items() if address in named}
-    for server in event.servers:
-        if server.state is api.ServerState.REMOVED:
+    for server in event.endpoints:
+        if server.state is EndpointStatus.REMOVED:
             state.peers.pop(server.address, None)
             continue
         known = state.peers.get(server.address)
@@ -33,24 +40,24 @@
     _choose_ready(state)
 
 
-def taken_out(state: State, event: api.TakenOut) -> None:
+def taken_out(state: State, event: EndpointEjected) -> None:
     state.out_by_hand.add(event.server)
     state.returns.pop(event.server, None)
     _choose_ready(state)
 
 
-def brought_back(state: State, event: api.BroughtBack) -> None:
+def brought_back(state: State, event: EndpointRestored) -> None:
     state.out_by_hand.discard(event.server)
-    state.returns[event.server] = Return(event.out_ms, event.back_ms)
+    state.returns[event.server] = Return(event.ejected_ms, event.restored_ms)
     known = state.peers.get(event.server)
     if known is not None:  # another process by now: known by nothing
         known.slow, known.errs, known.queue, known.util = None, 0.0, 0.0, None
     _choose_ready(state)
 
 
-def held_beside(state: State, event: api.Beside) -> None:
+def held_beside(state: State, event: SiblingProcessLoad) -> None:
     for address, peer in state.peers.items():
-        peer.beside = event.held.get(address, 0.0)
+        peer.beside = event.in_flight.get(address, 0.0)
 
 
 def _choose_ready(state: State) -> None:
@@ -58,5 +65,5 @@
     state.ready = [
         peer
         for address, peer in state.peers.items()
-        if peer.info.state is api.ServerState.UP and address not in state.out_by_hand
+        if peer.info.state is EndpointStatus.UP and address not in state.out_by_hand
     ]
--- a/loadbalancer/balancing/fleet_control.py
+++ b/loadbalancer/balancing/fleet_control.py
@@ -9,26 +9,29 @@
 
 import math
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.events import ConfidenceUpdate, QuotaGrant
 from loadbalancer.balancing.state import Job, Peer, Shared, State
+from loadbalancer.endpoints import Confidence, RouteVersion, TrafficSplit
 
 # How much of a server's measured latency counts by its route's mark; the rest is the others' mean, as for
 # one unheard.
-KNOWN = {api.Mark.WEAK: 0.5, api.Mark.BLIND: 0.0}
-DIM = (api.Mark.WEAK, api.Mark.BLIND)
+KNOWN = {Confidence.LOW: 0.5, Confidence.NONE: 0.0}
+DIM = (Confidence.LOW, Confidence.NONE)
 
 
-def shared(state: State, event: api.Siblings) -> None:
-    parts = 1.0 / event.share if event.share > 0.0 else math.inf
-    state.shared = Shared(parts, max(1, event.rows), event.until_ms)
+def shared(state: State, event: QuotaGrant) -> None:
+    parts = 1.0 / event.quota if event.quota > 0.0 else math.inf
+    state.shared = Shared(parts, max(1, event.holders), event.expires_ms)
 
 
-def marked(state: State, event: api.Marks) -> None:
+def marked(state: State, event: ConfidenceUpdate) -> None:
     """Take marks that have changed; those of servers that are not listed are dropped."""
-    state.marks = {name: mark for name, mark in (state.marks | event.marks).items() if name in state.peers}
+    state.marks = {
+        name: mark for name, mark in (state.marks | event.confidence).items() if name in state.peers
+    }
 
 
-def switched(state: State, event: api.RouteVersion) -> None:
+def switched(state: State, event: RouteVersion) -> None:
     """Admit under this version from now on. One that requests were admitted under stays until their end."""
     kept = {job.version for job in state.jobs.values()} | {event.number}
     if event.number:
@@ -49,7 +52,9 @@
     if all(mark in DIM for mark in marks):
         return peers
     return [
-        peer for peer, mark in zip(peers, marks, strict=True) if mark is not api.Mark.BLIND or peer.held < 1.0
+        peer
+        for peer, mark in zip(peers, marks, strict=True)
+        if mark is not Confidence.NONE or peer.held < 1.0
     ]
 
 
@@ -70,6 +75,6 @@
     return [inside for _, inside in sorted(drawn, key=lambda item: -item[0])]
 
 
-def _in(group: api.Group, peer: Peer) -> bool:
+def _in(group: TrafficSplit, peer: Peer) -> bool:
     info = peer.info
     return group.model in (None, info.model) and group.zone in (None, info.zone)
--- a/loadbalancer/balancing/state.py
+++ b/loadbalancer/balancing/state.py
@@ -7,7 +7,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.events import Request
+from loadbalancer.endpoints import AttemptResult, Confidence, Endpoint, TrafficSplit
+from loadbalancer.service_settings import ServiceClass, Settings
 
 PERIOD = 0.15  # P, as a share of the shortest aim
 
@@ -16,7 +18,7 @@
 class Peer:
     """What this balancer knows of one server."""
 
-    info: api.Server
+    info: Endpoint
     slow: float | None = None  # smoothed latency over its class's mean
     errs: float = 0.0  # smoothed share of failed attempts
     heard_ms: float = -math.inf
@@ -47,15 +49,15 @@
     peer: Peer
     sent_ms: float
     units: float = 0.0  # its weight in the queue by now
-    result: api.Result | None = None  # None: still out
+    result: AttemptResult | None = None  # None: still out
 
 
 @dataclass(slots=True)
 class Job:
     """One request and its attempts."""
 
-    request: api.Request
-    kind: api.ServiceClass
+    request: Request
+    kind: ServiceClass
     taken_ms: float
     units: float  # its weight in the queue
     version: int = 0  # the route version it was admitted under, kept to its end
@@ -67,7 +69,7 @@
         return sum(1 for item in self.tries if item.result is None)
 
     def may_have_run(self) -> list[Try]:
-        return [item for item in self.tries if item.result is None or not item.result.never_ran]
+        return [item for item in self.tries if item.result is None or not item.result.never_executed]
 
 
 @dataclass(slots=True)
@@ -97,14 +99,14 @@
 
 @dataclass(slots=True)
 class State:
-    cfg: api.Settings
+    cfg: Settings
     rng: Random
     now: float = 0.0  # of the event in hand
     shared: Shared = field(init=False)
-    marks: dict[str, api.Mark] = field(default_factory=dict)  # by server; none where nobody marks routes
+    marks: dict[str, Confidence] = field(default_factory=dict)  # by server; none where nobody marks routes
     version: int = 0  # the route version in force
-    versions: dict[int, dict[str, tuple[api.Group, ...]]] = field(default_factory=dict)  # in use, less 0
-    kinds: dict[str, api.ServiceClass] = field(init=False)
+    versions: dict[int, dict[str, tuple[TrafficSplit, ...]]] = field(default_factory=dict)  # in use, less 0
+    kinds: dict[str, ServiceClass] = field(init=False)
     period_ms: float = field(init=False)
     peers: dict[str, Peer] = field(default_factory=dict)
     ready: list[Peer] = field(default_factory=list)  # the servers in use
@@ -132,5 +134,5 @@
         classes = self.cfg.classes
         self.shared = Shared(self.cfg.siblings, self.cfg.siblings)
         self.kinds = {kind.name: kind for kind in classes}
-        self.period_ms = PERIOD * min(kind.aim_ms for kind in classes)
-        self.mean_aim = sum(kind.aim_ms for kind in classes) / len(classes)
+        self.period_ms = PERIOD * min(kind.latency_objective_ms for kind in classes)
+        self.mean_aim = sum(kind.latency_objective_ms for kind in classes) / len(classes)
--- a/loadbalancer/node/balancer_driver.py
+++ b/loadbalancer/node/balancer_driver.py
@@ -7,8 +7,9 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import Balancer
+from loadbalancer.balancing.actions import Action, Cancel, Fail, Reject, Send, SetTimer, Watch
+from loadbalancer.balancing.events import AttemptOutcome, Event, Request, RequestCancelled, TimerFired
 from loadbalancer.node.attempts import Attempts
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.discovery.watcher import Watcher
@@ -39,11 +40,11 @@
         self._watcher = watcher
         self._counts = counts
         self.before: list[Callable[[], None]] = []  # what has to be on time before an event is decided
-        self._events: deque[api.Event] = deque()
+        self._events: deque[Event] = deque()
         self._deciding = False
         self._alarms: dict[str, asyncio.TimerHandle] = {}
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: Event) -> None:
         """Give the module an event and carry out what it says; events that come of that wait their turn."""
         if not self._deciding:
             for be_on_time in self.before:
@@ -64,7 +65,7 @@
         for alarm in self._alarms.values():
             alarm.cancel()
 
-    def _decide(self, event: api.Event) -> list[api.Action]:
+    def _decide(self, event: Event) -> list[Action]:
         try:
             return self.balancer.handle(self._clock.ms(), event)
         except Exception:
@@ -74,30 +75,30 @@
             self._make_good(event)
             return []
 
-    def _make_good(self, event: api.Event) -> None:
+    def _make_good(self, event: Event) -> None:
         """Do in the module's place what nobody else would do after it has lost this event."""
-        if isinstance(event, api.Request | api.Outcome):
+        if isinstance(event, Request | AttemptOutcome):
             job = self._jobs.get(event.id)
             if job is not None and not job.done and not job.out:
                 self._jobs.answer(job, 500)
-                self._events.append(api.Lapsed(event.id))
-        elif isinstance(event, api.Alarm):
+                self._events.append(RequestCancelled(event.id))
+        elif isinstance(event, TimerFired):
             self._wake(FAULT_PAUSE_S, event.name)
 
-    def _act(self, action: api.Action) -> None:
+    def _act(self, action: Action) -> None:
         match action:
-            case api.Send():
+            case Send():
                 self._attempts.send(action)
-            case api.Refuse():
+            case Reject():
                 self._jobs.refuse(action)
-            case api.Fail():
+            case Fail():
                 self._jobs.fail(action)
-            case api.Cancel():
+            case Cancel():
                 self._attempts.cancel(action)
-            case api.Wake():
+            case SetTimer():
                 self._wake(action.delay_ms / 1000.0, action.name)
-            case api.Watch():
+            case Watch():
                 self._watcher.start()
 
     def _wake(self, delay_s: float, name: str) -> None:
-        self._alarms[name] = self._loop.call_later(delay_s, self.tell, api.Alarm(name))
+        self._alarms[name] = self._loop.call_later(delay_s, self.tell, TimerFired(name))
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -10,12 +10,12 @@
 
 import orjson
 
-from loadbalancer.interface import Settings, check_within
 from loadbalancer.node.address import Address, parse_address
 from loadbalancer.node.discovery.watcher import Listing, parse_listing
 from loadbalancer.node.state import ejections as maintenance
 from loadbalancer.node.state import handover
-from loadbalancer.settings import Row, section, settings_from, text_of
+from loadbalancer.service_settings import Settings, check_within
+from loadbalancer.settings import JsonObject, section, settings_from, text_of
 
 if TYPE_CHECKING:
     from loadbalancer.node.membership_settings import FleetSettings
@@ -68,24 +68,24 @@
     return host, port
 
 
-def _seed(row: Row) -> int:
+def _seed(row: JsonObject) -> int:
     value = text_of(row, "seed")
     if not set(value) <= set(hexdigits):
         raise ValueError(f"seed: {value!r} is not hexadecimal")
     return int(value, 16)
 
 
-def _known(row: Row) -> Listing:
+def _known(row: JsonObject) -> Listing:
     try:
         return parse_listing(row["known"])
     except ValueError as error:
         raise ValueError(f"known: {error}") from error
 
 
-def _figures(row: Row, settings: Row) -> Row:
+def _figures(row: JsonObject, settings: JsonObject) -> JsonObject:
     """The figures that are given, each by its name in Config: where one is not, Config's default holds."""
     limits, bounds = section(row, "limits"), section(settings, "bounds")
-    given: Row = {
+    given: JsonObject = {
         "memory_mb": limits.get("memory_mb"),
         "sockets": limits.get("sockets"),
         "max_open": bounds.get("maxOpen"),
@@ -100,7 +100,7 @@
     return given
 
 
-def _members(row: Row | None) -> FleetSettings | None:
+def _members(row: JsonObject | None) -> FleetSettings | None:
     if row is None:
         return None
     # Only a node that is told of members pays for the libraries that it needs for them.
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -10,7 +10,8 @@
 
 import orjson
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.events import ConfidenceUpdate, QuotaGrant
+from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import (
     Changed,
     Connectivity,
@@ -64,7 +65,7 @@
         classes = tuple(kind.name for kind in config.settings.classes)
         self.clock = FleetClock(clock, settings.clock_offset_ms)
         self._name, self._tell = name, tell
-        self._shared: api.Siblings | None = None  # as last told to the module
+        self._shared: QuotaGrant | None = None  # as last told to the module
         self.offsets = Offsets()
         agent = Agent(lambda: watcher.address)
         random = Random(int.from_bytes(os.urandom(8), "big"))  # apart from the module's, which stays as it is
@@ -164,7 +165,7 @@
         """The module is told of the share with its end, so that no timer of this shell has to end it in
         time."""
         share = self.lease.core.share(self.clock.ms())
-        event = api.Siblings(share.share, share.rows, self.clock.of_module(share.until_ms))
+        event = QuotaGrant(share.share, share.rows, self.clock.of_module(share.until_ms))
         if event != self._shared:
             self._shared = event
             self._tell(event)
@@ -197,13 +198,13 @@
             "members: incarnation %d is %s, was %s", changed.incarnation, changed.new.value, changed.old.value
         )
 
-    def _on_marks(self, marks: dict[str, api.Mark]) -> None:
-        self._tell(api.Marks(marks))
+    def _on_marks(self, marks: dict[str, Confidence]) -> None:
+        self._tell(ConfidenceUpdate(marks))
         now = self.clock.ms()
         known = self.sight.marks()
         # As in the module: where no route is better than weak, marks tell nothing of one against another.
-        told = any(mark in (api.Mark.SURE, api.Mark.FAIR) for mark in known.values())
-        blind = [name for name, mark in known.items() if told and mark is api.Mark.BLIND]
+        told = any(mark in (Confidence.HIGH, Confidence.MEDIUM) for mark in known.values())
+        blind = [name for name, mark in known.items() if told and mark is Confidence.NONE]
         listed = tuple(server for server, _ in self._servers.listed.values())
         self.routing.carry_out(self.routing.core.seen(now, listed, blind))
 
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -6,7 +6,8 @@
 import logging
 from collections.abc import Callable, Collection
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.events import AttemptOutcome
+from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import Viewed
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.control.timers import Alarm, FleetClock
@@ -30,7 +31,7 @@
         offsets: Offsets,
         servers: ServerList,
         driver: Driver,
-        on_marks: Callable[[dict[str, api.Mark]], None],
+        on_marks: Callable[[dict[str, Confidence]], None],
     ) -> None:
         self.stand: Callable[[], Stand] = lambda: "alone"
         self.view = View(offsets)
@@ -51,15 +52,15 @@
     def close(self) -> None:
         self._alarm.cancel()
 
-    def marks(self) -> dict[str, api.Mark]:
+    def marks(self) -> dict[str, Confidence]:
         return self._marks.marks
 
-    def saw(self, outcome: api.Outcome) -> None:
+    def saw(self, outcome: AttemptOutcome) -> None:
         """An attempt has ended: on every call's path."""
         now = self._clock.ms()
         self.view.saw(now, outcome.server, outcome.result)
-        if outcome.report:
-            load = outcome.report.get("util", outcome.report.get("queue"))
+        if outcome.load_report:
+            load = outcome.load_report.get("util", outcome.load_report.get("queue"))
             if load is not None:
                 self.view.loaded(now, outcome.server, load)
 
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -7,7 +7,7 @@
 import math
 from collections.abc import Callable, Sequence
 
-from loadbalancer.interface import Event
+from loadbalancer.balancing.events import Event
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.control.registry_client import Agent
 from loadbalancer.node.control.route_store import RouteStore
--- a/loadbalancer/node/discovery/watcher.py
+++ b/loadbalancer/node/discovery/watcher.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from loadbalancer.interface import ListForm, Server, ServerState
+from loadbalancer.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from loadbalancer.node.address import Address, parse_address
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 
@@ -35,9 +35,9 @@
 REBUILT_AFTER_MOVE_S = MOVED_S - 2.0 * PAUSE_S - SLACK_S  # also where it counts from elsewhere
 
 STATES = {
-    "Ready": ServerState.UP,
-    "Terminating": ServerState.DRAINING,
-    "Gone": ServerState.REMOVED,
+    "Ready": EndpointStatus.UP,
+    "Terminating": EndpointStatus.DRAINING,
+    "Gone": EndpointStatus.REMOVED,
 }
 
 
@@ -47,7 +47,7 @@
 
     revision: int
     whole: bool
-    servers: tuple[Server, ...]
+    servers: tuple[Endpoint, ...]
     endpoints: dict[str, Address]
     origin_rev: int = 0  # the list service's revision, alike at all nodes, where the agent tells it
 
@@ -70,7 +70,7 @@
     return Listing(revision, whole, servers, endpoints, origin if isinstance(origin, int) else 0)
 
 
-def _server(target: dict[str, Any]) -> Server:
+def _server(target: dict[str, Any]) -> Endpoint:
     state = STATES.get(target["state"])
     if state is None:
         raise ValueError(f"state {target['state']!r} is not one of {', '.join(STATES)}")
@@ -79,7 +79,7 @@
         raise ValueError("a uid or an az is not a text")
     boot = target.get("boot_ms") or 0
     model = target.get("model")
-    return Server(
+    return Endpoint(
         address=target["uid"],
         zone=zone,
         cell=int(target.get("pod_group") or 0),
@@ -158,7 +158,7 @@
         address: Address,
         revision: int,
         patience: Patience,
-        on_news: Callable[[ListForm, Listing | None], None],
+        on_news: Callable[[EndpointListKind, Listing | None], None],
     ) -> None:
         self._address = address
         self._revision = revision
@@ -215,7 +215,7 @@
             try:
                 async with asyncio.timeout(self._patience.limit_s):
                     listing = await self._ask(self._patience.wait_ms)
-                self._on_news(ListForm.FULL if listing.whole else ListForm.DELTA, listing)
+                self._on_news(EndpointListKind.FULL if listing.whole else EndpointListKind.DELTA, listing)
             except Exception as error:
                 # Guard: an exception of a kind not foreseen, a listener's too, ended the watch for good.
                 self._fail(error)
@@ -238,7 +238,7 @@
         self._failing = True
         self._drop()
         try:
-            self._on_news(ListForm.FAILED, None)
+            self._on_news(EndpointListKind.FAILED, None)
         except Exception:
             log.exception("the failure of discovery could not be told")
 
--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -6,7 +6,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.events import EndpointEjected, EndpointListUpdate, EndpointRestored, Event
+from loadbalancer.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from loadbalancer.node.address import Address
 from loadbalancer.node.admin.server import Answer, Calls, yes_or_no
 from loadbalancer.node.clock import Clock
@@ -27,7 +28,7 @@
         pool: Pool,
         server: Server,
         counts: Counter[str],
-        tell: Callable[[api.Event], None],
+        tell: Callable[[Event], None],
     ) -> None:
         self.bans = bans
         self._clock = clock
@@ -35,36 +36,36 @@
         self._server = server
         self._counts = counts
         self._tell = tell
-        self.listed: dict[str, tuple[api.Server, Address]] = {}  # by name, whatever their state
+        self.listed: dict[str, tuple[Endpoint, Address]] = {}  # by name, whatever their state
         self.listed_rev = 0  # discovery's version of that list
         self.origin_rev = 0  # the list service's own revision of it; 0 where the agent tells none
         self.confirmed_ms = -math.inf  # when discovery last said that this list holds
         self.up: set[str] = set()  # those that the pool may reach
 
-    def on_list(self, form: api.ListForm, listing: Listing | None) -> None:
+    def on_list(self, form: EndpointListKind, listing: Listing | None) -> None:
         """News of discovery; none if asking has failed."""
         self._counts[f"list {form.value}"] += 1
         if listing is None:
-            self._tell(api.Membership(form))
+            self._tell(EndpointListUpdate(form))
             return
         self.listed_rev, self.origin_rev = listing.revision, listing.origin_rev
-        if form is not api.ListForm.CACHED:
+        if form is not EndpointListKind.CACHED:
             self.confirmed_ms = self._clock.ms()
-        if form is not api.ListForm.DELTA:
+        if form is not EndpointListKind.DELTA:
             self.listed = {}
         for server in listing.servers:
-            if server.state is api.ServerState.REMOVED:
+            if server.state is EndpointStatus.REMOVED:
                 self.listed.pop(server.address, None)
             else:
                 self.listed[server.address] = server, listing.endpoints[server.address]
-        self.change(api.Membership(form, listing.servers))
+        self.change(EndpointListUpdate(form, listing.servers))
 
-    def change(self, event: api.Event) -> None:
+    def change(self, event: Event) -> None:
         """Tell the module of a change of the servers, and let the pool reach those that it may."""
         up = {
             name
             for name, (server, _) in self.listed.items()
-            if server.state is api.ServerState.UP and not self.bans.out(name)
+            if server.state is EndpointStatus.UP and not self.bans.out(name)
         }
         for name in up:
             server, endpoint = self.listed[name]
@@ -135,6 +136,6 @@
         ban = self.bans.get(name)
         assert ban is not None
         if ban.back_ms is None:
-            self.change(api.TakenOut(name))
+            self.change(EndpointEjected(name))
         else:
-            self.change(api.BroughtBack(name, ban.out_ms, ban.back_ms))
+            self.change(EndpointRestored(name, ban.out_ms, ban.back_ms))
--- a/loadbalancer/node/listener/requests.py
+++ b/loadbalancer/node/listener/requests.py
@@ -6,8 +6,9 @@
 from collections.abc import Mapping
 from urllib.parse import unquote_to_bytes
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.events import Request
 from loadbalancer.node.listener.call import Call
+from loadbalancer.service_settings import Effect, ServiceClass
 
 WAY_BACK_S = 0.015  # an answer leaves this long before the client's time is up
 
@@ -26,9 +27,7 @@
         self.status = status
 
 
-def parse(
-    call: Call, classes: Mapping[str, api.ServiceClass], arrived_ms: float
-) -> tuple[api.Request, float]:
+def parse(call: Call, classes: Mapping[str, ServiceClass], arrived_ms: float) -> tuple[Request, float]:
     """The module's view of a request, and for how many seconds from its last byte its client waits."""
     headers = call.headers
     path = call.target.partition(b"?")[0]
@@ -36,26 +35,26 @@
     kind = classes.get(unquote_to_bytes(parts[1]).decode("utf-8", "replace")) if len(parts) > 1 else None
     if kind is None:
         raise BadRequestError(404)
-    if call.method != (b"GET" if kind.effect is api.Effect.SAFE else b"POST"):
+    if call.method != (b"GET" if kind.effect is Effect.IDEMPOTENT else b"POST"):
         raise BadRequestError(405)
     name = headers.get(b"req-id", b"").decode("latin-1")
-    keyless = kind.effect is api.Effect.KEYED and b"idempotency-key" not in headers
+    keyless = kind.effect is Effect.IDEMPOTENCY_KEY and b"idempotency-key" not in headers
     if not name or keyless:
         raise BadRequestError(400)
-    give_up_ms = kind.give_up_ms
+    give_up_ms = kind.client_timeout_ms
     if (deadline := _number(headers, b"req-deadline-ms")) is not None:
-        give_up_ms = min(deadline, 10.0 * kind.give_up_ms)
+        give_up_ms = min(deadline, 10.0 * kind.client_timeout_ms)
     cost_us = _number(headers, b"req-cost")
     give_up_ms -= WAY_BACK_S * 1000.0
     owner = headers.get(b"req-owner")
-    request = api.Request(
+    request = Request(
         id=name,
         service=kind.name,
-        give_up_at_ms=arrived_ms + give_up_ms,
+        deadline_ms=arrived_ms + give_up_ms,
         tenant=owner.decode("utf-8", "replace") if owner else None,
         cost_hint_ms=None if cost_us is None else cost_us / 1000.0,
         is_retry=headers.get(b"req-retry") == b"1",
-        coming=call.coming,
+        receiving=call.coming,
     )
     return request, give_up_ms / 1000.0
 
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -10,8 +10,9 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import Balancer
+from loadbalancer.balancing.events import Event
+from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.admin.metrics import Figures
 from loadbalancer.node.admin.server import Answer, Calls, Door, yes_or_no
 from loadbalancer.node.attempts import Attempts
@@ -124,7 +125,7 @@
             (b"PUT", b"/active"): lambda _: yes_or_no(self.active()),
         }
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: Event) -> None:
         """Give the module an event and carry out what it says."""
         self.driver.tell(event)
 
@@ -136,7 +137,7 @@
     async def start(self) -> None:
         """Tell the module what is known and begin to serve."""
         self.servers.read_bans()  # first, so that a server that is out is never sent anything
-        self.servers.on_list(api.ListForm.CACHED, self.config.known)
+        self.servers.on_list(EndpointListKind.CACHED, self.config.known)
         if self.keeper is not None:
             self.keeper.restore()
         if self.sharing is not None:
@@ -162,7 +163,7 @@
             self.server.drain(open_s=HANDOVER_S)
         else:
             self.server.drain()
-        longest = max(kind.give_up_ms for kind in self.config.settings.classes) / 1000.0
+        longest = max(kind.client_timeout_ms for kind in self.config.settings.classes) / 1000.0
         latest = began + min(longest, LONGEST_DEADLINE_S) + STOP_SLACK_S
         while self.loop.time() < latest and not self._all_served(began + STOP_LEAST_S):
             await asyncio.sleep(STOP_STEP_S)
@@ -241,6 +242,6 @@
     # Half of the time within which discovery has to be asked: the other half is for the call's way.
     share_s = config.ask_within_ms * WATCH_SHARE / 1000.0
     # An agent that pushes is this machine's own: it is not crowded, and what it gets counts at once.
-    pause_s = share_s if config.settings.ask_discovery else PAUSE_S
+    pause_s = share_s if config.settings.poll_discovery else PAUSE_S
     patience = Patience(share_s, pause_s, Random(config.seed))
     return Watcher(config.discovery, config.known.revision, patience, servers.on_list)
--- a/loadbalancer/node/request_registry.py
+++ b/loadbalancer/node/request_registry.py
@@ -7,7 +7,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.actions import Fail, Reject
+from loadbalancer.balancing.events import Event, Request, RequestCancelled, RequestReceived
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.admin.metrics import Figures
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import Config
@@ -16,6 +18,7 @@
 from loadbalancer.node.listener.requests import BadRequestError, parse
 from loadbalancer.node.listener.server import Server
 from loadbalancer.node.upstream.pool import Attempt
+from loadbalancer.service_settings import Effect
 
 BACKSTOP_S = 0.005  # after which a request that the module left unanswered is answered for it
 CUT_OFF_S = 0.25  # past its caller's time a long answer is given up at a silence of its server of so long
@@ -37,7 +40,7 @@
     done: bool = False
     attempts: list[Attempt | None] = field(default_factory=list)
     out: int = 0
-    last: api.Result | None = None
+    last: AttemptResult | None = None
     may_have_run: bool = False  # by the outcomes so far
     left: bool = False  # its caller went before it had an answer
 
@@ -52,7 +55,7 @@
         server: Server,
         figures: Figures,
         counts: Counter[str],
-        tell: Callable[[api.Event], None],
+        tell: Callable[[Event], None],
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._clock = clock
@@ -114,7 +117,7 @@
             self._set_backstop(job)
         self._tell(request)
 
-    def _check_new(self, request: api.Request) -> None:
+    def _check_new(self, request: Request) -> None:
         """Raises BadRequestError for an id that came before and may have run, or may yet."""
         earlier = self.held.get(request.id)
         if earlier is not None and self.waits(earlier):
@@ -122,7 +125,7 @@
         if request.id in self.held or request.id in self._left:
             # Guard: it must not be sent again as if new, nor be refused as harmless to try again unless
             # its class is; while an attempt is out, even that would be a second copy.
-            safe = self._classes[request.service].effect is api.Effect.SAFE
+            safe = self._classes[request.service].effect is Effect.IDEMPOTENT
             raise BadRequestError(503 if safe else 502)
 
     def _on_whole(self, job: Job) -> None:
@@ -137,14 +140,14 @@
         for attempt in job.attempts:
             if attempt is not None:
                 attempt.run_clock(job.give_up_at - self._loop.time())
-        self._tell(api.Arrived(job.id, self._clock.ms(job.give_up_at)))
+        self._tell(RequestReceived(job.id, self._clock.ms(job.give_up_at)))
 
     def _on_gone(self, job: Job) -> None:
         if not job.done:
             self._counts["gone"] += 1
             job.left = True
             self._end(job)
-            self._tell(api.Lapsed(job.id))
+            self._tell(RequestCancelled(job.id))
 
     def _set_backstop(self, job: Job) -> None:
         job.backstop = self._loop.call_at(job.give_up_at + BACKSTOP_S, self._on_backstop, job)
@@ -154,19 +157,19 @@
         if not job.done:
             self._counts["backstop"] += 1
             self.answer(job, 504)
-            self._tell(api.Lapsed(job.id))
+            self._tell(RequestCancelled(job.id))
 
     # ----------------------------------------------------------------------- answers
 
-    def refuse(self, action: api.Refuse) -> None:
+    def refuse(self, action: Reject) -> None:
         job = self.held.get(action.id)
         if job is not None:
             self.answer(job, 503, retry_after_ms=action.retry_after_ms)
 
-    def fail(self, action: api.Fail) -> None:
+    def fail(self, action: Fail) -> None:
         job = self.held.get(action.id)
         if job is not None:
-            self.answer(job, 504 if job.last is api.Result.TIMEOUT else 502)
+            self.answer(job, 504 if job.last is AttemptResult.TIMEOUT else 502)
 
     def fail_all(self) -> None:
         """The process ends: nobody will answer what is still open."""
@@ -219,13 +222,13 @@
             if attempt is not None:
                 # Guard: where cancelling is not allowed the module gives up none, and one that still
                 # connected was written after its caller had gone. Nothing that was written is cancelled.
-                attempt.withdraw(api.Result.MOOT)
+                attempt.withdraw(AttemptResult.ABANDONED)
         self.forget(job)
 
     def forget(self, job: Job) -> None:
         """Let go of it, if it is over and no attempt is out."""
         if job.done and not job.out and self.held.pop(job.id, None) is not None:
-            safe = self._classes[job.service].effect is api.Effect.SAFE
+            safe = self._classes[job.service].effect is Effect.IDEMPOTENT
             if job.left and job.may_have_run and not safe:
                 self._left.add(job.id)
                 self._loop.call_at(job.give_up_at, self._left.discard, job.id)
--- a/loadbalancer/node/sibling_process.py
+++ b/loadbalancer/node/sibling_process.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.events import SiblingProcessLoad
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.state.handover import Handover
@@ -21,7 +21,7 @@
         if starts and learned is not None:
             self._driver.tell(learned)
         if held or self._beside:
-            self._driver.tell(api.Beside(held))
+            self._driver.tell(SiblingProcessLoad(held))
         self._beside = bool(held)
         balancer = self._driver.balancer
         self.handover.write(self._clock.ms(), balancer.learned(), balancer.held())
--- a/loadbalancer/node/state/handover.py
+++ b/loadbalancer/node/state/handover.py
@@ -6,13 +6,12 @@
 import logging
 import math
 import os
-from dataclasses import asdict
 from pathlib import Path
 from typing import Any
 
 import orjson
 
-from loadbalancer.interface import Learned
+from loadbalancer.balancing.events import LearnedState
 
 log = logging.getLogger("loadbalancer")
 
@@ -21,6 +20,18 @@
 FRESH_MS = 1000.0  # a process that has not written for so long has ended or hangs
 KEEP_MS = 60_000.0  # then its file goes
 MAX_FILE = 256 * 1024
+# The key of each field of `LearnedState` in handover files and in the state file.
+LEARNED_FIELDS = {
+    "base": "baseline_ratio",
+    "level": "latency_ratio",
+    "cursor": "cursor",
+    "rate": "completion_rate",
+    "peak": "peak_completion_rate",
+    "sends": "send_rate",
+    "mean_aim": "mean_latency_objective_ms",
+    "class_ms": "class_latency_ms",
+    "slow": "endpoint_latency_ratios",
+}
 
 
 class Handover:
@@ -31,8 +42,8 @@
         self._name = f"{PREFIX}{process}"
         self._failing = False
 
-    def write(self, now_ms: float, learned: Learned, held: dict[str, float]) -> None:
-        row = {"at_ms": now_ms, "learned": asdict(learned), "held": held}
+    def write(self, now_ms: float, learned: LearnedState, held: dict[str, float]) -> None:
+        row = {"at_ms": now_ms, "learned": learned_row(learned), "held": held}
         draft = self._folder / f"draft-{self._name}"
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
@@ -41,7 +52,7 @@
         except OSError as error:
             self._complain("nothing handed over: %s", error)
 
-    def read(self, now_ms: float) -> tuple[Learned | None, dict[str, float]]:
+    def read(self, now_ms: float) -> tuple[LearnedState | None, dict[str, float]]:
         """What the newest of the other processes has learned, and what all of them hold at each server."""
         newest, newest_ms, held = None, -math.inf, dict[str, float]()
         for path in self._others():
@@ -99,15 +110,21 @@
     return {name: max(0.0, _number(value)) for name, value in row.items()}
 
 
-def learned_from(row: dict[str, Any]) -> Learned:
-    return Learned(
-        base=None if row["base"] is None else _number(row["base"]),
-        level=_number(row["level"]),
+def learned_row(learned: LearnedState) -> dict[str, Any]:
+    """The stored form of what a process has learned."""
+    return {stored: getattr(learned, name) for stored, name in LEARNED_FIELDS.items()}
+
+
+def learned_from(row: dict[str, Any]) -> LearnedState:
+    """What a process had learned, from its stored form; ValueError or KeyError where that is malformed."""
+    return LearnedState(
+        baseline_ratio=None if row["base"] is None else _number(row["base"]),
+        latency_ratio=_number(row["level"]),
         cursor=int(_number(row["cursor"])),
-        rate=_number(row["rate"]),
-        sends=_number(row["sends"]),
-        peak=_number(row["peak"]),
-        mean_aim=_number(row["mean_aim"]),
-        class_ms=_numbers(row["class_ms"]),
-        slow=_numbers(row["slow"]),
+        completion_rate=_number(row["rate"]),
+        send_rate=_number(row["sends"]),
+        peak_completion_rate=_number(row["peak"]),
+        mean_latency_objective_ms=_number(row["mean_aim"]),
+        class_latency_ms=_numbers(row["class_ms"]),
+        endpoint_latency_ratios=_numbers(row["slow"]),
     )
--- a/loadbalancer/node/state/snapshot.py
+++ b/loadbalancer/node/state/snapshot.py
@@ -20,7 +20,7 @@
 import threading
 import time
 from collections.abc import Callable
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
@@ -28,10 +28,11 @@
 import orjson
 import xxhash
 
-from loadbalancer.interface import Learned, Server, ServerState
+from loadbalancer.balancing.events import LearnedState
+from loadbalancer.endpoints import Endpoint, EndpointStatus
 from loadbalancer.node.address import Address
 from loadbalancer.node.discovery.watcher import Listing, parse_listing
-from loadbalancer.node.state.handover import learned_from
+from loadbalancer.node.state.handover import learned_from, learned_row
 
 log = logging.getLogger("loadbalancer")
 
@@ -42,7 +43,7 @@
 MAX_FILE = 64 * 1024 * 1024
 SKEW_MS = 1000.0  # a file written later than now by more than this was written before the clock went back
 LIST_MS = 300_000.0  # a restored list older than this is not used: servers have come and gone since
-WIRE_STATES = {ServerState.UP: "Ready", ServerState.DRAINING: "Terminating"}
+WIRE_STATES = {EndpointStatus.UP: "Ready", EndpointStatus.DRAINING: "Terminating"}
 
 RULES = {
     "missing": "no file: a cold start",
@@ -63,13 +64,13 @@
     """What a verified file gives: all of it None or empty for a cold start; `age_ms` since it was written."""
 
     age_ms: float = math.inf
-    learned: Learned | None = None
+    learned: LearnedState | None = None
     out: dict[str, float] = field(default_factory=dict)  # servers out by hand, and since when (Unix ms)
     listing: Listing | None = None
     broken: list[str] = field(default_factory=list)  # the rules that rejected all or part of it
 
 
-def encode(node: str, now_ms: float, learned: Learned, out: dict[str, float], listing: Listing) -> bytes:
+def encode(node: str, now_ms: float, learned: LearnedState, out: dict[str, float], listing: Listing) -> bytes:
     """The file's bytes."""
     targets = [
         {
@@ -89,7 +90,7 @@
             "program": PROGRAM,
             "node": node,
             "written_ms": now_ms,
-            "learned": asdict(learned),
+            "learned": learned_row(learned),
             "out": out,
             "list": {"rev": listing.revision, "all": True, "targets": targets},
         }
@@ -194,7 +195,7 @@
     return orjson.dumps({**summary, **row}, option=orjson.OPT_INDENT_2).decode(), True
 
 
-def listing_of(listed: dict[str, tuple[Server, Address]], revision: int) -> Listing:
+def listing_of(listed: dict[str, tuple[Endpoint, Address]], revision: int) -> Listing:
     """The node's present list in the form that `encode` keeps."""
     servers = tuple(server for server, _ in listed.values())
     return Listing(revision, True, servers, {name: endpoint for name, (_, endpoint) in listed.items()})
--- a/loadbalancer/node/state_writer.py
+++ b/loadbalancer/node/state_writer.py
@@ -5,7 +5,8 @@
 import asyncio
 from pathlib import Path
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.events import StateRestored
+from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import Config
@@ -43,10 +44,10 @@
         found = read(self._file.path, self._name, self._clock.ms(), self._known_rev)
         self._servers.restore_bans(found.out)
         if found.listing is not None:
-            self._servers.on_list(api.ListForm.CACHED, found.listing)
+            self._servers.on_list(EndpointListKind.CACHED, found.listing)
             self._watcher.told(found.listing.revision)
         if found.learned is not None:
-            self._driver.tell(api.Restored(found.learned, found.age_ms))
+            self._driver.tell(StateRestored(found.learned, found.age_ms))
 
     async def start(self) -> None:
         self._keep()
@@ -80,5 +81,5 @@
         servers, out = self._servers, self._servers.banned()
         # What the thread reads is made here and never changed after: copies of the figures and the list.
         learned, listing = self._driver.balancer.learned(), listing_of(servers.listed, servers.listed_rev)
-        learned.class_ms, name, now = dict(learned.class_ms), self._name, self._clock.ms()
+        learned.class_latency_ms, name, now = dict(learned.class_latency_ms), self._name, self._clock.ms()
         await self._file.write(lambda: encode(name, now, learned, out, listing))
--- a/loadbalancer/node/upstream/pool.py
+++ b/loadbalancer/node/upstream/pool.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.address import Address
 from loadbalancer.node.http.body import Body
 from loadbalancer.node.http.client_connection import ClientConnection, Response
@@ -20,13 +20,13 @@
 SETTLE_S = 0.008  # a connection carries no other request so soon after an answer: a second one may come late
 
 
-def result_of(response: Response) -> Result:
+def result_of(response: Response) -> AttemptResult:
     """The outcome that a server's whole answer stands for."""
     if response.status == 200:
-        return Result.OK
+        return AttemptResult.OK
     if response.status in (503, 504) and response.headers.get(b"srv-declined") == b"1":
-        return Result.FULL
-    return Result.ERROR
+        return AttemptResult.REJECTED
+    return AttemptResult.ERROR
 
 
 @dataclass(slots=True, eq=False)
@@ -45,7 +45,7 @@
         pool: Pool,
         request: Callable[[float], bytes],
         timeout_s: float,
-        on_result: Callable[[Result, Response | None], None],
+        on_result: Callable[[AttemptResult, Response | None], None],
         body: Body | None = None,
         chunked: bool = False,
         wanted: Callable[[], bool] = lambda: True,
@@ -84,9 +84,9 @@
             self._timer = loop.call_at(self._end_at, self._time_out)
 
     def cancel(self) -> None:
-        self._finish(Result.CANCELLED)
+        self._finish(AttemptResult.CANCELLED)
 
-    def withdraw(self, result: Result = Result.CONNECT_FAILED) -> None:
+    def withdraw(self, result: AttemptResult = AttemptResult.CONNECT_FAILED) -> None:
         """Give up, unless it has been written whole and may run by now."""
         if self._connection is None or not self._connection.written:
             self._finish(result)
@@ -119,7 +119,7 @@
         if self._over and connection is not None:
             self._timer.cancel()
             connection.fail_rest()
-        self._finish(Result.RESET if written else Result.CONNECT_FAILED)
+        self._finish(AttemptResult.RESET if written else AttemptResult.CONNECT_FAILED)
 
     # -------------------------------------------------------------------- inside
 
@@ -128,7 +128,7 @@
         loop = asyncio.get_running_loop()
         # Told later, as every result is, so that the action that asked for the attempt is over by then.
         if not self._may_begin():
-            loop.call_soon(self.withdraw, Result.MOOT)
+            loop.call_soon(self.withdraw, AttemptResult.ABANDONED)
         elif (connection := self._pool.take_idle(server)) is not None:
             self._write(connection)
         elif self._pool.make_room():
@@ -170,7 +170,7 @@
             self._write(connection)
         else:
             self._pool.give_back(server, connection)
-            self.withdraw(Result.MOOT)
+            self.withdraw(AttemptResult.ABANDONED)
 
     def _write(self, connection: ClientConnection) -> None:
         self._connection = connection
@@ -187,7 +187,7 @@
         if connection is not None and self._body is not None and self._body.held:
             due = connection.taken_at + self._untaken_s
         if due <= loop.time():
-            self._finish(Result.CONNECT_FAILED)
+            self._finish(AttemptResult.CONNECT_FAILED)
         else:
             self._timer = loop.call_at(due, self._watch_sending)
 
@@ -206,9 +206,9 @@
     def _time_out(self) -> None:
         # Guard: what has not been written whole has never run, and a refusal may then say so.
         sent = self._connection is not None and self._connection.written
-        self._finish(Result.TIMEOUT if sent else Result.CONNECT_FAILED)
+        self._finish(AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
 
-    def _finish(self, result: Result, response: Response | None = None) -> None:
+    def _finish(self, result: AttemptResult, response: Response | None = None) -> None:
         if self._over:
             return
         self._over = True
@@ -274,7 +274,7 @@
         name: str,
         request: Callable[[float], bytes],
         timeout_s: float,
-        on_result: Callable[[Result, Response | None], None],
+        on_result: Callable[[AttemptResult, Response | None], None],
         body: Body | None = None,
         chunked: bool = False,
         wanted: Callable[[], bool] = lambda: True,
--- a/loadbalancer/routing/participant.py
+++ b/loadbalancer/routing/participant.py
@@ -28,7 +28,7 @@
 from enum import Enum
 from typing import Any
 
-from loadbalancer.interface import RouteVersion, Server
+from loadbalancer.endpoints import Endpoint, RouteVersion
 from loadbalancer.routing.coordinator import DECIDED, MAX_WHY, PREPARING, digest
 from loadbalancer.routing.route_table import RouteTable, check, parse
 
@@ -153,7 +153,7 @@
     live_until: float | None = None  # own clock
     offset: tuple[float, float] = (0.0, 0.0)  # S less the own clock: least, most
     told: Told | None = None
-    servers: tuple[Server, ...] | None = None  # None: no list yet
+    servers: tuple[Endpoint, ...] | None = None  # None: no list yet
     blind: frozenset[str] = frozenset()
     copies: dict[int, Copy] = field(default_factory=dict)
 
@@ -205,7 +205,7 @@
         self.incarnation = None
         return self.lease(now, None)
 
-    def seen(self, now: float, servers: tuple[Server, ...], blind: Collection[str] = ()) -> list[Action]:
+    def seen(self, now: float, servers: tuple[Endpoint, ...], blind: Collection[str] = ()) -> list[Action]:
         """The server list, whole, and the addresses whose route is marked blind."""
         self.servers, self.blind = servers, frozenset(blind)
         return self._step(now)
--- a/loadbalancer/routing/route_table.py
+++ b/loadbalancer/routing/route_table.py
@@ -21,7 +21,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from loadbalancer.interface import Group, Server, ServerState
+from loadbalancer.endpoints import Endpoint, EndpointStatus, TrafficSplit
 
 DEFAULT = "default"
 NEUTRAL = "neutral = true\n"
@@ -63,14 +63,14 @@
     """A route version's number and its groups by class, in the text's order."""
 
     number: int
-    classes: tuple[tuple[str, tuple[Group, ...]], ...]
+    classes: tuple[tuple[str, tuple[TrafficSplit, ...]], ...]
 
-    def groups(self, class_name: str) -> tuple[Group, ...]:
+    def groups(self, class_name: str) -> tuple[TrafficSplit, ...]:
         """The class's groups, else those of `default`; () where it is ranked as under version 0."""
         named = dict(self.classes)
         return named.get(class_name, named.get(DEFAULT, ()))
 
-    def of(self, classes: Iterable[str]) -> dict[str, tuple[Group, ...]]:
+    def of(self, classes: Iterable[str]) -> dict[str, tuple[TrafficSplit, ...]]:
         """The groups of those of these classes that have any: what the event RouteVersion carries."""
         return {name: groups for name in classes if (groups := self.groups(name))}
 
@@ -97,7 +97,7 @@
 def check(
     table: RouteTable,
     classes: Collection[str],
-    servers: Iterable[Server],
+    servers: Iterable[Endpoint],
     blind: Collection[str] = (),
 ) -> list[str]:
     """Why a node with these classes and servers can't take this version; [] when it can.
@@ -106,10 +106,10 @@
     group to send calls to.
     """
     kinds: dict[
-        tuple[str, str], tuple[Server, bool]
+        tuple[str, str], tuple[Endpoint, bool]
     ] = {}  # by model and zone: one of its ready servers, any seen
     for server in servers:
-        if server.state is ServerState.UP:
+        if server.state is EndpointStatus.UP:
             kind = (server.model, server.zone)
             seen = server.address not in blind or (kind in kinds and kinds[kind][1])
             kinds[kind] = (server, seen)
@@ -117,9 +117,9 @@
     for name, groups in table.classes:
         if name != DEFAULT and name not in classes:
             why.append(f"class {name!r}: not one of this node's")
-        found: dict[Group, bool] = {}
+        found: dict[TrafficSplit, bool] = {}
         for server, seen in kinds.values():
-            group = next((group for group in groups if group.takes(server)), None)
+            group = next((group for group in groups if group.matches(server)), None)
             if group is not None:
                 found[group] = seen or found.get(group, False)
         for group in groups:
@@ -145,8 +145,8 @@
     return text
 
 
-def _groups(text: str, name: str, row: _Class) -> tuple[Group, ...]:
-    groups = tuple(Group(item.model, item.az, item.weight) for item in row.group)
+def _groups(text: str, name: str, row: _Class) -> tuple[TrafficSplit, ...]:
+    groups = tuple(TrafficSplit(item.model, item.az, item.weight) for item in row.group)
     if not any(group.weight > 0 for group in groups):
         raise _fail(text, ("class", name), "no weight is above 0")
     for at, group in enumerate(groups):
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -6,14 +6,14 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-from loadbalancer.interface import Effect, Scope, ServiceClass, Settings, Tenant
+from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass, Settings, Tenant
 
-Row = dict[str, Any]
+JsonObject = dict[str, Any]
 T = TypeVar("T")
 U = TypeVar("U")
 
-EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
-SCOPES = {scope.value: scope for scope in Scope}
+EFFECTS = {"free": Effect.IDEMPOTENT, "guarded": Effect.IDEMPOTENCY_KEY, "single_shot": Effect.NON_IDEMPOTENT}
+SCOPES = {scope.value: scope for scope in DeduplicationScope}
 KINDS: dict[type, str] = {dict: "an object", str: "a text"}
 REPORTS = {
     "concurrent": "inflight",
@@ -25,7 +25,7 @@
 }
 
 
-def section(row: Row, key: str) -> Row:
+def section(row: JsonObject, key: str) -> JsonObject:
     """The object under this key; empty where there is none."""
     value = row.get(key)
     if not isinstance(value, dict | None):
@@ -33,7 +33,7 @@
     return value or {}
 
 
-def listed(row: Row, key: str, kind: type[T]) -> list[T]:
+def listed(row: JsonObject, key: str, kind: type[T]) -> list[T]:
     """The list under this key, of items of this type; empty where there is none."""
     value = row.get(key)
     if not isinstance(value, list | None):
@@ -44,7 +44,7 @@
     return value or []
 
 
-def text_of(row: Row, key: str, of: str = "") -> str:
+def text_of(row: JsonObject, key: str, of: str = "") -> str:
     """The text under this key, which has to be there."""
     value = row.get(key)
     if value is None:
@@ -54,7 +54,7 @@
     return value
 
 
-def choice_of(row: Row, key: str, names: Mapping[str, U], of: str = "") -> U:
+def choice_of(row: JsonObject, key: str, names: Mapping[str, U], of: str = "") -> U:
     """What the word under this key stands for."""
     value = row.get(key)
     if not isinstance(value, str) or value not in names:
@@ -62,31 +62,31 @@
     return names[value]
 
 
-def _given(row: Row) -> Row:
+def _given(row: JsonObject) -> JsonObject:
     """Without what is null, which stands for what is absent: defaults hold for it."""
     return {key: value for key, value in row.items() if value is not None}
 
 
-def settings_from(config: Row) -> Settings:
+def settings_from(config: JsonObject) -> Settings:
     """The settings of a node from its first message; keys that are not known are ignored."""
     bounds, rules = section(config, "bounds"), section(config, "invariants")
     fields = listed(section(config, "feedback"), "fields", str)
     modes = {"registryMode": "push", "valueBy": "request"} | _given(config)
-    given: Row = {
+    given: JsonObject = {
         "zone": config.get("locality"),
         "tier": config.get("tier"),
         "siblings": config.get("siblings"),
-        "ask_discovery": choice_of(modes, "registryMode", {"push": False, "ask": True}),
-        "worth_by_work": choice_of(modes, "valueBy", {"request": False, "work": True}),
-        "over_share_worth": config.get("overShareWorth"),
-        "report_fields": tuple(REPORTS.get(name, name) for name in fields),
+        "poll_discovery": choice_of(modes, "registryMode", {"push": False, "ask": True}),
+        "weight_by_work": choice_of(modes, "valueBy", {"request": False, "work": True}),
+        "over_quota_weight": config.get("overShareWorth"),
+        "load_report_fields": tuple(REPORTS.get(name, name) for name in fields),
         "may_cancel": bounds.get("cancel"),
         "retry_after": bounds.get("retryAfter"),
         "max_retry_after_ms": bounds.get("maxRetryAfterMs"),
         "max_attempts": bounds.get("maxAttempts"),
         "cross_zone_price": section(config, "prices").get("crossZone"),
-        "cold_from": rules.get("coldFrom"),
-        "cold_ms": rules.get("coldMs"),
+        "slow_start_from": rules.get("coldFrom"),
+        "slow_start_ms": rules.get("coldMs"),
         "overload_factor": rules.get("overloadFactor"),
     }
     return Settings(
@@ -100,23 +100,23 @@
     )
 
 
-def _service_class(row: Row) -> ServiceClass:
+def _service_class(row: JsonObject) -> ServiceClass:
     for key in ("aimMs", "giveUpMs"):
         if row.get(key) is None:
             raise ValueError(f"categories.{key}: missing")
-    given: Row = {
-        "worth": row.get("credit"),
-        "late_worth": row.get("lateWorth"),
-        "aim_stretch": row.get("aimStretch"),
-        "memory_ms": row.get("memorySpanMs"),
+    given: JsonObject = {
+        "priority_weight": row.get("credit"),
+        "late_weight": row.get("lateWorth"),
+        "latency_objective_stretch": row.get("aimStretch"),
+        "deduplication_window_ms": row.get("memorySpanMs"),
         "stream": row.get("stream"),
     }
     return ServiceClass(
         name=text_of(row, "name", "categories."),
-        aim_ms=row["aimMs"],
-        give_up_ms=row["giveUpMs"],
+        latency_objective_ms=row["aimMs"],
+        client_timeout_ms=row["giveUpMs"],
         effect=choice_of(row, "effect", EFFECTS, "categories."),
-        scope=choice_of({"keyScope": "all"} | _given(row), "keyScope", SCOPES, "categories."),
+        deduplication_scope=choice_of({"keyScope": "all"} | _given(row), "keyScope", SCOPES, "categories."),
         **_given(given),
     )
 
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -14,38 +14,29 @@
 import orjson
 
 from loadbalancer.balancing import Balancer
-from loadbalancer.interface import (
-    Action,
-    Alarm,
-    Cancel,
+from loadbalancer.balancing.actions import Action, Cancel, Fail, Reject, Send, SetTimer, Watch
+from loadbalancer.balancing.events import (
+    AttemptOutcome,
+    EndpointListUpdate,
     Event,
-    Fail,
-    Lapsed,
-    ListForm,
-    Membership,
-    Outcome,
-    Probed,
-    Refuse,
+    HealthCheckCompleted,
     Request,
-    Result,
-    Send,
-    Server,
-    ServerState,
-    Started,
-    Wake,
-    Watch,
+    RequestCancelled,
+    StreamStarted,
+    TimerFired,
 )
-from loadbalancer.settings import Row, settings_from
+from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
+from loadbalancer.settings import JsonObject, settings_from
 
 RESULTS = {
-    0: Result.OK,
-    255: Result.ERROR,
-    254: Result.FULL,
-    253: Result.TIMEOUT,
-    252: Result.CONNECT_FAILED,
-    251: Result.RESET,
-    250: Result.CANCELLED,
-    249: Result.MOOT,
+    0: AttemptResult.OK,
+    255: AttemptResult.ERROR,
+    254: AttemptResult.REJECTED,
+    253: AttemptResult.TIMEOUT,
+    252: AttemptResult.CONNECT_FAILED,
+    251: AttemptResult.RESET,
+    250: AttemptResult.CANCELLED,
+    249: AttemptResult.ABANDONED,
 }
 IGNORED = ("PEER",)
 
@@ -57,14 +48,14 @@
 class Node:
     """One hosted balancer and the names in which its load reports come."""
 
-    def __init__(self, config: Row, seed: int, now_ms: float) -> None:
+    def __init__(self, config: JsonObject, seed: int, now_ms: float) -> None:
         self.settings = settings_from(config)
         self.brain = Balancer(self.settings, seed, now_ms)
 
     def report(self, values: list[float | None] | None) -> dict[str, float] | None:
         if not values:
             return None
-        pairs = zip(self.settings.report_fields, values, strict=False)
+        pairs = zip(self.settings.load_report_fields, values, strict=False)
         return {name: value for name, value in pairs if value is not None}
 
 
@@ -73,10 +64,10 @@
 
     def __init__(self) -> None:
         self.nodes: dict[int, Node] = {}
-        self.catalogs: dict[int, tuple[Server, ...]] = {}
+        self.catalogs: dict[int, tuple[Endpoint, ...]] = {}
         self.now = 0.0
 
-    def event(self, row: Row) -> list[Row]:
+    def event(self, row: JsonObject) -> list[JsonObject]:
         kind = row.get("kind")
         if kind == "CATALOG":
             self.catalogs[row["ref"]] = tuple(_server(line) for line in row["rows"])
@@ -92,7 +83,7 @@
             text = f"{kind}: {type(error).__name__}: {error}"
             return [{"kind": "PANIC", "node": number, "bodyText": text[:500]}]
 
-    def _node_event(self, kind: object, number: int, row: Row) -> list[Row]:
+    def _node_event(self, kind: object, number: int, row: JsonObject) -> list[JsonObject]:
         if kind == "POWER_ON":
             self.nodes[number] = Node(row["config"], row["seed"], self.now)
             return []
@@ -109,76 +100,76 @@
             raise ValueError("unknown kind of event")
         return [_written(number, action) for action in node.brain.handle(self.now, read(self, node, row))]
 
-    def members(self, _node: Node, row: Row) -> Event:
-        form = ListForm(row["form"])
-        return Membership(form, () if form is ListForm.FAILED else self.catalogs[row["ref"]])
+    def members(self, _node: Node, row: JsonObject) -> Event:
+        form = EndpointListKind(row["form"])
+        return EndpointListUpdate(form, () if form is EndpointListKind.FAILED else self.catalogs[row["ref"]])
 
 
-def _server(row: Row) -> Server:
-    return Server(
+def _server(row: JsonObject) -> Endpoint:
+    return Endpoint(
         address=row["server"],
         zone=row.get("zone") or "",
         cell=row.get("bay") or 0,
-        state=ServerState(row["stageState"]),
+        state=EndpointStatus(row["stageState"]),
         launched_ms=row.get("launchedMs") or None,
     )
 
 
-def _request(_host: Host, node: Node, row: Row) -> Event:
+def _request(_host: Host, node: Node, row: JsonObject) -> Event:
     if row["lane"] not in node.brain.kinds:
         raise ValueError(f"lane: {row['lane']!r} is not one of {', '.join(node.brain.kinds)}")
     return Request(
         id=row["txn"],
         service=row["lane"],
-        give_up_at_ms=row["giveUpAtMs"],
+        deadline_ms=row["giveUpAtMs"],
         tenant=row.get("billing") or None,
         cost_hint_ms=row.get("expectedMs"),
         is_retry=bool(row.get("isRetry")),
     )
 
 
-def _outcome(_host: Host, node: Node, row: Row) -> Event:
+def _outcome(_host: Host, node: Node, row: JsonObject) -> Event:
     if row["rc"] not in RESULTS:
         raise ValueError(f"rc: {row['rc']!r} is not one of {', '.join(map(str, RESULTS))}")
-    return Outcome(
+    return AttemptOutcome(
         id=row["txn"],
         attempt=row["attempt"],
         server=row["server"],
         result=RESULTS[row["rc"]],
         latency_ms=row["latencyMs"],
-        done=bool(row.get("doneFlag")),
-        report=node.report(row.get("telemetry")),
+        request_ended=bool(row.get("doneFlag")),
+        load_report=node.report(row.get("telemetry")),
     )
 
 
-def _probed(_host: Host, node: Node, row: Row) -> Event:
-    result = RESULTS.get(row["rc"], Result.ERROR)
-    return Probed(row["server"], result, row["latencyMs"], node.report(row.get("telemetry")))
+def _probed(_host: Host, node: Node, row: JsonObject) -> Event:
+    result = RESULTS.get(row["rc"], AttemptResult.ERROR)
+    return HealthCheckCompleted(row["server"], result, row["latencyMs"], node.report(row.get("telemetry")))
 
 
-READERS: dict[str, Callable[[Host, Node, Row], Event]] = {
+READERS: dict[str, Callable[[Host, Node, JsonObject], Event]] = {
     "MEMBERSHIP": Host.members,
     "NEW_REQUEST": _request,
-    "FIRST": lambda _host, _node, row: Started(row["txn"], row["attempt"]),
+    "FIRST": lambda _host, _node, row: StreamStarted(row["txn"], row["attempt"]),
     "RETURNED": _outcome,
-    "LAPSED": lambda _host, _node, row: Lapsed(row["txn"]),
-    "ALARM": lambda _host, _node, row: Alarm(row["name"]),
+    "LAPSED": lambda _host, _node, row: RequestCancelled(row["txn"]),
+    "ALARM": lambda _host, _node, row: TimerFired(row["name"]),
     "HEALTH": _probed,
 }
 
 
-def _written(node: int, action: Action) -> Row:
+def _written(node: int, action: Action) -> JsonObject:
     match action:
         case Send():
-            row: Row = {"kind": "ISSUE", "txn": action.id, "server": action.server}
+            row: JsonObject = {"kind": "ISSUE", "txn": action.id, "server": action.server}
             row["timeoutMs"] = action.timeout_ms
-        case Refuse():
+        case Reject():
             row = {"kind": "DECLINE", "txn": action.id, "stayAwayMs": action.retry_after_ms}
         case Fail():
             row = {"kind": "FINISH_ERROR", "txn": action.id}
         case Cancel():
             row = {"kind": "RETRACT", "txn": action.id, "attempt": action.attempt}
-        case Wake():
+        case SetTimer():
             row = {"kind": "SLEEP", "delayMs": action.delay_ms, "name": action.name}
         case Watch():
             row = {"kind": "OBSERVE", "enable": True}
@@ -186,7 +177,7 @@
     return row
 
 
-def _parsed(line: bytes) -> Row:
+def _parsed(line: bytes) -> JsonObject:
     try:
         row = orjson.loads(line)
     except orjson.JSONDecodeError as error:
--- a/loadbalancer/staleness/confidence.py
+++ b/loadbalancer/staleness/confidence.py
@@ -22,13 +22,13 @@
 from collections.abc import Hashable
 from typing import Literal
 
-from loadbalancer.interface import Mark
+from loadbalancer.endpoints import Confidence
 from loadbalancer.staleness.edges import Edge, server_edge, sibling_edge
 from loadbalancer.staleness.freshness import View
 
 Stand = Literal["attached", "adrift", "alone"]
 
-MARKS = (Mark.SURE, Mark.FAIR, Mark.WEAK, Mark.BLIND)
+MARKS = (Confidence.HIGH, Confidence.MEDIUM, Confidence.LOW, Confidence.NONE)
 BOUNDS = (16.0, 64.0, 256.0)  # periods
 SPARE = 0.75  # of a bound, to rise to its mark
 LASTING = 8.0  # periods that a state of the node must last to lower marks
@@ -72,7 +72,7 @@
         self._cap: _Cap = (_SURE, "")  # and as it caps marks, once it has lasted
         self._worse_since: float | None = None
 
-    def update(self, now: float, stand: Stand) -> dict[str, Mark]:
+    def update(self, now: float, stand: Stand) -> dict[str, Confidence]:
         """Judge every route anew; the marks that changed or are new, by server. Linear in the list."""
         self._weigh_node(now, stand)
         if self._view.listing.servers is not self._listed:
@@ -87,7 +87,7 @@
         return changed
 
     @property
-    def marks(self) -> dict[str, Mark]:
+    def marks(self) -> dict[str, Confidence]:
         """All marks as they stand."""
         return {server: MARKS[route.level] for server, route in self._routes.items()}
 
--- a/loadbalancer/staleness/freshness.py
+++ b/loadbalancer/staleness/freshness.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from itertools import chain, islice
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.staleness import wire
 from loadbalancer.staleness.clock_offsets import Interval, Offsets
 from loadbalancer.staleness.gossip_reports import Hearsay, narrowed, own_time, relayed
@@ -22,8 +22,12 @@
 FRESH = 16  # those with the latest facts,
 TURN = 16  # and some of all in turn, so that each is told at some time
 REORDERED = 64  # a share up to so many behind the last came late; one further behind starts anew
-_OK, _ERROR, _FULL = Result.OK, Result.ERROR, Result.FULL  # an enum's own look-up is slow
-_MUTE = (Result.CANCELLED, Result.MOOT)  # these say nothing of the server
+_OK, _ERROR, _FULL = (
+    AttemptResult.OK,
+    AttemptResult.ERROR,
+    AttemptResult.REJECTED,
+)  # an enum's own look-up is slow
+_MUTE = (AttemptResult.CANCELLED, AttemptResult.ABANDONED)  # these say nothing of the server
 
 
 class Seen:
@@ -34,7 +38,7 @@
     def __init__(self) -> None:
         self.version = 0
         self.at = self.heard = self.load_at = -math.inf
-        self.outcome: Result | None = None
+        self.outcome: AttemptResult | None = None
         self.misses = 0  # failures since the last good answer
         self.load: float | None = None
 
@@ -89,7 +93,7 @@
 
     # ------------------------------------------------------------- own facts
 
-    def saw(self, now: float, server: str, outcome: Result) -> None:
+    def saw(self, now: float, server: str, outcome: AttemptResult) -> None:
         """An attempt at a server ended. On every call's path, so a few stores and no more."""
         if outcome in _MUTE:
             return
--- a/loadbalancer/staleness/gossip_reports.py
+++ b/loadbalancer/staleness/gossip_reports.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.staleness.clock_offsets import Interval, Reading
 from loadbalancer.staleness.wire import ServerFact
 
 RELAYED = 3  # siblings' facts kept of one server: those heard last
-_GOOD = (None, Result.OK, Result.FULL)
+_GOOD = (None, AttemptResult.OK, AttemptResult.REJECTED)
 
 
 class Relayed(msgspec.Struct, frozen=True):
@@ -20,7 +20,7 @@
 
     origin: Hashable
     version: int
-    outcome: Result | None
+    outcome: AttemptResult | None
     tried: Interval  # the last outcome's time
     heard: Interval | None  # when the server last answered it; None: never
     load: float | None
--- a/loadbalancer/staleness/wire.py
+++ b/loadbalancer/staleness/wire.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.staleness.clock_offsets import MAX_TIME_MS
 
 MAX_BYTES = 65_536  # of one entry; the largest that `share` makes is under this
@@ -27,7 +27,7 @@
     name: _Name
     version: _Count  # rises with every fact of the origin's
     at: _Time  # of the last outcome
-    outcome: Result | None  # None: only reports have come
+    outcome: AttemptResult | None  # None: only reports have come
     heard: _Time | None  # when the server last answered anything
     load: _Figure | None
     load_at: _Time | None
--- a/tests/balancing/test_fleet_control.py
+++ b/tests/balancing/test_fleet_control.py
@@ -7,15 +7,31 @@
 
 import pytest
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.actions import Reject, Send
+from loadbalancer.balancing.events import (
+    ConfidenceUpdate,
+    EndpointListUpdate,
+    QuotaGrant,
+    Request,
+    TimerFired,
+)
+from loadbalancer.endpoints import (
+    AttemptResult,
+    Confidence,
+    Endpoint,
+    EndpointListKind,
+    RouteVersion,
+    TrafficSplit,
+)
+from loadbalancer.service_settings import Tenant
 from tests.support.builders import SAFE, Bed, kinds, sent
 
-M1, M2 = api.Group("m1", None, 1.0), api.Group("m2", None, 3.0)
+M1, M2 = TrafficSplit("m1", None, 1.0), TrafficSplit("m2", None, 3.0)
 
 
-def models(count: int = 6) -> api.Membership:
-    rows = (api.Server(f"s{at}", zone="a", model=f"m{1 + at % 2}") for at in range(count))
-    return api.Membership(api.ListForm.FULL, tuple(rows))
+def models(count: int = 6) -> EndpointListUpdate:
+    rows = (Endpoint(f"s{at}", zone="a", model=f"m{1 + at % 2}") for at in range(count))
+    return EndpointListUpdate(EndpointListKind.FULL, tuple(rows))
 
 
 def spread(bed: Bed, calls: int) -> Counter[str]:
@@ -25,20 +41,19 @@
 
 def test_a_share_of_a_quarter_is_the_settings_four_siblings_until_its_term_ends():
     told, fixed = Bed(siblings=1), Bed(siblings=4)
-    told.give(api.Siblings(0.25, 4, told.now + 500.0))
-    fixed.give(api.Alarm("nothing"))
+    told.give(QuotaGrant(0.25, 4, told.now + 500.0))
+    fixed.give(TimerFired("nothing"))
     assert told.brain.threshold(1.0, 4) == fixed.brain.threshold(1.0, 4)
-    told.give(api.Alarm("nothing"), after=500.0)
+    told.give(TimerFired("nothing"), after=500.0)
     assert told.brain.threshold(1.0, 4) == pytest.approx(0.1)  # its least entry: to find out
 
 
 def test_a_tenants_quota_follows_the_share():
-    tenant = api.Tenant("acme", 40.0)
-    bed = Bed(siblings=1, tenants=(tenant,), over_share_worth=0.0)
-    bed.give(api.Siblings(0.1, 10, math.inf))
+    tenant = Tenant("acme", 40.0)
+    bed = Bed(siblings=1, tenants=(tenant,), over_quota_weight=0.0)
+    bed.give(QuotaGrant(0.1, 10, math.inf))
     worths = [
-        bed.brain.admission.worth(bed.now, api.Request("r", "read", 1e9, tenant="acme"), SAFE)
-        for _ in range(8)
+        bed.brain.admission.worth(bed.now, Request("r", "read", 1e9, tenant="acme"), SAFE) for _ in range(8)
     ]
     assert [worth > 0.0 for worth in worths] == [True] * 4 + [False] * 4
 
@@ -46,17 +61,17 @@
 def test_a_version_gives_its_groups_their_weights_and_a_request_keeps_its_own():
     bed = Bed(count=0)
     bed.give(models())
-    bed.give(api.RouteVersion(1, {"read": (M1,)}))
+    bed.give(RouteVersion(1, {"read": (M1,)}))
     assert set(spread(bed, 30)) == {"m1"}
     name, acts = bed.ask()
-    bed.give(api.RouteVersion(2, {"read": (M1, M2)}))
-    again = bed.end(name, sent(acts)[0].server, api.Result.CONNECT_FAILED, done=False)
+    bed.give(RouteVersion(2, {"read": (M1, M2)}))
+    again = bed.end(name, sent(acts)[0].server, AttemptResult.CONNECT_FAILED, done=False)
     assert bed.brain.peers[sent(again)[0].server].info.model == "m1"  # admitted under version 1
     shares = spread(bed, 400)
     assert shares["m2"] / 400 == pytest.approx(0.75, abs=0.08)
     assert set(bed.brain.state.versions) == {1, 2}
-    bed.end(name, sent(again)[0].server, api.Result.OK, attempt=1)
-    bed.give(api.RouteVersion(0, {}))
+    bed.end(name, sent(again)[0].server, AttemptResult.OK, attempt=1)
+    bed.give(RouteVersion(0, {}))
     assert bed.brain.state.versions == {}
     assert set(spread(bed, 60)) == {"m1", "m2"}
 
@@ -64,29 +79,31 @@
 def test_a_server_belongs_to_the_first_group_that_takes_it():
     bed = Bed(count=0)
     bed.give(models())
-    rest = api.Group(None, None, 1.0)
-    bed.give(api.RouteVersion(1, {"read": (api.Group("m1", None, 0.0), rest)}))
+    rest = TrafficSplit(None, None, 1.0)
+    bed.give(RouteVersion(1, {"read": (TrafficSplit("m1", None, 0.0), rest)}))
     assert set(spread(bed, 40)) == {"m2"}
 
 
 def test_a_version_without_a_ready_server_refuses_and_another_class_is_as_under_version_0():
     bed = Bed(count=0)
     bed.give(models())
-    bed.give(api.RouteVersion(1, {"read": (api.Group("m9", None, 1.0),)}))
-    assert kinds(bed.ask()[1]) == [api.Refuse]
-    assert kinds(bed.ask("post")[1]) == [api.Send]
+    bed.give(RouteVersion(1, {"read": (TrafficSplit("m9", None, 1.0),)}))
+    assert kinds(bed.ask()[1]) == [Reject]
+    assert kinds(bed.ask("post")[1]) == [Send]
 
 
 def test_a_blind_route_is_tried_by_one_call_at_a_time_and_none_is_refused_for_a_mark():
     bed = Bed(count=3)
     bed.give(
-        api.Marks({"s0": api.Mark.BLIND, "s1": api.Mark.SURE, "s2": api.Mark.SURE, "gone": api.Mark.SURE})
+        ConfidenceUpdate(
+            {"s0": Confidence.NONE, "s1": Confidence.HIGH, "s2": Confidence.HIGH, "gone": Confidence.HIGH}
+        )
     )
     assert set(bed.brain.state.marks) == {"s0", "s1", "s2"}
     to = Counter(sent(bed.ask()[1])[0].server for _ in range(9))
     assert to["s0"] <= 1
     all_blind = Bed(count=3)
-    all_blind.give(api.Marks({f"s{at}": api.Mark.BLIND for at in range(3)}))
+    all_blind.give(ConfidenceUpdate({f"s{at}": Confidence.NONE for at in range(3)}))
     plain = Bed(count=3)
     assert [all_blind.ask()[1] for _ in range(9)] == [plain.ask()[1] for _ in range(9)]  # as without marks
 
@@ -96,11 +113,11 @@
     for _ in range(40):
         name, acts = bed.ask()
         server = sent(acts)[0].server
-        bed.end(name, server, api.Result.OK, 400.0 if server == "s0" else 100.0)
+        bed.end(name, server, AttemptResult.OK, 400.0 if server == "s0" else 100.0)
     before = bed.serve()
     assert before == "s1"
     slow = bed.brain.peers["s0"]
     assert slow.slow is not None
     assert slow.slow > 1.2
-    bed.give(api.Marks({"s0": api.Mark.BLIND, "s1": api.Mark.FAIR}))
+    bed.give(ConfidenceUpdate({"s0": Confidence.NONE, "s1": Confidence.MEDIUM}))
     assert "s0" in {bed.serve() for _ in range(20)}  # its old latency says nothing now
--- a/tests/balancing/test_guards.py
+++ b/tests/balancing/test_guards.py
@@ -7,14 +7,17 @@
 
 import pytest
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import endpoint_selection as ranking
+from loadbalancer.balancing.actions import Cancel, Fail, Reject, SetTimer, Watch
 from loadbalancer.balancing.cursor_table import SHAPE
 from loadbalancer.balancing.endpoint_selection import paced
+from loadbalancer.balancing.events import EndpointListUpdate, RequestCancelled, StreamStarted, TimerFired
+from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
+from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass
 from tests.support.builders import Bed, kinds, sent, servers
 
-NEVER_RAN = [api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT]
-MAY_HAVE_RUN = [api.Result.ERROR, api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED]
+NEVER_RAN = [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.ABANDONED]
+MAY_HAVE_RUN = [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
 
 
 # ------------------------------------------------------- no effect happens twice
@@ -31,14 +34,14 @@
         used.append(sent(acts)[0].server)
         acts = bed.end(name, used[-1], result, 5.0, attempt)
     assert len(set(used)) == 3
-    assert kinds(acts) == [api.Refuse]
+    assert kinds(acts) == [Reject]
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_an_unsafe_request_that_may_have_run_fails(result):
     bed = Bed()
     name, acts = bed.ask("post")
-    assert kinds(bed.end(name, sent(acts)[0].server, result)) == [api.Fail]
+    assert kinds(bed.end(name, sent(acts)[0].server, result)) == [Fail]
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
@@ -50,26 +53,31 @@
         used.append(sent(acts)[0].server)
         acts = bed.end(name, used[-1], result, 5.0, attempt)
     assert len(set(used)) == 3
-    assert kinds(acts) == [api.Refuse]
+    assert kinds(acts) == [Reject]
 
 
-@pytest.mark.parametrize("scope", list(api.Scope))
+@pytest.mark.parametrize("scope", list(DeduplicationScope))
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_a_keyed_request_stays_in_its_group(result, scope):
-    kind = api.ServiceClass(
-        "k", aim_ms=2000, give_up_ms=5000, effect=api.Effect.KEYED, scope=scope, memory_ms=900
+    kind = ServiceClass(
+        "k",
+        latency_objective_ms=2000,
+        client_timeout_ms=5000,
+        effect=Effect.IDEMPOTENCY_KEY,
+        deduplication_scope=scope,
+        deduplication_window_ms=900,
     )
-    rows = tuple(api.Server(f"s{at}", zone="ab"[at % 2], cell=at % 4) for at in range(8))
+    rows = tuple(Endpoint(f"s{at}", zone="ab"[at % 2], cell=at % 4) for at in range(8))
     where = {row.address: row for row in rows}
     for _ in range(8):
         bed = Bed(count=0, classes=(kind,))
-        bed.give(api.Membership(api.ListForm.FULL, rows))
+        bed.give(EndpointListUpdate(EndpointListKind.FULL, rows))
         name, acts = bed.ask("k")
         first = where[sent(acts)[0].server]
         second = where[sent(bed.end(name, first.address, result))[0].server]
-        if scope is not api.Scope.ALL:
+        if scope is not DeduplicationScope.ALL:
             assert second.zone == first.zone
-        if scope is api.Scope.CELL:
+        if scope is DeduplicationScope.CELL:
             assert second.cell == first.cell
 
 
@@ -77,7 +85,7 @@
     bed = Bed()
     name, acts = bed.ask("points")
     bed.now += 900
-    assert kinds(bed.end(name, sent(acts)[0].server, api.Result.ERROR)) == [api.Fail]
+    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.ERROR)) == [Fail]
 
 
 def test_a_keyed_repeat_says_by_when_it_has_to_be_written_and_leaves_its_bytes_time_to_arrive():
@@ -86,17 +94,17 @@
     assert sent(acts)[0].written_by_ms == math.inf
     began, server = bed.now, sent(acts)[0].server
     bed.now += 500
-    (again,) = sent(bed.end(name, server, api.Result.RESET))
+    (again,) = sent(bed.end(name, server, AttemptResult.RESET))
     assert again.written_by_ms == began + 900 - ranking.REPEAT_MARGIN_MS
     bed.now = again.written_by_ms
-    assert kinds(bed.end(name, again.server, api.Result.CONNECT_FAILED, attempt=1)) == [api.Fail]
+    assert kinds(bed.end(name, again.server, AttemptResult.CONNECT_FAILED, attempt=1)) == [Fail]
 
 
 def test_attempts_are_bounded():
     bed = Bed(count=8, max_attempts=2)
     name, acts = bed.ask("post")
-    acts = bed.end(name, sent(acts)[0].server, api.Result.FULL)
-    assert kinds(bed.end(name, sent(acts)[0].server, api.Result.FULL, attempt=1)) == [api.Refuse]
+    acts = bed.end(name, sent(acts)[0].server, AttemptResult.REJECTED)
+    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.REJECTED, attempt=1)) == [Reject]
 
 
 # ------------------------------------------------------------ one final answer
@@ -106,10 +114,10 @@
     bed = Bed()
     name, acts = bed.ask("read")
     server = sent(acts)[0].server
-    acts = bed.give(api.Lapsed(name))
-    assert kinds(acts) == [api.Cancel]
-    assert bed.end(name, server, api.Result.CANCELLED, done=True) == []
-    assert bed.give(api.Lapsed(name)) == []
+    acts = bed.give(RequestCancelled(name))
+    assert kinds(acts) == [Cancel]
+    assert bed.end(name, server, AttemptResult.CANCELLED, done=True) == []
+    assert bed.give(RequestCancelled(name)) == []
     assert bed.brain.jobs == {}
 
 
@@ -117,10 +125,10 @@
     bed = Bed()
     name, acts = bed.ask("post", left=300.0)
     bed.now += 300.0
-    assert kinds(bed.end(name, sent(acts)[0].server, api.Result.TIMEOUT, 300.0)) == [api.Fail]
+    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.TIMEOUT, 300.0)) == [Fail]
     name, acts = bed.ask("read", left=300.0)
     bed.now += 300.0
-    assert kinds(bed.end(name, sent(acts)[0].server, api.Result.TIMEOUT, 300.0)) == [api.Refuse]
+    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.TIMEOUT, 300.0)) == [Reject]
 
 
 def test_late_work_worth_nothing_is_stopped_at_the_aim():
@@ -131,18 +139,22 @@
 
 
 def test_work_worth_something_late_runs_on():
-    kind = api.ServiceClass("slow", aim_ms=500, give_up_ms=5000, late_worth=0.3, effect=api.Effect.SAFE)
+    kind = ServiceClass(
+        "slow", latency_objective_ms=500, client_timeout_ms=5000, late_weight=0.3, effect=Effect.IDEMPOTENT
+    )
     bed = Bed(classes=(kind,))
     assert sent(bed.ask("slow", left=2000.0)[1])[0].timeout_ms == 2000.0
 
 
 def test_a_stream_keeps_its_attempt():
-    kind = api.ServiceClass("s", aim_ms=500, give_up_ms=5000, stream=True, effect=api.Effect.SAFE)
+    kind = ServiceClass(
+        "s", latency_objective_ms=500, client_timeout_ms=5000, stream=True, effect=Effect.IDEMPOTENT
+    )
     bed = Bed(classes=(kind,))
     name, acts = bed.ask("s")
-    assert bed.give(api.Started(name, 0)) == []
+    assert bed.give(StreamStarted(name, 0)) == []
     assert sent(bed.period(2000.0)) == []
-    assert bed.end(name, sent(acts)[0].server, api.Result.RESET, done=True) == []
+    assert bed.end(name, sent(acts)[0].server, AttemptResult.RESET, done=True) == []
 
 
 # --------------------------------------------------------------------- health
@@ -172,7 +184,7 @@
     name, acts = bed.ask("read")
     hung = sent(acts)[0].server
     bed.now += 900.0
-    bed.end(name, hung, api.Result.OK, 900.0)
+    bed.end(name, hung, AttemptResult.OK, 900.0)
     bed.now += 60000.0
     assert hung in {act.server for _ in range(8) for act in sent(bed.ask("read")[1])}
 
@@ -186,7 +198,7 @@
         broken = server == "s0"
         took += broken
         bed.now += 5.0 if broken else 100.0
-        bed.end(name, server, api.Result.ERROR if broken else api.Result.OK, 5.0 if broken else 100.0)
+        bed.end(name, server, AttemptResult.ERROR if broken else AttemptResult.OK, 5.0 if broken else 100.0)
         bed.period(0.0)
     assert took <= 4
 
@@ -198,7 +210,7 @@
         server = sent(acts)[0].server
         latency = 900.0 if server == "s1" else 100.0
         bed.now += latency
-        bed.end(name, server, api.Result.OK, latency)
+        bed.end(name, server, AttemptResult.OK, latency)
 
     def first_use(bed: Bed) -> int:
         """How many calls the other server holds when the slow one gets its first."""
@@ -227,7 +239,7 @@
         bed = Bed(tier=tier)
         for _ in range(4):
             name, acts = bed.ask("post")
-            bed.end(name, sent(acts)[0].server, api.Result.ERROR, 5.0)
+            bed.end(name, sent(acts)[0].server, AttemptResult.ERROR, 5.0)
         bed.period()
         cursors.append(bed.brain.cursor)
     assert cursors == [1, 0]
@@ -237,7 +249,7 @@
     """Guard: a node that refuses hears nothing new, and its last reports kept it refusing."""
     bed = Bed(count=2)
     for _ in range(6):
-        bed.serve(latency=50.0, report={"util": 1.0})
+        bed.serve(latency=50.0, load_report={"util": 1.0})
     bed.period()
     assert bed.brain.cursor == 1
     bed.now += 5000.0
@@ -259,7 +271,7 @@
     for siblings in (4, 100):
         bed = Bed(count=50, siblings=siblings)
         for _ in range(12):
-            bed.serve(latency=50.0, report={"util": 0.955})
+            bed.serve(latency=50.0, load_report={"util": 0.955})
         bed.period()
         cursors.append(bed.brain.cursor)
     assert cursors == [0, 1]
@@ -275,7 +287,7 @@
         for _ in range(12):
             name, acts = bed.ask()
             if sent(acts):
-                bed.end(name, sent(acts)[0].server, api.Result.OK, 950.0)
+                bed.end(name, sent(acts)[0].server, AttemptResult.OK, 950.0)
         bed.period()
     high = bed.brain.cursor
     bed.ask()
@@ -299,7 +311,7 @@
         bed.brain.state.window.ended, bed.brain.state.window.full = 10.0, 9.0
         bed.period()
     for name, server in old:
-        bed.end(name, server, api.Result.OK, 950.0)
+        bed.end(name, server, AttemptResult.OK, 950.0)
         bed.period()
     assert bed.brain.cursor == 0
     # Calls sent since are heard as ever.
@@ -325,44 +337,44 @@
 # ----------------------------------------------------------------- membership
 
 
-@pytest.mark.parametrize("state", [api.ServerState.DRAINING, api.ServerState.REMOVED])
+@pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
 def test_nothing_new_to_a_server_that_drains_or_is_gone(state):
     bed = Bed(count=3)
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("s1", "b", state=state),)))
+    bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("s1", "b", state=state),)))
     assert "s1" not in {bed.serve() for _ in range(12)}
 
 
 def test_a_server_absent_from_a_whole_list_is_gone():
     bed = Bed(count=3)
-    bed.give(api.Membership(api.ListForm.FULL, servers(2)))
+    bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(2)))
     assert "s2" not in {bed.serve() for _ in range(12)}
 
 
 def test_discovery_is_watched_at_once_and_again_after_failures_with_growing_waits():
-    bed = Bed(count=0, ask_discovery=True)
-    first = type(bed.brain)(bed.brain.cfg, 1, 0.0).handle(0.0, api.Membership(api.ListForm.CACHED))
-    assert api.Watch in kinds(first)
+    bed = Bed(count=0, poll_discovery=True)
+    first = type(bed.brain)(bed.brain.cfg, 1, 0.0).handle(0.0, EndpointListUpdate(EndpointListKind.CACHED))
+    assert Watch in kinds(first)
     waits = []
     for _ in range(6):
-        acts = bed.give(api.Membership(api.ListForm.FAILED))
-        assert kinds(acts) == [api.Wake]
+        acts = bed.give(EndpointListUpdate(EndpointListKind.FAILED))
+        assert kinds(acts) == [SetTimer]
         waits.append(acts[0].delay_ms)
-        assert kinds(bed.give(api.Alarm("watch"))) == [api.Watch]
+        assert kinds(bed.give(TimerFired("watch"))) == [Watch]
     assert waits[0] < waits[-1] <= 4000.0
 
 
 def test_a_discovery_that_is_down_for_hours_is_still_asked_for_again():
     """Guard: the 1,024th failure in a row overflowed the power, and the module lost the event."""
-    bed = Bed(count=2, ask_discovery=True)
+    bed = Bed(count=2, poll_discovery=True)
     for _ in range(2000):
-        (wake,) = bed.give(api.Membership(api.ListForm.FAILED))
-        assert isinstance(wake, api.Wake)
+        (wake,) = bed.give(EndpointListUpdate(EndpointListKind.FAILED))
+        assert isinstance(wake, SetTimer)
         assert wake.delay_ms <= 4000.0
 
 
 def test_a_failed_list_keeps_the_old_one():
-    bed = Bed(count=2, ask_discovery=True)
-    bed.give(api.Membership(api.ListForm.FAILED))
+    bed = Bed(count=2, poll_discovery=True)
+    bed.give(EndpointListUpdate(EndpointListKind.FAILED))
     assert sent(bed.ask()[1])
 
 
@@ -370,7 +382,7 @@
     bed = Bed(count=2)
     for _ in range(6):
         bed.serve()
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("s0", "a", launched_ms=bed.now),)))
+    bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("s0", "a", launched_ms=bed.now),)))
     assert bed.brain.peers["s0"].slow is None
     assert [bed.serve(latency=1.0) for _ in range(20)].count("s0") < 10
 
@@ -380,7 +392,7 @@
 
 def test_a_cold_server_gets_its_present_share_of_what_warm_ones_get():
     bed = Bed(count=4)
-    bed.give(api.Membership(api.ListForm.DELTA, (api.Server("cold", "a", launched_ms=bed.now),)))
+    bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("cold", "a", launched_ms=bed.now),)))
     counts: dict[str, int] = {}
     for at in range(150):
         server = bed.serve(latency=10.0)
@@ -394,11 +406,11 @@
 def test_many_balancers_together_keep_a_cold_server_to_its_share():
     """Guard: one send a window from each of many balancers summed to a tip-over at full size."""
     nodes, warm = 120, 20
-    cold = api.Server("cold", "a", launched_ms=1000.0)
+    cold = Endpoint("cold", "a", launched_ms=1000.0)
     beds = []
     for seed in range(nodes):
         bed = Bed(count=0, seed=seed, siblings=nodes)
-        bed.give(api.Membership(api.ListForm.FULL, (*servers(warm), cold)))
+        bed.give(EndpointListUpdate(EndpointListKind.FULL, (*servers(warm), cold)))
         beds.append(bed)
     took = [bed.serve(latency=1.0) for _ in range(40) for bed in beds]
     mean = len(took) / (warm + 1)
@@ -411,7 +423,7 @@
     beds = [Bed(count=4, seed=seed, overload_factor=5.0) for seed in range(40)]
     took = 0
     for bed in beds:
-        bed.give(api.Membership(api.ListForm.DELTA, (api.Server("cold", "a", launched_ms=bed.now),)))
+        bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("cold", "a", launched_ms=bed.now),)))
         bed.brain.state.peak = 1.0 / bed.brain.period_ms  # one call a period is a server's ordinary pace
         bed.brain.state.sends = calls * bed.brain.state.peak
         bed.brain.state.let_in = min(1.0, calls / len(bed.brain.ready))  # the others were refused
@@ -423,7 +435,7 @@
 
 def test_a_cold_pool_still_serves_but_not_all():
     bed = Bed(count=0)
-    bed.give(api.Membership(api.ListForm.FULL, servers(20, launched_ms=bed.now)))
+    bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(20, launched_ms=bed.now)))
     count = sum(len(sent(bed.ask()[1])) for _ in range(100))
     assert 10 <= count <= 40
 
--- a/tests/balancing/test_limits.py
+++ b/tests/balancing/test_limits.py
@@ -22,9 +22,10 @@
     assert max(len(line) for line in lines) <= 110
 
 
-def test_the_module_names_its_interface_file_at_the_top():
+def test_the_module_names_its_interface_files_at_the_top():
     assert DEPLOY["policy"][0] == "loadbalancer/balancing/__init__.py"
-    assert "loadbalancer/interface.py" in TEXTS[0].split('"""')[1]
+    for name in ("service_settings.py", "endpoints.py", "balancing/events.py", "balancing/actions.py"):
+        assert f"loadbalancer/{name}" in TEXTS[0].split('"""')[1]
 
 
 def test_every_named_constant_is_used_and_explained_or_plainly_named():
--- a/tests/balancing/test_mechanism.py
+++ b/tests/balancing/test_mechanism.py
@@ -6,10 +6,13 @@
 
 import pytest
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.actions import Action, Reject
 from loadbalancer.balancing.cursor_table import SHAPE
+from loadbalancer.balancing.events import AttemptOutcome, EndpointListUpdate, Request
 from loadbalancer.balancing.outliers import judge
 from loadbalancer.balancing.state import Job, Try
+from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
+from loadbalancer.service_settings import ServiceClass, Settings, Tenant
 from tests.support.builders import SAFE, Bed, kinds, sent, servers
 
 
@@ -17,7 +20,7 @@
     for _ in range(count):
         name, acts = bed.ask()
         if sent(acts):
-            bed.end(name, sent(acts)[0].server, api.Result.OK, latency)
+            bed.end(name, sent(acts)[0].server, AttemptResult.OK, latency)
     bed.period()
 
 
@@ -64,30 +67,30 @@
             if not sent(acts):
                 break
         outcome[service] = sum(peer.load for peer in bed.brain.peers.values())
-        assert kinds(acts) == [api.Refuse]
+        assert kinds(acts) == [Reject]
     assert outcome["post"] < outcome["read"]
 
 
 def test_marked_retries_and_over_quota_tenants_fall_to_lower_rows():
-    bed = Bed(tenants=(api.Tenant("t", 4.0),), over_share_worth=0.2)
-    fresh = api.Request("a", "read", 9e9)
+    bed = Bed(tenants=(Tenant("t", 4.0),), over_quota_weight=0.2)
+    fresh = Request("a", "read", 9e9)
     worth = bed.brain.admission.worth(bed.now, fresh, SAFE)
-    assert bed.brain.admission.worth(bed.now, api.Request("b", "read", 9e9, is_retry=True), SAFE) < worth
+    assert bed.brain.admission.worth(bed.now, Request("b", "read", 9e9, is_retry=True), SAFE) < worth
     tenant = [
-        bed.brain.admission.worth(bed.now, api.Request("c", "read", 9e9, tenant="t"), SAFE) for _ in range(4)
+        bed.brain.admission.worth(bed.now, Request("c", "read", 9e9, tenant="t"), SAFE) for _ in range(4)
     ]
     assert tenant[:2] == [worth, worth]  # 4 a second over 2 siblings
     assert tenant[2] == tenant[3] == pytest.approx(0.2 * worth)
-    assert bed.brain.admission.worth(bed.now + 1000, api.Request("d", "read", 9e9, tenant="t"), SAFE) == worth
+    assert bed.brain.admission.worth(bed.now + 1000, Request("d", "read", 9e9, tenant="t"), SAFE) == worth
 
 
 @pytest.mark.parametrize("quota", [0.1, 0.5, 0.99, 1.0, 1.5])
 def test_a_tenant_whose_quota_is_under_one_call_a_second_here_has_calls_inside_its_share(quota):
-    bed = Bed(siblings=1, tenants=(api.Tenant("t", quota), api.Tenant("none", 0.0)), over_share_worth=0.2)
+    bed = Bed(siblings=1, tenants=(Tenant("t", quota), Tenant("none", 0.0)), over_quota_weight=0.2)
 
     def worth(tenant: str, after: float) -> float:
         bed.now += after
-        return bed.brain.admission.worth(bed.now, api.Request("c", "read", 9e9, tenant=tenant), SAFE)
+        return bed.brain.admission.worth(bed.now, Request("c", "read", 9e9, tenant=tenant), SAFE)
 
     whole, apart = worth("unknown", 0.0), 1000.0 / quota + 0.01
     assert [worth("t", apart) for _ in range(5)] == [whole] * 5  # as many as it may
@@ -99,8 +102,8 @@
 
 
 def test_over_quota_counts_at_the_front_only():
-    bed = Bed(tenants=(api.Tenant("t", 0.0),), over_share_worth=0.2, tier=1)
-    assert bed.brain.admission.worth(bed.now, api.Request("c", "read", 9e9, tenant="t"), SAFE) == 1.0
+    bed = Bed(tenants=(Tenant("t", 0.0),), over_quota_weight=0.2, tier=1)
+    assert bed.brain.admission.worth(bed.now, Request("c", "read", 9e9, tenant="t"), SAFE) == 1.0
 
 
 def test_threshold_grows_with_the_completion_rate():
@@ -129,7 +132,7 @@
         bed = Bed(count=4)
         bed.brain.state.periods = 10**6  # past the start
         for _ in range(12):
-            bed.serve(report=None if util is None else {"util": util})
+            bed.serve(load_report=None if util is None else {"util": util})
         bed.period()
         thresholds.append(bed.brain.threshold(1.0, 4))
     assert thresholds[0] > thresholds[1] + 3.0
@@ -154,16 +157,16 @@
     for _ in range(30):
         load_period(bed, 400.0)
     each = bed.brain.threshold(1.0, 8) / 8
-    bed.give(api.Membership(api.ListForm.FULL, servers(4)))
+    bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(4)))
     assert bed.brain.threshold(1.0, len(bed.brain.ready)) / 4 < 1.1 * each
 
 
 def test_what_servers_that_leave_complete_does_not_raise_the_count_of_those_that_stay():
     bed = Bed(count=2)
     name, acts = bed.ask()
-    leaving = api.Server(sent(acts)[0].server, zone="a", state=api.ServerState.DRAINING)
-    bed.give(api.Membership(api.ListForm.DELTA, (leaving,)))
-    bed.end(name, leaving.address, api.Result.OK)
+    leaving = Endpoint(sent(acts)[0].server, zone="a", state=EndpointStatus.DRAINING)
+    bed.give(EndpointListUpdate(EndpointListKind.DELTA, (leaving,)))
+    bed.end(name, leaving.address, AttemptResult.OK)
     bed.period()
     assert bed.brain.state.rate == 0.0
 
@@ -192,10 +195,10 @@
 
 
 def judged(bed: Bed, server: str, latency: float):
-    request = api.Request("x", "read", 9e9)
+    request = Request("x", "read", 9e9)
     attempt = Try(bed.brain.peers[server], bed.now - latency)
     job = Job(request, SAFE, bed.now, 1.0, [attempt])
-    return job, attempt, api.Outcome("x", 0, server, api.Result.OK, latency, True)
+    return job, attempt, AttemptOutcome("x", 0, server, AttemptResult.OK, latency, True)
 
 
 def test_a_crossing_costs_rank_where_it_has_a_price():
@@ -218,7 +221,7 @@
     bed = Bed(count=2)
     name, acts = bed.ask()
     server = sent(acts)[0].server
-    bed.end(name, server, api.Result.OK, 100.0, report={"queue": 8.0})
+    bed.end(name, server, AttemptResult.OK, 100.0, load_report={"queue": 8.0})
     other = ({"s0", "s1"} - {server}).pop()
     assert [bed.serve() for _ in range(5)] == [other] * 5
     bed.now += 5000
@@ -228,7 +231,7 @@
 def test_reported_utilisation_over_target_moves_the_cursor():
     bed = Bed(count=2)
     for _ in range(12):
-        bed.serve(latency=50.0, report={"util": 1.0})
+        bed.serve(latency=50.0, load_report={"util": 1.0})
     bed.period()
     assert bed.brain.cursor == 1
 
@@ -236,7 +239,7 @@
 def test_answers_refused_as_full_move_the_cursor():
     bed = Bed()
     name, acts = bed.ask()
-    bed.end(name, sent(acts)[0].server, api.Result.FULL, 1.0)
+    bed.end(name, sent(acts)[0].server, AttemptResult.REJECTED, 1.0)
     bed.period()
     assert bed.brain.cursor == 1
 
@@ -257,7 +260,7 @@
 
 
 def test_work_counts_where_worth_goes_by_work():
-    bed = Bed(worth_by_work=True)
+    bed = Bed(weight_by_work=True)
     bed.ask(cost_hint_ms=10.0)
     bed.ask(cost_hint_ms=100.0)
     loads = sorted(peer.load for peer in bed.brain.peers.values())
@@ -266,7 +269,7 @@
 
 def test_no_server_no_send():
     bed = Bed(count=0)
-    assert kinds(bed.ask("post")[1]) == [api.Refuse]
+    assert kinds(bed.ask("post")[1]) == [Reject]
 
 
 def test_refusals_carry_a_wait_at_the_front_only():
@@ -274,36 +277,36 @@
         bed = Bed(count=0, tier=tier, retry_after=True, max_retry_after_ms=1000.0)
         bed.brain.state.cursor = 3
         refusal = bed.ask()[1][-1]
-        assert isinstance(refusal, api.Refuse)
+        assert isinstance(refusal, Reject)
         assert (refusal.retry_after_ms > 0) is expected
 
 
 def test_settings_name_the_bad_key():
     with pytest.raises(ValueError, match="siblings"):
-        api.Settings(classes=(SAFE,), siblings=0)
+        Settings(classes=(SAFE,), siblings=0)
     with pytest.raises(ValueError, match="classes"):
-        api.Settings(classes=())
-    with pytest.raises(ValueError, match=r"classes\[0\].aim_ms"):
-        api.Settings(classes=(api.ServiceClass("x", aim_ms=-1, give_up_ms=1),))
-    with pytest.raises(ValueError, match="cold_ms"):
-        api.Settings(classes=(SAFE,), cold_ms=float("nan"))
+        Settings(classes=())
+    with pytest.raises(ValueError, match=r"classes\[0\].latency_objective_ms"):
+        Settings(classes=(ServiceClass("x", latency_objective_ms=-1, client_timeout_ms=1),))
+    with pytest.raises(ValueError, match="slow_start_ms"):
+        Settings(classes=(SAFE,), slow_start_ms=float("nan"))
 
 
 @pytest.mark.parametrize(("key", "value"), [("may_cancel", "yes"), ("zone", 3), ("max_attempts", "2")])
 def test_settings_of_the_wrong_type_are_named_with_their_value(key, value):
     with pytest.raises(ValueError, match=f"{key}: {value!r}"):
-        api.Settings(classes=(SAFE,), **{key: value})
+        Settings(classes=(SAFE,), **{key: value})
 
 
 def test_same_events_same_actions():
-    def run() -> list[list[api.Action]]:
+    def run() -> list[list[Action]]:
         bed = Bed(count=6)
         acts = []
         for at in range(60):
             name, one = bed.ask(("read", "post", "points")[at % 3])
             acts.append(one)
             if sent(one):
-                acts.append(bed.end(name, sent(one)[0].server, list(api.Result)[at % 8], 50.0 + at))
+                acts.append(bed.end(name, sent(one)[0].server, list(AttemptResult)[at % 8], 50.0 + at))
             acts.append(bed.period(20.0))
         return acts
 
@@ -330,8 +333,8 @@
 
 def test_only_an_aim_that_does_not_move_with_the_work_ends_an_attempt_that_is_worth_nothing_after_it():
     kinds = [
-        api.ServiceClass("fixed", 100.0, 900.0),
-        api.ServiceClass("stretched", 100.0, 900.0, aim_stretch=3.0),
+        ServiceClass("fixed", 100.0, 900.0),
+        ServiceClass("stretched", 100.0, 900.0, latency_objective_stretch=3.0),
     ]
     bed = Bed(classes=tuple(kinds))
     limits = [sent(bed.ask(kind.name, left=900.0)[1])[0].timeout_ms for kind in kinds]
--- a/tests/balancing/test_recorded_streams.py
+++ b/tests/balancing/test_recorded_streams.py
@@ -18,39 +18,78 @@
 import xxhash
 
 from loadbalancer import Balancer
-from loadbalancer import interface as api
+from loadbalancer.balancing.actions import Action, Cancel, Fail, Reject, Send, SetTimer, Watch
+from loadbalancer.balancing.events import (
+    AttemptOutcome,
+    EndpointEjected,
+    EndpointListUpdate,
+    EndpointRestored,
+    Event,
+    HealthCheckCompleted,
+    Request,
+    RequestCancelled,
+    RequestReceived,
+    SiblingProcessLoad,
+    StateRestored,
+    StreamStarted,
+    TimerFired,
+)
+from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
+from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass, Settings, Tenant
 
 LASTS_MS = 20000.0
-SAFE = api.ServiceClass("read", aim_ms=400, give_up_ms=1500, worth=12, effect=api.Effect.SAFE)
-UNSAFE = api.ServiceClass("post", aim_ms=600, give_up_ms=1500, worth=1, late_worth=0.3)
-KEYED = api.ServiceClass(
-    "points", aim_ms=800, give_up_ms=2500, worth=3, effect=api.Effect.KEYED, memory_ms=300
+SAFE = ServiceClass(
+    "read", latency_objective_ms=400, client_timeout_ms=1500, priority_weight=12, effect=Effect.IDEMPOTENT
+)
+UNSAFE = ServiceClass(
+    "post", latency_objective_ms=600, client_timeout_ms=1500, priority_weight=1, late_weight=0.3
+)
+KEYED = ServiceClass(
+    "points",
+    latency_objective_ms=800,
+    client_timeout_ms=2500,
+    priority_weight=3,
+    effect=Effect.IDEMPOTENCY_KEY,
+    deduplication_window_ms=300,
+)
+ZONED = replace(KEYED, name="zoned", deduplication_scope=DeduplicationScope.ZONE, priority_weight=0.0)
+CELLED = replace(KEYED, name="celled", deduplication_scope=DeduplicationScope.CELL, late_weight=0.5)
+STREAM = ServiceClass(
+    "tail",
+    latency_objective_ms=500,
+    client_timeout_ms=2000,
+    priority_weight=6,
+    effect=Effect.IDEMPOTENT,
+    stream=True,
 )
-ZONED = replace(KEYED, name="zoned", scope=api.Scope.ZONE, worth=0.0)
-CELLED = replace(KEYED, name="celled", scope=api.Scope.CELL, late_worth=0.5)
-STREAM = api.ServiceClass("tail", aim_ms=500, give_up_ms=2000, worth=6, effect=api.Effect.SAFE, stream=True)
 REPORTS = ("queue", "util")
 CASES: tuple[dict[str, Any], ...] = (
-    {"siblings": 2, "may_cancel": True, "max_attempts": 3, "cold_from": 0.2, "cold_ms": 3000.0},
-    {"tier": 1, "siblings": 24, "max_attempts": 2, "report_fields": REPORTS, "may_cancel": True},
-    {"siblings": 6, "cold_from": 0.1, "cold_ms": 6000.0, "overload_factor": 1.5, "cross_zone_price": 0.02},
+    {"siblings": 2, "may_cancel": True, "max_attempts": 3, "slow_start_from": 0.2, "slow_start_ms": 3000.0},
+    {"tier": 1, "siblings": 24, "max_attempts": 2, "load_report_fields": REPORTS, "may_cancel": True},
+    {
+        "siblings": 6,
+        "slow_start_from": 0.1,
+        "slow_start_ms": 6000.0,
+        "overload_factor": 1.5,
+        "cross_zone_price": 0.02,
+    },
     {
-        "tenants": (api.Tenant("small", 20.0), api.Tenant("none", 0.0)),
-        "over_share_worth": 0.2,
+        "tenants": (Tenant("small", 20.0), Tenant("none", 0.0)),
+        "over_quota_weight": 0.2,
         "retry_after": True,
         "max_retry_after_ms": 500.0,
         "max_attempts": 4,
         "siblings": 3,
-        "report_fields": REPORTS,
+        "load_report_fields": REPORTS,
     },
-    {"worth_by_work": True, "max_attempts": 3, "ask_discovery": True, "may_cancel": True},
+    {"weight_by_work": True, "max_attempts": 3, "poll_discovery": True, "may_cancel": True},
     {
         "tier": 2,
         "siblings": 150,
         "max_attempts": 2,
-        "cold_from": 0.5,
-        "cold_ms": 2000.0,
-        "worth_by_work": True,
+        "slow_start_from": 0.5,
+        "slow_start_ms": 2000.0,
+        "weight_by_work": True,
     },
 )
 DIGESTS = {
@@ -69,11 +108,33 @@
 }
 
 
+# The digests cover the text of actions and of the learned state under the names they had when recorded.
+RECORDED_NAMES = {
+    "Reject(": "Refuse(",
+    "SetTimer(": "Wake(",
+    "LearnedState(baseline_ratio=": "Learned(base=",
+    " latency_ratio=": " level=",
+    " peak_completion_rate=": " peak=",
+    " completion_rate=": " rate=",
+    " send_rate=": " sends=",
+    " mean_latency_objective_ms=": " mean_aim=",
+    " class_latency_ms=": " class_ms=",
+    " endpoint_latency_ratios=": " slow=",
+}
+
+
+def recorded_form(text: str) -> str:
+    """The text with today's names replaced by those it was recorded under."""
+    for name, recorded in RECORDED_NAMES.items():
+        text = text.replace(name, recorded)
+    return text
+
+
 @dataclass
 class Machine:
     """A server as the world has it."""
 
-    server: api.Server
+    server: Endpoint
     slowness: float
     sickness: float  # share of the attempts that end badly
     busy: int = 0
@@ -92,7 +153,7 @@
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
         self.case = CASES[seed % len(CASES)]
-        cfg = api.Settings(classes=(SAFE, UNSAFE, KEYED, ZONED, CELLED, STREAM), zone="a", **self.case)
+        cfg = Settings(classes=(SAFE, UNSAFE, KEYED, ZONED, CELLED, STREAM), zone="a", **self.case)
         self.kinds = {kind.name: kind for kind in cfg.classes}
         self.now = 1000.0
         self.balancer = Balancer(cfg, seed, self.now)
@@ -110,7 +171,7 @@
             self.launch(None if self.rng.random() < 0.6 else self.now - self.rng.uniform(0.0, 4000.0))
 
     def run(self) -> str:
-        self.give(api.Membership(api.ListForm.CACHED, self.listed()))
+        self.give(EndpointListUpdate(EndpointListKind.CACHED, self.listed()))
         for delay, act in (
             (0.0, self.client),
             (0.0, self.weather),
@@ -131,9 +192,9 @@
     def at(self, delay: float, act: Callable[[], None]) -> None:
         heapq.heappush(self.due, (self.now + delay, next(self.names), act))
 
-    def give(self, event: api.Event) -> None:
+    def give(self, event: Event) -> None:
         acts = self.balancer.handle(self.now, event)
-        self.digest.update(f"{self.now!r} {acts!r}\n".encode())
+        self.digest.update(recorded_form(f"{self.now!r} {acts!r}\n").encode())
         for act in acts:
             self.obey(act)
 
@@ -142,61 +203,61 @@
         it = self.balancer
         rows = [it.threshold(worth, ready) for ready in (0, len(it.ready)) for worth in (1.0, 0.3, 0.0)]
         said = (it.figures(), rows, it.learned(), it.held(), it.avoided, it.cursor, it.period_ms)
-        self.digest.update(f"{said!r}\n".encode())
+        self.digest.update(recorded_form(f"{said!r}\n").encode())
         self.at(170.0, self.observe)
 
     # ------------------------------------------------------------- the actions
 
-    def obey(self, act: api.Action) -> None:
+    def obey(self, act: Action) -> None:
         match act:
-            case api.Wake():
-                self.at(act.delay_ms, lambda: self.give(api.Alarm(act.name)))
-            case api.Watch():
+            case SetTimer():
+                self.at(act.delay_ms, lambda: self.give(TimerFired(act.name)))
+            case Watch():
                 self.at(40.0, self.list_again)
-            case api.Send():
+            case Send():
                 self.serve(act)
-            case api.Cancel():
-                self.at(1.0, lambda: self.finish(act.id, act.attempt, api.Result.CANCELLED))
-            case api.Refuse() | api.Fail():
+            case Cancel():
+                self.at(1.0, lambda: self.finish(act.id, act.attempt, AttemptResult.CANCELLED))
+            case Reject() | Fail():
                 self.ended.add(act.id)
 
-    def serve(self, act: api.Send) -> None:
+    def serve(self, act: Send) -> None:
         machine, rng = self.machines[act.server], self.rng
         tries = self.tries[act.id]
         at = len(tries)
         tries.append(Attempt(machine, self.now))
         machine.busy += 1
         takes = 90.0 * machine.slowness * self.jam * rng.uniform(0.5, 1.5) * (1.0 + 0.15 * machine.busy)
-        result = api.Result.OK
+        result = AttemptResult.OK
         if rng.random() < machine.sickness:
-            result = rng.choice([item for item in api.Result if item is not api.Result.OK])
+            result = rng.choice([item for item in AttemptResult if item is not AttemptResult.OK])
             takes *= rng.choice((0.05, 1.0))
         elif machine.busy > 14:
-            result, takes = api.Result.FULL, 2.0
+            result, takes = AttemptResult.REJECTED, 2.0
         if act.timeout_ms and takes > act.timeout_ms:
-            result, takes = api.Result.TIMEOUT, act.timeout_ms
+            result, takes = AttemptResult.TIMEOUT, act.timeout_ms
         kind = self.kinds[self.service[act.id]]
         if kind.stream and rng.random() < 0.8:
             which = at if rng.random() < 0.9 else at + 1
-            self.at(0.3 * takes, lambda: self.give(api.Started(act.id, which)))
+            self.at(0.3 * takes, lambda: self.give(StreamStarted(act.id, which)))
         self.at(takes, lambda: self.finish(act.id, at, result))
 
-    def finish(self, name: str, at: int, result: api.Result) -> None:
+    def finish(self, name: str, at: int, result: AttemptResult) -> None:
         attempt = self.tries[name][at]
         if not attempt.out:
             return
         attempt.out = False
         machine = attempt.machine
         machine.busy -= 1
-        if result is api.Result.OK:
+        if result is AttemptResult.OK:
             self.ended.add(name)
-        event = api.Outcome(
+        event = AttemptOutcome(
             name,
             at,
             machine.server.address,
             result,
             self.now - attempt.sent_ms,
-            result is api.Result.OK or (name in self.ended and self.rng.random() < 0.9),
+            result is AttemptResult.OK or (name in self.ended and self.rng.random() < 0.9),
             self.report(machine),
         )
         self.give(event)
@@ -204,7 +265,7 @@
             self.give(event)  # told twice
 
     def report(self, machine: Machine) -> dict[str, float] | None:
-        if "report_fields" not in self.case or self.rng.random() < 0.1:
+        if "load_report_fields" not in self.case or self.rng.random() < 0.1:
             return None
         full = {
             "queue": float(max(0, machine.busy - 2)),
@@ -218,27 +279,27 @@
         rng = self.rng
         self.at(rng.uniform(0.0, 16.0) / self.rush, self.client)
         name, kind = f"r{next(self.names)}", rng.choice(list(self.kinds.values()))
-        gives_up = self.now + kind.give_up_ms * rng.choice((1.0, 1.0, 0.3, 0.0))
+        gives_up = self.now + kind.client_timeout_ms * rng.choice((1.0, 1.0, 0.3, 0.0))
         coming = rng.random() < 0.15
         self.tries[name], self.service[name] = [], kind.name
-        request = api.Request(
+        request = Request(
             name,
             kind.name,
             gives_up,
             tenant=rng.choice((None, "small", "none", "unknown")),
             cost_hint_ms=rng.choice((None, 5.0, 40.0, 300.0)),
             is_retry=rng.random() < 0.1,
-            coming=coming,
+            receiving=coming,
         )
         self.give(request)
         if coming:
-            self.at(rng.uniform(1.0, 200.0), lambda: self.give(api.Arrived(name, gives_up + 100.0)))
-        self.at(kind.give_up_ms * rng.choice((0.1, 1.1, 1.1, 1.1)), lambda: self.lapse(name))
+            self.at(rng.uniform(1.0, 200.0), lambda: self.give(RequestReceived(name, gives_up + 100.0)))
+        self.at(kind.client_timeout_ms * rng.choice((0.1, 1.1, 1.1, 1.1)), lambda: self.lapse(name))
 
     def lapse(self, name: str) -> None:
         if name not in self.ended:
             self.ended.add(name)
-            self.give(api.Lapsed(name))
+            self.give(RequestCancelled(name))
 
     def weather(self) -> None:
         self.jam = self.rng.choice((0.5, 1.0, 1.0, 2.0, 6.0))
@@ -248,38 +309,36 @@
             machine.slowness = self.rng.choice((0.7, 1.0, 1.0, 1.3, 4.0))
         self.at(self.rng.uniform(300.0, 1500.0), self.weather)
 
-    def launch(self, launched_ms: float | None) -> api.Server:
+    def launch(self, launched_ms: float | None) -> Endpoint:
         at = len(self.machines)
-        state = self.rng.choice((api.ServerState.UP,) * 6 + (api.ServerState.DRAINING,))
-        server = api.Server(f"s{at}", "aab"[at % 3], at % 4, state, launched_ms)
+        state = self.rng.choice((EndpointStatus.UP,) * 6 + (EndpointStatus.DRAINING,))
+        server = Endpoint(f"s{at}", "aab"[at % 3], at % 4, state, launched_ms)
         self.machines[server.address] = Machine(server, 1.0, 0.0)
         return server
 
-    def listed(self) -> tuple[api.Server, ...]:
+    def listed(self) -> tuple[Endpoint, ...]:
         rows = [machine.server for machine in self.machines.values()]
-        return tuple(row for row in rows if row.state is not api.ServerState.REMOVED)
+        return tuple(row for row in rows if row.state is not EndpointStatus.REMOVED)
 
     def list_again(self) -> None:
-        form = self.rng.choice((api.ListForm.FAILED, api.ListForm.FULL, api.ListForm.CACHED))
-        self.give(api.Membership(form, () if form is api.ListForm.FAILED else self.listed()))
+        form = self.rng.choice((EndpointListKind.FAILED, EndpointListKind.FULL, EndpointListKind.CACHED))
+        self.give(EndpointListUpdate(form, () if form is EndpointListKind.FAILED else self.listed()))
 
     def discovery(self) -> None:
         rng = self.rng
         self.at(rng.uniform(100.0, 900.0), self.discovery)
         if rng.random() < 0.4:
-            self.give(api.Membership(api.ListForm.FAILED))
+            self.give(EndpointListUpdate(EndpointListKind.FAILED))
             return
         changed = [self.change(machine) for machine in rng.sample(list(self.machines.values()), k=2)]
         if len(self.machines) < 24:
             changed.append(self.launch(self.now))
         whole = rng.random() < 0.3
         rows = tuple(rng.sample(self.listed(), k=len(self.listed()))) if whole else tuple(changed)
-        self.give(api.Membership(api.ListForm.FULL if whole else api.ListForm.DELTA, rows))
+        self.give(EndpointListUpdate(EndpointListKind.FULL if whole else EndpointListKind.DELTA, rows))
 
-    def change(self, machine: Machine) -> api.Server:
-        state = self.rng.choice(
-            (api.ServerState.UP,) * 5 + (api.ServerState.DRAINING, api.ServerState.REMOVED)
-        )
+    def change(self, machine: Machine) -> Endpoint:
+        state = self.rng.choice((EndpointStatus.UP,) * 5 + (EndpointStatus.DRAINING, EndpointStatus.REMOVED))
         launched = self.now if self.rng.random() < 0.3 else machine.server.launched_ms
         machine.server = replace(machine.server, state=state, launched_ms=launched)
         return machine.server
@@ -289,42 +348,42 @@
         self.at(rng.uniform(50.0, 600.0), self.operator)
         if self.by_hand and rng.random() < 0.6:
             address, out_ms = self.by_hand.pop(0)
-            self.give(api.BroughtBack(address, out_ms, self.now - rng.uniform(0.0, 100.0)))
+            self.give(EndpointRestored(address, out_ms, self.now - rng.uniform(0.0, 100.0)))
         else:
             address = rng.choice([*self.machines, "unheard"])
             self.by_hand.append((address, self.now))
-            self.give(api.TakenOut(address))
+            self.give(EndpointEjected(address))
 
     def other_process(self) -> None:
         rng = self.rng
         self.at(rng.uniform(200.0, 1200.0), self.other_process)
         held = {address: float(rng.randrange(4)) for address in [*self.machines][:4]}
-        self.give(api.Beside(held if rng.random() < 0.3 else {}))
+        self.give(SiblingProcessLoad(held if rng.random() < 0.3 else {}))
         what = rng.randrange(6)
         if what < 2:
             self.was = self.balancer.learned()
         elif what == 2:
-            base = rng.choice((None, 0.0, self.was.base))
-            changes: dict[str, Any] = {"base": base, "cursor": rng.choice((-3, 4, 99))}
-            self.give(replace(self.was, class_ms={"read": 80.0, "gone": 1.0, "post": 0.0}, **changes))
+            base = rng.choice((None, 0.0, self.was.baseline_ratio))
+            changes: dict[str, Any] = {"baseline_ratio": base, "cursor": rng.choice((-3, 4, 99))}
+            self.give(replace(self.was, class_latency_ms={"read": 80.0, "gone": 1.0, "post": 0.0}, **changes))
         elif what == 3:
-            self.give(api.Restored(self.was, rng.choice((-1.0, 0.0, 2000.0, 16000.0))))
+            self.give(StateRestored(self.was, rng.choice((-1.0, 0.0, 2000.0, 16000.0))))
 
     def prober(self) -> None:
         self.at(self.rng.uniform(20.0, 400.0), self.prober)
         machine = self.rng.choice(list(self.machines.values()))
-        self.give(api.Probed(machine.server.address, api.Result.OK, 3.0, self.report(machine)))
+        self.give(HealthCheckCompleted(machine.server.address, AttemptResult.OK, 3.0, self.report(machine)))
 
     def stray(self) -> None:
         """Events of requests, attempts, servers and alarms that the balancer does not know."""
         self.at(self.rng.uniform(100.0, 700.0), self.stray)
         over = [name for name in self.tries if name in self.ended][-20:]
         for name in ("nobody", *over):
-            self.give(api.Outcome(name, 7, "unheard", api.Result.OK, 5.0, True, {"queue": 1.0}))
-            self.give(api.Arrived(name, self.now + 500.0))
-        self.give(api.Lapsed("nobody"))
-        self.give(api.Started("nobody", 0))
-        self.give(api.Alarm("unheard"))
+            self.give(AttemptOutcome(name, 7, "unheard", AttemptResult.OK, 5.0, True, {"queue": 1.0}))
+            self.give(RequestReceived(name, self.now + 500.0))
+        self.give(RequestCancelled("nobody"))
+        self.give(StreamStarted("nobody", 0))
+        self.give(TimerFired("unheard"))
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -13,11 +13,16 @@
 
 import pytest
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import Balancer
+from loadbalancer.balancing.actions import Action, Send, SetTimer
+from loadbalancer.balancing.events import AttemptOutcome, EndpointListUpdate, Event, Request, TimerFired
+from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind
+from loadbalancer.service_settings import Effect, ServiceClass, Settings
 
 CLASSES = tuple(
-    api.ServiceClass(name, aim_ms=1000.0, give_up_ms=3000.0, late_worth=0.5, effect=api.Effect.SAFE)
+    ServiceClass(
+        name, latency_objective_ms=1000.0, client_timeout_ms=3000.0, late_weight=0.5, effect=Effect.IDEMPOTENT
+    )
     for name in ("short", "long")
 )
 WARM_UP_MS = 12000.0  # before the cold servers start
@@ -77,25 +82,25 @@
         self.start_ms = 0.0 if plan.cold == plan.servers else WARM_UP_MS
         self.machines = {f"s{at}": Machine() for at in range(plan.servers)}
         self.colds = list(self.machines)[: plan.cold]
-        cfg = api.Settings(
-            classes=CLASSES, siblings=plan.nodes, max_attempts=3, cold_from=plan.cold_from,
-            cold_ms=plan.cold_ms, overload_factor=plan.factor, zone="a", cross_zone_price=0.05,
+        cfg = Settings(
+            classes=CLASSES, siblings=plan.nodes, max_attempts=3, slow_start_from=plan.cold_from,
+            slow_start_ms=plan.cold_ms, overload_factor=plan.factor, zone="a", cross_zone_price=0.05,
         )  # fmt: skip
         self.nodes = [Balancer(cfg, seed * 1000 + at, 0.0) for at in range(plan.nodes)]
         self.shares = [plan.uneven ** (at / max(1, plan.nodes - 1)) for at in range(plan.nodes)]
         self.work: dict[str, float] = {}
 
-    def at(self, when: float, node: Balancer, event: api.Event) -> None:
+    def at(self, when: float, node: Balancer, event: Event) -> None:
         heapq.heappush(self.due, (when, next(self.ids), (node, event)))
 
     def run(self) -> World:
         """From the warm-up to the end of the slow start."""
         plan, end = self.plan, self.start_ms + self.plan.cold_ms
-        lines = [api.Server(name, "a" if name in self.colds else "b") for name in self.machines]
+        lines = [Endpoint(name, "a" if name in self.colds else "b") for name in self.machines]
         started = tuple(replace(line, launched_ms=self.start_ms) for line in lines[: plan.cold])
         for node in self.nodes:
-            self.at(0.0, node, api.Membership(api.ListForm.CACHED, tuple(lines)))
-            self.at(self.start_ms, node, api.Membership(api.ListForm.DELTA, started))
+            self.at(0.0, node, EndpointListUpdate(EndpointListKind.CACHED, tuple(lines)))
+            self.at(self.start_ms, node, EndpointListUpdate(EndpointListKind.DELTA, started))
         for name in self.colds:
             heapq.heappush(self.due, (self.start_ms, -1, name))
         self.ask(0.0)
@@ -118,14 +123,14 @@
         work = (0.4 if kind.name == "short" else 1.6) if plan.unequal else 1.0
         self.work[name] = work * self.rng.lognormvariate(-0.125, 0.5) if plan.unequal else work
         (node,) = self.rng.choices(self.nodes, self.shares)
-        self.at(now, node, api.Request(name, kind.name, now + kind.give_up_ms))
+        self.at(now, node, Request(name, kind.name, now + kind.client_timeout_ms))
         gap = 1000.0 / (plan.load * plan.pace * plan.servers * plan.calls(now - self.start_ms))
         heapq.heappush(self.due, (now + self.rng.expovariate(1.0 / gap), next(self.ids), None))
 
-    def act(self, now: float, node: Balancer, act: api.Action) -> None:
-        if isinstance(act, api.Wake):
-            self.at(now + act.delay_ms, node, api.Alarm(act.name))
-        elif isinstance(act, api.Send):
+    def act(self, now: float, node: Balancer, act: Action) -> None:
+        if isinstance(act, SetTimer):
+            self.at(now + act.delay_ms, node, TimerFired(act.name))
+        elif isinstance(act, Send):
             plan, machine, there = self.plan, self.machines[act.server], now
             if plan.late_ms and act.server in self.colds and now >= self.start_ms:
                 there = (now // plan.late_ms + 1.0) * plan.late_ms
@@ -133,17 +138,17 @@
             if now >= self.start_ms:
                 machine.taken.append((there, work))
             begin = max(there, machine.free_ms)
-            result, told = api.Result.FULL, there
+            result, told = AttemptResult.REJECTED, there
             if begin - there <= ROOM * 1000.0 / plan.pace:
                 bad = self.rng.random() < plan.fails
-                result = api.Result.ERROR if bad else api.Result.OK
+                result = AttemptResult.ERROR if bad else AttemptResult.OK
                 told = begin + ANSWER_MS
                 machine.free_ms = begin + work * 1000.0 / plan.pace / plan.warmth(begin - machine.born_ms)
             if told - now > act.timeout_ms:
-                result, told = api.Result.TIMEOUT, now + act.timeout_ms
+                result, told = AttemptResult.TIMEOUT, now + act.timeout_ms
             attempt = len(node.jobs[act.id].tries) - 1
-            done = result is api.Result.OK
-            self.at(told, node, api.Outcome(act.id, attempt, act.server, result, told - now, done))
+            done = result is AttemptResult.OK
+            self.at(told, node, AttemptOutcome(act.id, attempt, act.server, result, told - now, done))
 
     def worst(self) -> float:
         """The most, over all windows at all cold servers, of what came over what may come."""
--- a/tests/node/admin/test_metrics.py
+++ b/tests/node/admin/test_metrics.py
@@ -6,8 +6,9 @@
 
 import orjson
 
-from loadbalancer import interface as api
 from loadbalancer.__main__ import reload
+from loadbalancer.balancing.actions import Reject
+from loadbalancer.balancing.events import Request
 from loadbalancer.node.admin.metrics import Figures
 from loadbalancer.node.node import Node
 from tests.node.admin.test_admin_server import DOOR, call, say, status
@@ -101,7 +102,7 @@
             server.release.set()
             await caller.answer()
             node.driver.balancer = Scripted(
-                lambda event: [api.Refuse("no")] if isinstance(event, api.Request) else []
+                lambda event: [Reject("no")] if isinstance(event, Request) else []
             )
             assert (await ask(node, request(name="no"))).status == 503
             assert (await figures(node))["replies.read.overload"] == 1
--- a/tests/node/discovery/test_discovery_lists.py
+++ b/tests/node/discovery/test_discovery_lists.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from loadbalancer.interface import ListForm
+from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.discovery.watcher import parse_listing
 from tests.support.clocks import run
 from tests.support.discoveries import MODES, TOLD_S, Source, now, row, watching
@@ -77,7 +77,7 @@
             await listener.learned(2)
             source.act, source.text = "spoilt", text
             began = source.change()
-            while listener.heard[-1][1] is not ListForm.FAILED:
+            while listener.heard[-1][1] is not EndpointListKind.FAILED:
                 assert len(listener.heard) == 1, "taken"
                 await listener.next()
             source.act = "answer"
@@ -115,7 +115,7 @@
 
 
 @MODES
-@pytest.mark.parametrize("form", [ListForm.DELTA, ListForm.FAILED])
+@pytest.mark.parametrize("form", [EndpointListKind.DELTA, EndpointListKind.FAILED])
 @pytest.mark.parametrize("error", FAULTS, ids=lambda error: type(error).__name__)
 def test_a_listener_that_raises_leaves_a_watch_running_and_is_told_again(pause_s, form, error):
     async def main():
@@ -123,7 +123,7 @@
         async with watching(source, pause_s) as (_, listener):
             await listener.learned(2)
             listener.raises = {form: error}
-            if form is ListForm.FAILED:
+            if form is EndpointListKind.FAILED:
                 source.fall_silent("reset")
             began = source.change()
             assert await listener.learned(3) - began < TOLD_S
@@ -152,7 +152,7 @@
                 patch.setattr(loop, "create_connection", refuse)
                 source.fall_silent("reset")
                 source.change()
-                while [form for _, form, _ in listener.heard].count(ListForm.FAILED) < 6:
+                while [form for _, form, _ in listener.heard].count(EndpointListKind.FAILED) < 6:
                     await listener.next()
             back = now()
             assert await listener.learned(3) - back < TOLD_S
--- a/tests/node/discovery/test_discovery_silence.py
+++ b/tests/node/discovery/test_discovery_silence.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.interface import ListForm
+from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.discovery.watcher import Patience
 from tests.support.clocks import run
 from tests.support.discoveries import MODES, MOVED_S, PUSH_S, TOLD_S, Luck, Source, now, watching
@@ -92,7 +92,7 @@
                 await listener.learned(41)
             source.fall_silent("reset")
             began = source.change(7)
-            while not any((form, rev) == (ListForm.FULL, 7) for _, form, rev in listener.heard):
+            while not any((form, rev) == (EndpointListKind.FULL, 7) for _, form, rev in listener.heard):
                 await listener.next()
                 assert now() - began < TOLD_S
 
@@ -150,7 +150,7 @@
             await listener.learned(41)
             moved = now()
             watcher.move(new.address)
-            while not any((form, rev) == (ListForm.FULL, lower) for _, form, rev in listener.heard):
+            while not any((form, rev) == (EndpointListKind.FULL, lower) for _, form, rev in listener.heard):
                 await listener.next()
             assert 2.0 < now() - moved < MOVED_S  # a replica that only lags has some time to catch up
         new.close()
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -9,8 +9,9 @@
 
 import pytest
 
-from loadbalancer import interface as api
 from loadbalancer.balancing.endpoint_selection import paced
+from loadbalancer.balancing.events import EndpointEjected, EndpointListUpdate, EndpointRestored
+from loadbalancer.endpoints import Endpoint, EndpointListKind
 from loadbalancer.node.node import Node
 from loadbalancer.node.state.ejections import FOLDER, KEEP_MS, PREFIX, Ban, Bans
 from tests.node.admin.test_admin_server import DOOR, status
@@ -122,10 +123,10 @@
             server = Peer()
             async with running(server, bounds={"connectTimeoutMs": 10_000.0}, **DOOR) as node:
                 known = node.servers.listed["s0"][0]
-                silent_server = api.Server("quiet", zone=known.zone)
+                silent_server = Endpoint("quiet", zone=known.zone)
                 node.servers.listed["quiet"] = silent_server, silent.getsockname()[:2]
                 assert await status(node, "PUT", ENTER, b"s0") == 200
-                node.servers.change(api.Membership(api.ListForm.DELTA, (silent_server,)))
+                node.servers.change(EndpointListUpdate(EndpointListKind.DELTA, (silent_server,)))
                 caller = await Caller.to(node)
                 caller.writer.write(request())
                 await until(lambda: node.pool.size)
@@ -217,20 +218,20 @@
 
 def test_the_module_sends_nothing_to_a_server_out_by_hand_even_when_it_is_listed_anew():
     bed = Bed(2)
-    bed.give(api.TakenOut("s0"))
+    bed.give(EndpointEjected("s0"))
     assert {bed.serve() for _ in range(20)} == {"s1"}
-    bed.give(api.Membership(api.ListForm.FULL, servers(2, launched_ms=bed.now - 60_000.0)))
+    bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(2, launched_ms=bed.now - 60_000.0)))
     assert {bed.serve() for _ in range(20)} == {"s1"}
     assert [peer.info.address for peer in bed.brain.ready] == ["s1"]
 
 
 def test_a_server_brought_back_gets_the_next_call_that_a_cold_one_may_have():
-    bed = Bed(3, cold_ms=0.0)
+    bed = Bed(3, slow_start_ms=0.0)
     bed.brain.peers["s0"].slow = 5.0  # ranked last
     bed.brain.peers["s0"].heard_ms = bed.now
-    bed.give(api.TakenOut("s0"))
+    bed.give(EndpointEjected("s0"))
     assert "s0" not in {bed.serve() for _ in range(20)}
-    bed.give(api.BroughtBack("s0", bed.now - 3000.0, bed.now))
+    bed.give(EndpointRestored("s0", bed.now - 3000.0, bed.now))
     assert bed.serve() == "s0"
     assert bed.serve() != "s0"  # from then on by its rank
 
@@ -246,10 +247,10 @@
 def test_a_server_brought_back_is_paced_as_cold_from_its_return_unless_the_list_tells(launched, cold):
     bed = Bed(1)
     at = None if launched is None else bed.now + launched
-    bed.give(api.Membership(api.ListForm.FULL, servers(1, launched_ms=at)))
-    bed.give(api.TakenOut("s0"))
+    bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(1, launched_ms=at)))
+    bed.give(EndpointEjected("s0"))
     out_ms = bed.now - (5_000.0 if cold else 20_000.0)
-    bed.give(api.BroughtBack("s0", out_ms, bed.now))
+    bed.give(EndpointRestored("s0", out_ms, bed.now))
     bed.now += 200.0  # 10.1 s after the launch that the last case lists: warm
     peer = bed.brain.peers["s0"]
     bed.brain.state.peak, bed.brain.state.sends = 1.0, 100.0  # as many as 100 servers' ordinary calls
@@ -261,15 +262,15 @@
     bed = Bed(2)
     peer = bed.brain.peers["s0"]
     peer.slow, peer.errs, peer.queue, peer.util = 5.0, 0.9, 7.0, 1.0
-    bed.give(api.TakenOut("s0"))
-    bed.give(api.BroughtBack("s0", bed.now - 3000.0, bed.now))
+    bed.give(EndpointEjected("s0"))
+    bed.give(EndpointRestored("s0", bed.now - 3000.0, bed.now))
     assert (peer.slow, peer.errs, peer.queue, peer.util) == (None, 0.0, 0.0, None)
 
 
 def test_a_second_stay_out_starts_anew():
     bed = Bed(2)
-    bed.give(api.TakenOut("s0"))
-    bed.give(api.BroughtBack("s0", bed.now, bed.now))
-    bed.give(api.TakenOut("s0"))
+    bed.give(EndpointEjected("s0"))
+    bed.give(EndpointRestored("s0", bed.now, bed.now))
+    bed.give(EndpointEjected("s0"))
     assert "s0" not in bed.brain.state.returns
     assert {act.server for _ in range(8) for act in sent(bed.ask()[1])} == {"s1"}
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -8,8 +8,9 @@
 import orjson
 import pytest
 
-from loadbalancer import interface as api
 from loadbalancer.balancing.cursor_table import SHAPE
+from loadbalancer.balancing.events import LearnedState, SiblingProcessLoad
+from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.node import Node
 from loadbalancer.node.state.handover import FOLDER, FRESH_MS, KEEP_MS, PREFIX, Handover
 from tests.node.test_upgrade import listening
@@ -17,19 +18,19 @@
 from tests.support.loopback import Caller, Held, request, running, until
 
 
-def learned(**changes: object) -> api.Learned:
+def learned(**changes: object) -> LearnedState:
     given = {
-        "base": 0.2,
-        "level": 0.25,
+        "baseline_ratio": 0.2,
+        "latency_ratio": 0.25,
         "cursor": 5,
-        "rate": 0.002,
-        "peak": 0.003,
-        "sends": 0.01,
-        "mean_aim": 1000.0,
-        "class_ms": {"read": 100.0},
-        "slow": {"s0": 2.0},
+        "completion_rate": 0.002,
+        "peak_completion_rate": 0.003,
+        "send_rate": 0.01,
+        "mean_latency_objective_ms": 1000.0,
+        "class_latency_ms": {"read": 100.0},
+        "endpoint_latency_ratios": {"s0": 2.0},
     }
-    return api.Learned(**given | changes)  # type: ignore[arg-type]
+    return LearnedState(**given | changes)  # type: ignore[arg-type]
 
 
 # ------------------------------------------------------------------------ files
@@ -119,7 +120,15 @@
     assert new.brain.state.base == pytest.approx(base, rel=0.1)  # not learned anew from one call
 
 
-@pytest.mark.parametrize("change", [{"base": None}, {"base": 0.0}, {"peak": 0.0}, {"mean_aim": 0.0}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"baseline_ratio": None},
+        {"baseline_ratio": 0.0},
+        {"peak_completion_rate": 0.0},
+        {"mean_latency_objective_ms": 0.0},
+    ],
+)
 def test_an_old_process_that_has_only_begun_to_learn_teaches_nothing(change):
     bed = Bed(4)
     before = bed.brain.threshold(1.0, 4)
@@ -129,7 +138,7 @@
 
 def test_a_cursor_from_elsewhere_stays_within_the_table():
     bed = Bed(4)
-    bed.give(learned(cursor=999, class_ms={"gone": 5.0}))
+    bed.give(learned(cursor=999, class_latency_ms={"gone": 5.0}))
     assert bed.brain.cursor == len(SHAPE) - 1
     assert bed.brain.state.class_ms == {}
 
@@ -137,12 +146,12 @@
 def test_calls_of_the_process_beside_count_in_the_queue_the_share_and_the_rank():
     bed = Bed(4)
     room = int(bed.brain.threshold(1.0, 4))
-    bed.give(api.Beside({"s0": room / 2, "s1": room / 2, "gone": 9.0}))
+    bed.give(SiblingProcessLoad({"s0": room / 2, "s1": room / 2, "gone": 9.0}))
     refused = [not sent(bed.ask()[1]) for _ in range(10)]
     assert all(refused[2:])
-    bed.give(api.Beside({"s0": 3.0}))
+    bed.give(SiblingProcessLoad({"s0": 3.0}))
     assert sent(bed.ask()[1])[0].server != "s0"
-    bed.give(api.Beside({}))
+    bed.give(SiblingProcessLoad({}))
     assert all(peer.beside == 0.0 for peer in bed.brain.peers.values())
 
 
@@ -162,7 +171,7 @@
             # As both run in one process here.
             new.sharing.handover = Handover(tmp_path / FOLDER, os.getpid() + 1)
             old.sharing.share()
-            new.servers.on_list(api.ListForm.CACHED, new.config.known)
+            new.servers.on_list(EndpointListKind.CACHED, new.config.known)
             new.sharing.share(starts=True)
             assert new.driver.balancer.peers["s0"].beside == 1.0
             assert old.driver.balancer.peers["s0"].beside == 0.0
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -18,9 +18,10 @@
 import msgpack
 import pytest
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import Balancer
+from loadbalancer.balancing.events import EndpointListUpdate, LearnedState, StateRestored
 from loadbalancer.balancing.learned_state import TRUST_MS
+from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.discovery.watcher import Listing
 from loadbalancer.node.state import snapshot
 from tests.support.builders import servers, settings
@@ -31,7 +32,7 @@
 from tests.support.registry_processes import ROOT, until
 from tests.support.stand_in_servers import Served, ServerPool
 
-LEARNED = api.Learned(0.2, 0.3, 7, 0.01, 0.02, 0.02, 100.0, {"read": 20.0}, {"s0": 3.0})
+LEARNED = LearnedState(0.2, 0.3, 7, 0.01, 0.02, 0.02, 100.0, {"read": 20.0}, {"s0": 3.0})
 
 
 @pytest.fixture
@@ -230,11 +231,11 @@
 def test_the_module_trusts_restored_load_figures_only_while_they_are_young() -> None:
     fresh, old = (Balancer(settings(), 1, 0.0) for _ in range(2))
     for balancer, age in ((fresh, 1000.0), (old, TRUST_MS + 1.0)):
-        balancer.handle(0.0, api.Membership(api.ListForm.FULL, servers(2)))
-        balancer.handle(0.0, api.Restored(LEARNED, age))
+        balancer.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, servers(2)))
+        balancer.handle(0.0, StateRestored(LEARNED, age))
     assert fresh.cursor == LEARNED.cursor
-    assert fresh.state.peak > 0.9 * LEARNED.peak
+    assert fresh.state.peak > 0.9 * LEARNED.peak_completion_rate
     assert old.cursor == 0
-    assert old.state.peak < 0.4 * LEARNED.peak
+    assert old.state.peak < 0.4 * LEARNED.peak_completion_rate
     for balancer, age in ((fresh, 1000.0), (old, TRUST_MS + 1.0)):
         assert balancer.peers["s0"].heard_ms == -age  # the verdict fades from when it was last heard
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.actions import Send
+from loadbalancer.balancing.events import AttemptOutcome, Request, RequestCancelled, RequestReceived
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http import client_connection as http_module
 from loadbalancer.node.http.body import HIGH_WATER, Body
 from loadbalancer.node.listener import request_parser as request_parser_module
@@ -209,14 +211,14 @@
 
         async with behind(serve) as node:
             node.driver.balancer = scripted = Scripted(
-                lambda event: [api.Send(event.id, "s0")] if isinstance(event, api.Request) else []
+                lambda event: [Send(event.id, "s0")] if isinstance(event, Request) else []
             )
             caller = await Caller.to(node)
             caller.writer.write(request(Req_Deadline_Ms="20000"))
             await caller.reader.readuntil(b"\r\n\r\n")
             assert await caller.reader.readexactly(1000) == LONG[:1000]
-            (outcome,) = scripted.of(api.Outcome)
-            assert (outcome.result, outcome.done) == (api.Result.OK, True)
+            (outcome,) = scripted.of(AttemptOutcome)
+            assert (outcome.result, outcome.request_ended) == (AttemptResult.OK, True)
             assert node.figures.text(node.jobs.open + node.jobs.passing_on, 0, 0).count(b"concurrent=1") == 1
             more.set()
             assert await caller.reader.readexactly(len(LONG) - 1000) == LONG[1000:]
@@ -348,8 +350,9 @@
             sends = iter(["s0", "s0"])
             node.driver.balancer = Scripted(
                 lambda event: (
-                    [api.Send(event.id, next(sends))]
-                    if isinstance(event, api.Request) or (isinstance(event, api.Outcome) and not event.done)
+                    [Send(event.id, next(sends))]
+                    if isinstance(event, Request)
+                    or (isinstance(event, AttemptOutcome) and not event.request_ended)
                     else []
                 )
             )
@@ -450,22 +453,22 @@
         server = Taking()
         async with behind(server.serve) as node:
             node.driver.balancer = scripted = Scripted(
-                lambda event: [api.Send(event.id, "s0")] if isinstance(event, api.Request) else []
+                lambda event: [Send(event.id, "s0")] if isinstance(event, Request) else []
             )
             caller = await Caller.to(node)
             data = request("post", "q1", LONG, Req_Deadline_Ms="5000")
             caller.writer.write(data[:MIB])
-            await until(lambda: scripted.of(api.Request) and server.heads)
-            (early,) = scripted.of(api.Request)
-            assert early.coming
+            await until(lambda: scripted.of(Request) and server.heads)
+            (early,) = scripted.of(Request)
+            assert early.receiving
             (job,) = node.jobs.held.values()
             assert job.backstop is None
             assert node.figures.dispatches == 0
             caller.writer.write(data[MIB:])
             assert (await caller.answer()).status == 200
-            (arrived,) = scripted.of(api.Arrived)
-            assert arrived.give_up_at_ms > early.give_up_at_ms
-            (outcome,) = scripted.of(api.Outcome)
+            (arrived,) = scripted.of(RequestReceived)
+            assert arrived.deadline_ms > early.deadline_ms
+            (outcome,) = scripted.of(AttemptOutcome)
             assert outcome.latency_ms <= (node.loop.time() - job.whole_at) * 1000.0
             assert node.figures.dispatches == 1
             caller.writer.close()
@@ -571,10 +574,10 @@
             node.pool.add("gone", ("127.0.0.1", gone.port))
 
             def act(event):
-                if isinstance(event, api.Request):
-                    return [api.Send(event.id, "gone")]
-                never = isinstance(event, api.Outcome) and event.result is api.Result.CONNECT_FAILED
-                return [api.Send(event.id, "s0")] if never else []
+                if isinstance(event, Request):
+                    return [Send(event.id, "gone")]
+                never = isinstance(event, AttemptOutcome) and event.result is AttemptResult.CONNECT_FAILED
+                return [Send(event.id, "s0")] if never else []
 
             node.driver.balancer = Scripted(act)
             caller = await Caller.to(node)
@@ -654,24 +657,24 @@
 
 def test_in_the_module_a_request_still_coming_in_is_no_load_and_its_latency_starts_at_its_end():
     bed = Bed(2)
-    acts = bed.give(api.Request("r", "post", bed.now + 2000.0, coming=True))
+    acts = bed.give(Request("r", "post", bed.now + 2000.0, receiving=True))
     (send,) = sent(acts)
     peer = bed.brain.peers[send.server]
     assert (peer.load, peer.out) == (0.0, {})
     bed.now += 60_000.0
-    bed.give(api.Arrived("r", bed.now + 2000.0))
+    bed.give(RequestReceived("r", bed.now + 2000.0))
     assert peer.load == 1.0
     assert list(peer.out.values()) == [bed.now]
     bed.now += 100.0
-    bed.end("r", send.server, api.Result.OK, 100.0)
+    bed.end("r", send.server, AttemptResult.OK, 100.0)
     assert (peer.load, peer.out, bed.brain.jobs) == (0.0, {}, {})
 
 
 def test_in_the_module_a_request_that_never_arrives_leaves_no_load_behind():
     bed = Bed(2)
-    (send,) = sent(bed.give(api.Request("r", "post", bed.now + 2000.0, coming=True)))
-    bed.give(api.Lapsed("r"))
-    bed.end("r", send.server, api.Result.CONNECT_FAILED, done=True)
-    bed.give(api.Arrived("r", bed.now + 2000.0))
+    (send,) = sent(bed.give(Request("r", "post", bed.now + 2000.0, receiving=True)))
+    bed.give(RequestCancelled("r"))
+    bed.end("r", send.server, AttemptResult.CONNECT_FAILED, done=True)
+    bed.give(RequestReceived("r", bed.now + 2000.0))
     assert bed.brain.peers[send.server].load == 0.0
     assert not bed.brain.jobs
--- a/tests/node/test_components.py
+++ b/tests/node/test_components.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from loadbalancer import interface as api
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node import node as node_module
 from loadbalancer.node.node import Node
 from tests.support.loopback import Discovery, Peer, ask, config, request, targets
@@ -42,14 +42,14 @@
         node = Node(config(discovery.endpoint, known=known, state=str(tmp_path / "state")))
         part = Recorded(node)
         node.parts.append(part)
-        heard: list[tuple[str, api.Result, dict[str, float]]] = []
+        heard: list[tuple[str, AttemptResult, dict[str, float]]] = []
         node.attempts.on_outcome.append(
             lambda outcome: heard.append((outcome.server, outcome.result, node.driver.balancer.held()))
         )
         await node.start()
         assert (await ask(node, request())).status == 200
         # The module had heard of it first: nothing was in flight any more.
-        assert heard == [("s0", api.Result.OK, {})]
+        assert heard == [("s0", AttemptResult.OK, {})]
         *_, kept, last = node.metrics().splitlines()
         assert (kept.partition(b"=")[0], last) == (b"proxy.state_write_ms", b"proxy.recorded=1")
         await node.stop()
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -13,7 +13,15 @@
 
 import pytest
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.actions import Fail, Reject, Send, SetTimer
+from loadbalancer.balancing.events import (
+    AttemptOutcome,
+    EndpointListUpdate,
+    Request,
+    RequestCancelled,
+    TimerFired,
+)
+from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
 from loadbalancer.node import balancer_driver as driver_module
 from loadbalancer.node.address import parse_address
 from loadbalancer.node.clock import Clock
@@ -41,9 +49,9 @@
     tries = {}
 
     def act(event):
-        if isinstance(event, api.Request) or (isinstance(event, api.Outcome) and not event.done):
+        if isinstance(event, Request) or (isinstance(event, AttemptOutcome) and not event.request_ended):
             at = tries[event.id] = tries.get(event.id, -1) + 1
-            return [api.Send(event.id, names[at])] if at < len(names) else [api.Fail(event.id)]
+            return [Send(event.id, names[at])] if at < len(names) else [Fail(event.id)]
         return []
 
     return act
@@ -74,22 +82,22 @@
 def test_the_module_hears_what_the_request_says():
     async def main():
         async with running(Peer()) as node:
-            node.driver.balancer = scripted = Scripted(lambda event: [api.Refuse(event.id, 250.0)])
+            node.driver.balancer = scripted = Scripted(lambda event: [Reject(event.id, 250.0)])
             before = node.clock.ms()
             answer = await ask(
                 node,
                 request(Req_Owner="acme", Req_Retry="1", Req_Cost="1500", Req_Deadline_Ms="5000"),
             )
             assert (answer.status, answer.headers["retry-after"]) == (503, "0.250")
-            heard = scripted.of(api.Request)[0]
+            heard = scripted.of(Request)[0]
             assert (heard.service, heard.tenant, heard.is_retry, heard.cost_hint_ms) == (
                 "read",
                 "acme",
                 True,
                 1.5,
             )
-            assert heard.give_up_at_ms < node.clock.ms() + 5000  # the way there and back comes off
-            assert heard.give_up_at_ms > before + 4900
+            assert heard.deadline_ms < node.clock.ms() + 5000  # the way there and back comes off
+            assert heard.deadline_ms > before + 4900
 
     asyncio.run(main())
 
@@ -108,7 +116,10 @@
             assert (await ask(node, request(kind, "q1"))).status == 200
             assert (await ask(node, request(kind, "q2"))).status == 502  # on the connection kept from before
             assert (server.connections, len(server.seen)) == (1, 2)
-            assert [event.result for event in scripted.of(api.Outcome)] == [api.Result.OK, api.Result.RESET]
+            assert [event.result for event in scripted.of(AttemptOutcome)] == [
+                AttemptResult.OK,
+                AttemptResult.RESET,
+            ]
 
     asyncio.run(main())
 
@@ -137,21 +148,21 @@
         async with running(server) as node:
 
             def act(event):
-                moot = isinstance(event, api.Outcome) and event.result is api.Result.MOOT
-                if isinstance(event, api.Request | api.Outcome):
-                    return [api.Fail(event.id)] if moot else [api.Send(event.id, "s0")]
+                moot = isinstance(event, AttemptOutcome) and event.result is AttemptResult.ABANDONED
+                if isinstance(event, Request | AttemptOutcome):
+                    return [Fail(event.id)] if moot else [Send(event.id, "s0")]
                 return []
 
             node.driver.balancer = scripted = Scripted(act)
             assert (await ask(node, request())).status == 502
             assert len(server.seen) == 3
-            outcomes = scripted.of(api.Outcome)
+            outcomes = scripted.of(AttemptOutcome)
             assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
-            assert outcomes[-1].result is api.Result.MOOT
+            assert outcomes[-1].result is AttemptResult.ABANDONED
             node.driver.balancer = scripted = Scripted()
-            node.driver._act(api.Send("q1", "s0"))
-            assert [(event.result, event.done) for event in scripted.of(api.Outcome)] == [
-                (api.Result.MOOT, True)
+            node.driver._act(Send("q1", "s0"))
+            assert [(event.result, event.request_ended) for event in scripted.of(AttemptOutcome)] == [
+                (AttemptResult.ABANDONED, True)
             ]
             assert len(server.seen) == 3
 
@@ -180,21 +191,21 @@
         async with running(server, Peer()) as node:
 
             def act(event):
-                if isinstance(event, api.Request):
-                    return [api.Send(event.id, "s0"), api.Send(event.id, "s1")]
+                if isinstance(event, Request):
+                    return [Send(event.id, "s0"), Send(event.id, "s1")]
                 return []
 
             node.driver.balancer = scripted = Scripted(act)
             assert (await ask(node, request())).body == b"done"
             server.release.set()
             await until(lambda: not node.jobs.held)
-            outcomes = scripted.of(api.Outcome)
-            assert [(event.attempt, event.done) for event in outcomes] == [(1, True), (0, True)]
+            outcomes = scripted.of(AttemptOutcome)
+            assert [(event.attempt, event.request_ended) for event in outcomes] == [(1, True), (0, True)]
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("kind", [api.Request, api.Outcome])
+@pytest.mark.parametrize("kind", [Request, AttemptOutcome])
 def test_a_fault_of_the_module_leaves_no_request_unanswered(kind):
     async def main():
         async with running(Peer(lambda message: asyncio.sleep(0, reply(500)))) as node:
@@ -202,11 +213,11 @@
             def act(event):
                 if isinstance(event, kind):
                     raise RuntimeError("broken")
-                return [api.Send(event.id, "s0")] if isinstance(event, api.Request) else []
+                return [Send(event.id, "s0")] if isinstance(event, Request) else []
 
             node.driver.balancer = scripted = Scripted(act)
             assert (await ask(node, request())).status == 500
-            assert scripted.of(api.Lapsed)
+            assert scripted.of(RequestCancelled)
             assert not node.jobs.held
             assert node.server.ready
 
@@ -218,14 +229,16 @@
         monkeypatch.setattr(driver_module, "FAULT_PAUSE_S", 0.01)
 
         def act(event):
-            if isinstance(event, api.Alarm) and len(scripted.of(api.Alarm)) == 1:
+            if isinstance(event, TimerFired) and len(scripted.of(TimerFired)) == 1:
                 raise RuntimeError("broken")
             return []
 
         async with running(Peer()) as node:
             node.driver.balancer = scripted = Scripted(act)
-            node.driver._act(api.Wake(1.0, "tick"))
-            await until(lambda: len([event for event in scripted.of(api.Alarm) if event.name == "tick"]) == 2)
+            node.driver._act(SetTimer(1.0, "tick"))
+            await until(
+                lambda: len([event for event in scripted.of(TimerFired) if event.name == "tick"]) == 2
+            )
 
     asyncio.run(main())
 
@@ -235,7 +248,7 @@
         async with running(Peer()) as node:
             node.driver.balancer = scripted = Scripted()
             assert (await ask(node, request(Req_Deadline_Ms="200"))).status == 504
-            assert [event.id for event in scripted.of(api.Lapsed)] == ["q1"]
+            assert [event.id for event in scripted.of(RequestCancelled)] == ["q1"]
 
     asyncio.run(main())
 
@@ -245,15 +258,15 @@
         async with running(Held()) as node:
 
             def act(event):
-                if isinstance(event, api.Request):
-                    return [api.Send(event.id, "s0", 60_000.0)]
-                return [api.Fail(event.id)] if isinstance(event, api.Outcome) else []
+                if isinstance(event, Request):
+                    return [Send(event.id, "s0", 60_000.0)]
+                return [Fail(event.id)] if isinstance(event, AttemptOutcome) else []
 
             node.driver.balancer = scripted = Scripted(act)
             assert (await ask(node, request(Req_Deadline_Ms="300"))).status == 504
             # The module's answer to its time-out came first, not the node's own.
-            assert [event.result for event in scripted.of(api.Outcome)] == [api.Result.TIMEOUT]
-            assert not scripted.of(api.Lapsed)
+            assert [event.result for event in scripted.of(AttemptOutcome)] == [AttemptResult.TIMEOUT]
+            assert not scripted.of(RequestCancelled)
 
     asyncio.run(main())
 
@@ -283,7 +296,7 @@
         async with running(Peer()) as node:
             node.driver.balancer = scripted = Scripted()
             assert (await ask(node, data)).status == status
-            assert not scripted.of(api.Request)
+            assert not scripted.of(Request)
             assert not node.jobs.held
 
     asyncio.run(main())
@@ -505,10 +518,10 @@
             await until(lambda: node.jobs.open == len(callers))
             late = await ask(node, request(name="late"))
             assert (late.status, late.headers["connection"]) == (503, "close")
-            assert len(scripted.of(api.Request)) == len(callers)
+            assert len(scripted.of(Request)) == len(callers)
             await until(lambda: len(node.server.connections) == len(callers))
             for at, caller in enumerate(callers):
-                node.driver._act(api.Refuse(f"q{at}"))
+                node.driver._act(Reject(f"q{at}"))
                 assert (await caller.answer()).status == 503
                 caller.writer.close()
 
@@ -527,9 +540,9 @@
         async with running(Peer(), discovery=discovery) as node:
             node.driver.balancer = scripted = Scripted()
             # The module's first act, on the known list, was to ask for a watch.
-            await until(lambda: len(scripted.of(api.Membership)) == 3)
-            forms = [event.form for event in scripted.of(api.Membership)]
-            assert forms == [api.ListForm.FULL, api.ListForm.DELTA, api.ListForm.FAILED]
+            await until(lambda: len(scripted.of(EndpointListUpdate)) == 3)
+            forms = [event.kind for event in scripted.of(EndpointListUpdate)]
+            assert forms == [EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED]
             assert set(node.pool._servers) == {"s2"}
             queries = [message.first[1] for message in discovery.seen]
             assert [query.split("?")[1].split("&")[0] for query in queries] == [
@@ -548,8 +561,8 @@
         async with running(Peer()) as node:
             node.driver.balancer = scripted = Scripted()
             await node.start()
-            assert [event.form for event in scripted.of(api.Membership)] == [api.ListForm.CACHED]
-            assert scripted.events[0].servers[0].launched_ms is None  # 0 means long ago
+            assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.CACHED]
+            assert scripted.events[0].endpoints[0].launched_ms is None  # 0 means long ago
 
     asyncio.run(main())
 
@@ -571,8 +584,8 @@
         discovery = Discovery(news)
         async with running(Peer(), discovery=discovery) as node:
             node.driver.balancer = scripted = Scripted()  # asks for no watch
-            await until(lambda: scripted.of(api.Membership))
-            assert [event.form for event in scripted.of(api.Membership)] == [api.ListForm.FAILED]
+            await until(lambda: scripted.of(EndpointListUpdate))
+            assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.FAILED]
             assert (set(node.pool._servers), node.server.ready) == ({"s0"}, True)
             assert "the old list holds" in caplog.text
             await until(lambda: len(discovery.seen) == 2)  # whatever the module does
@@ -586,8 +599,8 @@
         huge = listing(2, True, **{f"s{n}": (f"127.0.0.1:{1000 + n}", "Ready") for n in range(20)})
         async with running(Peer(), discovery=Discovery(huge)) as node:
             node.driver.balancer = scripted = Scripted()
-            await until(lambda: scripted.of(api.Membership))
-            assert [event.form for event in scripted.of(api.Membership)] == [api.ListForm.FAILED]
+            await until(lambda: scripted.of(EndpointListUpdate))
+            assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.FAILED]
             assert set(node.pool._servers) == {"s0"}
             assert "the old list holds" in caplog.text
 
@@ -739,9 +752,11 @@
             node.pool.open = never  # a connection that does not come up
             caller.writer.write(request())
             await until(lambda: node.pool.size)
-            row = Listing(9, False, (api.Server("s0", state=api.ServerState.DRAINING),), {"s0": ("", 1)})
-            node.servers.on_list(api.ListForm.DELTA, row)
-            assert [event.result for event in scripted.of(api.Outcome)] == [api.Result.CONNECT_FAILED] * 2
+            row = Listing(9, False, (Endpoint("s0", state=EndpointStatus.DRAINING),), {"s0": ("", 1)})
+            node.servers.on_list(EndpointListKind.DELTA, row)
+            assert [event.result for event in scripted.of(AttemptOutcome)] == [
+                AttemptResult.CONNECT_FAILED
+            ] * 2
             assert (await caller.answer()).status == 502
             assert server.seen == []
             caller.writer.close()
@@ -787,14 +802,14 @@
         async with running(server) as node:
 
             def act(event):
-                if isinstance(event, api.Request):
-                    return [api.Send(event.id, "s0"), api.Send(event.id, "s0")]
-                return [api.Refuse(event.id)] if isinstance(event, api.Outcome) else []
+                if isinstance(event, Request):
+                    return [Send(event.id, "s0"), Send(event.id, "s0")]
+                return [Reject(event.id)] if isinstance(event, AttemptOutcome) else []
 
             node.driver.balancer = scripted = Scripted(act)
             assert (await ask(node, request(Req_Deadline_Ms="0"))).status == 503
-            outcomes = [(event.result, event.attempt) for event in scripted.of(api.Outcome)]
-            assert outcomes == [(api.Result.MOOT, 0), (api.Result.MOOT, 1)]
+            outcomes = [(event.result, event.attempt) for event in scripted.of(AttemptOutcome)]
+            assert outcomes == [(AttemptResult.ABANDONED, 0), (AttemptResult.ABANDONED, 1)]
             assert server.connections == 0
 
     asyncio.run(main())
@@ -809,8 +824,8 @@
             assert (await ask(node, request(name="q1"))).status == 200
             endpoints = {"s0": ("127.0.0.1", server.port)}
             for launched in (5.0, 5.0):
-                row = Listing(9, False, (api.Server("s0", launched_ms=launched),), endpoints)
-                node.servers.on_list(api.ListForm.DELTA, row)
+                row = Listing(9, False, (Endpoint("s0", launched_ms=launched),), endpoints)
+                node.servers.on_list(EndpointListKind.DELTA, row)
                 assert (await ask(node, request(name="q2"))).status == 200
             assert server.connections == 2
 
--- a/tests/node/upstream/test_pooled.py
+++ b/tests/node/upstream/test_pooled.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER, Body
 from loadbalancer.node.http.client_connection import ClientConnection
 from tests.support.loopback import reply, until
@@ -36,7 +36,7 @@
             here.send()
             assert await heard(peer) == DATA
             peer.sendall(reply())
-            assert await here.end(2) == [Result.OK, Result.OK]
+            assert await here.end(2) == [AttemptResult.OK, AttemptResult.OK]
 
     asyncio.run(main())
 
@@ -57,7 +57,7 @@
             second = await here.accept()
             assert await heard(second) == DATA
             second.sendall(reply())
-            assert await here.end() == [Result.OK]
+            assert await here.end() == [AttemptResult.OK]
             assert here.answers[0].body == b"done"
             if how in ("half", "second"):  # of the request nothing was sent here
                 assert await heard(peer) == b""
@@ -67,7 +67,8 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "expected"), [("end", Result.RESET), ("reset", Result.CONNECT_FAILED), ("half", Result.RESET)]
+    ("how", "expected"),
+    [("end", AttemptResult.RESET), ("reset", AttemptResult.CONNECT_FAILED), ("half", AttemptResult.RESET)],
 )
 def test_what_comes_between_the_last_look_and_the_write_never_passes_for_an_answer(how, expected):
     """A reset fails the write itself: nothing has left. After an end the bytes leave, so it may have run."""
@@ -98,7 +99,7 @@
             act(peer, how, connection)
             if how == "half":
                 close(peer, reset=True)
-            assert await here.end() == [Result.RESET]
+            assert await here.end() == [AttemptResult.RESET]
             await until(lambda: not here.pool.size)
 
     asyncio.run(main())
@@ -120,7 +121,7 @@
 
             monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
             here.send()
-            assert await here.end() == [Result.CONNECT_FAILED]
+            assert await here.end() == [AttemptResult.CONNECT_FAILED]
             await until(lambda: not here.pool.size)
             if how in ("half", "second"):
                 assert await heard(here.peers[0]) == b""
@@ -142,7 +143,9 @@
             monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
             here.send()
             peer = await here.accept()
-            assert await here.end() == [Result.CONNECT_FAILED if how == "remove" else Result.CANCELLED]
+            assert await here.end() == [
+                AttemptResult.CONNECT_FAILED if how == "remove" else AttemptResult.CANCELLED
+            ]
             await until(lambda: not here.pool.size)
             assert await heard(peer) == b""
 
@@ -164,7 +167,7 @@
             while data := await heard(peer, 1_000_000):
                 size += len(data)
             assert size < BIG
-            assert await here.end() == [Result.CONNECT_FAILED]
+            assert await here.end() == [AttemptResult.CONNECT_FAILED]
             await until(lambda: not here.pool.size)
 
     asyncio.run(main())
@@ -203,7 +206,7 @@
             if ends == "before":
                 with contextlib.suppress(OSError):
                     peer.sendall(answer[-1:])
-            assert await here.end() == [Result.CONNECT_FAILED]
+            assert await here.end() == [AttemptResult.CONNECT_FAILED]
             await until(lambda: not here.pool.size)
 
     asyncio.run(main())
@@ -216,7 +219,7 @@
             peer = await here.accept()
             assert await heard(peer) == DATA
             peer.sendall(reply(503, Srv_Declined="1"))
-            assert await here.end() == [Result.FULL]
+            assert await here.end() == [AttemptResult.REJECTED]
             body.put(b"x")
             body.end()
             assert await heard(peer) == b""
@@ -239,7 +242,7 @@
             assert await heard(peer)
             assert "pause" not in source.said
             close(peer, reset=True)
-            assert await here.end() == [Result.CONNECT_FAILED]
+            assert await here.end() == [AttemptResult.CONNECT_FAILED]
 
     asyncio.run(main())
 
@@ -255,7 +258,7 @@
             act(peer, "reset", connection)
             body.put(b"x")  # fails, and what was there to read goes with it
             body.end()
-            assert await here.end() == [Result.CONNECT_FAILED]
+            assert await here.end() == [AttemptResult.CONNECT_FAILED]
             await until(lambda: not here.pool.size)
 
     asyncio.run(main())
