--- a/tests/node/upstream/test_pooled_answers.py
+++ b/tests/node/upstream/test_pooled_answers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER
 from tests.support.loopback import reply, until
 from tests.support.pooled import DATA, HALF, Full, act, bed, heard
@@ -26,31 +26,35 @@
     ("answer", "at_end", "at_reset"),
     [
         # whole: what comes after it changes nothing
-        (LENGTH + b"done", Result.OK, Result.OK),
-        (CHUNKED + b"4\r\ndone\r\n0\r\n\r\n", Result.OK, Result.OK),
-        (LENGTH + b"done" + HALF, Result.OK, Result.OK),
-        (LENGTH + b"done" + reply(500), Result.OK, Result.OK),
-        (reply(503, b"x" * 5, Srv_Declined="1"), Result.FULL, Result.FULL),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + HINT * 3 + LENGTH + b"done", Result.OK, Result.OK),
-        (b"HTTP/1.1 204 None\r\nContent-Length: 4\r\n\r\n", Result.ERROR, Result.ERROR),
-        (b"HTTP/1.1 304 Same\r\nContent-Length: 4\r\n\r\n", Result.ERROR, Result.ERROR),
+        (LENGTH + b"done", AttemptResult.OK, AttemptResult.OK),
+        (CHUNKED + b"4\r\ndone\r\n0\r\n\r\n", AttemptResult.OK, AttemptResult.OK),
+        (LENGTH + b"done" + HALF, AttemptResult.OK, AttemptResult.OK),
+        (LENGTH + b"done" + reply(500), AttemptResult.OK, AttemptResult.OK),
+        (reply(503, b"x" * 5, Srv_Declined="1"), AttemptResult.REJECTED, AttemptResult.REJECTED),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + HINT * 3 + LENGTH + b"done", AttemptResult.OK, AttemptResult.OK),
+        (b"HTTP/1.1 204 None\r\nContent-Length: 4\r\n\r\n", AttemptResult.ERROR, AttemptResult.ERROR),
+        (b"HTTP/1.1 304 Same\r\nContent-Length: 4\r\n\r\n", AttemptResult.ERROR, AttemptResult.ERROR),
         # whole with the connection's end, if that was announced; a reset is no end
-        (CLOSE + b"done", Result.OK, Result.RESET),
-        (CLOSE, Result.OK, Result.RESET),
-        (BARE + b"done", Result.RESET, Result.RESET),
-        (OLD + b"done", Result.OK, Result.RESET),
-        (OLD_KEPT + b"done", Result.RESET, Result.RESET),
+        (CLOSE + b"done", AttemptResult.OK, AttemptResult.RESET),
+        (CLOSE, AttemptResult.OK, AttemptResult.RESET),
+        (BARE + b"done", AttemptResult.RESET, AttemptResult.RESET),
+        (OLD + b"done", AttemptResult.OK, AttemptResult.RESET),
+        (OLD_KEPT + b"done", AttemptResult.RESET, AttemptResult.RESET),
         # never whole
-        (b"", Result.RESET, Result.RESET),
-        (HALF, Result.RESET, Result.RESET),
-        (LENGTH[:-2], Result.RESET, Result.RESET),
-        (LENGTH + b"don", Result.RESET, Result.RESET),
-        (CHUNKED + b"4\r\ndo", Result.RESET, Result.RESET),
-        (CHUNKED + b"4\r\ndone\r\n", Result.RESET, Result.RESET),
-        (CHUNKED + b"4\r\ndone\r\n0\r\n", Result.RESET, Result.RESET),
-        (HINT, Result.RESET, Result.RESET),
-        (b"HTTP/1.1 103 Hint\r\nConnection: close\r\n\r\n", Result.RESET, Result.RESET),
-        (b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", Result.RESET, Result.RESET),
+        (b"", AttemptResult.RESET, AttemptResult.RESET),
+        (HALF, AttemptResult.RESET, AttemptResult.RESET),
+        (LENGTH[:-2], AttemptResult.RESET, AttemptResult.RESET),
+        (LENGTH + b"don", AttemptResult.RESET, AttemptResult.RESET),
+        (CHUNKED + b"4\r\ndo", AttemptResult.RESET, AttemptResult.RESET),
+        (CHUNKED + b"4\r\ndone\r\n", AttemptResult.RESET, AttemptResult.RESET),
+        (CHUNKED + b"4\r\ndone\r\n0\r\n", AttemptResult.RESET, AttemptResult.RESET),
+        (HINT, AttemptResult.RESET, AttemptResult.RESET),
+        (b"HTTP/1.1 103 Hint\r\nConnection: close\r\n\r\n", AttemptResult.RESET, AttemptResult.RESET),
+        (
+            b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
+            AttemptResult.RESET,
+            AttemptResult.RESET,
+        ),
     ],
 )
 @pytest.mark.parametrize("reset", [False, True])
@@ -90,7 +94,7 @@
             await until(lambda: sink.size == HIGH_WATER + 2)  # what had come before the reset
             sink.body.release()
             await until(lambda: sink.said == ["broken"])
-            assert here.ends == [Result.OK]
+            assert here.ends == [AttemptResult.OK]
             await until(lambda: not here.pool.size)
 
     asyncio.run(main())
@@ -108,7 +112,7 @@
             peer.sendall(CHUNKED + b"%x\r\n" % size + bytes(size - 10))
             await until(lambda: connection._size == size - 10)
             peer.sendall(bytes(10) + b"\r\nno length\r\n")
-            assert await here.end() == [Result.RESET]
+            assert await here.end() == [AttemptResult.RESET]
             assert here.pool.unreadable == 1
 
     asyncio.run(main())
@@ -120,17 +124,17 @@
 @pytest.mark.parametrize(
     ("start", "more", "expected"),
     [
-        (b"HTTP/1.1 200 O", b"k" * 1000, Result.RESET),
-        (b"HTTP/1.1 200 OK\r\nX: ", b"x" * 1000, Result.RESET),
-        (b"HTTP/1.1 200 OK\r\nX", b"x" * 1000, Result.RESET),
-        (b"HTTP/1.1 200 OK\r\n", b"X: y\r\n" * 100, Result.RESET),
-        (CHUNKED + b"0\r\nX: ", b"x" * 1000, Result.RESET),
-        (CHUNKED + b"0\r\n", b"X: y\r\n" * 100, Result.RESET),
-        (CHUNKED + b"1;", b"x" * 1000, Result.RESET),
-        (CHUNKED + b"1;a=1\r\nx\r\n1;", b"x" * 1000, Result.RESET),
-        (HINT, HINT * 20, Result.TIMEOUT),
-        (b"", b"\r\n" * 500, Result.RESET),
-        (CHUNKED.replace(b"200", b"503"), b"1\r\nx\r\n", Result.TIMEOUT),
+        (b"HTTP/1.1 200 O", b"k" * 1000, AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\nX: ", b"x" * 1000, AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\nX", b"x" * 1000, AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\n", b"X: y\r\n" * 100, AttemptResult.RESET),
+        (CHUNKED + b"0\r\nX: ", b"x" * 1000, AttemptResult.RESET),
+        (CHUNKED + b"0\r\n", b"X: y\r\n" * 100, AttemptResult.RESET),
+        (CHUNKED + b"1;", b"x" * 1000, AttemptResult.RESET),
+        (CHUNKED + b"1;a=1\r\nx\r\n1;", b"x" * 1000, AttemptResult.RESET),
+        (HINT, HINT * 20, AttemptResult.TIMEOUT),
+        (b"", b"\r\n" * 500, AttemptResult.RESET),
+        (CHUNKED.replace(b"200", b"503"), b"1\r\nx\r\n", AttemptResult.TIMEOUT),
     ],
 )
 def test_an_answer_that_never_ends_is_over_in_time_and_costs_little_memory(start, more, expected):
@@ -153,9 +157,9 @@
             _, peak = tracemalloc.get_traced_memory()
             tracemalloc.stop()
             assert await here.end() == [expected]
-            assert here.pool.unreadable == (expected is Result.RESET)
+            assert here.pool.unreadable == (expected is AttemptResult.RESET)
             assert peak < 2_000_000
-            if expected is Result.RESET:
+            if expected is AttemptResult.RESET:
                 assert sent < 2_000_000
             else:
                 assert loop.time() - began >= 0.5
@@ -174,7 +178,7 @@
             here.send(timeout_s=0.2)
             assert await heard(peer) == DATA
             peer.sendall(part)
-            assert await here.end() == [Result.TIMEOUT]
+            assert await here.end() == [AttemptResult.TIMEOUT]
             assert await heard(peer) == b""
             await until(lambda: not here.pool.size)
 
--- a/tests/node/upstream/test_pooled_limit.py
+++ b/tests/node/upstream/test_pooled_limit.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER
 from loadbalancer.node.http.client_connection import Response
 from tests.support.loopback import Caller, Peer, never_up, reply, request, running, until
@@ -29,7 +29,7 @@
             await until(lambda: not here.pool.size)
             for name in ("other", "other"):
                 here.pool.send(name, lambda wait: DATA, 20.0, lambda result, _: here.ends.append(result))
-            assert await here.end() == [Result.CONNECT_FAILED]
+            assert await here.end() == [AttemptResult.CONNECT_FAILED]
             assert here.pool.size == 1
 
     asyncio.run(main())
@@ -53,7 +53,7 @@
                 peer = await here.accept()
                 assert await heard(peer) == DATA
                 peer.sendall(reply())
-            assert await here.end(2) == [Result.OK, Result.OK]
+            assert await here.end(2) == [AttemptResult.OK, AttemptResult.OK]
             assert sizes == [1, 2]
 
     asyncio.run(main())
@@ -77,7 +77,7 @@
         async with bed() as here:
             with no_descriptors():
                 here.send()
-                assert await here.end() == [Result.CONNECT_FAILED]
+                assert await here.end() == [AttemptResult.CONNECT_FAILED]
             assert not here.pool._opening
             assert not here.pool._servers["s"].waiting
             here.ends.clear()
@@ -100,9 +100,9 @@
 
     async def main():
         async with bed(limit=1) as here:
-            ends: list[Result] = []
+            ends: list[AttemptResult] = []
 
-            def on_result(result: Result, _response: Response | None) -> None:
+            def on_result(result: AttemptResult, _response: Response | None) -> None:
                 ends.append(result)
                 here.send()
 
@@ -122,7 +122,7 @@
             peer = await here.accept()
             assert await heard(peer) == DATA
             peer.sendall(reply())
-            assert await here.end() == [Result.OK]
+            assert await here.end() == [AttemptResult.OK]
             assert here.pool.size == 1
 
     asyncio.run(main())
@@ -151,7 +151,7 @@
                     attempt.cancel()
                     assert here.pool.size == 0
                     await until(lambda: descriptors() == before)
-                    assert here.ends == [Result.CANCELLED]
+                    assert here.ends == [AttemptResult.CANCELLED]
                     assert not here.pool._opening
                     return
                 peers: list[socket.socket] = []
@@ -171,7 +171,7 @@
                     ours.setblocking(False)
                     assert await loop.sock_recv(ours, 1000) == DATA
                     await loop.sock_sendall(ours, reply())
-                    assert await here.end() == [Result.OK]
+                    assert await here.end() == [AttemptResult.OK]
                     assert here.pool.size == 1
                     accepting.cancel()
 
@@ -222,7 +222,7 @@
             errors: list[dict[str, object]] = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
 
-            def on_result(result: Result, response: Response | None) -> None:
+            def on_result(result: AttemptResult, response: Response | None) -> None:
                 raise RuntimeError
 
             here.pool.send("s", lambda wait: DATA, 20.0, on_result)
@@ -242,7 +242,7 @@
     async def main():
         async with bed() as here:
 
-            def on_result(result: Result, response: Response | None) -> None:
+            def on_result(result: AttemptResult, response: Response | None) -> None:
                 here.ends.append(result)
                 if len(here.ends) < 3:
                     here.pool.send("s", lambda wait: DATA, 20.0, on_result)
@@ -252,7 +252,7 @@
             for _ in range(3):
                 assert await heard(peer) == DATA
                 peer.sendall(reply())
-            assert await here.end(3) == [Result.OK] * 3
+            assert await here.end(3) == [AttemptResult.OK] * 3
             assert here.pool.size == 1
 
     asyncio.run(main())
--- a/tests/node/upstream/test_upstream.py
+++ b/tests/node/upstream/test_upstream.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 from loadbalancer.node.http.socket_buffer import readable
 from loadbalancer.node.upstream.pool import Pool
@@ -24,8 +24,8 @@
     return Pool(int(given["limit"]), given["server_idle_s"], given["connect_timeout_s"])
 
 
-async def result(pool: Pool, timeout_s: float = 20.0, data: bytes = DATA) -> Result:
-    done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
+async def result(pool: Pool, timeout_s: float = 20.0, data: bytes = DATA) -> AttemptResult:
+    done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     # set_result raises on a second result, and asyncio's debug mode is not needed to see it
     pool.send("s", lambda wait: data, timeout_s, lambda result, response: done.set_result(result))
     return await done
@@ -41,17 +41,17 @@
 @pytest.mark.parametrize(
     ("answer", "expected"),
     [
-        (reply(200), Result.OK),
-        (reply(500), Result.ERROR),
-        (reply(503, Srv_Declined="1"), Result.FULL),
-        (reply(504, Srv_Declined="1"), Result.FULL),
-        (reply(503), Result.ERROR),
-        (reply(504), Result.ERROR),
-        (reply(418), Result.ERROR),
-        (reply(200, Srv_Declined="1"), Result.OK),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200), Result.OK),
-        (None, Result.RESET),
-        (b"not http at all\r\n\r\n", Result.RESET),
+        (reply(200), AttemptResult.OK),
+        (reply(500), AttemptResult.ERROR),
+        (reply(503, Srv_Declined="1"), AttemptResult.REJECTED),
+        (reply(504, Srv_Declined="1"), AttemptResult.REJECTED),
+        (reply(503), AttemptResult.ERROR),
+        (reply(504), AttemptResult.ERROR),
+        (reply(418), AttemptResult.ERROR),
+        (reply(200, Srv_Declined="1"), AttemptResult.OK),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200), AttemptResult.OK),
+        (None, AttemptResult.RESET),
+        (b"not http at all\r\n\r\n", AttemptResult.RESET),
     ],
 )
 def test_what_comes_back_is_the_outcome_of_the_protocols_table(answer, expected):
@@ -81,7 +81,7 @@
     async def main():
         server, servers = await against(answer).start(), pool()
         servers.add("s", ("127.0.0.1", server.port))
-        assert await result(servers) is Result.RESET
+        assert await result(servers) is AttemptResult.RESET
         assert servers.unreadable == unreadable
         server.stop()
         servers.close()
@@ -98,7 +98,7 @@
         ).start()
         servers = pool()
         servers.add("s", ("127.0.0.1", server.port))
-        assert await result(servers) is Result.ERROR  # and not turned away
+        assert await result(servers) is AttemptResult.ERROR  # and not turned away
         server.stop()
         servers.close()
 
@@ -108,12 +108,12 @@
 @pytest.mark.parametrize(
     ("head", "size", "reset", "expected"),
     [
-        (b"Connection: close", 5, False, Result.OK),
-        (b"connection: Close", 0, False, Result.OK),
-        (b"Connection: close", 5, True, Result.RESET),  # a break, not an end
-        (b"Server: x", 5, False, Result.RESET),  # an end that was not announced
-        (b"Connection: close\r\nContent-Length: 9", 5, False, Result.RESET),
-        (b"Connection: close\r\nTransfer-Encoding: chunked", 0, False, Result.RESET),
+        (b"Connection: close", 5, False, AttemptResult.OK),
+        (b"connection: Close", 0, False, AttemptResult.OK),
+        (b"Connection: close", 5, True, AttemptResult.RESET),  # a break, not an end
+        (b"Server: x", 5, False, AttemptResult.RESET),  # an end that was not announced
+        (b"Connection: close\r\nContent-Length: 9", 5, False, AttemptResult.RESET),
+        (b"Connection: close\r\nTransfer-Encoding: chunked", 0, False, AttemptResult.RESET),
     ],
 )
 def test_an_answer_of_no_length_ends_with_a_connection_that_was_said_to_close(head, size, reset, expected):
@@ -147,7 +147,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         servers = pool()
         servers.add("s", server.sockets[0].getsockname())
-        assert await result(servers) is Result.RESET
+        assert await result(servers) is AttemptResult.RESET
         server.close()
 
     asyncio.run(main())
@@ -158,7 +158,7 @@
         address = ("127.0.0.1", free_port())
         servers = pool()
         servers.add("s", address)
-        assert await result(servers) is Result.CONNECT_FAILED
+        assert await result(servers) is AttemptResult.CONNECT_FAILED
         await until(lambda: not servers.size)
 
     asyncio.run(main())
@@ -169,7 +169,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             servers = pool()
             servers.add("s", listener.getsockname())
-            assert await result(servers, timeout_s=0.2) is Result.TIMEOUT
+            assert await result(servers, timeout_s=0.2) is AttemptResult.TIMEOUT
             peer, _ = listener.accept()
             with peer:
                 assert peer.recv(1000) == DATA
@@ -193,7 +193,7 @@
             await loop.sock_recv(peer, 1000)
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.close()
-            assert await outcome is Result.CONNECT_FAILED
+            assert await outcome is AttemptResult.CONNECT_FAILED
 
     asyncio.run(main())
 
@@ -255,7 +255,7 @@
     async def main():
         server, servers = await against(answer).start(), pool()
         servers.add("s", ("127.0.0.1", server.port))
-        assert [await result(servers) for _ in range(2)] == [Result.OK, Result.OK]
+        assert [await result(servers) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
         assert server.connections == 2
         servers.close()
         server.stop()
@@ -270,13 +270,13 @@
     async def main():
         server, servers = await Peer().start(), pool(server_idle_s=100.0)
         servers.add("s", ("127.0.0.1", server.port))
-        assert [await result(servers) for _ in range(2)] == [Result.OK, Result.OK]
+        assert [await result(servers) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
         assert (server.connections, servers.size) == (2, 2)
         server._writers[0].write(reply())  # the second answer
         await until(lambda: servers.size == 1)
         for connection in servers._servers["s"].idle:
             connection.idle_since -= 20.0
-        assert await result(servers) is Result.OK
+        assert await result(servers) is AttemptResult.OK
         assert server.connections == 2
         servers.close()
         server.stop()
@@ -298,7 +298,7 @@
         servers.give_back(servers._servers["s"], new)
         for connection in idle:  # 5 of the server's 10 seconds have passed
             connection.idle_since -= 5.0
-        assert await result(servers) is Result.OK
+        assert await result(servers) is AttemptResult.OK
         assert server.connections == 3
         assert old._transport.is_closing()
         assert new._transport.is_closing()
@@ -325,10 +325,10 @@
         with never_up() as listener:
             servers = pool(connect_timeout_s=0.1)
             servers.add("s", listener.getsockname())
-            assert await result(servers) is Result.CONNECT_FAILED
+            assert await result(servers) is AttemptResult.CONNECT_FAILED
             servers = pool()
             servers.add("s", listener.getsockname())
-            assert await result(servers, timeout_s=0.1) is Result.CONNECT_FAILED  # nor has it run
+            assert await result(servers, timeout_s=0.1) is AttemptResult.CONNECT_FAILED  # nor has it run
 
     asyncio.run(main())
 
@@ -337,11 +337,11 @@
     async def main():
         server, servers = await Peer().start(), pool()
         servers.add("s", ("127.0.0.1", server.port))
-        assert await result(servers) is Result.OK
+        assert await result(servers) is AttemptResult.OK
         assert servers.size == 1
         servers.retire()
         await until(lambda: not servers.size)
-        assert await result(servers) is Result.OK  # what is still held may be sent on
+        assert await result(servers) is AttemptResult.OK  # what is still held may be sent on
         await until(lambda: not servers.size)
         server.stop()
         servers.close()
@@ -357,7 +357,7 @@
             outcome = asyncio.create_task(result(servers))
             await until(lambda: servers.size)
             servers.remove("s")
-            assert await outcome is Result.CONNECT_FAILED
+            assert await outcome is AttemptResult.CONNECT_FAILED
             await until(lambda: not servers.size)
             assert servers.send("s", lambda wait: DATA, 1.0, lambda *_: None) is None
 
@@ -373,7 +373,7 @@
         await until(lambda: server.seen)
         servers.remove("s")
         server.release.set()
-        assert await outcome is Result.OK
+        assert await outcome is AttemptResult.OK
         await asyncio.sleep(0)
         assert servers.size == 0  # its connection is not kept
         server.stop()
@@ -386,17 +386,17 @@
         quiet, busy, servers = await Peer().start(), Held(), pool(limit=2)
         await busy.start()
         servers.add("s", ("127.0.0.1", quiet.port))
-        assert await result(servers) is Result.OK
+        assert await result(servers) is AttemptResult.OK
         servers.add("s2", ("127.0.0.1", busy.port))
-        ends: list[Result] = []
+        ends: list[AttemptResult] = []
         for _ in range(3):
             servers.send("s2", lambda wait: DATA, 20.0, lambda result, _: ends.append(result))
         assert servers._servers["s"].idle == []
         await until(lambda: ends)
-        assert ends == [Result.CONNECT_FAILED]  # the third: all are busy
+        assert ends == [AttemptResult.CONNECT_FAILED]  # the third: all are busy
         busy.release.set()
         await until(lambda: len(ends) == 3)
-        assert ends[1:] == [Result.OK, Result.OK]
+        assert ends[1:] == [AttemptResult.OK, AttemptResult.OK]
         servers.close()
         quiet.stop()
         busy.stop()
--- a/tests/node/upstream/test_writes.py
+++ b/tests/node/upstream/test_writes.py
@@ -12,7 +12,9 @@
 
 import pytest
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.actions import Send
+from loadbalancer.balancing.events import AttemptOutcome, Request
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER, Body
 from loadbalancer.node.http.client_connection import ClientConnection
 from loadbalancer.node.node import Node
@@ -137,7 +139,7 @@
             client = Leaver(node, request(), how)
 
             def act(event):
-                if isinstance(event, api.Outcome) and event.result is api.Result.FULL:
+                if isinstance(event, AttemptOutcome) and event.result is AttemptResult.REJECTED:
                     client.leave()  # in the turn in which the next attempt is chosen
                 return balancer.handle(node.clock.ms(), event)
 
@@ -200,8 +202,8 @@
             assert (await ask(node, request(name="q0"))).status == 200
 
             def act(event):
-                both = [api.Send("q1", "s0"), api.Send("q1", "s1")]
-                return both if isinstance(event, api.Request) else []
+                both = [Send("q1", "s0"), Send("q1", "s1")]
+                return both if isinstance(event, Request) else []
 
             node.driver.balancer = scripted = Scripted(act)
             opened, up = node.pool.open, asyncio.Event()
@@ -217,8 +219,8 @@
             up.set()
             await until(lambda: not node.jobs.held)
             assert node.figures.dispatches == 2
-            results = {event.attempt: event.result for event in scripted.of(api.Outcome)}
-            assert results == {0: api.Result.MOOT, 1: api.Result.OK}
+            results = {event.attempt: event.result for event in scripted.of(AttemptOutcome)}
+            assert results == {0: AttemptResult.ABANDONED, 1: AttemptResult.OK}
 
     asyncio.run(main())
 
@@ -280,7 +282,7 @@
         clock, loop, body = Jump(), asyncio.get_running_loop(), Body(Source())
         server, pool = await Peer().start(), Pool(10, 10.0, 20.0)
         pool.add("s", ("127.0.0.1", server.port))
-        results: asyncio.Queue[api.Result] = asyncio.Queue()
+        results: asyncio.Queue[AttemptResult] = asyncio.Queue()
         body.put(b"half of it")
         head = b"POST /move/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: 20\r\n\r\n"
         pool.send(
@@ -290,7 +292,7 @@
         await until(lambda: server.connections)
         clock.forward(9.0)
         await until(lambda: not results.empty())
-        assert results.get_nowait() is api.Result.CONNECT_FAILED
+        assert results.get_nowait() is AttemptResult.CONNECT_FAILED
         body.put(b"other half")
         body.end()
         await until(lambda: not pool.size)
@@ -318,7 +320,7 @@
         clock, loop = Jump(), asyncio.get_running_loop()
         server, pool = await Peer().start(), Pool(10, 10.0, 20.0)
         pool.add("s", ("127.0.0.1", server.port))
-        results: asyncio.Queue[api.Result] = asyncio.Queue()
+        results: asyncio.Queue[AttemptResult] = asyncio.Queue()
         attempt = pool.send("s", lambda wait: DATA, 5.0, lambda result, _: results.put_nowait(result))
         assert attempt is not None
         made, opened = ClientConnection.connection_made, pool.open
@@ -385,7 +387,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             pool, accepted = Pool(10, 10.0, 20.0), []
             pool.add("s", listener.getsockname())
-            opened, results = pool.open, asyncio.Queue[api.Result]()
+            opened, results = pool.open, asyncio.Queue[AttemptResult]()
 
             async def ended(endpoint):
                 connection = await opened(endpoint)
@@ -398,7 +400,7 @@
             pool.open = ended  # type: ignore[method-assign]
             pool.send("s", lambda wait: DATA, 5.0, lambda result, _: results.put_nowait(result))
             await until(lambda: not results.empty())
-            assert results.get_nowait() is api.Result.CONNECT_FAILED
+            assert results.get_nowait() is AttemptResult.CONNECT_FAILED
             await until(lambda: not pool.size)
             pool.close()
             accepted[0].close()
@@ -511,7 +513,7 @@
         getattr(attempt, then)()
         for _ in range(3):
             await asyncio.sleep(0)
-        expected = api.Result.CANCELLED if then == "cancel" else api.Result.CONNECT_FAILED
+        expected = AttemptResult.CANCELLED if then == "cancel" else AttemptResult.CONNECT_FAILED
         assert results == [expected]
         pool.close()
 
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from loadbalancer import interface as api
+from loadbalancer.endpoints import Endpoint, EndpointStatus, RouteVersion, TrafficSplit
 from loadbalancer.routing import (
     NEUTRAL,
     Activations,
@@ -34,7 +34,7 @@
 READ = '[[class.read.group]]\nmodel = "m2"\naz = "a"\nweight = 3.0\n'
 REST = "[[class.default.group]]\nweight = 1\n"
 TTL, BOUND = 400.0, 20.0
-SERVERS = (api.Server("s0", "a", model="m1"), api.Server("s1", "a", model="m2"))
+SERVERS = (Endpoint("s0", "a", model="m1"), Endpoint("s1", "a", model="m2"))
 
 
 # -------------------------------------------------------------------- table
@@ -43,8 +43,8 @@
 def test_a_table_gives_each_class_its_groups_and_the_rest_the_default() -> None:
     table = parse(7, READ + REST)
     assert table.of(("read", "write")) == {
-        "read": (api.Group("m2", "a", 3.0),),
-        "write": (api.Group(None, None, 1.0),),
+        "read": (TrafficSplit("m2", "a", 3.0),),
+        "write": (TrafficSplit(None, None, 1.0),),
     }
     assert parse(7, READ).of(("read", "write")).keys() == {"read"}
     assert parse(0, NEUTRAL).of(("read",)) == {}
@@ -106,11 +106,11 @@
     table = parse(1, READ + REST + '[[class.read.group]]\nmodel = "m3"\nweight = 0\n')
     assert check(table, ("read",), SERVERS) == []
     assert check(table, ("write",), SERVERS) == ["class 'read': not one of this node's"]
-    lone = (SERVERS[0], api.Server("s1", "a", state=api.ServerState.DRAINING, model="m2"))
+    lone = (SERVERS[0], Endpoint("s1", "a", state=EndpointStatus.DRAINING, model="m2"))
     assert check(table, ("read",), lone) == ["class 'read': no ready server of model m2, az a"]
     said = "class 'read': only servers whose route is blind of model m2, az a"
     assert check(table, ("read",), SERVERS, {"s1"}) == [said]
-    assert check(table, ("read",), (*SERVERS, api.Server("s2", "a", model="m2")), {"s1"}) == []
+    assert check(table, ("read",), (*SERVERS, Endpoint("s2", "a", model="m2")), {"s1"}) == []
 
 
 # -------------------------------------------------------------------- the log's part
@@ -300,10 +300,10 @@
     follower.tick(60, (62, 68))  # S is 5 ms ahead of the own clock
     assert (follower.next_due(60), follower.tick(264.9)) == (265, [])
     (switch,) = follower.tick(266)
-    assert (switch.event, switch.due) == (api.RouteVersion(1, {"read": (api.Group("m2", "a", 3.0),)}), 265)
+    assert (switch.event, switch.due) == (RouteVersion(1, {"read": (TrafficSplit("m2", "a", 3.0),)}), 265)
     assert follower.tick(267, (260, 262)) == []  # a better estimate does not undo it
     assert (follower.next_due(267), follower.tick(449.9)) == (450, [])
-    assert follower.tick(451) == [Apply(api.RouteVersion(0, {}), 450)]
+    assert follower.tick(451) == [Apply(RouteVersion(0, {}), 450)]
     (back,) = told(follower, log, 500)
     assert (back.event.number, follower.stand(500)) == (1, "following")
     (gone,) = follower.gone(510)
--- a/tests/staleness/test_staleness.py
+++ b/tests/staleness/test_staleness.py
@@ -10,7 +10,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from loadbalancer.interface import Mark, Result
+from loadbalancer.endpoints import AttemptResult, Confidence
 from loadbalancer.staleness import Marks, Offsets, View, server_edge, sibling_edge
 from loadbalancer.staleness.clock_offsets import DRIFT_PPM, PEERS, SAMPLES
 from loadbalancer.staleness.confidence import BOUNDS, LASTING, SPARE
@@ -123,7 +123,7 @@
         peer.call(offsets, *call)
     view, there = view_of("s", offsets=offsets, members=("peer",)), view_of("s")
     seen, sent = peer.now, peer.now + old
-    there.saw(peer.shows(seen), "s", Result.OK)
+    there.saw(peer.shows(seen), "s", AttemptResult.OK)
     assert view.told(sent + way, "peer", there.share(peer.shows(sent))) is None
     now = sent + way + later
     for edge, true in (
@@ -138,7 +138,7 @@
 
 def test_without_a_sample_a_told_age_has_no_bound_and_gets_one_as_it_is_told_again():
     view, there = view_of("s"), view_of("s")
-    there.saw(100.0, "s", Result.OK)
+    there.saw(100.0, "s", AttemptResult.OK)
     view.told(200.0, 7, there.share(150.0))
     assert server_edge(view, 260.0, "s").age == (60.0, math.inf)
     view.offsets.sample(7, 300.0, 300.0, 300.0, 301.0)
@@ -168,7 +168,7 @@
     names = [f"s{at}" for at in range(200)]
     there = view_of(*names)
     for at, name in enumerate(names):
-        there.saw(float(at), name, Result.RESET if name == "s3" else Result.OK)
+        there.saw(float(at), name, AttemptResult.RESET if name == "s3" else AttemptResult.OK)
     told: set[str] = set()
     for _ in range(math.ceil(200 / TURN)):
         facts = msgspec.msgpack.decode(there.share(300.0))[6]
@@ -183,14 +183,14 @@
     members = tuple(range(20))
     view, there = view_of("s", "t", members=members), view_of("s", "t", "unlisted")
     for name in ("s", "t", "unlisted"):
-        there.saw(1.0, name, Result.OK)
+        there.saw(1.0, name, AttemptResult.OK)
     for member in members:
         view.told(2.0, member, there.share(2.0))
     assert set(view.hearsay) == {"s", "t"}
     assert {len(hearsay.facts) for hearsay in view.hearsay.values()} == {RELAYED}
     assert view.told(2.0, "stranger", there.share(2.0)) == "stranger"
     view.listed(3.0, 2, ("t",))
-    view.saw(3.0, "s", Result.OK)  # an attempt that outlived its server's line
+    view.saw(3.0, "s", AttemptResult.OK)  # an attempt that outlived its server's line
     assert set(view.hearsay) == {"t"}
     assert not view.seen
 
@@ -261,10 +261,10 @@
     def __init__(self) -> None:
         self.view, self.now, self.last, self.stand = view_of("s"), 0.0, 0.0, "attached"
         self.marks = Marks(self.view, P, EVERY, round_ms=1000.0)
-        self.changes: list[Mark] = []
+        self.changes: list[Confidence] = []
 
     @property
-    def mark(self) -> Mark:
+    def mark(self) -> Confidence:
         return self.marks.marks["s"]
 
     def run(self, span: float, gap: float = math.inf) -> None:
@@ -273,7 +273,7 @@
         while self.now < end:
             while self.last + gap <= self.now:
                 self.last += gap
-                self.view.saw(self.last, "s", Result.OK)
+                self.view.saw(self.last, "s", AttemptResult.OK)
             self.view.listed(self.now, 1)
             self.changes += self.marks.update(self.now, self.stand).values()
             self.now += EVERY
@@ -285,15 +285,22 @@
 def test_a_route_rises_step_by_step_on_steady_answers_and_falls_step_by_step_without():
     ticker = Ticker()
     ticker.run(EVERY)
-    assert (ticker.changes, ticker.reason()) == ([Mark.BLIND], "unheard")
+    assert (ticker.changes, ticker.reason()) == ([Confidence.NONE], "unheard")
     ticker.run(3000.0, gap=60.0)
-    assert (ticker.mark, ticker.reason()) == (Mark.SURE, "heard")
+    assert (ticker.mark, ticker.reason()) == (Confidence.HIGH, "heard")
     ticker.run(5000.0)
-    assert ticker.mark is Mark.BLIND
-    assert ticker.changes[-6:] == [Mark.WEAK, Mark.FAIR, Mark.SURE, Mark.FAIR, Mark.WEAK, Mark.BLIND]
-    ticker.view.saw(ticker.now, "s", Result.OK)
+    assert ticker.mark is Confidence.NONE
+    assert ticker.changes[-6:] == [
+        Confidence.LOW,
+        Confidence.MEDIUM,
+        Confidence.HIGH,
+        Confidence.MEDIUM,
+        Confidence.LOW,
+        Confidence.NONE,
+    ]
+    ticker.view.saw(ticker.now, "s", AttemptResult.OK)
     ticker.run(EVERY)
-    assert (ticker.mark, ticker.reason()) == (Mark.WEAK, "settling")
+    assert (ticker.mark, ticker.reason()) == (Confidence.LOW, "settling")
 
 
 @given(st.integers(0, 2**32))
@@ -301,18 +308,24 @@
     draw, ticker, sures, last = random.Random(seed), Ticker(), 0, -math.inf
     for _ in range(150):
         if draw.random() < 0.5:
-            ticker.view.saw(ticker.now, "s", draw.choice([Result.OK, Result.OK, Result.FULL, Result.RESET]))
-        before = ticker.mark if ticker.changes else Mark.BLIND
+            ticker.view.saw(
+                ticker.now,
+                "s",
+                draw.choice(
+                    [AttemptResult.OK, AttemptResult.OK, AttemptResult.REJECTED, AttemptResult.RESET]
+                ),
+            )
+        before = ticker.mark if ticker.changes else Confidence.NONE
         ticker.run(draw.choice([EVERY, EVERY, 8 * EVERY]))
         age = ticker.now - ticker.view.seen["s"].heard if ticker.view.seen else math.inf
-        assert ticker.mark is not Mark.SURE or age <= BOUNDS[0] * P
-        assert ticker.mark is not Mark.FAIR or age <= BOUNDS[1] * P
-        if ticker.mark is Mark.SURE and before is not Mark.SURE:
+        assert ticker.mark is not Confidence.HIGH or age <= BOUNDS[0] * P
+        assert ticker.mark is not Confidence.MEDIUM or age <= BOUNDS[1] * P
+        if ticker.mark is Confidence.HIGH and before is not Confidence.HIGH:
             assert ticker.now - last >= BOUNDS[0] * P
             last, sures = ticker.now, sures + 1
 
 
-@pytest.mark.parametrize(("bound", "better"), [(0, Mark.SURE), (1, Mark.FAIR)])
+@pytest.mark.parametrize(("bound", "better"), [(0, Confidence.HIGH), (1, Confidence.MEDIUM)])
 def test_answers_at_intervals_around_a_bound_do_not_make_a_mark_flap(bound, better):
     ticker = Ticker()
     for times in (0.9, 1.1):  # of the bound
@@ -329,14 +342,14 @@
     ticker = Ticker()
     ticker.run(3000.0, gap=EVERY)
     ticker.changes.clear()
-    for outcome in (Result.RESET, Result.OK, *[Result.ERROR] * 5):
+    for outcome in (AttemptResult.RESET, AttemptResult.OK, *[AttemptResult.ERROR] * 5):
         ticker.view.saw(ticker.now, "s", outcome)
         ticker.run(EVERY)
-    assert ticker.changes == [Mark.FAIR, Mark.WEAK]
+    assert ticker.changes == [Confidence.MEDIUM, Confidence.LOW]
     assert ticker.reason() == "missing"
 
 
-@pytest.mark.parametrize(("stand", "mark"), [("adrift", Mark.FAIR), ("alone", Mark.WEAK)])
+@pytest.mark.parametrize(("stand", "mark"), [("adrift", Confidence.MEDIUM), ("alone", Confidence.LOW)])
 def test_a_stand_lowers_marks_only_once_it_lasts(stand, mark):
     ticker = Ticker()
     ticker.run(3000.0, gap=EVERY)
@@ -353,18 +366,18 @@
     ticker = Ticker()
     ticker.view.offsets.sample(7, 0.0, 0.0, 0.0, 0.0)
     there = view_of("s")
-    alone, shared = (math.inf, Mark.FAIR, "told"), (4 * EVERY, Mark.SURE, "heard")
+    alone, shared = (math.inf, Confidence.MEDIUM, "told"), (4 * EVERY, Confidence.HIGH, "heard")
     for gap, mark, why in (alone, shared, alone, shared):
         for _ in range(60):
-            there.saw(ticker.now - 5.0, "s", Result.OK)
+            there.saw(ticker.now - 5.0, "s", AttemptResult.OK)
             ticker.view.told(ticker.now, 7, there.share(ticker.now - 1.0))
             ticker.run(EVERY, gap)
         assert (ticker.mark, ticker.reason()) == (mark, why)
-    there.saw(ticker.now, "s", Result.CONNECT_FAILED)
+    there.saw(ticker.now, "s", AttemptResult.CONNECT_FAILED)
     ticker.view.told(ticker.now + 20.0, 7, there.share(ticker.now + 20.0))
     ticker.now += EVERY
     ticker.run(EVERY)
-    assert (ticker.mark, ticker.reason()) == (Mark.FAIR, "missing-for-sibling")
+    assert (ticker.mark, ticker.reason()) == (Confidence.MEDIUM, "missing-for-sibling")
 
 
 def test_an_old_list_or_one_far_behind_lowers_marks():
@@ -374,21 +387,21 @@
     there.listed(0.0, 4)
     ticker.view.told(ticker.now, 7, there.share(1.0))
     ticker.run(300.0, gap=EVERY)
-    assert (ticker.mark, ticker.reason()) == (Mark.FAIR, "behind")
+    assert (ticker.mark, ticker.reason()) == (Confidence.MEDIUM, "behind")
     ticker.view.members(())
     ticker.run(600.0, gap=EVERY)
-    assert ticker.mark is Mark.SURE
+    assert ticker.mark is Confidence.HIGH
     at = ticker.now + 7000.0
-    ticker.view.saw(at, "s", Result.OK)
+    ticker.view.saw(at, "s", AttemptResult.OK)
     ticker.marks.update(at, "attached")
-    ticker.view.saw(at + 200.0, "s", Result.OK)
-    assert ticker.marks.update(at + 200.0, "attached") == {"s": Mark.FAIR}
+    ticker.view.saw(at + 200.0, "s", AttemptResult.OK)
+    assert ticker.marks.update(at + 200.0, "attached") == {"s": Confidence.MEDIUM}
 
 
 def test_the_status_shows_every_edge():
     ticker = Ticker()
     ticker.run(EVERY)
-    ticker.view.saw(0.0, "s", Result.OK)
+    ticker.view.saw(0.0, "s", AttemptResult.OK)
     row, sibling = ticker.marks.routes_status(ticker.now)
     assert (row["to"], row["least_ms"], row["most_ms"]) == ("s", EVERY, EVERY)
     assert (sibling["kind"], sibling["mark"], sibling["most_ms"], sibling["reason"]) == (
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -4,38 +4,45 @@
 
 from typing import Any
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import Balancer
+from loadbalancer.balancing.actions import Action, Send
+from loadbalancer.balancing.events import AttemptOutcome, EndpointListUpdate, Event, Request, TimerFired
+from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind
+from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass, Settings
 
-SAFE = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE)
-UNSAFE = api.ServiceClass("post", aim_ms=1000, give_up_ms=2500, worth=1, effect=api.Effect.UNSAFE)
-KEYED = api.ServiceClass(
+SAFE = ServiceClass(
+    "read", latency_objective_ms=1000, client_timeout_ms=2500, priority_weight=12, effect=Effect.IDEMPOTENT
+)
+UNSAFE = ServiceClass(
+    "post", latency_objective_ms=1000, client_timeout_ms=2500, priority_weight=1, effect=Effect.NON_IDEMPOTENT
+)
+KEYED = ServiceClass(
     "points",
-    aim_ms=2000,
-    give_up_ms=5000,
-    worth=1,
-    effect=api.Effect.KEYED,
-    scope=api.Scope.ZONE,
-    memory_ms=900,
+    latency_objective_ms=2000,
+    client_timeout_ms=5000,
+    priority_weight=1,
+    effect=Effect.IDEMPOTENCY_KEY,
+    deduplication_scope=DeduplicationScope.ZONE,
+    deduplication_window_ms=900,
 )
 
 
-def settings(**changes: Any) -> api.Settings:
+def settings(**changes: Any) -> Settings:
     given: dict[str, Any] = {
         "classes": (SAFE, UNSAFE, KEYED),
         "zone": "a",
         "siblings": 2,
         "may_cancel": True,
         "max_attempts": 3,
-        "cold_from": 0.2,
-        "cold_ms": 10000.0,
+        "slow_start_from": 0.2,
+        "slow_start_ms": 10000.0,
         "overload_factor": 2.5,
     }
-    return api.Settings(**{**given, **changes})
+    return Settings(**{**given, **changes})
 
 
-def servers(count: int, **changes: Any) -> tuple[api.Server, ...]:
-    return tuple(api.Server(address=f"s{at}", zone="ab"[at % 2], **changes) for at in range(count))
+def servers(count: int, **changes: Any) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(address=f"s{at}", zone="ab"[at % 2], **changes) for at in range(count))
 
 
 class Bed:
@@ -45,44 +52,44 @@
         self.now = 1000.0
         self.brain = Balancer(settings(**changes), seed=seed, now_ms=self.now)
         self.names = 0
-        self.give(api.Membership(api.ListForm.CACHED, servers(count)))
+        self.give(EndpointListUpdate(EndpointListKind.CACHED, servers(count)))
 
-    def give(self, event: api.Event, after: float = 0.0) -> list[api.Action]:
+    def give(self, event: Event, after: float = 0.0) -> list[Action]:
         self.now += after
         return self.brain.handle(self.now, event)
 
-    def ask(self, service: str = "read", left: float = 2000.0, **more: Any) -> tuple[str, list[api.Action]]:
+    def ask(self, service: str = "read", left: float = 2000.0, **more: Any) -> tuple[str, list[Action]]:
         self.names += 1
         name = f"r{self.names}"
-        return name, self.give(api.Request(name, service, self.now + left, **more))
+        return name, self.give(Request(name, service, self.now + left, **more))
 
     def end(
         self,
         name: str,
         server: str,
-        result: api.Result,
+        result: AttemptResult,
         latency: float = 100.0,
         attempt: int = 0,
         **more: Any,
-    ) -> list[api.Action]:
-        done = more.pop("done", result is api.Result.OK)
-        return self.give(api.Outcome(name, attempt, server, result, latency, done, **more))
+    ) -> list[Action]:
+        done = more.pop("done", result is AttemptResult.OK)
+        return self.give(AttemptOutcome(name, attempt, server, result, latency, done, **more))
 
     def serve(self, service: str = "read", latency: float = 100.0, **more: Any) -> str:
         """One request answered after `latency`; returns the server that took it."""
         name, acts = self.ask(service)
         server = sent(acts)[0].server
         self.now += latency
-        self.end(name, server, api.Result.OK, latency, **more)
+        self.end(name, server, AttemptResult.OK, latency, **more)
         return server
 
-    def period(self, after: float | None = None) -> list[api.Action]:
-        return self.give(api.Alarm("period"), self.brain.period_ms if after is None else after)
+    def period(self, after: float | None = None) -> list[Action]:
+        return self.give(TimerFired("period"), self.brain.period_ms if after is None else after)
 
 
-def sent(acts: list[api.Action]) -> list[api.Send]:
-    return [act for act in acts if isinstance(act, api.Send)]
+def sent(acts: list[Action]) -> list[Send]:
+    return [act for act in acts if isinstance(act, Send)]
 
 
-def kinds(acts: list[api.Action]) -> list[type]:
+def kinds(acts: list[Action]) -> list[type]:
     return [type(act) for act in acts]
--- a/tests/support/discoveries.py
+++ b/tests/support/discoveries.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from loadbalancer.interface import ListForm
+from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.discovery.watcher import Listing, Patience, Watcher
 from tests.support.loopback import read_message, reply
 
@@ -121,11 +121,11 @@
     """What the node hears, and when; raises at what it hears if told to."""
 
     def __init__(self) -> None:
-        self.heard: list[tuple[float, ListForm, int]] = []
-        self.raises: dict[ListForm, BaseException] = {}  # once each
+        self.heard: list[tuple[float, EndpointListKind, int]] = []
+        self.raises: dict[EndpointListKind, BaseException] = {}  # once each
         self.more = asyncio.Event()
 
-    def __call__(self, form: ListForm, news: Listing | None) -> None:
+    def __call__(self, form: EndpointListKind, news: Listing | None) -> None:
         if (error := self.raises.pop(form, None)) is not None:
             raise error
         self.more.set()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -11,7 +11,8 @@
 
 import orjson
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.actions import Action
+from loadbalancer.balancing.events import Event
 from loadbalancer.node.config import Config, parse_config
 from loadbalancer.node.node import Node
 
@@ -183,11 +184,11 @@
 class Scripted:
     """Stands in for the decision module: records events and acts as told."""
 
-    def __init__(self, act: Callable[[api.Event], list[api.Action]] = lambda event: []) -> None:
+    def __init__(self, act: Callable[[Event], list[Action]] = lambda event: []) -> None:
         self.act = act
-        self.events: list[api.Event] = []
+        self.events: list[Event] = []
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         self.events.append(event)
         return self.act(event)
 
--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -23,7 +23,7 @@
 
 from msgspec.structs import asdict
 
-from loadbalancer.interface import Server, ServerState
+from loadbalancer.endpoints import Endpoint, EndpointStatus
 from loadbalancer.membership.member_lease import Call
 from loadbalancer.membership.messages import LeaseAnswer, LeaseGrant
 from loadbalancer.membership.quota_ledger import Row
@@ -36,7 +36,7 @@
 LAG = 10.0
 WAKES = 100
 TEXTS = tuple(f'[[class.default.group]]\nmodel = "m{at}"\nweight = 1.0\n' for at in (1, 2, 3))
-SERVERS = tuple(Server(f"127.0.0.1:{at}", "a", 1, ServerState.UP, model=f"m{at}") for at in (1, 2, 3))
+SERVERS = tuple(Endpoint(f"127.0.0.1:{at}", "a", 1, EndpointStatus.UP, model=f"m{at}") for at in (1, 2, 3))
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/support/pooled.py
+++ b/tests/support/pooled.py
@@ -8,7 +8,7 @@
 import struct
 from collections.abc import AsyncIterator
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import Body
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 from loadbalancer.node.http.socket_buffer import readable
@@ -28,12 +28,12 @@
         self.listener = listener
         self.pool = Pool(limit, 100.0, 20.0)
         self.pool.add("s", listener.getsockname())
-        self.ends: list[Result] = []
+        self.ends: list[AttemptResult] = []
         self.answers: list[Response] = []
         self.peers: list[socket.socket] = []
 
     def send(self, timeout_s: float = 20.0, data: bytes = DATA, body: Body | None = None) -> None:
-        def on_result(result: Result, response: Response | None) -> None:
+        def on_result(result: AttemptResult, response: Response | None) -> None:
             self.ends.append(result)
             if response is not None:
                 self.answers.append(response)
@@ -60,7 +60,7 @@
         peer = await self.asked()
         peer.sendall(reply())
         await until(lambda: self.ends)
-        assert self.ends.pop() is Result.OK
+        assert self.ends.pop() is AttemptResult.OK
         self.answers.clear()
         connection = self.idle[-1]
         connection.idle_since -= 1.0
@@ -70,7 +70,7 @@
     def idle(self) -> list[ClientConnection]:
         return self.pool._servers["s"].idle
 
-    async def end(self, count: int = 1) -> list[Result]:
+    async def end(self, count: int = 1) -> list[AttemptResult]:
         await until(lambda: len(self.ends) >= count)
         return self.ends
 
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -1,6 +1,6 @@
 """Cases for tests/test_threads.py, run one at a time as `frontrun python -m tests.support.thread_cases NAME`,
-which is how frontrun takes over locks and files. Each prints how many interleavings were explored, whether its
-rule held in all of them, and frontrun's account of the first in which it did not, as one line of JSON.
+which is how frontrun takes over locks and files. Each prints one line of JSON: how many interleavings were
+explored, whether its rule held in all of them, and frontrun's account of the first in which it did not.
 
 A name with `-wrong` runs the same threads over a class with a seeded mistake.
 """
--- a/tests/test_settings_bad.py
+++ b/tests/test_settings_bad.py
@@ -13,9 +13,12 @@
 import orjson
 import pytest
 
-from loadbalancer import interface as api
 from loadbalancer.balancing import Balancer
+from loadbalancer.balancing.actions import Fail, Send
+from loadbalancer.balancing.events import AttemptOutcome, EndpointListUpdate, Request, TimerFired
+from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind
 from loadbalancer.node.config import Config, parse_config
+from loadbalancer.service_settings import DeduplicationScope
 from tests.support.loopback import config_row, targets
 
 ROOT = Path(__file__).parents[1]
@@ -104,17 +107,17 @@
 def work(config: Config) -> None:
     """Requests of each class, served and failed, and some periods: no figure may break the module."""
     module, now = Balancer(config.settings, config.seed, 0.0), 0.0
-    module.handle(now, api.Membership(api.ListForm.CACHED, config.known.servers))
+    module.handle(now, EndpointListUpdate(EndpointListKind.CACHED, config.known.servers))
     for turn in range(6):
         for kind in config.settings.classes:
             name, now = f"{kind.name}{turn}", now + 10.0
-            request = api.Request(name, kind.name, now + kind.give_up_ms, "north", 3.0)
+            request = Request(name, kind.name, now + kind.client_timeout_ms, "north", 3.0)
             for act in module.handle(now, request):
-                if isinstance(act, api.Send):
-                    result = api.Result.OK if turn % 3 else api.Result.ERROR
+                if isinstance(act, Send):
+                    result = AttemptResult.OK if turn % 3 else AttemptResult.ERROR
                     report = {"queue": 1.0, "util": 0.5}
-                    module.handle(now, api.Outcome(name, 0, act.server, result, 9.0, turn % 3 > 0, report))
-        module.handle(now, api.Alarm("period"))
+                    module.handle(now, AttemptOutcome(name, 0, act.server, result, 9.0, turn % 3 > 0, report))
+        module.handle(now, TimerFired("period"))
     entry = module.threshold(1.0, 1)
     assert 0.0 < entry < 1e30, f"a threshold of {entry} never binds"
 
@@ -147,13 +150,16 @@
         ({"categories": [CLASS, CLASS]}, "classes: a name stands twice"),
         ({"categories": [CLASS | {"name": ""}]}, "categories.name: '' is not a text"),
         ({"categories": [CLASS | {"name": 5}]}, "categories.name: 5 is not a text"),
-        ({"categories": [CLASS | {"aimMs": 0}]}, "classes[0].aim_ms: 0 is not a number from 0.001 to 1e+12"),
-        ({"categories": [CLASS | {"giveUpMs": -1}]}, "classes[0].give_up_ms: -1 is not"),
-        ({"categories": [CLASS | {"giveUpMs": HUGE}]}, "classes[0].give_up_ms: 1e+308 is not"),
+        (
+            {"categories": [CLASS | {"aimMs": 0}]},
+            "classes[0].latency_objective_ms: 0 is not a number from 0.001 to 1e+12",
+        ),
+        ({"categories": [CLASS | {"giveUpMs": -1}]}, "classes[0].client_timeout_ms: -1 is not"),
+        ({"categories": [CLASS | {"giveUpMs": HUGE}]}, "classes[0].client_timeout_ms: 1e+308 is not"),
         ({"categories": [CLASS | {"effect": "twice"}]}, "categories.effect: 'twice' is not one of free"),
         ({"categories": [CLASS | {"effect": ["free"]}]}, "categories.effect: ['free'] is not one of free"),
         ({"categories": [CLASS | {"keyScope": "rack"}]}, "categories.keyScope: 'rack' is not one of all"),
-        ({"categories": [CLASS | {"credit": -1}]}, "classes[0].worth: -1 is not"),
+        ({"categories": [CLASS | {"credit": -1}]}, "classes[0].priority_weight: -1 is not"),
         ({"categories": [CLASS | {"stream": "no"}]}, "classes[0].stream: 'no' is not true or false"),
         ({"accounts": [{"quotaPerS": 3.0}]}, "accounts.name: missing"),
         ({"accounts": [{"name": "a", "quotaPerS": "x"}]}, "tenants[0].quota_per_s: 'x' is not"),
@@ -163,7 +169,7 @@
         ({"bounds": {"maxAttempts": 0}}, "max_attempts: 0 is not"),
         ({"bounds": {"cancel": "yes"}}, "may_cancel: 'yes' is not true or false"),
         ({"bounds": {"connIdleMs": True}}, "conn_idle_ms: True is not"),
-        ({"invariants": {"coldFrom": 0}}, "cold_from: 0 is not"),
+        ({"invariants": {"coldFrom": 0}}, "slow_start_from: 0 is not"),
         ({"feedback": {"fields": "depth"}}, "fields: 'depth' is not a list"),
         ({"feedback": {"fields": [3]}}, "fields: 3 in the list is not a text"),
         ({"registryMode": "pull"}, "registryMode: 'pull' is not one of push, ask"),
@@ -227,8 +233,10 @@
         kind | {"novel": 1, "keyScope": None, "credit": None} for kind in settings["categories"]
     ]
     found = parse_config(orjson.dumps(told | more | {"settings": settings}), {}).settings
-    assert (found.worth_by_work, found.ask_discovery, found.zone) == (False, False, "")
-    assert {(kind.worth, kind.scope) for kind in found.classes} == {(1.0, api.Scope.ALL)}
+    assert (found.weight_by_work, found.poll_discovery, found.zone) == (False, False, "")
+    assert {(kind.priority_weight, kind.deduplication_scope) for kind in found.classes} == {
+        (1.0, DeduplicationScope.ALL)
+    }
 
 
 def test_a_keyed_class_without_its_window_is_never_sent_twice_once_it_may_have_run():
@@ -238,12 +246,10 @@
     }
     config = parse_config(orjson.dumps(config_row("127.0.0.1:9", settings=settings)), {})
     module = Balancer(config.settings, 1, 0.0)
-    module.handle(0.0, api.Membership(api.ListForm.CACHED, (api.Server("s-1"), api.Server("s-2"))))
-    (send,) = [
-        act for act in module.handle(1.0, api.Request("q", "read", 300.0)) if isinstance(act, api.Send)
-    ]
-    acts = module.handle(2.0, api.Outcome("q", 0, send.server, api.Result.RESET, 1.0, False))
-    assert acts == [api.Fail("q")]
+    module.handle(0.0, EndpointListUpdate(EndpointListKind.CACHED, (Endpoint("s-1"), Endpoint("s-2"))))
+    (send,) = [act for act in module.handle(1.0, Request("q", "read", 300.0)) if isinstance(act, Send)]
+    acts = module.handle(2.0, AttemptOutcome("q", 0, send.server, AttemptResult.RESET, 1.0, False))
+    assert acts == [Fail("q")]
 
 
 # ------------------------------------------------------------------ the program
--- a/tests/test_settings_kinds.py
+++ b/tests/test_settings_kinds.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loadbalancer import interface as api
+from loadbalancer.balancing.events import TimerFired
 from loadbalancer.node.node import Node
 from tests.support.loopback import Caller, Held, Message, Peer, ask, reply, request, running, targets, until
 
@@ -159,7 +159,7 @@
             caller.writer.write(request("read", "q1"))
             await until(lambda: any(server.seen for server in servers))
             for _ in range(50):  # periods go by, each of which might send another
-                node.tell(api.Alarm("period"))
+                node.tell(TimerFired("period"))
             assert sum(len(server.seen) for server in servers) == 1
             assert node.jobs.held["q1"].out == 1
             for server in servers:
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -1,8 +1,8 @@
 """Threads of the real classes in every order that matters, by frontrun (DPOR), at most two of them preempted.
 
-Each case of tests/support/thread_cases.py runs in a process of its own under the `frontrun` command, so the
-one test command stays `python -m pytest`. A lock taken out, or an order not kept, is the seeded mistake: it has
-to be found.
+Each case of tests/support/thread_cases.py runs in a process of its own under `frontrun`, so the one test
+command stays `python -m pytest`. A lock taken out, or an order not kept, is the seeded mistake: it has to be
+found.
 """
 
 from __future__ import annotations
