--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -14,7 +14,7 @@
 
 import threading
 from collections.abc import Callable, Iterable
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from typing import Any, NamedTuple, TypeVar
 
 from msgspec import Struct
@@ -241,7 +241,7 @@
         with self._lock:
             state = self.state
             rows = [
-                asdict(row) | {"service": state.service_of(row.incarnation)}
+                _member_entry(row, state.service_of(row.incarnation))
                 for row in state.rows()
                 if service in (None, state.service_of(row.incarnation))
             ]
@@ -327,5 +327,24 @@
         self._on_change(None)
 
 
+def _member_entry(row: Row, service: str) -> dict[str, Any]:
+    """A member as GET /fleet/members shows it; the keys are part of that call's wire form."""
+    return {
+        "name": row.name,
+        "address": row.address,
+        "zone": row.zone,
+        "start": row.start,
+        "incarnation": row.incarnation,
+        "rank": row.rank,
+        "enrolled": row.enrolled,
+        "share": row.share,
+        "acked": row.acked,
+        "elector": row.elector,
+        "state": row.state,
+        "seq": row.seq,
+        "service": service,
+    }
+
+
 def _same(result: T) -> T:
     return result
--- a/loadbalancer/registry/snapshot_file.py
+++ b/loadbalancer/registry/snapshot_file.py
@@ -14,9 +14,8 @@
 from typing import Any
 
 from pysyncobj import SyncObjConsumer
-from pysyncobj import pickle as wire
 
-from loadbalancer.registry import stored_form
+from loadbalancer.registry.stored_form import STORED_FORM
 
 LEVEL = 1  # of gzip: files are written in Raft's thread, and the default level takes several times as long
 
@@ -31,12 +30,12 @@
         """`raft`: pysyncobj's own part, the last two log entries and the cluster."""
         parts = [{}, *(consumer._serialize() for consumer in self._consumers)]
         with gzip.open(path, "wb", compresslevel=LEVEL) as file:
-            wire.dump((parts, *raft), file)
+            STORED_FORM.dump((parts, *raft), file)
 
     def read(self, path: str) -> tuple[Any, ...]:
         """Give each consumer its part and return pysyncobj's; any error is pysyncobj's to log."""
         with gzip.open(Path(path), "rb") as file:
-            parts, *raft = stored_form.load(file)
+            parts, *raft = STORED_FORM.load(file)
         for consumer, part in zip(self._consumers, parts[1:], strict=False):
             consumer._deserialize(part)
         return tuple(raft)
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -1,30 +1,169 @@
-"""The form in which the replicated state is stored: pickled classes keep the names of the first release.
+"""The stored form of the replicated state: maps the names in a snapshot to the present ones, both ways.
 
-A snapshot written by an earlier release names classes by the modules that held them then. This module maps
-those names to the present classes, so that moving a class changes nothing for stored data.
+pysyncobj snapshots are pickles, which name a class by its module path and a field by its attribute name. The
+names in use when the format was first released stay in the files for good, so that every release reads the
+snapshots of every other one (instances are upgraded one at a time, and send one another their snapshots):
+
+- A class that moves or is renamed keeps its row in `STORED_CLASSES`; only `present` changes.
+- A field that is renamed is added to `renamed` of its class's row, as present name -> stored name.
+- A frozen dataclass with slots is stored as the list of its values, so its field *order* is the stored form.
 """
 
 from __future__ import annotations
 
+import copyreg
 import pickle
+import sys
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass, field
+from enum import Enum
 from gzip import GzipFile
+from types import ModuleType
 from typing import IO, Any
 
-STORED_MODULES = {
-    "orchidledge.members.ledger": "loadbalancer.membership.quota_ledger",
-    "orchidledge.registry.fleet_state": "loadbalancer.registry.fleet_state",
-    "orchidledge.routes.activation": "loadbalancer.routing.coordinator",
-}
+from loadbalancer.membership.quota_ledger import Ledger, Row, State
+from loadbalancer.registry.fleet_state import FleetState
+from loadbalancer.routing.coordinator import Activations, Pending, Version
+
+PROTOCOL = 2  # pysyncobj's
+
+Reduced = tuple[Any, ...]  # of `object.__reduce__`: a callable, its arguments and, mostly, a state
+Writer = Callable[[Any], Reduced]
+
+
+@dataclass(slots=True, frozen=True)
+class StoredClass:
+    """The stored names of one class of the replicated state."""
+
+    module: str
+    name: str
+    present: type[Any]
+    renamed: Mapping[str, str] = field(default_factory=dict)  # present field name -> stored field name
+
+
+STORED_CLASSES = (
+    StoredClass("orchidledge.registry.fleet_state", "FleetState", FleetState),
+    StoredClass("orchidledge.members.ledger", "Ledger", Ledger),
+    StoredClass("orchidledge.members.ledger", "Row", Row),
+    StoredClass("orchidledge.members.ledger", "State", State),
+    StoredClass("orchidledge.routes.activation", "Activations", Activations),
+    StoredClass("orchidledge.routes.activation", "Version", Version),
+    StoredClass("orchidledge.routes.activation", "Pending", Pending),
+)
+
+
+class StoredObject:
+    """Takes the place of a class under its stored name, since pickle writes only names that it can import.
+
+    It is never created while a snapshot is written or read here; `pickle.load` of a snapshot creates it, with
+    the stored constructor arguments and state.
+    """
+
+    def __init__(self, *args: Any) -> None:
+        self.args = args
+
+    def __setstate__(self, state: Any) -> None:
+        self.state = state
+
+
+def _register(stored: StoredClass) -> type[StoredObject]:
+    """A stand-in class that can be imported by its stored name."""
+    parts = stored.module.split(".")
+    for count in range(1, len(parts) + 1):
+        path = ".".join(parts[:count])
+        sys.modules.setdefault(path, ModuleType(path, "Names of classes in stored snapshots."))
+    stand_in = type(stored.name, (StoredObject,), {"__module__": stored.module})
+    setattr(sys.modules[stored.module], stored.name, stand_in)
+    return stand_in
+
+
+def _rename(state: Any, names: Mapping[str, str]) -> Any:
+    """A pickled state with its fields renamed, in whichever form its class is pickled in."""
+    if not names:
+        return state
+    match state:
+        case dict():
+            return {names.get(name, name): value for name, value in state.items()}
+        case (None, dict() as slots):
+            return None, {names.get(name, name): value for name, value in slots.items()}
+        case _:  # the values in the order of the fields
+            return state
+
+
+def _reader(stored: StoredClass) -> type[Any]:
+    """The class to read objects of this stored class with; what has been read is of the present class.
+
+    Where fields have been renamed it is a subclass of the present class with the same layout. pickle creates
+    an object of it and hands it the stored state; the object then becomes one of the present class, so that
+    references to it that were read before stay valid.
+    """
+    present = stored.present
+    if not stored.renamed:
+        return present
+    names = {old: new for new, old in stored.renamed.items()}
+    set_present_state = getattr(present, "__setstate__", _set_fields)
+
+    def set_stored_state(self: Any, state: Any) -> None:
+        object.__setattr__(self, "__class__", present)
+        set_present_state(self, _rename(state, names))
+
+    return type(stored.name, (present,), {"__slots__": (), "__setstate__": set_stored_state})
+
+
+def _set_fields(target: object, state: Any) -> None:
+    """What pickle does with the state of a class that has no `__setstate__`."""
+    fields = state[1] if isinstance(state, tuple) else state
+    for name, value in fields.items():
+        setattr(target, name, value)
+
+
+def _writer(stored: StoredClass) -> Writer:
+    """Gives the reduced form of an object of this class, under its stored names."""
+    stand_in, renamed = _register(stored), stored.renamed
+    if issubclass(stored.present, Enum):
+        return lambda member: (stand_in, (member.value,))
+    # `copyreg.__newobj__` would demand that the object is an instance of the class that is written. The
+    # arguments are the same tuple for each object, so that they are written once.
+    create: Callable[..., Any] = copyreg._reconstructor  # type: ignore[attr-defined]
+    arguments = (stand_in, object, None)
+    return lambda instance: (create, arguments, _rename(instance.__reduce_ex__(PROTOCOL)[2], renamed))
+
+
+class StoredForm:
+    """Writes and reads pickles in which objects of these classes stand under their stored names."""
+
+    def __init__(self, classes: Iterable[StoredClass]) -> None:
+        listed = tuple(classes)
+        self._readers = {(stored.module, stored.name): _reader(stored) for stored in listed}
+        self._writers = {stored.present: _writer(stored) for stored in listed}
+
+    def dump(self, value: object, file: IO[bytes] | GzipFile) -> None:
+        """Write one object."""
+        _Pickler(file, self._writers).dump(value)
+
+    def load(self, file: IO[bytes] | GzipFile) -> Any:
+        """Read one object; AttributeError or ImportError where it names a class that is not there."""
+        return _Unpickler(file, self._readers).load()
+
+
+class _Pickler(pickle.Pickler):
+    def __init__(self, file: IO[bytes] | GzipFile, writers: Mapping[type[Any], Writer]) -> None:
+        super().__init__(file, PROTOCOL)
+        self._writers = writers
+
+    def reducer_override(self, value: Any) -> Any:
+        writer = self._writers.get(type(value))
+        return NotImplemented if writer is None else writer(value)
 
 
-class StoredUnpickler(pickle.Unpickler):
-    """Reads pickles that name classes by their stored module paths."""
+class _Unpickler(pickle.Unpickler):
+    def __init__(self, file: IO[bytes] | GzipFile, readers: Mapping[tuple[str, str], type[Any]]) -> None:
+        super().__init__(file)
+        self._readers = readers
 
     def find_class(self, module: str, name: str) -> Any:
-        """The class or function of this name; AttributeError where the present release has none."""
-        return super().find_class(STORED_MODULES.get(module, module), name)
+        reader = self._readers.get((module, name))
+        return super().find_class(module, name) if reader is None else reader
 
 
-def load(file: IO[bytes] | GzipFile) -> Any:
-    """Read one pickled object."""
-    return StoredUnpickler(file).load()
+STORED_FORM = StoredForm(STORED_CLASSES)
