--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -29,8 +29,8 @@
 from loadbalancer.node.control import control_plane as fleet_part
 from loadbalancer.node.control.registry_client import Agent
 from loadbalancer.node.http import service_http as web
-from loadbalancer.registry.agent import Follower
-from loadbalancer.registry.settings import Agent as AgentSettings
+from loadbalancer.registry.agent import RegistryFollower
+from loadbalancer.registry.settings import AgentSettings
 from tests.support.loopback import config_row
 
 ALL = "all"  # the group where shares are not by service
@@ -61,7 +61,7 @@
         self.changes_seen[uid] = self.changes_seen.get(uid, 0) + 1
 
 
-class InnerAgent(Follower):
+class InnerAgent(RegistryFollower):
     """The agent's code, called without a socket between it and its node."""
 
     def __init__(self, spec: HollowSpec, instances: list[int], figures: Figures) -> None:
@@ -73,7 +73,7 @@
         self.figures = figures
 
     def _take(self, source_rev: int, whole: bool, targets: list[Any]) -> None:
-        before, follows = set(self.cache.entries), self.cache.have
+        before, follows = set(self.cache.entries), self.cache.filled
         super()._take(source_rev, whole, targets)
         for uid in self.cache.entries.keys() - before:
             if follows and uid.startswith(CHANGE):
@@ -263,7 +263,7 @@
 
     @property
     def has_list(self) -> bool:
-        return self.agent is not None and self.agent.cache.have
+        return self.agent is not None and self.agent.cache.filled
 
 
 class _Servers:
--- a/loadbalancer/registry/__main__.py
+++ b/loadbalancer/registry/__main__.py
@@ -20,7 +20,7 @@
 
 from loadbalancer.node.http.service_http import call
 from loadbalancer.registry import agent, local, service
-from loadbalancer.registry.settings import ConfigError, address, load_agent, load_instance, start_logs
+from loadbalancer.registry.settings import ConfigError, load_agent, load_instance, parse_address, start_logs
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -44,7 +44,7 @@
 
 async def _ask(where: str, target: str) -> int:
     try:
-        reply = await call(address(where), "GET", target)
+        reply = await call(parse_address(where), "GET", target)
     except (OSError, TimeoutError, ValueError) as failure:
         print(f"{where}: {type(failure).__name__}: {failure}", file=sys.stderr)
         return 1
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -32,24 +32,24 @@
 from loadbalancer.node.address import Address
 from loadbalancer.node.http.service_http import Answer, Call, call, serve
 from loadbalancer.registry import watch
-from loadbalancer.registry.catalog import Page, Target
-from loadbalancer.registry.forwarding import Passing
-from loadbalancer.registry.settings import Agent
+from loadbalancer.registry.catalog import ListPage, Target
+from loadbalancer.registry.forwarding import CallForwarder
+from loadbalancer.registry.settings import AgentSettings
 
-KEEP_GONE = 10_000
+MAX_TOMBSTONES = 10_000
 
 
 class StaleAnswerError(Exception):
     """An instance without a leader in reach answered; another may know more."""
 
 
-class Cache:
+class ListCache:
     """The list as the agent passes it on: entries by uid, each with the agent's revision of its change."""
 
     def __init__(self, start: int) -> None:
         self.revision = start
         self.horizon = start
-        self.have = False
+        self.filled = False
         self.entries: dict[str, Target] = {}
         self.changed: dict[str, int] = {}
         self.gone: dict[str, Target] = {}
@@ -63,9 +63,9 @@
                 changes += self._set(uid, None)
         for uid, target in incoming.items():
             changes += self._set(uid, None if target.get("state") == "Gone" else target)
-        if changes or not self.have:
+        if changes or not self.filled:
             self.revision += 1
-            self.have = True
+            self.filled = True
         return changes
 
     def _set(self, uid: str, target: Target | None) -> int:
@@ -74,7 +74,7 @@
             if old is None:
                 return 0
             self.gone[uid] = {**old, "state": "Gone"}
-            while len(self.gone) > KEEP_GONE:
+            while len(self.gone) > MAX_TOMBSTONES:
                 oldest = next(iter(self.gone))
                 del self.gone[oldest]
                 self.horizon = max(self.horizon, self.changed.pop(oldest, self.horizon))
@@ -87,20 +87,22 @@
         self.changed[uid] = self.revision + 1
         return 1
 
-    def page(self, since: int | None) -> Page:
+    def page(self, since: int | None) -> ListPage:
         if since is None or since < self.horizon or since > self.revision:
-            return Page(self.revision, True, tuple(self.entries.values()))
+            return ListPage(self.revision, True, tuple(self.entries.values()))
         changed = [uid for uid, rev in self.changed.items() if rev > since]
-        return Page(self.revision, False, tuple(self.entries.get(uid) or self.gone[uid] for uid in changed))
+        return ListPage(
+            self.revision, False, tuple(self.entries.get(uid) or self.gone[uid] for uid in changed)
+        )
 
 
-class Follower:
+class RegistryFollower:
     """Keeps the cache following the service, and wakes the node's watches on news."""
 
-    def __init__(self, config: Agent, log: structlog.stdlib.BoundLogger) -> None:
+    def __init__(self, config: AgentSettings, log: structlog.stdlib.BoundLogger) -> None:
         self.config = config
         self.log = log
-        self.cache = Cache(time.time_ns() // 1000)
+        self.cache = ListCache(time.time_ns() // 1000)
         # Agents start spread over the instances, so that no one instance carries every watch.
         self.source = zlib.crc32("{}:{}".format(*config.listen).encode()) % len(config.registries)
         self.source_rev: int | None = None  # the service's revision of what the cache holds
@@ -108,8 +110,8 @@
         self.behind = 0  # answers in a row of a revision before what the cache holds
         self.empty_since: float | None = None
         self._loop = asyncio.get_running_loop()
-        self.news: asyncio.Future[None] = self._loop.create_future()
-        self._fleet = Passing(config.registries, lambda: self.source, log)
+        self._list_changed: asyncio.Future[None] = self._loop.create_future()
+        self._fleet = CallForwarder(config.registries, lambda: self.source, log)
 
     @property
     def address(self) -> Address:
@@ -142,7 +144,7 @@
             or not isinstance(row.get("targets"), list)
         ):
             raise ValueError("not a list of the discovery wire")
-        if reply.headers.get("registry-stale") == "1" and self.cache.have:
+        if reply.headers.get("registry-stale") == "1" and self.cache.filled:
             raise StaleAnswerError(f"stale at rev {row['rev']}")
         if self.source_rev is not None and row["rev"] < self.source_rev:
             self.behind += 1
@@ -175,7 +177,7 @@
         self.source_rev = source_rev
         changes = self.cache.apply(whole, targets)
         if changes or whole:
-            news, self.news = self.news, self._loop.create_future()
+            news, self._list_changed = self._list_changed, self._loop.create_future()
             news.set_result(None)
         if changes:
             self.log.info("list_changed", rev=self.cache.revision, source_rev=source_rev, changes=changes)
@@ -200,18 +202,18 @@
         if request.path != "/discovery/hosts" or request.method != "GET":
             return Answer(404, b'{"error":"no such path"}')
         try:
-            since, wait_s = watch.query(request)
+            since, wait_s = watch.parse_query(request)
         except ValueError:
             return Answer(400, b'{"error":"since and timeout_ms are whole numbers"}')
-        while not self.cache.have:  # silent until there is a list
-            await asyncio.shield(self.news)
-        page = await watch.page_when_news(self.cache.page, since, wait_s, lambda: self.news)
-        return watch.answer(page, origin_rev=self.source_rev)
+        while not self.cache.filled:  # silent until there is a list
+            await asyncio.shield(self._list_changed)
+        page = await watch.page_after_change(self.cache.page, since, wait_s, lambda: self._list_changed)
+        return watch.page_answer(page, origin_rev=self.source_rev)
 
     def status(self) -> dict[str, Any]:
         return {
             "rev": self.cache.revision,
-            "have": self.cache.have,
+            "have": self.cache.filled,
             "listed": len(self.cache.entries),
             "source": self._name(),
             "source_rev": self.source_rev,
@@ -219,9 +221,9 @@
         }
 
 
-async def run_agent(config: Agent, log: structlog.stdlib.BoundLogger) -> None:
+async def run_agent(config: AgentSettings, log: structlog.stdlib.BoundLogger) -> None:
     """Follow the service and serve the node until SIGTERM or SIGINT."""
-    follower = Follower(config, log)
+    follower = RegistryFollower(config, log)
     server = await serve(config.listen, follower.handle)
     task = asyncio.create_task(follower.follow())
     log.info("agent_started", listen="{}:{}".format(*config.listen), registries=len(config.registries))
--- a/loadbalancer/registry/batch.py
+++ b/loadbalancer/registry/batch.py
@@ -8,14 +8,14 @@
 
 import structlog
 
-BATCH_S = 0.02  # requests gathered into one command
-MOST = 500  # in one, so that an entry stays well under what pysyncobj sends in one piece
+BATCH_WINDOW_S = 0.02  # requests gathered into one command
+MAX_BATCH_SIZE = 500  # in one, so that an entry stays well under what pysyncobj sends in one piece
 
 Request = TypeVar("Request")
 Result = TypeVar("Result")
 
 
-class Batch(Generic[Request, Result]):
+class Batcher(Generic[Request, Result]):
     """Commits what is added within BATCH_S together; `commit` gives a result for each, in order."""
 
     def __init__(
@@ -42,8 +42,8 @@
         flush.add_done_callback(self._flushes.discard)
 
     async def _flush(self) -> None:
-        await asyncio.sleep(BATCH_S)
-        batch, self._waiting = self._waiting[:MOST], self._waiting[MOST:]
+        await asyncio.sleep(BATCH_WINDOW_S)
+        batch, self._waiting = self._waiting[:MAX_BATCH_SIZE], self._waiting[MAX_BATCH_SIZE:]
         if self._waiting:
             self._start_flush()
         try:
--- a/loadbalancer/registry/catalog.py
+++ b/loadbalancer/registry/catalog.py
@@ -16,20 +16,20 @@
 
 Target = dict[str, Any]  # one entry as PROTOCOL shows it: uid, endpoint, az, model, pod_group, state, ...
 
-STATES = ("Ready", "Terminating")
+TARGET_STATES = ("Ready", "Terminating")
 FIELDS = ("uid", "endpoint", "az", "model", "pod_group", "state", "capacity_hint", "boot_ms")
 
 
 @dataclass(slots=True, frozen=True)
-class Page:
+class ListPage:
     """What a read returns: the revision it shows, whether the list is whole, and its entries."""
 
     revision: int
-    whole: bool
+    complete: bool
     targets: tuple[Target, ...]
 
 
-def clean_target(row: object) -> Target:
+def validate_target(row: object) -> Target:
     """A target as it is stored, from what a server sent; ValueError names the field that is wrong."""
     if not isinstance(row, dict):
         raise ValueError("a target is not an object")
@@ -38,8 +38,8 @@
         raise ValueError("uid: not a text of 1 to 200 characters")
     if not isinstance(endpoint, str) or ":" not in endpoint:
         raise ValueError("endpoint: not host:port")
-    if state not in STATES:
-        raise ValueError(f"state: {state!r} is not one of {', '.join(STATES)}")
+    if state not in TARGET_STATES:
+        raise ValueError(f"state: {state!r} is not one of {', '.join(TARGET_STATES)}")
     hint, boot, group = row.get("capacity_hint", 1.0), row.get("boot_ms", 0), row.get("pod_group", 0)
     if not isinstance(hint, int | float) or not isinstance(boot, int) or not isinstance(group, int):
         raise ValueError("capacity_hint, boot_ms or pod_group: not a number")
@@ -55,7 +55,7 @@
     }
 
 
-class Catalog(SyncObjConsumer):  # type: ignore[misc]  # pysyncobj ships no types
+class TargetCatalog(SyncObjConsumer):  # type: ignore[misc]  # pysyncobj ships no types
     """The targets by uid, each with the revision of its last change, and their leases.
 
     A revision counts changes that a watcher can see; renewing a lease is none. An entry that
@@ -63,11 +63,11 @@
     push it out; a watch from before the oldest tombstone kept is answered with the whole list.
     """
 
-    def __init__(self, keep_gone: int, on_change: Callable[[int], None]) -> None:
+    def __init__(self, max_tombstones: int, on_change: Callable[[int], None]) -> None:
         # Set before the consumer's own start, so that pysyncobj leaves them out of its snapshots.
         self._lock = threading.Lock()
         self._on_change = on_change
-        self._keep_gone = keep_gone
+        self._keep_gone = max_tombstones
         super().__init__()
         self.revision = 0
         self.horizon = 0  # a watch from a revision below this can no longer be told what changed
@@ -130,16 +130,16 @@
 
     # Reads: from whatever this instance has applied.
 
-    def page(self, since: int | None) -> Page:
+    def page(self, since: int | None) -> ListPage:
         """The whole list (`since` None, from before the horizon, or from a revision this catalog
         never had, as after a rebuild), or the entries changed after `since`."""
         with self._lock:
             if since is None or since < self.horizon or since > self.revision:
-                return Page(self.revision, True, tuple(self.live.values()))
+                return ListPage(self.revision, True, tuple(self.live.values()))
             changed = [uid for uid, rev in self.changed.items() if rev > since]
-            return Page(self.revision, False, tuple(self._entry(uid) for uid in changed))
+            return ListPage(self.revision, False, tuple(self._entry(uid) for uid in changed))
 
-    def any_lapsed(self, now_ms: int, ttl_ms: int) -> bool:
+    def has_expired(self, now_ms: int, ttl_ms: int) -> bool:
         """Whether `expire` would bury anything: the leader proposes it only then, so that an idle
         list adds nothing to the log."""
         with self._lock:
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -19,20 +19,38 @@
 from loadbalancer.node.http.service_http import Answer, Call, Client
 from loadbalancer.registry import watch
 from loadbalancer.registry.commands import EnrolMember
-from loadbalancer.registry.fleet_catalog import Ended, FleetCatalog, MemberGrant, Refused, Renewal
+from loadbalancer.registry.fleet_catalog import FleetCatalog, MemberGrant, MembersRemoved, Rejected, Renewal
 from loadbalancer.registry.fleet_leader import FleetLeader
 from loadbalancer.registry.fleet_state import LimitReachedError
-from loadbalancer.registry.forwarding import pass_on
-from loadbalancer.registry.messages import Enrol, Halt, One, Renew, Rollback, Vote
-from loadbalancer.registry.renewal_relay import HOP, PASS_S, RenewalRelay, answer_batch, read_batch
-from loadbalancer.registry.renewal_relay import MAX_BODY as MAX_BATCH_BODY
-from loadbalancer.registry.settings import address
+from loadbalancer.registry.forwarding import forward
+from loadbalancer.registry.messages import (
+    EnrolRequest,
+    HaltRequest,
+    MemberRequest,
+    RenewRequest,
+    RollbackRequest,
+    VoteRequest,
+)
+from loadbalancer.registry.renewal_relay import (
+    FORWARD_TIMEOUT_S,
+    FORWARDED_HEADER,
+    RenewalRelay,
+    decode_renewals,
+    encode_answers,
+)
+from loadbalancer.registry.renewal_relay import MAX_BATCH_BODY_BYTES as MAX_BATCH_BODY
+from loadbalancer.registry.settings import parse_address
 from loadbalancer.routing.coordinator import Ruling
 from loadbalancer.routing.route_table import MAX_TEXT, parse
 
-MAX_BODY = 8 * 1024
-LIMITS = {("PUT", "routes"): MAX_TEXT, ("POST", "renew-many"): MAX_BATCH_BODY}  # of bodies, in bytes
-LIMIT_LOGGED_EACH = 1_000  # enrolments refused at a limit: one line for the first, then for each so many
+MAX_BODY_BYTES = 8 * 1024
+MAX_BODY_BYTES_BY_CALL = {
+    ("PUT", "routes"): MAX_TEXT,
+    ("POST", "renew-many"): MAX_BATCH_BODY,
+}  # of bodies, in bytes
+REJECTIONS_PER_LOG_LINE = (
+    1_000  # enrolments refused at a limit: one line for the first, then for each so many
+)
 
 B = TypeVar("B")
 
@@ -56,7 +74,7 @@
 Handler = Callable[[Call], Awaitable[Answer]]
 
 
-class FleetWeb:
+class FleetApi:
     """The handlers; `news` gives the future that is done at the next change of a group's member list, or of
     the routes."""
 
@@ -73,7 +91,7 @@
         self._client = Client()
         self._relay = RenewalRelay(self._client, self._other_leader, log)
         self._failures = 0
-        self.limit_refusals = 0  # enrolments refused at a limit
+        self.rejected_enrolments = 0  # enrolments refused at a limit
         self._handlers: dict[tuple[str, str], Handler] = {
             ("POST", "enrol"): self._enrol,
             ("POST", "renew"): self._renew,
@@ -108,18 +126,18 @@
         handler = self._handler(call.method, path)
         if handler is None:
             return error(404, f"no {call.method} {call.path}")
-        limit = LIMITS.get((call.method, path), MAX_BODY)
-        if not self._leader.leads:
-            self._leader.want()
+        limit = MAX_BODY_BYTES_BY_CALL.get((call.method, path), MAX_BODY_BYTES)
+        if not self._leader.is_leading:
+            self._leader.request_leadership()
             if path == "renew" and self._leader.groups and len(call.body) <= limit:
                 return await self._relay_renewal(call)
-            return await self._pass_on(call)
+            return await self._forward(call)
         if len(call.body) > limit:
-            return self._refuse(call, f"body: {len(call.body)} bytes, over {limit}")
+            return self._reject(call, f"body: {len(call.body)} bytes, over {limit}")
         try:
             return await handler(call)
         except ValueError as failure:  # orjson's error is one too
-            return self._refuse(call, str(failure))
+            return self._reject(call, str(failure))
 
     def _handler(self, method: str, path: str) -> Handler | None:
         if method == "DELETE" and path.startswith("members/"):
@@ -132,23 +150,23 @@
 
     def _other_leader(self) -> str | None:
         """Where the instance that leads answers, if it is another."""
-        leader = self._fleet.leader()
-        return None if leader == self._leader.http else leader
+        leader = self._fleet.leader_address()
+        return None if leader == self._leader.address else leader
 
     async def _relay_renewal(self, call: Call) -> Answer:
         try:
-            renewal = _read(Renew, call.body)
+            renewal = _read(RenewRequest, call.body)
         except ValueError as failure:
-            return self._refuse(call, str(failure))
+            return self._reject(call, str(failure))
         return await self._relay.renew(renewal)
 
-    async def _pass_on(self, call: Call) -> Answer:
+    async def _forward(self, call: Call) -> Answer:
         to = self._other_leader()
-        if to is None or HOP in call.headers:
+        if to is None or FORWARDED_HEADER in call.headers:
             return error(503, "no leader in reach")
-        return await pass_on(self._client, address(to), call, PASS_S, hop=True)
+        return await forward(self._client, parse_address(to), call, FORWARD_TIMEOUT_S, hop=True)
 
-    def _refuse(self, call: Call, why: str) -> Answer:
+    def _reject(self, call: Call, why: str) -> Answer:
         self._log.warning("fleet_call_refused", method=call.method, path=call.path[:100], why=why[:300])
         return error(400, why)
 
@@ -156,16 +174,16 @@
 
     async def _enrol(self, call: Call) -> Answer:
         t2 = self._leader.service_ms()
-        body = _read(Enrol, call.body)
+        body = _read(EnrolRequest, call.body)
         try:
-            address(body.address)
+            parse_address(body.address)
         except ValueError as failure:
             raise ValueError(f"address: {failure}") from failure
         member = EnrolMember(body.name, body.address, body.zone, body.start, body.service)
         try:
             grant = await self._leader.enrol(member)
         except LimitReachedError as failure:
-            return self._refuse_enrolment(member, failure)
+            return self._reject_enrolment(member, failure)
         self._log.info(
             "member_enrolled",
             name=body.name,
@@ -175,28 +193,28 @@
         )
         return self._lease(grant, t2)
 
-    def _refuse_enrolment(self, member: EnrolMember, failure: LimitReachedError) -> Answer:
-        self.limit_refusals += 1
-        if self.limit_refusals % LIMIT_LOGGED_EACH == 1:
+    def _reject_enrolment(self, member: EnrolMember, failure: LimitReachedError) -> Answer:
+        self.rejected_enrolments += 1
+        if self.rejected_enrolments % REJECTIONS_PER_LOG_LINE == 1:
             self._log.warning(
                 "enrolment_refused",
                 name=member.name,
                 service=member.service,
                 why=str(failure),
-                refusals=self.limit_refusals,
+                refusals=self.rejected_enrolments,
             )
         return error(409, str(failure))
 
     async def _renew(self, call: Call) -> Answer:
-        return await self._renew_lease(_read(Renew, call.body))
+        return await self._renew_lease(_read(RenewRequest, call.body))
 
     async def _renew_many(self, call: Call) -> Answer:
-        renewals = read_batch(call.body)
-        return answer_batch(await asyncio.gather(*map(self._renew_lease, renewals)))
+        renewals = decode_renewals(call.body)
+        return encode_answers(await asyncio.gather(*map(self._renew_lease, renewals)))
 
-    async def _renew_lease(self, body: Renew) -> Answer:
+    async def _renew_lease(self, body: RenewRequest) -> Answer:
         t2 = self._leader.service_ms()
-        late = None if body.sent is None else self._leader.too_late(body.sent)
+        late = None if body.sent is None else self._leader.out_of_range_by_ms(body.sent)
         if late is not None:
             return error(409, f"sent {late:.0f} ms ago by service time")
         renewal = Renewal(body.incarnation, body.seq, body.answered, body.acked, body.using)
@@ -216,12 +234,12 @@
         return Answer(200, msgspec.json.encode(answer))
 
     async def _leaving(self, call: Call) -> Answer:
-        body = _read(One, call.body)
-        return reply(200, {"ok": await self._leader.ask(self._fleet.leaving, body.incarnation)})
+        body = _read(MemberRequest, call.body)
+        return reply(200, {"ok": await self._leader.execute(self._fleet.leaving, body.incarnation)})
 
     async def _leave(self, call: Call) -> Answer:
-        body = _read(One, call.body)
-        ok = await self._leader.ask(self._fleet.leave, body.incarnation)
+        body = _read(MemberRequest, call.body)
+        ok = await self._leader.execute(self._fleet.leave, body.incarnation)
         self._log.info("member_left", incarnation=body.incarnation, known=ok)
         return reply(200, {"ok": ok})
 
@@ -238,9 +256,9 @@
         if not 0 < len(service) <= 100:
             raise ValueError("service: not of 1 to 100 characters")
         outcome = await self._leader.end_service(service)
-        if isinstance(outcome, Refused):
-            return error(409, outcome.why)
-        assert isinstance(outcome, Ended)
+        if isinstance(outcome, Rejected):
+            return error(409, outcome.reason)
+        assert isinstance(outcome, MembersRemoved)
         self._log.warning("service_ended_by_operator", service=service, incarnations=outcome.incarnations)
         return reply(200, {"removed": outcome.incarnations})
 
@@ -252,7 +270,7 @@
         member list that `incarnation` knows is not `since`, or the routes' not `routes_since` (not given:
         what it was at the call)."""
         try:
-            since, wait_s = watch.query(call, self._max_wait_ms)
+            since, wait_s = watch.parse_query(call, self._max_wait_ms)
             routes_since = watch.optional_number(call, "routes_since")
             incarnation = watch.optional_number(call, "incarnation") or 0
         except ValueError:
@@ -289,27 +307,27 @@
     async def _propose(self, call: Call) -> Answer:
         parse(0, call.body)  # ValueError names the key and its line
         deadline = self._leader.service_ms() + self._leader.prepare_ms
-        return self._begun(await self._leader.ask(self._fleet.propose, call.body.decode(), deadline))
+        return self._proposed(await self._leader.execute(self._fleet.propose, call.body.decode(), deadline))
 
     async def _rollback(self, call: Call) -> Answer:
-        body = _read(Rollback, call.body)
+        body = _read(RollbackRequest, call.body)
         deadline = self._leader.service_ms() + self._leader.prepare_ms
-        return self._begun(await self._leader.ask(self._fleet.rollback, body.number, deadline))
+        return self._proposed(await self._leader.execute(self._fleet.rollback, body.number, deadline))
 
-    def _begun(self, ruling: Ruling) -> Answer:
+    def _proposed(self, ruling: Ruling) -> Answer:
         if ruling.refused:
             return error(409, ruling.why)
         self._log.info("route_version_proposed", number=ruling.number, phase=ruling.phase)
         return reply(200, {"number": ruling.number, "phase": ruling.phase})
 
     async def _vote(self, call: Call) -> Answer:
-        body = _read(Vote, call.body)
+        body = _read(VoteRequest, call.body)
         fields = (body.incarnation, body.number, body.yes, body.why)
-        ruling: Ruling = await self._leader.ask(self._fleet.vote, *fields)
+        ruling: Ruling = await self._leader.execute(self._fleet.vote, *fields)
         return reply(200, {"phase": ruling.phase})
 
     async def _halt(self, call: Call) -> Answer:
-        body = _read(Halt, call.body)
-        ruling: Ruling = await self._leader.ask(self._fleet.halt, body.number)
+        body = _read(HaltRequest, call.body)
+        ruling: Ruling = await self._leader.execute(self._fleet.halt, body.number)
         self._log.warning("routes_halted", number=ruling.number, phase=ruling.phase)
         return reply(200, {"number": ruling.number, "phase": ruling.phase})
--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -23,11 +23,11 @@
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Row
 from loadbalancer.registry.commands import EndService, EnrolMember, RemoveMembers, decode
-from loadbalancer.registry.fleet_state import Begun, FleetState, LimitReachedError, ServiceInUseError
+from loadbalancer.registry.fleet_state import FleetState, LimitReachedError, ServiceInUseError, TermStart
 from loadbalancer.registry.service_clock import ServiceClock
 from loadbalancer.routing.coordinator import Ruling
 
-LEADER = 2  # pysyncobj's number of the state
+RAFT_LEADER = 2  # pysyncobj's number of the state
 
 PlainRenewal = tuple[int, int, int, int, float]  # a `Renewal` as it stands in the log
 T = TypeVar("T")
@@ -44,7 +44,7 @@
     using: float
 
 
-class Applied(NamedTuple):
+class AppliedRequest(NamedTuple):
     """An enrolment or renewal that was applied: its row, if there is one, and what its process knows."""
 
     row: Row | None
@@ -59,26 +59,26 @@
     routes: dict[str, Any]
 
 
-class Refused(Struct, frozen=True):
+class Rejected(Struct, frozen=True):
     """Why a command was not carried out; nothing has changed."""
 
-    why: str
+    reason: str
 
 
-class Ended(Struct, frozen=True):
+class MembersRemoved(Struct, frozen=True):
     """The incarnations that an operator's word ended."""
 
     incarnations: list[int]
 
 
-Outcome = MemberGrant | Refused | Ended
+Outcome = MemberGrant | Rejected | MembersRemoved
 
 
 @dataclass(slots=True, frozen=True)
-class Renewed:
+class AppliedRenewal:
     """A renewal or enrolment that was applied: what the leader counts its lease from."""
 
-    at: float  # ms of the monotonic clock
+    at_ms: float  # ms of the monotonic clock
     incarnation: int
     seq: int
     answered: int
@@ -95,24 +95,28 @@
     def __init__(
         self,
         clock: ServiceClock,
-        mono: Callable[[], float],
+        monotonic_ms: Callable[[], float],
         on_change: Callable[[frozenset[str] | None], None],
     ) -> None:
         # Set before the consumer's own start, so that pysyncobj leaves them out of its snapshots.
         self._lock = threading.Lock()
         self._clock = clock
-        self._mono = mono
+        self._monotonic_ms = monotonic_ms
         self._on_change = on_change
-        self._serving = -1  # the term in which this instance answers: answers are made and renewals kept
-        self._renewed: list[Renewed] = []
-        self._take_deltas: set[int] = set()  # incarnations whose next renewal takes changes of the list
-        self.leads: int | None = None  # the Raft term this instance leads in; set by Raft's thread alone
+        self._answering_term = (
+            -1
+        )  # the term in which this instance answers: answers are made and renewals kept
+        self._applied_renewals: list[AppliedRenewal] = []
+        self._delta_requests: set[int] = set()  # incarnations whose next renewal takes changes of the list
+        self.leader_term: int | None = (
+            None  # the Raft term this instance leads in; set by Raft's thread alone
+        )
         super().__init__()
         self.state = FleetState()
 
     def state_changed(self, old: int, new: int) -> None:
         """pysyncobj's `onStateChanged`, in its thread, where the term is that of the state."""
-        self.leads = self._syncObj.raftCurrentTerm if new == LEADER else None
+        self.leader_term = self._syncObj.raftCurrentTerm if new == RAFT_LEADER else None
         self._on_change(None)
 
     # Commands: each runs on every instance, in the log's order.
@@ -120,11 +124,11 @@
     @replicated  # type: ignore[untyped-decorator]
     def lead(
         self, stamp: float, term: int, http: str, epoch: int | None, ttl_ms: float, bound_ms: float
-    ) -> Begun | None:
+    ) -> TermStart | None:
         """The first of a term; its stamp says nothing, as service time goes on only from its result."""
         with self._lock:
-            self._renewed.clear()
-            return self.state.lead(term, http, epoch, ttl_ms, bound_ms)
+            self._applied_renewals.clear()
+            return self.state.start_term(term, http, epoch, ttl_ms, bound_ms)
 
     @replicated  # type: ignore[untyped-decorator]
     def enrol(
@@ -132,11 +136,11 @@
     ) -> list[MemberGrant | None] | None:
         """What the process is told; None in its place where there are too many rows."""
 
-        def act() -> list[Applied]:
+        def act() -> list[AppliedRequest]:
             row = self.state.enrol(name, address, zone, start)
             if row is not None:
-                self._keep(row.incarnation, row.seq, -1)
-            return [Applied(row)]
+                self._record_renewal(row.incarnation, row.seq, -1)
+            return [AppliedRequest(row)]
 
         return self._run(stamp, term, act, self._grants)
 
@@ -158,7 +162,7 @@
 
     @replicated  # type: ignore[untyped-decorator]
     def leaving(self, stamp: float, term: int, incarnation: int) -> bool | None:
-        return self._run(stamp, term, lambda: self.state.leaving(incarnation), bool)
+        return self._run(stamp, term, lambda: self.state.start_draining(incarnation), bool)
 
     @replicated  # type: ignore[untyped-decorator]
     def leave(self, stamp: float, term: int, incarnation: int) -> bool | None:
@@ -166,13 +170,13 @@
 
     @replicated  # type: ignore[untyped-decorator]
     def remove(self, stamp: float, term: int, name: str) -> list[int] | None:
-        return self._run(stamp, term, lambda: self.state.remove(name), _same)
+        return self._run(stamp, term, lambda: self.state.remove(name), _unchanged)
 
     @replicated  # type: ignore[untyped-decorator]
     def expire(
         self, stamp: float, term: int, lapsed: list[tuple[int, int]], support: list[int], repeats: int
     ) -> tuple[list[int], list[int]] | None:
-        return self._run(stamp, term, lambda: self.state.expire(lapsed, support, repeats), _same)
+        return self._run(stamp, term, lambda: self.state.expire(lapsed, support, repeats), _unchanged)
 
     @replicated  # type: ignore[untyped-decorator]
     def propose(self, stamp: float, term: int, text: str, deadline_ms: float) -> Ruling | None:
@@ -197,20 +201,20 @@
     @replicated  # type: ignore[untyped-decorator]
     def decide(self, stamp: float, term: int) -> bool | None:
         """Let the log's time pass: a deadline or a moment of activation may be reached by it."""
-        return self._run(stamp, term, lambda: True, _same)
+        return self._run(stamp, term, lambda: True, _unchanged)
 
     # The leader's.
 
-    def serve(self, term: int) -> None:
+    def start_answering(self, term: int) -> None:
         """This instance is to answer in this term."""
         with self._lock:
-            self._serving = term
-            self._take_deltas.clear()
+            self._answering_term = term
+            self._delta_requests.clear()
 
-    def take_renewed(self) -> list[Renewed]:
+    def take_applied_renewals(self) -> list[AppliedRenewal]:
         """The renewals applied in this instance's term since the last call."""
         with self._lock:
-            taken, self._renewed = self._renewed, []
+            taken, self._applied_renewals = self._applied_renewals, []
             return taken
 
     def read(self, what: Callable[[FleetState], T]) -> T:
@@ -218,23 +222,23 @@
         with self._lock:
             return what(self.state)
 
-    def quorum(self) -> bool:
+    def has_quorum(self) -> bool:
         try:
             return bool(self._syncObj.hasQuorum)
         except RuntimeError:  # pysyncobj's set of connections changed in its thread while it was counted
             return False
 
-    def leader(self) -> str | None:
+    def leader_address(self) -> str | None:
         """Where the instance that leads answers, as far as this one knows."""
         raft = self._syncObj
         with self._lock:
             known = self.state.term == raft.raftCurrentTerm and raft._getLeader() is not None
-            return self.state.http if known else None
+            return self.state.leader_address if known else None
 
-    def take_deltas(self, incarnation: int) -> None:
+    def request_delta(self, incarnation: int) -> None:
         """The next renewal of this row takes changes of the member list in place of the whole."""
         with self._lock:
-            self._take_deltas.add(incarnation)
+            self._delta_requests.add(incarnation)
 
     def members(self, service: str | None = None) -> dict[str, Any]:
         """What GET /fleet/members answers; of one group, or of all."""
@@ -254,9 +258,9 @@
         """Apply a command: its change, what that brings about, and then its answer."""
         with self._lock:
             before, routes_before = self.state.group_revisions(), self.state.routes.revision
-            if not self.state.begin(stamp, term):
+            if not self.state.accept(stamp, term):
                 return None
-            self._note(stamp)
+            self._observe_stamp(stamp)
             result = act()
             self.state.settle()
             if routes_before != self.state.routes.revision:
@@ -269,56 +273,59 @@
         now = self.state.group_revisions()
         return frozenset(group for group, _ in before.items() ^ now.items())
 
-    def _note(self, stamp: float) -> None:
+    def _observe_stamp(self, stamp: float) -> None:
         # Not from a journal that is read back or caught up with: those stamps were made long before.
         raft = self._syncObj
         if raft is not None and raft.isReady() and raft.raftCurrentTerm == self.state.term:
-            self._clock.noted(self._mono(), stamp, self.state.epoch)
+            self._clock.observe(self._monotonic_ms(), stamp, self.state.epoch)
 
-    def _renew(self, renewal: Renewal) -> Applied:
+    def _renew(self, renewal: Renewal) -> AppliedRequest:
         row = self.state.renew(renewal.incarnation, renewal.seq, renewal.acked, renewal.using)
         if row is not None:
-            self._keep(renewal.incarnation, renewal.seq, renewal.answered)
-        takes_delta = renewal.incarnation in self._take_deltas
-        self._take_deltas.discard(renewal.incarnation)
-        return Applied(row, renewal.acked, takes_delta)
-
-    def _carry_out(self, command: EnrolMember | RemoveMembers | EndService) -> Row | Refused | Ended:
+            self._record_renewal(renewal.incarnation, renewal.seq, renewal.answered)
+        takes_delta = renewal.incarnation in self._delta_requests
+        self._delta_requests.discard(renewal.incarnation)
+        return AppliedRequest(row, renewal.acked, takes_delta)
+
+    def _carry_out(
+        self, command: EnrolMember | RemoveMembers | EndService
+    ) -> Row | Rejected | MembersRemoved:
         try:
             match command:
                 case EnrolMember():
                     row = self.state.enrol_in(
                         command.service, command.name, command.address, command.zone, command.start
                     )
-                    self._keep(row.incarnation, row.seq, -1)
+                    self._record_renewal(row.incarnation, row.seq, -1)
                     return row
                 case RemoveMembers():
-                    return Ended(self.state.remove(command.name, command.service))
+                    return MembersRemoved(self.state.remove(command.name, command.service))
                 case EndService():
-                    return Ended(self.state.end_service(command.service))
+                    return MembersRemoved(self.state.end_service(command.service))
         except (LimitReachedError, ServiceInUseError) as refusal:
-            return Refused(str(refusal))
+            return Rejected(str(refusal))
 
-    def _keep(self, incarnation: int, seq: int, answered: int) -> None:
-        if self._serving == self.state.term:
-            self._renewed.append(Renewed(self._mono(), incarnation, seq, answered))
+    def _record_renewal(self, incarnation: int, seq: int, answered: int) -> None:
+        if self._answering_term == self.state.term:
+            self._applied_renewals.append(AppliedRenewal(self._monotonic_ms(), incarnation, seq, answered))
 
-    def _grants(self, applied: Iterable[Applied]) -> list[MemberGrant | None] | None:
+    def _grants(self, applied: Iterable[AppliedRequest]) -> list[MemberGrant | None] | None:
         """What the processes are told; None where they have no row."""
-        if self._serving != self.state.term:
+        if self._answering_term != self.state.term:
             return None
         routes = self.state.routes.answer()
         return [None if each.row is None else self._grant(each.row, each, routes) for each in applied]
 
-    def _outcomes(self, results: list[Row | Refused | Ended]) -> list[Outcome] | None:
-        if self._serving != self.state.term:
+    def _outcomes(self, results: list[Row | Rejected | MembersRemoved]) -> list[Outcome] | None:
+        if self._answering_term != self.state.term:
             return None
         routes = self.state.routes.answer()
         return [
-            self._grant(each, Applied(each), routes) if isinstance(each, Row) else each for each in results
+            self._grant(each, AppliedRequest(each), routes) if isinstance(each, Row) else each
+            for each in results
         ]
 
-    def _grant(self, row: Row, applied: Applied, routes: dict[str, Any]) -> MemberGrant:
+    def _grant(self, row: Row, applied: AppliedRequest, routes: dict[str, Any]) -> MemberGrant:
         return MemberGrant(self.state.grant(row, applied.acked, applied.takes_delta), routes)
 
     def _deserialize(self, data: dict[str, Any]) -> None:
@@ -346,5 +353,5 @@
     }
 
 
-def _same(result: T) -> T:
+def _unchanged(result: T) -> T:
     return result
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -32,9 +32,9 @@
 from loadbalancer.routing.coordinator import Activations, Ruling
 
 # Guards: enrolments that never end must not grow the log's state without bound.
-MAX_ROWS = 1_000  # of members that name no service
-MAX_GROUP_ROWS = 500
-MAX_ALL_ROWS = 4_000
+MAX_UNGROUPED_MEMBERS = 1_000  # of members that name no service
+MAX_GROUP_MEMBERS = 500
+MAX_MEMBERS = 4_000
 
 NO_SERVICE = ""  # the group of members that name no service
 
@@ -48,22 +48,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Begun:
+class TermStart:
     """What the log held when a term of leading began."""
 
     log_ms: float
     epoch: int
     ttl_ms: float
-    rows: list[tuple[int, int]]  # incarnation and seq
+    renewals: list[tuple[int, int]]  # incarnation and seq
 
 
 @dataclass(slots=True, frozen=True)
-class Expiry:
+class DueExpiry:
     """Leases that ran out, as (incarnation, seq of its last renewal), and the rows surely attached."""
 
     lapsed: list[tuple[int, int]]
     support: list[int]
-    repeats: int
+    repeated_enrolments: int
 
 
 @dataclass(slots=True)
@@ -74,11 +74,11 @@
     routes: Activations = field(default_factory=Activations)
     log_ms: float = 0.0  # the highest stamp
     term: int = -1  # of the last `lead`
-    http: str = ""  # where the instance that leads in it answers
+    leader_address: str = ""  # where the instance that leads in it answers
     epoch: int = 0  # of service time
     ttl_ms: float = 0.0
-    bound_ms: float = 0.0
-    repeats: int = 0  # enrolments of a process that had a row already
+    clock_bound_ms: float = 0.0
+    repeated_enrolments: int = 0  # enrolments of a process that had a row already
     services: dict[str, Ledger] = field(default_factory=dict)
     _service_of: dict[int, str] = field(default_factory=dict, compare=False, repr=False)
 
@@ -96,18 +96,20 @@
             number: service for service, ledger in self.services.items() for number in ledger.by_incarnation
         }
 
-    def lead(self, term: int, http: str, epoch: int | None, ttl_ms: float, bound_ms: float) -> Begun | None:
+    def start_term(
+        self, term: int, http: str, epoch: int | None, ttl_ms: float, bound_ms: float
+    ) -> TermStart | None:
         """Begin a term. `epoch`: of what its leader knows of service time, None where it knows none."""
         if term < self.term:
             return None
         if epoch != self.epoch and term > self.term:
             self.epoch += 1
-        self.term, self.http = term, http
-        self.ttl_ms, self.bound_ms = max(self.ttl_ms, ttl_ms), max(self.bound_ms, bound_ms)
+        self.term, self.leader_address = term, http
+        self.ttl_ms, self.clock_bound_ms = max(self.ttl_ms, ttl_ms), max(self.clock_bound_ms, bound_ms)
         rows = [(row.incarnation, row.seq) for row in self.rows()]
-        return Begun(self.log_ms, self.epoch, self.ttl_ms, rows)
+        return TermStart(self.log_ms, self.epoch, self.ttl_ms, rows)
 
-    def begin(self, stamp: float, term: int) -> bool:
+    def accept(self, stamp: float, term: int) -> bool:
         """Whether a command counts; if so the log's time is its stamp, or what it was where that is later."""
         if term != self.term:
             return False
@@ -116,14 +118,14 @@
 
     def settle(self) -> None:
         """Decide, end or put in force what is due, once the command's own change is made."""
-        self.routes.settle(self.log_ms, self.ttl_ms, self.bound_ms)
+        self.routes.settle(self.log_ms, self.ttl_ms, self.clock_bound_ms)
 
     # Changes.
 
     def enrol(self, name: str, address: str, zone: str, start: str) -> Row | None:
         """The row of a process that names no service; None where there are too many."""
         ledger = self.ledger
-        if len(ledger.by_incarnation) >= MAX_ROWS and not ledger.has_start(start):
+        if len(ledger.by_incarnation) >= MAX_UNGROUPED_MEMBERS and not ledger.has_start(start):
             return None
         return self._enrol(NO_SERVICE, ledger, name, address, zone, start)
 
@@ -138,14 +140,14 @@
 
     def renew(self, incarnation: int, seq: int, acked: int, using: float) -> Row | None:
         renewed = self._ledger_of(self.service_of(incarnation)).by_incarnation.get(incarnation)
-        for ended in ended_before(renewed, self.rows()):
+        for ended in superseded_by(renewed, self.rows()):
             self.leave(ended)
         row = self._prepared(self.service_of(incarnation)).renew(incarnation, seq, acked, using)
         if row is not None:
             self.routes.attached(incarnation)
         return row
 
-    def leaving(self, incarnation: int) -> bool:
+    def start_draining(self, incarnation: int) -> bool:
         return self._prepared(self.service_of(incarnation)).leaving(incarnation)
 
     def leave(self, incarnation: int) -> bool:
@@ -181,7 +183,7 @@
         self, lapsed: list[tuple[int, int]], support: list[int], repeats: int
     ) -> tuple[list[int], list[int]]:
         """The rows that lapsed now and those removed; none where an enrolment was repeated meanwhile."""
-        if repeats != self.repeats:
+        if repeats != self.repeated_enrolments:
             return [], []
         newly: list[int] = []
         removed: list[int] = []
@@ -223,7 +225,7 @@
         for ledger in self._ledgers():
             yield from ledger.rows()
 
-    def due_expiry(self, lapsed: list[tuple[int, int]], support: list[int]) -> Expiry | None:
+    def due_expiry(self, lapsed: list[tuple[int, int]], support: list[int]) -> DueExpiry | None:
         """The part of these that `expire` would act on; None where that is nothing, so that an idle fleet
         adds nothing to the log."""
         due: list[tuple[int, int]] = []
@@ -235,13 +237,13 @@
                 needed.update(ledger.by_incarnation)
         if not due:
             return None
-        return Expiry(due, [number for number in support if number in needed], self.repeats)
+        return DueExpiry(due, [number for number in support if number in needed], self.repeated_enrolments)
 
     def ruling(self, given: Ruling) -> Ruling:
         """Where the version of a ruling stands now."""
         return given if given.refused else self.routes.ruling(given.number)
 
-    def to_decide(self, service_ms: float) -> bool:
+    def decision_due(self, service_ms: float) -> bool:
         """Whether a deadline or a moment of activation has come that `settle` has not seen."""
         pending = self.routes.pending
         if pending is None:
@@ -287,7 +289,7 @@
         self.ledger.incarnations = ledger.incarnations
         # Guard: by a renewal's seq, an `expire` on its way sees that the lease runs anew. An enrolment that
         # is repeated changes no seq, so their count has to say so.
-        self.repeats += ledger.incarnations == given
+        self.repeated_enrolments += ledger.incarnations == given
         for gone in before - ledger.by_incarnation.keys():
             self._forget(gone)
         if service != NO_SERVICE:
@@ -298,10 +300,10 @@
     def _check_limits(self, service: str, ledger: Ledger) -> None:
         rows = len(ledger.by_incarnation)
         # Guard: members that name no service had so many before groups were switched on.
-        if rows >= (MAX_ROWS if service == NO_SERVICE else MAX_GROUP_ROWS):
+        if rows >= (MAX_UNGROUPED_MEMBERS if service == NO_SERVICE else MAX_GROUP_MEMBERS):
             raise LimitReachedError(f"service {service!r} has {rows} members, the most that a group may have")
         rows = sum(len(other.by_incarnation) for other in self._ledgers())
-        if rows >= MAX_ALL_ROWS:
+        if rows >= MAX_MEMBERS:
             raise LimitReachedError(f"there are {rows} members, the most that all groups may have together")
 
     def _by_service(self, lapsed: list[tuple[int, int]]) -> dict[str, list[tuple[int, int]]]:
@@ -319,7 +321,7 @@
         return [row.incarnation for row in self.rows() if row.state in live]
 
 
-def ended_before(renewed: Row | None, rows: Iterable[Row]) -> list[int]:
+def superseded_by(renewed: Row | None, rows: Iterable[Row]) -> list[int]:
     """The earlier rows at the address of this one, whose processes have ended as it is first renewed."""
     if renewed is None or renewed.seq > 0:
         return []
--- a/loadbalancer/registry/forwarding.py
+++ b/loadbalancer/registry/forwarding.py
@@ -13,24 +13,26 @@
 
 from loadbalancer.node.address import Address
 from loadbalancer.node.http.service_http import Answer, Call, Client
-from loadbalancer.registry.renewal_relay import HOP
-from loadbalancer.registry.watch import query
+from loadbalancer.registry.renewal_relay import FORWARDED_HEADER
+from loadbalancer.registry.watch import parse_query
 
-KEPT = ("content-type",)  # of the answer's headers
-TRY_S = 1.2  # for one instance's answer, over what a watch waits: longer than it waits for its leader's
-TOTAL_S = 4.0  # for all of them
+FORWARDED_HEADERS = ("content-type",)  # of the answer's headers
+ATTEMPT_TIMEOUT_S = (
+    1.2  # for one instance's answer, over what a watch waits: longer than it waits for its leader's
+)
+TOTAL_TIMEOUT_S = 4.0  # for all of them
 
 
-async def pass_on(client: Client, to: Address, request: Call, timeout_s: float, hop: bool = False) -> Answer:
+async def forward(client: Client, to: Address, request: Call, timeout_s: float, hop: bool = False) -> Answer:
     """The answer of the program at `to`; OSError or TimeoutError if there is none in time."""
     target = request.path + (f"?{urlencode(request.query)}" if request.query else "")
-    headers = {HOP: "1"} if hop else {}
+    headers = {FORWARDED_HEADER: "1"} if hop else {}
     reply = await client.call(to, request.method, target, request.body, timeout_s, headers)
-    kept = {name: reply.headers[name] for name in KEPT if name in reply.headers}
+    kept = {name: reply.headers[name] for name in FORWARDED_HEADERS if name in reply.headers}
     return Answer(reply.status, reply.body, kept)
 
 
-class Passing:
+class CallForwarder:
     """An agent's: `first` is the index of the instance that it follows, which is asked first."""
 
     def __init__(
@@ -43,19 +45,19 @@
     async def answer(self, request: Call) -> Answer:
         """The first answer that is not 503; 503 where no instance gives one in time."""
         try:
-            wait_s = query(request)[1] if request.path == "/fleet/watch" else 0.0
+            wait_s = parse_query(request)[1] if request.path == "/fleet/watch" else 0.0
         except ValueError:
             wait_s = 0.0  # the instance says what is wrong
         loop, start = asyncio.get_running_loop(), self._first()
-        deadline = loop.time() + TOTAL_S + wait_s
+        deadline = loop.time() + TOTAL_TIMEOUT_S + wait_s
         why = ""
         for step in range(len(self._instances)):
             to = self._instances[(start + step) % len(self._instances)]
-            left_s = min(TRY_S + wait_s, deadline - loop.time())
+            left_s = min(ATTEMPT_TIMEOUT_S + wait_s, deadline - loop.time())
             if left_s <= 0.0:
                 break
             try:
-                answer = await pass_on(self._client, to, request, left_s)
+                answer = await forward(self._client, to, request, left_s)
             except (OSError, TimeoutError) as failure:
                 why = f"{type(failure).__name__}: {failure}"[:200]
                 continue
--- a/loadbalancer/registry/local.py
+++ b/loadbalancer/registry/local.py
@@ -43,7 +43,7 @@
 }
 
 
-def _held_port(held: contextlib.ExitStack) -> int:
+def _reserved_port(held: contextlib.ExitStack) -> int:
     """A port for a child to bind, kept for it until `held` closes.
 
     The socket stays bound, not listening: the system gives its number to nobody else meanwhile, and the
@@ -68,7 +68,7 @@
     return paths
 
 
-class StandIn:
+class StandInServer:
     """A server of this process: answers 200, registers itself and renews its lease."""
 
     def __init__(self, uid: str, registries: list[int], ttl_ms: int) -> None:
@@ -108,7 +108,7 @@
 async def run_local(folder: Path, servers: int, node_port: int, log: structlog.stdlib.BoundLogger) -> None:
     """Start it all and keep it until SIGTERM or SIGINT."""
     with contextlib.ExitStack() as held:
-        ports = [_held_port(held) for _ in range(7)]
+        ports = [_reserved_port(held) for _ in range(7)]
         await _run(folder, servers, node_port, ports, log)
 
 
@@ -141,7 +141,7 @@
     for number, command in enumerate(commands):
         with (folder / f"process-{number}.log").open("ab") as out:
             children.append(subprocess.Popen(command, stdout=out, stderr=out, env=environment, cwd=folder))
-    stand_ins = [StandIn(f"local-{number}", http, ttl_ms) for number in range(servers)]
+    stand_ins = [StandInServer(f"local-{number}", http, ttl_ms) for number in range(servers)]
     for stand_in in stand_ins:
         await stand_in.start()
     leases = [asyncio.create_task(stand_in.keep_lease(log)) for stand_in in stand_ins]
--- a/loadbalancer/registry/renewal_relay.py
+++ b/loadbalancer/registry/renewal_relay.py
@@ -14,14 +14,14 @@
 from msgspec import Raw, Struct
 
 from loadbalancer.node.http.service_http import Answer, Client
-from loadbalancer.registry.batch import MOST, Batch
-from loadbalancer.registry.messages import Renew
-from loadbalancer.registry.settings import address
+from loadbalancer.registry.batch import MAX_BATCH_SIZE, Batcher
+from loadbalancer.registry.messages import RenewRequest
+from loadbalancer.registry.settings import parse_address
 
 PATH = "/fleet/renew-many"
-HOP = "fleet-hop"  # marks a call that an instance passed on: the next one answers it or says 503
-PASS_S = 1.0  # for the leader's answer: a silent one is replaced in as long
-MAX_BODY = 1024 * MOST  # bytes of a batch
+FORWARDED_HEADER = "fleet-hop"  # marks a call that an instance passed on: the next one answers it or says 503
+FORWARD_TIMEOUT_S = 1.0  # for the leader's answer: a silent one is replaced in as long
+MAX_BATCH_BODY_BYTES = 1024 * MAX_BATCH_SIZE  # bytes of a batch
 
 
 class RelayedAnswer(Struct, frozen=True):
@@ -32,7 +32,7 @@
 
 
 _answers = msgspec.json.Decoder(list[RelayedAnswer])
-_renewals = msgspec.json.Decoder(list[Renew])
+_renewals = msgspec.json.Decoder(list[RenewRequest])
 
 
 class RenewalRelay:
@@ -42,19 +42,21 @@
         self, client: Client, leader: Callable[[], str | None], log: structlog.stdlib.BoundLogger
     ) -> None:
         self._client, self._leader = client, leader
-        self._batch: Batch[Renew, RelayedAnswer] = Batch("relayed_renewals", self._pass_on, log)
+        self._batch: Batcher[RenewRequest, RelayedAnswer] = Batcher("relayed_renewals", self._forward, log)
 
-    async def renew(self, renewal: Renew) -> Answer:
+    async def renew(self, renewal: RenewRequest) -> Answer:
         """The leader's answer; ConnectionError where there is none in time."""
         answer = await self._batch.add(renewal)
         return Answer(answer.status, bytes(answer.body))
 
-    async def _pass_on(self, renewals: list[Renew]) -> list[RelayedAnswer]:
+    async def _forward(self, renewals: list[RenewRequest]) -> list[RelayedAnswer]:
         leader = self._leader()
         if leader is None:
             raise ConnectionError("no leader in reach")
         body = msgspec.json.encode(renewals)
-        reply = await self._client.call(address(leader), "POST", PATH, body, PASS_S, {HOP: "1"})
+        reply = await self._client.call(
+            parse_address(leader), "POST", PATH, body, FORWARD_TIMEOUT_S, {FORWARDED_HEADER: "1"}
+        )
         if reply.status != 200:
             raise ConnectionError(f"the leader answered {reply.status}")
         try:
@@ -66,18 +68,18 @@
         return answers
 
 
-def read_batch(body: bytes) -> list[Renew]:
+def decode_renewals(body: bytes) -> list[RenewRequest]:
     """ValueError names what is wrong, in one line."""
     try:
         renewals = _renewals.decode(body)
     except (msgspec.MsgspecError, RecursionError) as failure:
         raise ValueError(f"body: {failure}") from failure
-    if len(renewals) > MOST:
-        raise ValueError(f"body: {len(renewals)} renewals, over {MOST}")
+    if len(renewals) > MAX_BATCH_SIZE:
+        raise ValueError(f"body: {len(renewals)} renewals, over {MAX_BATCH_SIZE}")
     return renewals
 
 
-def answer_batch(answers: list[Answer]) -> Answer:
+def encode_answers(answers: list[Answer]) -> Answer:
     """The body that `RenewalRelay` reads."""
     rows = [RelayedAnswer(answer.status, Raw(answer.body)) for answer in answers]
     return Answer(200, msgspec.json.encode(rows))
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -21,20 +21,20 @@
 
 from loadbalancer.node.http.service_http import Answer, Call, serve
 from loadbalancer.registry import watch
-from loadbalancer.registry.catalog import Catalog, clean_target
-from loadbalancer.registry.clock_file import ClockFile, Clocks
-from loadbalancer.registry.fleet_api import FleetWeb
+from loadbalancer.registry.catalog import TargetCatalog, validate_target
+from loadbalancer.registry.clock_file import ClockFile, ProcessClocks
+from loadbalancer.registry.fleet_api import FleetApi
 from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.fleet_leader import FleetLeader
 from loadbalancer.registry.service_clock import ServiceClock
-from loadbalancer.registry.settings import CONNECTION_TIMEOUT_MS, Instance
-from loadbalancer.registry.snapshot_file import Dump
+from loadbalancer.registry.settings import CONNECTION_TIMEOUT_MS, InstanceSettings
+from loadbalancer.registry.snapshot_file import SnapshotFile
 from loadbalancer.registry.target_leases import TargetLeases
 
-COMMIT_S = 2.0  # a write not committed in this time is refused; the caller tries again
+COMMIT_TIMEOUT_S = 2.0  # a write not committed in this time is refused; the caller tries again
 
 
-def now_ms() -> int:
+def unix_ms() -> int:
     return int(time.time() * 1000)
 
 
@@ -42,29 +42,29 @@
     return Answer(status, orjson.dumps({"error": why}))
 
 
-class Service:
+class RegistryInstance:
     """An instance: a Raft member that holds the catalog and the fleet's state, and its HTTP face."""
 
-    def __init__(self, config: Instance, log: structlog.stdlib.BoundLogger) -> None:
+    def __init__(self, config: InstanceSettings, log: structlog.stdlib.BoundLogger) -> None:
         self.config = config
         self.log = log.bind(instance=config.name)
         self._loop = asyncio.get_running_loop()
         self._news: asyncio.Future[None] = self._loop.create_future()
         self._fleet_news: dict[str, asyncio.Future[None]] = {}  # by group, where somebody waits
         config.data.mkdir(parents=True, exist_ok=True)
-        self.catalog = Catalog(config.keep_gone, self._changed)
-        clocks = Clocks(config.members.clock_offset_ms)
+        self.catalog = TargetCatalog(config.max_tombstones, self._changed)
+        clocks = ProcessClocks(config.members.clock_offset_ms)
         clock_file = ClockFile(config.data, clocks)
         clock = ServiceClock(clock_file.load())
-        self.fleet = FleetCatalog(clock, clocks.mono, self._fleet_changed)
+        self.fleet = FleetCatalog(clock, clocks.monotonic_ms, self._fleet_changed)
         http = "{}:{}".format(*config.listen)
         self.leader = FleetLeader(config.members, http, self.fleet, clock, clock_file, self.commit, self.log)
-        self._fleet_web = FleetWeb(self.fleet, self.leader, self._group_news, config.max_wait_ms, self.log)
+        self._fleet_web = FleetApi(self.fleet, self.leader, self._group_news, config.max_wait_ms, self.log)
         self.raft = self._join([self.catalog, self.fleet])
         self.leases = TargetLeases(self.catalog, self.raft, config.ttl_ms, self.commit, self.log)
 
     def _join(self, consumers: list[SyncObjConsumer]) -> SyncObj:
-        config, dump = self.config, Dump(consumers)
+        config, dump = self.config, SnapshotFile(consumers)
         conf = SyncObjConf(
             journalFile=str(config.data / "raft.journal"),
             fullDumpFile=str(config.data / "raft.dump"),
@@ -125,7 +125,7 @@
             self._loop.call_soon_threadsafe(give)
 
         command(*args, callback=settled)
-        async with asyncio.timeout(COMMIT_S):
+        async with asyncio.timeout(COMMIT_TIMEOUT_S):
             return await done
 
     # The state of this instance.
@@ -145,7 +145,7 @@
             "live": live,
             "gone": gone,
             "stale": self.stale(raft),
-            "enrolments_refused": self._fleet_web.limit_refusals,
+            "enrolments_refused": self._fleet_web.rejected_enrolments,
         }
 
     def stale(self, raft: dict[str, Any] | None = None) -> bool:
@@ -177,17 +177,17 @@
 
     async def read(self, call: Call) -> Answer:
         try:
-            since, wait_s = watch.query(call, self.config.max_wait_ms)
+            since, wait_s = watch.parse_query(call, self.config.max_wait_ms)
         except ValueError:
             return error(400, "since and timeout_ms are whole numbers")
-        page = await watch.page_when_news(self.catalog.page, since, wait_s, lambda: self._news)
-        return watch.answer(page, {"Registry-Stale": "1"} if self.stale() else {})
+        page = await watch.page_after_change(self.catalog.page, since, wait_s, lambda: self._news)
+        return watch.page_answer(page, {"Registry-Stale": "1"} if self.stale() else {})
 
     async def write(self, call: Call, uid: str) -> Answer:
         change = uuid.uuid4().hex[:12]
         log = self.log.bind(change=change, uid=uid, method=call.method)
         if call.method == "DELETE":
-            revision = await self.commit(self.catalog.remove, uid, now_ms())
+            revision = await self.commit(self.catalog.remove, uid, unix_ms())
             log.info("target_removed", rev=revision)
             return Answer(200, orjson.dumps({"rev": revision, "change": change}))
         if call.method != "PUT":
@@ -196,13 +196,13 @@
             row = orjson.loads(call.body)
             if isinstance(row, dict):
                 row.setdefault("uid", uid)
-            target = clean_target(row)
+            target = validate_target(row)
             if target["uid"] != uid:
                 raise ValueError("uid: not the one in the path")
         except ValueError as failure:  # orjson's error is one too
             log.warning("target_refused", why=str(failure)[:200])
             return error(400, str(failure)[:200])
-        revision = await self.commit(self.catalog.put, target, now_ms())
+        revision = await self.commit(self.catalog.put, target, unix_ms())
         log.info("target_put", rev=revision, state=target["state"], endpoint=target["endpoint"])
         return Answer(200, orjson.dumps({"rev": revision, "change": change}))
 
@@ -216,13 +216,13 @@
         return Answer(200, orjson.dumps({"unknown": await self.leases.renew(uids)}))
 
 
-async def run_instance(config: Instance, log: structlog.stdlib.BoundLogger) -> None:
+async def run_instance(config: InstanceSettings, log: structlog.stdlib.BoundLogger) -> None:
     """Serve until SIGTERM or SIGINT; then close the door and leave the Raft group."""
-    service = Service(config, log)
+    service = RegistryInstance(config, log)
     server = await serve(config.listen, service.handle)
     duties = [
         asyncio.create_task(duty())
-        for duty in (service.leases.flush, service.leases.keep, service.leader.run)
+        for duty in (service.leases.commit_renewals, service.leases.expire_leases, service.leader.run)
     ]
     service.log.info("instance_started", listen=f"{config.listen[0]}:{config.listen[1]}", raft=config.raft)
     await watch.until_signalled()
--- a/loadbalancer/registry/service_clock.py
+++ b/loadbalancer/registry/service_clock.py
@@ -20,56 +20,62 @@
 
 from dataclasses import dataclass
 
-DRIFT = 200e-6  # two monotonic clocks differ in rate by less: quartz keeps 100 ppm, and there are two of them
+MAX_DRIFT_RATIO = (
+    200e-6  # two monotonic clocks differ in rate by less: quartz keeps 100 ppm, and there are two of them
+)
 
 
 @dataclass(slots=True, frozen=True)
-class Bound:
+class ClockBound:
     """S was at least `ahead` ms before this instance's monotonic clock when that showed `at`."""
 
-    ahead: float
-    at: float
+    ahead_ms: float
+    read_at_ms: float
     epoch: int
 
-    def aged(self, now: float) -> float:
-        return self.ahead - max(0.0, now - self.at) * DRIFT
+    def aged_ahead_ms(self, now: float) -> float:
+        return self.ahead_ms - max(0.0, now - self.read_at_ms) * MAX_DRIFT_RATIO
 
 
 class ServiceClock:
     """S as one instance knows it; every `now` is ms of its monotonic clock."""
 
-    def __init__(self, known: Bound | None = None) -> None:
+    def __init__(self, known: ClockBound | None = None) -> None:
         self._bound = known
-        self._leads: float | None = None  # what S is ahead of the monotonic clock by, while leading
+        self._lead_ahead_ms: float | None = None  # what S is ahead of the monotonic clock by, while leading
         self._epoch = known.epoch if known is not None else 0
 
-    def noted(self, now: float, stamp: float, epoch: int) -> None:
+    def observe(self, now: float, stamp: float, epoch: int) -> None:
         """A command that a leader has just proposed with this stamp was applied now."""
         ahead, known = stamp - now, self._bound
-        if known is None or known.epoch != epoch or ahead >= known.aged(now):
-            self._bound = Bound(ahead, now, epoch)
+        if known is None or known.epoch != epoch or ahead >= known.aged_ahead_ms(now):
+            self._bound = ClockBound(ahead, now, epoch)
 
-    def bound(self, now: float) -> Bound | None:
+    def bound(self, now: float) -> ClockBound | None:
         """What this instance knows of S: what a start on the same machine may go on from."""
-        return Bound(self._leads, now, self._epoch) if self._leads is not None else self._bound
+        return (
+            ClockBound(self._lead_ahead_ms, now, self._epoch)
+            if self._lead_ahead_ms is not None
+            else self._bound
+        )
 
-    def lead(self, now: float, unix_ms: float, log_ms: float, epoch: int) -> None:
+    def start_leading(self, now: float, unix_ms: float, log_ms: float, epoch: int) -> None:
         """Begin to lead: `log_ms` and `epoch` are the log's, once all committed before has been applied."""
-        self.follow(now)
+        self.stop_leading(now)
         known = self._bound
         if known is not None and known.epoch == epoch:
-            self._leads = max(known.aged(now), log_ms - now)
+            self._lead_ahead_ms = max(known.aged_ahead_ms(now), log_ms - now)
         else:
-            self._leads = (log_ms if log_ms > 0.0 else unix_ms) - now
+            self._lead_ahead_ms = (log_ms if log_ms > 0.0 else unix_ms) - now
         self._epoch = epoch
 
-    def follow(self, now: float) -> None:
+    def stop_leading(self, now: float) -> None:
         """Lead no more: what was S until now is the best bound there is."""
-        if self._leads is not None:
-            self._bound, self._leads = Bound(self._leads, now, self._epoch), None
+        if self._lead_ahead_ms is not None:
+            self._bound, self._lead_ahead_ms = ClockBound(self._lead_ahead_ms, now, self._epoch), None
 
-    def now(self, now: float) -> float:
+    def service_ms(self, now: float) -> float:
         """S, for the leader; ValueError on an instance that does not lead."""
-        if self._leads is None:
+        if self._lead_ahead_ms is None:
             raise ValueError("only the leader tells service time")
-        return now + self._leads
+        return now + self._lead_ahead_ms
--- a/loadbalancer/registry/settings.py
+++ b/loadbalancer/registry/settings.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Members:
+class MemberSettings:
     """What the list service does for the fleet: `[members]` of an instance's file (docs/fleet.md)."""
 
     ttl_ms: int = 5_000  # a node's lease; the longest that any leader had counts for all
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Instance:
+class InstanceSettings:
     """One instance of the list service: its file's tables `[instance]`, `[lease]`, `[watch]` and so on."""
 
     name: str
@@ -51,17 +51,17 @@
     data: Path  # the folder of the Raft journal and snapshot
     ttl_ms: int = 10_000  # a lease unrenewed so long lapses, and its target is Gone
     max_wait_ms: int = 60_000  # PROTOCOL's cap on a watch
-    keep_gone: int = 10_000  # tombstones kept for watches that come late
+    max_tombstones: int = 10_000  # tombstones kept for watches that come late
     # A follower applies a write when the leader's next append tells it the write is committed:
     # the append period bounds how late an instance that agents follow shows a change.
     append_period_ms: int = 10
     election_min_ms: int = 400  # a leader unheard so long (a random time up to the max) is replaced
     election_max_ms: int = 1_000
-    members: Members = Members()
+    members: MemberSettings = MemberSettings()
 
 
 @dataclass(slots=True, frozen=True)
-class Agent:
+class AgentSettings:
     """The per-machine agent: `[agent]` of its file."""
 
     listen: Address  # what the node knows as $PROXY_DISCOVERY
@@ -71,7 +71,7 @@
     empty_hold_ms: int = 10_000  # an empty whole list must last so long before it empties the cache
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """host:port on loopback; ValueError otherwise."""
     host, _, port = text.rpartition(":")
     if not ENDPOINT.match(text) or not 0 < int(port) < 65536:
@@ -124,14 +124,14 @@
 
     def address(self, key: str) -> Address:
         try:
-            return address(self.get(key, str))
+            return parse_address(self.get(key, str))
         except ValueError as error:
             raise self.fail(key, str(error)) from error
 
     def addresses(self, key: str) -> tuple[Address, ...]:
         texts = self.get(key, list)
         try:
-            return tuple(address(text) for text in texts)
+            return tuple(parse_address(text) for text in texts)
         except (ValueError, TypeError, AttributeError) as error:
             raise self.fail(key, f"not a list of loopback host:port: {error}") from error
 
@@ -143,7 +143,7 @@
     return _Fields(path, text, name, row)
 
 
-def load_instance(path: Path) -> Instance:
+def load_instance(path: Path) -> InstanceSettings:
     """An instance's configuration; ConfigError says what is wrong."""
     text, data = _read(path)
     node, lease, watch, raft_keys, members = (
@@ -154,7 +154,7 @@
     folder = Path(node.get("data", str))
     append_period_ms = raft_keys.get("append_period_ms", int, 10)
     election_min_ms, election_max_ms = _election_times(raft_keys, append_period_ms)
-    return Instance(
+    return InstanceSettings(
         name=node.get("name", str),
         listen=node.address("listen"),
         raft=f"{raft[0]}:{raft[1]}",
@@ -162,7 +162,7 @@
         data=folder if folder.is_absolute() else path.parent / folder,
         ttl_ms=lease.get("ttl_ms", int, 10_000),
         max_wait_ms=min(watch.get("max_wait_ms", int, 60_000), 60_000),
-        keep_gone=watch.get("keep_gone", int, 10_000),
+        max_tombstones=watch.get("keep_gone", int, 10_000),
         append_period_ms=append_period_ms,
         election_min_ms=election_min_ms,
         election_max_ms=election_max_ms,
@@ -182,11 +182,11 @@
     return least, most
 
 
-def _members(table: _Fields) -> Members:
+def _members(table: _Fields) -> MemberSettings:
     ttl_ms = table.get("ttl_ms", int, 5_000)
     if not 200 <= ttl_ms <= 600_000:  # renewals come in a fifth of it, and pass Raft in some 50 ms
         raise table.fail("ttl_ms", f"{ttl_ms} is not from 200 to 600000")
-    return Members(
+    return MemberSettings(
         ttl_ms=ttl_ms,
         clock_bound_ms=table.get("clock_bound_ms", int, 250),
         prepare_ms=table.get("prepare_ms", int, 10_000),
@@ -195,14 +195,14 @@
     )
 
 
-def load_agent(path: Path) -> Agent:
+def load_agent(path: Path) -> AgentSettings:
     """An agent's configuration; ConfigError says what is wrong."""
     text, data = _read(path)
     agent = _table(path, text, data, "agent")
     registries = agent.addresses("registries")
     if not registries:
         raise agent.fail("registries", "empty")
-    return Agent(
+    return AgentSettings(
         listen=agent.address("listen"),
         registries=registries,
         wait_ms=min(agent.get("wait_ms", int, 2_000), 60_000),
--- a/loadbalancer/registry/snapshot_file.py
+++ b/loadbalancer/registry/snapshot_file.py
@@ -17,10 +17,12 @@
 
 from loadbalancer.registry.stored_form import STORED_FORM
 
-LEVEL = 1  # of gzip: files are written in Raft's thread, and the default level takes several times as long
+GZIP_LEVEL = (
+    1  # of gzip: files are written in Raft's thread, and the default level takes several times as long
+)
 
 
-class Dump:
+class SnapshotFile:
     """Writes and reads snapshots of these consumers, for `SyncObjConf(serializer=, deserializer=)`."""
 
     def __init__(self, consumers: Sequence[SyncObjConsumer]) -> None:
@@ -29,7 +31,7 @@
     def write(self, path: str, raft: Sequence[Any]) -> None:
         """`raft`: pysyncobj's own part, the last two log entries and the cluster."""
         parts = [{}, *(consumer._serialize() for consumer in self._consumers)]
-        with gzip.open(path, "wb", compresslevel=LEVEL) as file:
+        with gzip.open(path, "wb", compresslevel=GZIP_LEVEL) as file:
             STORED_FORM.dump((parts, *raft), file)
 
     def read(self, path: str) -> tuple[Any, ...]:
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -42,7 +42,12 @@
 
 
 STORED_CLASSES = (
-    StoredClass("orchidledge.registry.fleet_state", "FleetState", FleetState),
+    StoredClass(
+        "orchidledge.registry.fleet_state",
+        "FleetState",
+        FleetState,
+        {"leader_address": "http", "clock_bound_ms": "bound_ms", "repeated_enrolments": "repeats"},
+    ),
     StoredClass("orchidledge.members.ledger", "Ledger", Ledger),
     StoredClass("orchidledge.members.ledger", "Row", Row),
     StoredClass("orchidledge.members.ledger", "State", State),
--- a/loadbalancer/registry/target_leases.py
+++ b/loadbalancer/registry/target_leases.py
@@ -15,13 +15,13 @@
 import structlog
 from pysyncobj import SyncObj
 
-from loadbalancer.registry.catalog import Catalog
+from loadbalancer.registry.catalog import TargetCatalog
 
-RENEW_BATCH_S = 0.05  # renewals gathered into one command
-TICK_S = 0.25  # of the leader's duties
+RENEWAL_WINDOW_S = 0.05  # renewals gathered into one command
+CHECK_PERIOD_S = 0.25  # of the leader's duties
 
 
-def now_ms() -> int:
+def unix_ms() -> int:
     return int(time.time() * 1000)
 
 
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        catalog: Catalog,
+        catalog: TargetCatalog,
         raft: SyncObj,
         ttl_ms: int,
         commit: Callable[..., Awaitable[Any]],
@@ -49,16 +49,16 @@
         known = await asyncio.gather(*waits)
         return [uid for uid, ok in zip(uids, known, strict=True) if not ok]
 
-    async def flush(self) -> None:
+    async def commit_renewals(self) -> None:
         """Each batch of renewals is one command: thousands of servers cost a few writes a second."""
         while True:
-            await asyncio.sleep(RENEW_BATCH_S)
+            await asyncio.sleep(RENEWAL_WINDOW_S)
             if not self._renewals:
                 continue
             batch, self._renewals = self._renewals, {}
             failed, unknown = False, set[str]()
             try:
-                unknown = set(await self._commit(self._catalog.renew, list(batch), now_ms()))
+                unknown = set(await self._commit(self._catalog.renew, list(batch), unix_ms()))
             except (TimeoutError, ConnectionError) as failure:
                 self._log.warning("renewals_not_committed", count=len(batch), why=str(failure) or "timeout")
                 failed = True
@@ -71,21 +71,21 @@
                     else:
                         wait.set_result(uid not in unknown)
 
-    async def keep(self) -> None:
+    async def expire_leases(self) -> None:
         """As leader: first grant every lease a full term, then bury what lapses."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(CHECK_PERIOD_S)
             raft = self._raft.getStatus()
             if raft["state"] != 2 or not raft["has_quorum"]:
                 continue
             try:
                 if raft["raft_term"] != self.granted_term:
-                    count = await self._commit(self._catalog.grace, now_ms())
+                    count = await self._commit(self._catalog.grace, unix_ms())
                     self.granted_term = raft["raft_term"]
                     self._log.info("leader_granted_leases", term=self.granted_term, leases=count)
-                if not self._catalog.any_lapsed(now_ms(), self._ttl_ms):
+                if not self._catalog.has_expired(unix_ms(), self._ttl_ms):
                     continue
-                lapsed = await self._commit(self._catalog.expire, now_ms(), self._ttl_ms)
+                lapsed = await self._commit(self._catalog.expire, unix_ms(), self._ttl_ms)
             except (TimeoutError, ConnectionError):
                 continue
             for uid in lapsed:
--- a/loadbalancer/registry/watch.py
+++ b/loadbalancer/registry/watch.py
@@ -9,9 +9,9 @@
 import orjson
 
 from loadbalancer.node.http.service_http import Answer, Call
-from loadbalancer.registry.catalog import Page
+from loadbalancer.registry.catalog import ListPage
 
-CAP_MS = 60_000  # PROTOCOL: a watch waits 60,000 ms at the most
+MAX_WAIT_MS = 60_000  # PROTOCOL: a watch waits 60,000 ms at the most
 
 
 def optional_number(call: Call, name: str) -> int | None:
@@ -20,25 +20,25 @@
     return int(said) if said else None
 
 
-def query(call: Call, cap_ms: int = CAP_MS) -> tuple[int | None, float]:
+def parse_query(call: Call, cap_ms: int = MAX_WAIT_MS) -> tuple[int | None, float]:
     """`since` (None for the whole list) and the wait in seconds; ValueError if either is no number. One that
     is empty is as one that is not there."""
     since = optional_number(call, "since")
     wait_ms = optional_number(call, "timeout_ms") or 0
-    return since, max(0, min(wait_ms, cap_ms, CAP_MS)) / 1000.0
+    return since, max(0, min(wait_ms, cap_ms, MAX_WAIT_MS)) / 1000.0
 
 
-async def page_when_news(
-    page_of: Callable[[int | None], Page],
+async def page_after_change(
+    page_of: Callable[[int | None], ListPage],
     since: int | None,
     wait_s: float,
     news: Callable[[], asyncio.Future[None]],
-) -> Page:
+) -> ListPage:
     """The page since a revision once it has something, or as it is when the wait is over."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + wait_s
     page = page_of(since)
-    while since is not None and not page.whole and not page.targets and loop.time() < deadline:
+    while since is not None and not page.complete and not page.targets and loop.time() < deadline:
         try:
             async with asyncio.timeout(deadline - loop.time()):
                 await asyncio.shield(news())
@@ -48,9 +48,11 @@
     return page
 
 
-def answer(page: Page, headers: dict[str, str] | None = None, origin_rev: int | None = None) -> Answer:
+def page_answer(
+    page: ListPage, headers: dict[str, str] | None = None, origin_rev: int | None = None
+) -> Answer:
     """`origin_rev`: the service's own revision of the page, which an agent tells beside its own."""
-    body = {"rev": page.revision, "all": page.whole, "targets": page.targets}
+    body = {"rev": page.revision, "all": page.complete, "targets": page.targets}
     if origin_rev is not None:
         body["origin_rev"] = origin_rev
     return Answer(200, orjson.dumps(body), headers or {})
--- a/tests/registry/test_fleet_catalog.py
+++ b/tests/registry/test_fleet_catalog.py
@@ -10,11 +10,11 @@
 import pytest
 from msgspec import UNSET
 
-from loadbalancer.registry.catalog import Catalog, clean_target
-from loadbalancer.registry.clock_file import ClockFile, Clocks
+from loadbalancer.registry.catalog import TargetCatalog, validate_target
+from loadbalancer.registry.clock_file import ClockFile, ProcessClocks
 from loadbalancer.registry.fleet_catalog import FleetCatalog
-from loadbalancer.registry.service_clock import Bound, ServiceClock
-from loadbalancer.registry.snapshot_file import Dump
+from loadbalancer.registry.service_clock import ClockBound, ServiceClock
+from loadbalancer.registry.snapshot_file import SnapshotFile
 
 ABOUT = ("n1", "127.0.0.1:9001", "z", "s1")
 
@@ -30,7 +30,7 @@
         self.changes += 1
 
     def lead(self, term: int, epoch: int | None = 1, ttl_ms: float = 1_000.0) -> Any:
-        self.catalog.serve(term)
+        self.catalog.start_answering(term)
         return self("lead", 0.0, term, f"127.0.0.1:{term}", epoch, ttl_ms, 50.0)
 
     def __call__(self, command: str, *args: Any) -> Any:
@@ -47,16 +47,21 @@
     assert [log(command, 99.0, 1, *args) for command, *args in late] == [None] * 4
     assert log("lead", 0.0, 2, "127.0.0.1:2", 1, 1_000.0, 50.0) is None
     state = log.catalog.state
-    assert (state.log_ms, state.term, state.http, state.ledger.total()) == (10.0, 3, "127.0.0.1:3", 1.0)
+    assert (state.log_ms, state.term, state.leader_address, state.ledger.total()) == (
+        10.0,
+        3,
+        "127.0.0.1:3",
+        1.0,
+    )
     assert log("renew_many", 11.0, 3, [(1, 9, 0, 1, 1.0), (8, 1, 0, 0, 0.0)])[1] is None
-    assert [row.seq for row in log.catalog.take_renewed()] == [9]
+    assert [row.seq for row in log.catalog.take_applied_renewals()] == [9]
 
 
 def test_a_repeated_enrolment_voids_an_expiry_that_was_on_its_way() -> None:
     log = Log()
     log.lead(1)
     log("enrol", 10.0, 1, *ABOUT)
-    seen = log.catalog.read(lambda state: state.repeats)
+    seen = log.catalog.read(lambda state: state.repeated_enrolments)
     log("enrol", 20.0, 1, *ABOUT)  # its answer begins a lease
     assert log("expire", 21.0, 1, [(1, 0)], [1], seen) == ([], [])
     assert log("expire", 22.0, 1, [(1, 0)], [], seen + 1) == ([1], [])
@@ -88,14 +93,14 @@
 def test_a_snapshot_from_before_the_fleet_is_read_and_one_of_now_brings_all_of_it(
     tmp_path: Path, parts: int
 ) -> None:
-    old, targets = Log(), Catalog(9, lambda revision: None)
+    old, targets = Log(), TargetCatalog(9, lambda revision: None)
     old.lead(4)
     old("enrol", 10.0, 4, *ABOUT)
-    targets.put(clean_target({"uid": "s-1", "endpoint": "127.0.0.1:1"}), 5, _doApply=True)
+    targets.put(validate_target({"uid": "s-1", "endpoint": "127.0.0.1:1"}), 5, _doApply=True)
     path = str(tmp_path / "raft.dump")
-    Dump([targets, old.catalog][:parts]).write(path, (("e", 1, 1), ("e", 2, 1), set()))
-    new, fresh = Log(), Catalog(9, lambda revision: None)
-    assert Dump([fresh, new.catalog]).read(path) == (("e", 1, 1), ("e", 2, 1), set())
+    SnapshotFile([targets, old.catalog][:parts]).write(path, (("e", 1, 1), ("e", 2, 1), set()))
+    new, fresh = Log(), TargetCatalog(9, lambda revision: None)
+    assert SnapshotFile([fresh, new.catalog]).read(path) == (("e", 1, 1), ("e", 2, 1), set())
     assert fresh.count() == (1, 1, 0)
     state = new.catalog.state
     assert (state.term, len(state.ledger.rows())) == ((4, 1) if parts == 2 else (-1, 0))
@@ -105,12 +110,14 @@
 
 
 def test_the_clock_s_file_counts_in_one_run_of_the_machine_alone(tmp_path: Path) -> None:
-    clocks = Clocks(0.0)
+    clocks = ProcessClocks(0.0)
     file = ClockFile(tmp_path, clocks)
     assert file.load() is None
-    known = Bound(ahead=7.0, at=clocks.mono(), epoch=3)
+    known = ClockBound(ahead_ms=7.0, read_at_ms=clocks.monotonic_ms(), epoch=3)
     file.save(known)
     assert ClockFile(tmp_path, clocks).load() == known
-    assert ClockFile(tmp_path, Clocks(2_000.0)).load() is None  # another clock, as after the machine's start
+    assert (
+        ClockFile(tmp_path, ProcessClocks(2_000.0)).load() is None
+    )  # another clock, as after the machine's start
     (tmp_path / "service-clock.json").write_bytes(b'{"ahead": "x", "at": null}')
     assert ClockFile(tmp_path, clocks).load() is None
--- a/tests/registry/test_group_commands.py
+++ b/tests/registry/test_group_commands.py
@@ -6,7 +6,7 @@
 
 from pysyncobj import SyncObj, SyncObjConf
 
-from loadbalancer.registry.catalog import Catalog
+from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.commands import EnrolMember, encode
 from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.service_clock import ServiceClock
@@ -36,9 +36,9 @@
 }
 
 
-def catalogs() -> tuple[Catalog, FleetCatalog]:
+def catalogs() -> tuple[TargetCatalog, FleetCatalog]:
     fleet = FleetCatalog(ServiceClock(None), lambda: 0.0, lambda groups: None)
-    return Catalog(keep_gone=1, on_change=lambda revision: None), fleet
+    return TargetCatalog(max_tombstones=1, on_change=lambda revision: None), fleet
 
 
 def test_a_number_in_a_journal_names_the_same_command_for_good() -> None:
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import io
 import math
 import pickle
 from random import Random
@@ -16,6 +17,7 @@
 from loadbalancer.membership.quota_ledger import Ledger, Row, State
 from loadbalancer.registry import fleet_state
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, LimitReachedError, ServiceInUseError
+from loadbalancer.registry.stored_form import STORED_FORM
 
 TTL = 1_000.0
 MOST = 1.0 + 1e-9
@@ -23,8 +25,8 @@
 
 def state_with_leader() -> FleetState:
     state = FleetState()
-    state.lead(1, "127.0.0.1:1", 0, TTL, 50.0)
-    state.begin(10.0, 1)
+    state.start_term(1, "127.0.0.1:1", 0, TTL, 50.0)
+    state.accept(10.0, 1)
     return state
 
 
@@ -70,8 +72,8 @@
     state = state_with_leader()
     rows = [*enrol(state, "pay", "n1"), *enrol(state, "find", "n2"), *enrol(state, NO_SERVICE, "n3")]
     assert [row.incarnation for row in rows] == [1, 2, 3]
-    state.expire([(1, 0)], [1], state.repeats)
-    state.expire([(1, 0)], [], state.repeats)
+    state.expire([(1, 0)], [1], state.repeated_enrolments)
+    state.expire([(1, 0)], [], state.repeated_enrolments)
     state.end_service("pay")
     assert "pay" not in state.services
     assert enrol(state, "pay", "n4")[0].incarnation == 4
@@ -103,7 +105,7 @@
     seqs = {row.incarnation: row.seq for row in state.rows()}
     due = state.due_expiry([(1, seqs[1]), (4, seqs[4])], [2, 3])
     assert due is not None
-    newly, removed = state.expire(due.lapsed, due.support, due.repeats)
+    newly, removed = state.expire(due.lapsed, due.support, due.repeated_enrolments)
     assert (newly, removed) == ([1, 4], [1])  # of `find` nobody is attached: its row only lapses
     assert state.services["find"].by_incarnation[4].state is State.LAPSED
     assert state.due_expiry([(4, seqs[4])], [2, 3]) is None  # others' majority says nothing here
@@ -120,7 +122,7 @@
     assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(2 / 3), "find": pytest.approx(1.0)}
     renew_all(state)
     assert [row.share for row in state.services["pay"].rows()] == [0.0, *[pytest.approx(0.5)] * 2]
-    state.expire([(1, state.services["pay"].by_incarnation[1].seq)], [], state.repeats)
+    state.expire([(1, state.services["pay"].by_incarnation[1].seq)], [], state.repeated_enrolments)
     assert list(state.services["pay"].by_incarnation) == [2, 3]
 
 
@@ -132,7 +134,7 @@
     renewed = state.renew(1, 9, state.services["pay"].revision, 1 / 3)
     assert renewed is not None
     assert (renewed.state, renewed.share) == (State.LIVE, pytest.approx(1 / 3))
-    state.expire([(1, 9)], [2, 3], state.repeats)
+    state.expire([(1, 9)], [2, 3], state.repeated_enrolments)
     renew_all(state)
     assert [row.share for row in state.services["pay"].rows()] == [pytest.approx(0.5)] * 2
 
@@ -154,11 +156,11 @@
     enrol(state, "pay", "n1")
     enrol(state, "find", "n2")
     state.leave(1)
-    state.expire([(1, 0)], [], state.repeats)
+    state.expire([(1, 0)], [], state.repeated_enrolments)
     assert list(state.services) == ["find"]
     with pytest.raises(ServiceInUseError, match="'n2'"):
         state.end_service("find")
-    state.expire([(2, 0)], [], state.repeats)  # lapsed; no majority will ever be attached
+    state.expire([(2, 0)], [], state.repeated_enrolments)  # lapsed; no majority will ever be attached
     assert state.end_service("find") == [2]
     assert state.end_service("find") == []
     assert not state.services
@@ -174,8 +176,8 @@
 
 
 def test_at_a_limit_an_enrolment_is_refused_and_nobody_loses_a_row(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet_state, "MAX_GROUP_ROWS", 2)
-    monkeypatch.setattr(fleet_state, "MAX_ALL_ROWS", 3)
+    monkeypatch.setattr(fleet_state, "MAX_GROUP_MEMBERS", 2)
+    monkeypatch.setattr(fleet_state, "MAX_MEMBERS", 3)
     state = state_with_leader()
     rows = enrol(state, "pay", "n1", "n2")
     with pytest.raises(LimitReachedError, match="'pay' has 2 members"):
@@ -194,8 +196,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guard: theirs fell to a group's, and a large fleet's new processes were refused half-way through."""
-    monkeypatch.setattr(fleet_state, "MAX_ROWS", 3)
-    monkeypatch.setattr(fleet_state, "MAX_GROUP_ROWS", 2)
+    monkeypatch.setattr(fleet_state, "MAX_UNGROUPED_MEMBERS", 3)
+    monkeypatch.setattr(fleet_state, "MAX_GROUP_MEMBERS", 2)
     state = state_with_leader()
     enrol(state, NO_SERVICE, "n1", "n2", "n3")
     with pytest.raises(LimitReachedError, match="has 3 members"):
@@ -205,11 +207,13 @@
 def test_a_state_without_services_is_written_as_earlier_releases_do() -> None:
     state = state_with_leader()
     enrol(state, NO_SERVICE, "n1")
-    _, written = state.__getstate__()
+    file = io.BytesIO()
+    STORED_FORM.dump(state, file)
+    _, written = pickle.loads(file.getvalue()).state
     assert set(written) == {
         "ledger", "routes", "log_ms", "term", "http", "epoch", "ttl_ms", "bound_ms", "repeats"
     }  # fmt: skip
-    assert set(state.ledger.__getstate__()) == {"revision", "incarnations", "by_incarnation"}
+    assert set(written["ledger"].state) == {"revision", "incarnations", "by_incarnation"}
 
 
 def test_a_snapshot_brings_all_groups_and_begins_new_change_logs() -> None:
--- a/tests/registry/test_groups_crowd.py
+++ b/tests/registry/test_groups_crowd.py
@@ -14,7 +14,7 @@
 import pytest
 
 from loadbalancer.node.http.service_http import Client
-from loadbalancer.registry.fleet_state import MAX_GROUP_ROWS
+from loadbalancer.registry.fleet_state import MAX_GROUP_MEMBERS
 from tests.support.group_registry import LIMIT_S, GroupRegistry
 from tests.support.hollow_members import Hollows
 from tests.support.registry_processes import ask, until
@@ -97,9 +97,9 @@
     hollows.start(kept)
     hollows.until("three enrolled", lambda now: all(one.enrolled for one in kept))
     leader = registry.leader()
-    asyncio.run(fill(registry.http[leader], "full", MAX_GROUP_ROWS - len(kept)))
+    asyncio.run(fill(registry.http[leader], "full", MAX_GROUP_MEMBERS - len(kept)))
     before = {row["incarnation"] for row in registry.rows("full")}
-    assert len(before) == MAX_GROUP_ROWS
+    assert len(before) == MAX_GROUP_MEMBERS
     [further] = hollows.add("full", 1)
     [elsewhere] = hollows.add("not-full", 1)
     with caplog.at_level(logging.WARNING, logger="loadbalancer"):
--- a/tests/registry/test_registry_parts.py
+++ b/tests/registry/test_registry_parts.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.node.http.service_http import MAX_HEAD, Answer, Call, Limits, serve
 from loadbalancer.registry import watch
-from loadbalancer.registry.catalog import Catalog, clean_target
+from loadbalancer.registry.catalog import TargetCatalog, validate_target
 from loadbalancer.registry.settings import ConfigError, load_agent, load_instance
 
 GOOD = '[instance]\nname = "r0"\nlisten = "127.0.0.1:7401"\nraft = "127.0.0.1:7501"\npeers = []\ndata = "d"\n'
@@ -55,15 +55,15 @@
 
 
 def test_the_same_write_twice_is_one_change_and_a_late_watch_gets_the_whole_list() -> None:
-    catalog = Catalog(keep_gone=1, on_change=lambda revision: None)
-    target = clean_target({"uid": "s-1", "endpoint": "127.0.0.1:1"})
+    catalog = TargetCatalog(max_tombstones=1, on_change=lambda revision: None)
+    target = validate_target({"uid": "s-1", "endpoint": "127.0.0.1:1"})
     assert [catalog.put(target, 5, _doApply=True) for _ in range(2)] == [1, 1]
-    catalog.put(clean_target({"uid": "s-2", "endpoint": "127.0.0.1:2"}), 6, _doApply=True)
+    catalog.put(validate_target({"uid": "s-2", "endpoint": "127.0.0.1:2"}), 6, _doApply=True)
     catalog.remove("s-1", 7, _doApply=True)
     assert [row["state"] for row in catalog.page(2).targets] == ["Gone"]
     catalog.remove("s-2", 8, _doApply=True)  # pushes s-1's tombstone out
     late, recent = catalog.page(2), catalog.page(3)
-    assert (late.whole, late.targets, recent.whole) == (True, (), False)
+    assert (late.complete, late.targets, recent.complete) == (True, (), False)
     assert catalog.expire(10_000, 1_000, _doApply=True) == []
 
 
@@ -98,4 +98,4 @@
 
 @pytest.mark.parametrize("fields", [{}, {"since": "", "timeout_ms": ""}, {"timeout_ms": "0"}])
 def test_a_field_of_a_watch_that_is_empty_is_as_one_that_is_not_there(fields: dict[str, str]) -> None:
-    assert watch.query(Call("GET", "/discovery/hosts", fields, {}, b"")) == (None, 0.0)
+    assert watch.parse_query(Call("GET", "/discovery/hosts", fields, {}, b"")) == (None, 0.0)
--- a/tests/registry/test_renewal_relay.py
+++ b/tests/registry/test_renewal_relay.py
@@ -11,16 +11,16 @@
 import structlog
 
 from loadbalancer.node.http.service_http import Answer, Call, Client, serve
-from loadbalancer.registry.batch import MOST
-from loadbalancer.registry.messages import Renew
-from loadbalancer.registry.renewal_relay import PATH, RenewalRelay, answer_batch, read_batch
+from loadbalancer.registry.batch import MAX_BATCH_SIZE
+from loadbalancer.registry.messages import RenewRequest
+from loadbalancer.registry.renewal_relay import PATH, RenewalRelay, decode_renewals, encode_answers
 
 Handler = Callable[[Call], Awaitable[Answer]]
 LOG = structlog.stdlib.get_logger()
 
 
-def renewal(incarnation: int) -> Renew:
-    return Renew(incarnation=incarnation, seq=1, acked=0, using=0.5, delta=True)
+def renewal(incarnation: int) -> RenewRequest:
+    return RenewRequest(incarnation=incarnation, seq=1, acked=0, using=0.5, delta=True)
 
 
 async def relayed(handler: Handler, count: int) -> list[Answer | BaseException]:
@@ -42,14 +42,17 @@
 
     async def lead(call: Call) -> Answer:
         calls.append(call)
-        renewals = read_batch(call.body)
+        renewals = decode_renewals(call.body)
         rows = [Answer(404 if row.incarnation == 7 else 200, b"%d" % row.incarnation) for row in renewals]
-        return answer_batch(rows)
+        return encode_answers(rows)
 
-    answers = asyncio.run(relayed(lead, MOST + 20))
-    assert [int(answer.body) for answer in answers] == list(range(MOST + 20))
+    answers = asyncio.run(relayed(lead, MAX_BATCH_SIZE + 20))
+    assert [int(answer.body) for answer in answers] == list(range(MAX_BATCH_SIZE + 20))
     assert [at for at, answer in enumerate(answers) if answer.status != 200] == [7]
-    assert [(call.path, len(read_batch(call.body))) for call in calls] == [(PATH, MOST), (PATH, 20)]
+    assert [(call.path, len(decode_renewals(call.body))) for call in calls] == [
+        (PATH, MAX_BATCH_SIZE),
+        (PATH, 20),
+    ]
     assert all("fleet-hop" in call.headers for call in calls)
 
 
@@ -83,12 +86,18 @@
 
 @pytest.mark.parametrize(
     "body",
-    [b"", b"{}", b'[{"incarnation":1}]', orjson.dumps([1]), msgspec.json.encode([renewal(1)] * (MOST + 1))],
+    [
+        b"",
+        b"{}",
+        b'[{"incarnation":1}]',
+        orjson.dumps([1]),
+        msgspec.json.encode([renewal(1)] * (MAX_BATCH_SIZE + 1)),
+    ],
     ids=["empty", "no list", "a field missing", "no renewal", "too many"],
 )
 def test_a_batch_that_is_not_one_is_refused_in_one_line(body: bytes) -> None:
     with pytest.raises(ValueError, match=r"^body: [^\n]*$"):
-        read_batch(body)
+        decode_renewals(body)
 
 
 def test_what_passing_on_raises_reaches_whoever_waits() -> None:
--- a/tests/registry/test_stored_form.py
+++ b/tests/registry/test_stored_form.py
@@ -13,10 +13,10 @@
 import orjson
 import pytest
 
-from loadbalancer.registry.catalog import Catalog
+from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.service_clock import ServiceClock
-from loadbalancer.registry.snapshot_file import Dump
+from loadbalancer.registry.snapshot_file import SnapshotFile
 from loadbalancer.registry.stored_form import StoredClass, StoredForm
 
 DATA = Path(__file__).parents[1] / "data"
@@ -41,24 +41,24 @@
 RELEASED_ATTRIBUTES = ["revision", "horizon", "live", "changed", "gone", "renewed"], ["state"]
 
 
-def consumers() -> tuple[Catalog, FleetCatalog]:
+def consumers() -> tuple[TargetCatalog, FleetCatalog]:
     fleet = FleetCatalog(ServiceClock(None), lambda: 0.0, lambda groups: None)
-    return Catalog(keep_gone=3, on_change=lambda revision: None), fleet
+    return TargetCatalog(max_tombstones=3, on_change=lambda revision: None), fleet
 
 
-def read(path: Path) -> tuple[Catalog, FleetCatalog]:
+def read(path: Path) -> tuple[TargetCatalog, FleetCatalog]:
     targets, fleet = consumers()
-    raft = Dump([targets, fleet]).read(str(path))
+    raft = SnapshotFile([targets, fleet]).read(str(path))
     assert raft == (("entry", 12, 7), ("entry", 13, 7), {"127.0.0.1:1"})
     return targets, fleet
 
 
-def write(path: Path, targets: Catalog, fleet: FleetCatalog) -> bytes:
-    Dump([targets, fleet]).write(str(path), (("entry", 12, 7), ("entry", 13, 7), {"127.0.0.1:1"}))
+def write(path: Path, targets: TargetCatalog, fleet: FleetCatalog) -> bytes:
+    SnapshotFile([targets, fleet]).write(str(path), (("entry", 12, 7), ("entry", 13, 7), {"127.0.0.1:1"}))
     return gzip.decompress(path.read_bytes())
 
 
-def content(targets: Catalog, fleet: FleetCatalog) -> Any:
+def content(targets: TargetCatalog, fleet: FleetCatalog) -> Any:
     """Everything that a snapshot brings, in the form of tests/data/registry-snapshot.json."""
     state = fleet.state
     pages = [targets.page(since) for since in (5, 9)]
@@ -66,8 +66,8 @@
     row = {
         "page": targets.page(None).targets,
         "count": targets.count(),
-        "since_5": [pages[0].whole, pages[0].targets],
-        "since_9": [pages[1].whole, pages[1].targets],
+        "since_5": [pages[0].complete, pages[0].targets],
+        "since_9": [pages[1].complete, pages[1].targets],
         "renewed": targets.renewed,
         "members": fleet.members(),
         "routes": state.routes.status(),
@@ -82,11 +82,11 @@
         },
         "leader": {
             "term": state.term,
-            "http": state.http,
+            "http": state.leader_address,
             "epoch": state.epoch,
             "ttl_ms": state.ttl_ms,
-            "bound_ms": state.bound_ms,
-            "repeats": state.repeats,
+            "bound_ms": state.clock_bound_ms,
+            "repeats": state.repeated_enrolments,
         },
         "services": [state.service_of(incarnation) for incarnation in range(1, 8)],
     }
@@ -154,7 +154,7 @@
     state = pickle.loads(data)[0][2]["state"]
     assert fields_of(state) == RELEASED_FIELDS["FleetState"].split()[:-1]
     _, restored = read(tmp_path / "raft.dump")
-    assert (restored.state.http, restored.state.services) == ("127.0.0.1:1", {})
+    assert (restored.state.leader_address, restored.state.services) == ("127.0.0.1:1", {})
 
 
 @dataclass(slots=True)
--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -11,7 +11,7 @@
 from loadbalancer.membership.member_lease import WHOLE_LIST, Call
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Ledger, Row
-from loadbalancer.registry.fleet_state import NO_SERVICE, Expiry
+from loadbalancer.registry.fleet_state import NO_SERVICE, DueExpiry
 from tests.support.orders.parts import TTL, Bounds, Node, Service, members_key, past
 
 
@@ -24,7 +24,7 @@
     bounds: Bounds
     nodes: tuple[Node, ...]
     service: Service
-    plan: Expiry | None
+    plan: DueExpiry | None
     broken: str | None
 
     def key(self) -> tuple[Any, ...]:
@@ -38,9 +38,9 @@
                     usable[node.core.incarnation] = node.core._answered
         plan = None
         if self.plan is not None:
-            lapsed, support, repeats = self.plan.lapsed, self.plan.support, self.plan.repeats
+            lapsed, support, repeats = self.plan.lapsed, self.plan.support, self.plan.repeated_enrolments
             seqs = tuple((number, numbers.get(number, 0) - seq) for number, seq in lapsed)
-            plan = (seqs, tuple(support), repeats == state.repeats)
+            plan = (seqs, tuple(support), repeats == state.repeated_enrolments)
         groups = [(NO_SERVICE, state.ledger), *sorted(state.services.items(), key=itemgetter(0))]
         revisions = {service: ledger.revision for service, ledger in groups}
         return (
--- a/tests/support/orders/mistakes.py
+++ b/tests/support/orders/mistakes.py
@@ -13,7 +13,7 @@
 from loadbalancer.membership.member_lease import WHOLE_LIST, Enrolment, Standing, Word
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Beside, Ledger, Row
-from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, ended_before
+from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, superseded_by
 from loadbalancer.routing.coordinator import PREPARING, Activations
 from loadbalancer.routing.participant import Action, Follower, Stage, Store
 
@@ -148,7 +148,7 @@
 
     def enrol_in(self: FleetState, service: str, name: str, address: str, zone: str, start: str) -> Row:
         row = right(self, service, name, address, zone, start)
-        for ended in ended_before(row, self.rows()):
+        for ended in superseded_by(row, self.rows()):
             self.leave(ended)
         return row
 
--- a/tests/support/orders/parts.py
+++ b/tests/support/orders/parts.py
@@ -105,8 +105,8 @@
 
 def copied(state: FleetState) -> FleetState:
     return FleetState(
-        copied_ledger(state.ledger), state.routes.copy(), state.log_ms, state.term, state.http, state.epoch,
-        state.ttl_ms, state.bound_ms, state.repeats,
+        copied_ledger(state.ledger), state.routes.copy(), state.log_ms, state.term, state.leader_address,
+        state.epoch, state.ttl_ms, state.clock_bound_ms, state.repeated_enrolments,
         {service: copied_ledger(ledger) for service, ledger in state.services.items()},
         dict(state._service_of),
     )  # fmt: skip
--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -65,7 +65,7 @@
     def __init__(self, bounds: Bounds, faults: int, talk: Talk) -> None:
         self.talk, self.lag = talk, 0.0
         super().__init__(bounds, faults)
-        self.service.state.bound_ms = BOUND
+        self.service.state.clock_bound_ms = BOUND
         self.edges = tuple(self._process(()) for _ in self.nodes)
 
     # ---------------------------------------------------------------------- moves
@@ -283,7 +283,7 @@
         return math.inf if due is None else due - node.skew
 
     def _decide(self) -> None:
-        if self.service.state.to_decide(self._s()):
+        if self.service.state.decision_due(self._s()):
             self._log().settle()
 
     # --------------------------------------------------------------------- states
--- a/tests/support/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -42,7 +42,7 @@
 from loadbalancer.membership.member_lease import HOLD, Call, Enrolment, Standing, Word
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Row
-from loadbalancer.registry.fleet_state import NO_SERVICE, Expiry, FleetState
+from loadbalancer.registry.fleet_state import NO_SERVICE, DueExpiry, FleetState
 from tests.support.orders.keys import Keyed
 from tests.support.orders.parts import NEVER, RNG, TTL, Bounds, LateWord, Node, Sent, Service, copied, waits
 
@@ -56,9 +56,9 @@
         self.bounds, self.faults = bounds, faults
         self.now = 100_000.0
         state = FleetState()
-        state.lead(1, "", 0, TTL, 0.0)
+        state.start_term(1, "", 0, TTL, 0.0)
         self.service = Service(state, LeaseClock(TTL))
-        self.plan: Expiry | None = None
+        self.plan: DueExpiry | None = None
         self.given: tuple[tuple[str, int], ...] = ()  # the incarnation that each start was given first
         self.broken: str | None = None
         self.nodes = tuple(self._start(at, Node(f"n{at}", skew)) for at, skew in enumerate(bounds.skews))
@@ -160,7 +160,7 @@
             for number, lease in clock._leases.items()
         }
         self.service = Service(copied(state), leases)
-        self.service.state.begin(self._s(), 1)
+        self.service.state.accept(self._s(), 1)
         return self.service.state
 
     # ------------------------------------------------------------------ calls
@@ -303,9 +303,9 @@
 
     # -------------------------------------------------------------- leader and time
 
-    def _expire(self, plan: Expiry) -> None:
+    def _expire(self, plan: DueExpiry) -> None:
         state = self._log()
-        state.expire(plan.lapsed, plan.support, plan.repeats)
+        state.expire(plan.lapsed, plan.support, plan.repeated_enrolments)
         state.settle()
         self.service.clock.keep({row.incarnation for row in state.rows()})
 
@@ -366,4 +366,4 @@
                     self._renew(at)
         lapsed, support = self.service.clock.due(self.now)
         if lapsed:
-            self._expire(Expiry(lapsed, support, self.service.state.repeats))
+            self._expire(DueExpiry(lapsed, support, self.service.state.repeated_enrolments))
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -20,8 +20,8 @@
 from loadbalancer.node.control.route_store import RouteStore
 from loadbalancer.node.state import snapshot
 from loadbalancer.node.state.snapshot import StateFile
-from loadbalancer.registry.catalog import Catalog, Page
-from loadbalancer.registry.fleet_catalog import FleetCatalog, Renewed
+from loadbalancer.registry.catalog import ListPage, TargetCatalog
+from loadbalancer.registry.fleet_catalog import AppliedRenewal, FleetCatalog
 from loadbalancer.registry.service_clock import ServiceClock
 
 MOST = 1_000  # interleavings of a case
@@ -32,10 +32,10 @@
 
     def __init__(self, wrong: bool) -> None:
         self.told: list[int] = []
-        self.catalog = Catalog(1, self.told.append)
+        self.catalog = TargetCatalog(1, self.told.append)
         self.put("a")
-        self.seen: Page | None = None
-        self.news: Page | None = None
+        self.seen: ListPage | None = None
+        self.news: ListPage | None = None
         if wrong:
             self.catalog._lock = nullcontext()
 
@@ -71,9 +71,9 @@
     def __init__(self, wrong: bool) -> None:
         self.fleet = FleetCatalog(ServiceClock(), lambda: 0.0, lambda groups: None)
         self.fleet.lead(0.0, 1, "", 0, 1000.0, 50.0, _doApply=True)
-        self.fleet.serve(1)
+        self.fleet.start_answering(1)
         self.enrol("n0")
-        self.taken: list[Renewed] = []
+        self.taken: list[AppliedRenewal] = []
         self.seen: dict[str, Any] = {}
         if wrong:
             self.fleet._lock = nullcontext()
@@ -86,14 +86,14 @@
         self.enrol("n1")
 
     def leader(self) -> None:
-        self.taken += self.fleet.take_renewed()
+        self.taken += self.fleet.take_applied_renewals()
 
     def web(self) -> None:
         self.seen = self.fleet.members()
 
     def holds(self) -> bool:
         """Each renewal is taken once; what is read is the log's state at one command's end."""
-        taken = [(one.incarnation, one.seq) for one in (*self.taken, *self.fleet.take_renewed())]
+        taken = [(one.incarnation, one.seq) for one in (*self.taken, *self.fleet.take_applied_renewals())]
         rows = [(row["name"], row["seq"], row["share"]) for row in self.seen["members"]]
         before, renewed = [("n0", 0, 1.0)], [("n0", 1, 1.0)]
         states = [(1, 1.0, before), (1, 2.0, renewed), (2, 2.0, [*renewed, ("n1", 0, 0.0)])]
