--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -29,7 +29,7 @@
 from loadbalancer.node.control import control_plane as fleet_part
 from loadbalancer.node.control.registry_client import Agent
 from loadbalancer.node.http import service_http as web
-from loadbalancer.registry.agent import RegistryFollower
+from loadbalancer.registry.agent import RegistryFollower, SourceList
 from loadbalancer.registry.settings import AgentSettings
 from tests.support.loopback import config_row
 
@@ -72,9 +72,9 @@
         super().__init__(settings, structlog.wrap_logger(None, wrapper_class=quiet))
         self.figures = figures
 
-    def _take(self, source_rev: int, whole: bool, targets: list[Any]) -> None:
+    def _apply(self, received: SourceList) -> None:
         before, follows = set(self.cache.entries), self.cache.filled
-        super()._take(source_rev, whole, targets)
+        super()._apply(received)
         for uid in self.cache.entries.keys() - before:
             if follows and uid.startswith(CHANGE):
                 self.figures.saw_change(uid)
--- a/loadbalancer/registry/__main__.py
+++ b/loadbalancer/registry/__main__.py
@@ -17,10 +17,14 @@
 from pathlib import Path
 
 import orjson
+import structlog
 
 from loadbalancer.node.http.service_http import call
 from loadbalancer.registry import agent, local, service
-from loadbalancer.registry.settings import ConfigError, load_agent, load_instance, parse_address, start_logs
+from loadbalancer.registry.addresses import parse_address
+from loadbalancer.registry.errors import ConfigError
+from loadbalancer.registry.logs import start_logs
+from loadbalancer.registry.settings import load_agent, load_instance
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -33,20 +37,21 @@
         commands.add_parser(name).add_argument("--config", type=Path, required=True)
     for name in ("status", "list"):
         commands.add_parser(name).add_argument("address", help="host:port of an instance or an agent")
-    local = commands.add_parser("local")
-    local.add_argument(
+    local_command = commands.add_parser("local")
+    local_command.add_argument(
         "--dir", type=Path, default=Path("var/local"), help="for configurations, data and logs"
     )
-    local.add_argument("--port", type=int, default=8080, help="the node's, for clients")
-    local.add_argument("--servers", type=int, default=3, help="stand-in servers that register")
+    local_command.add_argument("--port", type=int, default=8080, help="the node's, for clients")
+    local_command.add_argument("--servers", type=int, default=3, help="stand-in servers that register")
     return parser
 
 
-async def _ask(where: str, target: str) -> int:
+async def _print_answer(address: str, path: str) -> int:
+    """Print the JSON that the program at host:port answers; the exit status."""
     try:
-        reply = await call(parse_address(where), "GET", target)
+        reply = await call(parse_address(address), "GET", path)
     except (OSError, TimeoutError, ValueError) as failure:
-        print(f"{where}: {type(failure).__name__}: {failure}", file=sys.stderr)
+        print(f"{address}: {type(failure).__name__}: {failure}", file=sys.stderr)
         return 1
     stale = reply.headers.get("registry-stale") == "1"
     row = orjson.loads(reply.body) | ({"stale": True} if stale else {})
@@ -54,27 +59,33 @@
     return 0 if reply.status == 200 else 1
 
 
+async def _run(arguments: argparse.Namespace, log: structlog.stdlib.BoundLogger) -> int:
+    match arguments.command:
+        case "serve":
+            await service.run_instance(load_instance(arguments.config), log)
+        case "agent":
+            await agent.run_agent(load_agent(arguments.config), log)
+        case "local":
+            await local.run_local(arguments.dir.resolve(), arguments.servers, arguments.port, log)
+        case "status":
+            return await _print_answer(arguments.address, "/registry/status")
+        case _:
+            return await _print_answer(arguments.address, "/discovery/hosts")
+    return 0
+
+
 def main(argv: list[str] | None = None) -> int:
+    """Run a command; the exit status."""
     arguments = _parser().parse_args(argv)
     log = start_logs(f"registry.{arguments.command}", arguments.log_level)
     try:
-        if arguments.command == "serve":
-            asyncio.run(service.run_instance(load_instance(arguments.config), log))
-        elif arguments.command == "agent":
-            asyncio.run(agent.run_agent(load_agent(arguments.config), log))
-        elif arguments.command == "local":
-            asyncio.run(local.run_local(arguments.dir.resolve(), arguments.servers, arguments.port, log))
-        elif arguments.command == "status":
-            return asyncio.run(_ask(arguments.address, "/registry/status"))
-        else:
-            return asyncio.run(_ask(arguments.address, "/discovery/hosts"))
+        return asyncio.run(_run(arguments, log))
     except ConfigError as failure:
         log.error("bad_configuration", why=str(failure))
         return 2
     except OSError as failure:
         log.error("cannot_start", why=f"{type(failure).__name__}: {failure}")
         return 1
-    return 0
 
 
 if __name__ == "__main__":
--- a/loadbalancer/registry/batch.py
+++ b/loadbalancer/registry/batch.py
@@ -8,15 +8,20 @@
 
 import structlog
 
-BATCH_WINDOW_S = 0.02  # requests gathered into one command
-MAX_BATCH_SIZE = 500  # in one, so that an entry stays well under what pysyncobj sends in one piece
+from loadbalancer.registry.errors import NotCommittedError
+
+BATCH_WINDOW_S = 0.02  # requests of this time share an entry
+MAX_BATCH_COUNT = 500  # keeps an entry well under what pysyncobj sends in one piece
 
 Request = TypeVar("Request")
 Result = TypeVar("Result")
 
 
 class Batcher(Generic[Request, Result]):
-    """Commits what is added within BATCH_S together; `commit` gives a result for each, in order."""
+    """Commits the requests added within BATCH_WINDOW_S together.
+
+    `commit` returns a result for each request, in their order. `name` stands in log events and errors.
+    """
 
     def __init__(
         self,
@@ -29,7 +34,7 @@
         self._flushes: set[asyncio.Task[None]] = set()
 
     async def add(self, request: Request) -> Result:
-        """The request's result; ConnectionError where it may not have been committed."""
+        """The request's result; NotCommittedError where it may not have been committed."""
         done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
         self._waiting.append((request, done))
         if len(self._waiting) == 1:
@@ -38,30 +43,30 @@
 
     def _start_flush(self) -> None:
         flush = asyncio.create_task(self._flush())
-        self._flushes.add(flush)
+        self._flushes.add(flush)  # the event loop keeps only a weak reference to a task
         flush.add_done_callback(self._flushes.discard)
 
     async def _flush(self) -> None:
         await asyncio.sleep(BATCH_WINDOW_S)
-        batch, self._waiting = self._waiting[:MAX_BATCH_SIZE], self._waiting[MAX_BATCH_SIZE:]
+        batch, self._waiting = self._waiting[:MAX_BATCH_COUNT], self._waiting[MAX_BATCH_COUNT:]
         if self._waiting:
             self._start_flush()
         try:
             results = await self._commit([request for request, _ in batch])
-        except OSError as failure:  # TimeoutError and ConnectionError are such
+        except OSError as failure:  # includes TimeoutError and ConnectionError
             self._fail(batch, failure)
             return
-        except Exception as failure:
-            self._log.exception(f"{self._name}_failed")  # Guard: whoever waits must hear of it
+        except Exception as failure:  # the callers wait for a result or an error, whatever went wrong
+            self._log.exception(f"{self._name}_failed")
             self._fail(batch, failure)
             return
         for (_, done), result in zip(batch, results, strict=True):
-            if not done.done():  # its caller may have gone
+            if not done.done():  # a caller that was cancelled has cancelled its future
                 done.set_result(result)
 
     def _fail(self, batch: list[tuple[Request, asyncio.Future[Result]]], failure: Exception) -> None:
-        why = str(failure) or "timeout"
-        self._log.warning(f"{self._name}_not_committed", count=len(batch), why=why)
+        reason = str(failure) or "timeout"
+        self._log.warning(f"{self._name}_not_committed", count=len(batch), why=reason)
         for _, done in batch:
             if not done.done():
-                done.set_exception(ConnectionError(f"{self._name} not committed"))
+                done.set_exception(NotCommittedError(f"{self._name} not committed"))
--- a/loadbalancer/registry/clock_file.py
+++ b/loadbalancer/registry/clock_file.py
@@ -1,8 +1,8 @@
 """What an instance knows of service time, kept for its next start on the same machine.
 
 The monotonic clock goes on while a process is down, so a bound on service time holds through a restart: three
-instances that all start anew within a second go on with the same time. It holds for one run of the machine
-(and one time namespace, as a container may have its own); in any other the file is worth nothing.
+instances that are all restarted within a second continue with the same time. The bound holds for one run of
+the machine and one time namespace (a container may have its own); in any other the file is ignored.
 """
 
 from __future__ import annotations
@@ -15,20 +15,23 @@
 
 from loadbalancer.registry.service_clock import ClockBound
 
-MIN_SAVED_CHANGE_MS = 2.0  # a bound that moved less is not written again
+MIN_SAVED_CHANGE_MS = 2.0  # a bound that has changed by less is not written again
+MS_PER_S = 1000.0
 
 
 class ProcessClocks:
-    """This process's clocks in ms; `offset_ms` sets both off, which only tests do."""
+    """This process's clocks in ms; tests set both wrong by `offset_ms`."""
 
     def __init__(self, offset_ms: float) -> None:
         self.offset_ms = offset_ms
 
     def monotonic_ms(self) -> float:
-        return time.monotonic() * 1000.0 + self.offset_ms
+        """The monotonic clock, which runs on while a process is down."""
+        return time.monotonic() * MS_PER_S + self.offset_ms
 
     def unix_ms(self) -> float:
-        return time.time() * 1000.0 + self.offset_ms
+        """The wall clock."""
+        return time.time() * MS_PER_S + self.offset_ms
 
 
 class ClockFile:
@@ -38,14 +41,10 @@
         self._path = folder / "service-clock.json"
         self.clocks = clocks
         self._saved: ClockBound | None = None
-        try:
-            boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
-            self._machine_run = f"{boot} {os.readlink('/proc/self/ns/time')} {clocks.offset_ms}"
-        except OSError:
-            self._machine_run = ""  # not told apart here: nothing is kept
+        self._machine_run = _machine_run(clocks)
 
     def load(self) -> ClockBound | None:
-        """The bound kept in this run of the machine, None where there is none or the file is not readable."""
+        """The bound saved in this run of the machine; None where there is none or the file is unreadable."""
         try:
             row = orjson.loads(self._path.read_bytes())
             known = ClockBound(float(row["ahead"]), float(row["at"]), int(row["epoch"]))
@@ -55,15 +54,8 @@
         return known if usable else None
 
     def save(self, known: ClockBound | None) -> None:
-        """Keep the bound if it says more than the one kept; OSError if it can't be written."""
-        if known is None or not self._machine_run:
-            return
-        now, kept = self.clocks.monotonic_ms(), self._saved
-        if (
-            kept
-            and kept.epoch == known.epoch
-            and abs(kept.aged_ahead_ms(now) - known.aged_ahead_ms(now)) < MIN_SAVED_CHANGE_MS
-        ):
+        """Write the bound if it differs from the one written last; OSError if it can't be written."""
+        if known is None or not self._machine_run or not self._has_changed(known):
             return
         row = {
             "run": self._machine_run,
@@ -73,5 +65,20 @@
         }
         fresh = self._path.with_suffix(".new")
         fresh.write_bytes(orjson.dumps(row))
-        fresh.replace(self._path)  # whole or not at all; a power loss ends this run of the machine anyway
+        fresh.replace(self._path)  # atomic; not synced to the disk, as a power loss ends the machine's run
         self._saved = known
+
+    def _has_changed(self, known: ClockBound) -> bool:
+        saved, now_ms = self._saved, self.clocks.monotonic_ms()
+        if saved is None or saved.epoch != known.epoch:
+            return True
+        return abs(saved.aged_ahead_ms(now_ms) - known.aged_ahead_ms(now_ms)) >= MIN_SAVED_CHANGE_MS
+
+
+def _machine_run(clocks: ProcessClocks) -> str:
+    """Identifies this run of the machine and the time namespace; empty where the system does not tell."""
+    try:
+        boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
+        return f"{boot} {os.readlink('/proc/self/ns/time')} {clocks.offset_ms}"
+    except OSError:
+        return ""
--- a/loadbalancer/registry/commands.py
+++ b/loadbalancer/registry/commands.py
@@ -1,8 +1,8 @@
-"""Commands of the fleet's that know groups, as they stand in the list service's log.
+"""The fleet's commands on groups, in the form in which the list service's log holds them.
 
-They came after the first release of the fleet's state, whose commands are methods of their own
-(fleet.py) and stay as they are, so that its journals are read. Each is one tagged struct in MessagePack; a
-log entry holds several (`FleetCatalog.write`).
+Each is one tagged struct in MessagePack; a log entry holds several (`FleetCatalog.write`). Commands that do
+not know groups are replicated methods of `FleetCatalog`. Tags and field names are part of the journal's
+format.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class RemoveMembers(Struct, frozen=True, tag="remove"):
-    """An operator's word that the processes of this name have ended; service None: in every group."""
+    """An operator declares that the processes of this name have ended; service None: in every group."""
 
     name: str
     service: str | None = None
 
 
 class EndService(Struct, frozen=True, tag="end-service"):
-    """An operator's word that all processes in front of this service have ended."""
+    """An operator declares that all processes in front of this service have ended."""
 
     service: str
 
@@ -41,5 +41,5 @@
 
 
 def decode(data: bytes) -> Command:
-    """msgspec.DecodeError for a command of a later release."""
+    """The command; msgspec.DecodeError for one that only a later release knows."""
     return _decoder.decode(data)
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -18,11 +18,12 @@
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.http.service_http import Answer, Call, Client
 from loadbalancer.registry import watch
+from loadbalancer.registry.addresses import parse_address
 from loadbalancer.registry.commands import EnrolMember
+from loadbalancer.registry.errors import InvalidFieldError, MemberLimitError
 from loadbalancer.registry.fleet_catalog import FleetCatalog, MemberGrant, MembersRemoved, Rejected, Renewal
 from loadbalancer.registry.fleet_leader import FleetLeader
-from loadbalancer.registry.fleet_state import LimitReachedError
-from loadbalancer.registry.forwarding import forward
+from loadbalancer.registry.forwarding import HOP_HEADER, forward
 from loadbalancer.registry.messages import (
     EnrolRequest,
     HaltRequest,
@@ -33,13 +34,11 @@
 )
 from loadbalancer.registry.renewal_relay import (
     FORWARD_TIMEOUT_S,
-    FORWARDED_HEADER,
     RenewalRelay,
     decode_renewals,
     encode_answers,
 )
 from loadbalancer.registry.renewal_relay import MAX_BATCH_BODY_BYTES as MAX_BATCH_BODY
-from loadbalancer.registry.settings import parse_address
 from loadbalancer.routing.coordinator import Ruling
 from loadbalancer.routing.route_table import MAX_TEXT, parse
 
@@ -162,8 +161,8 @@
 
     async def _forward(self, call: Call) -> Answer:
         to = self._other_leader()
-        if to is None or FORWARDED_HEADER in call.headers:
-            return error(503, "no leader in reach")
+        if to is None or HOP_HEADER in call.headers:
+            return error(503, self._leader.unavailable_reason())
         return await forward(self._client, parse_address(to), call, FORWARD_TIMEOUT_S, hop=True)
 
     def _reject(self, call: Call, why: str) -> Answer:
@@ -182,7 +181,7 @@
         member = EnrolMember(body.name, body.address, body.zone, body.start, body.service)
         try:
             grant = await self._leader.enrol(member)
-        except LimitReachedError as failure:
+        except MemberLimitError as failure:
             return self._reject_enrolment(member, failure)
         self._log.info(
             "member_enrolled",
@@ -193,7 +192,7 @@
         )
         return self._lease(grant, t2)
 
-    def _reject_enrolment(self, member: EnrolMember, failure: LimitReachedError) -> Answer:
+    def _reject_enrolment(self, member: EnrolMember, failure: MemberLimitError) -> Answer:
         self.rejected_enrolments += 1
         if self.rejected_enrolments % REJECTIONS_PER_LOG_LINE == 1:
             self._log.warning(
@@ -271,9 +270,9 @@
         what it was at the call)."""
         try:
             since, wait_s = watch.parse_query(call, self._max_wait_ms)
-            routes_since = watch.optional_number(call, "routes_since")
-            incarnation = watch.optional_number(call, "incarnation") or 0
-        except ValueError:
+            routes_since = watch.optional_integer(call, "routes_since")
+            incarnation = watch.optional_integer(call, "incarnation") or 0
+        except InvalidFieldError:
             return error(400, "since, routes_since, incarnation and timeout_ms are whole numbers")
         revisions = self._fleet.read(lambda state: state.revisions(incarnation))
         known = (since, revisions[1] if routes_since is None else routes_since)
--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -23,12 +23,12 @@
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Row
 from loadbalancer.registry.commands import EndService, EnrolMember, RemoveMembers, decode
-from loadbalancer.registry.fleet_state import FleetState, LimitReachedError, ServiceInUseError, TermStart
+from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
+from loadbalancer.registry.fleet_state import Expired, FleetState, TermStart
+from loadbalancer.registry.raft import RAFT_LEADER
 from loadbalancer.registry.service_clock import ServiceClock
 from loadbalancer.routing.coordinator import Ruling
 
-RAFT_LEADER = 2  # pysyncobj's number of the state
-
 PlainRenewal = tuple[int, int, int, int, float]  # a `Renewal` as it stands in the log
 T = TypeVar("T")
 R = TypeVar("R")
@@ -175,7 +175,7 @@
     @replicated  # type: ignore[untyped-decorator]
     def expire(
         self, stamp: float, term: int, lapsed: list[tuple[int, int]], support: list[int], repeats: int
-    ) -> tuple[list[int], list[int]] | None:
+    ) -> Expired | None:
         return self._run(stamp, term, lambda: self.state.expire(lapsed, support, repeats), _unchanged)
 
     @replicated  # type: ignore[untyped-decorator]
@@ -228,6 +228,10 @@
         except RuntimeError:  # pysyncobj's set of connections changed in its thread while it was counted
             return False
 
+    def knows_raft_leader(self) -> bool:
+        """Whether Raft has a leader, as far as this instance knows."""
+        return self._syncObj._getLeader() is not None
+
     def leader_address(self) -> str | None:
         """Where the instance that leads answers, as far as this one knows."""
         raft = self._syncObj
@@ -302,7 +306,7 @@
                     return MembersRemoved(self.state.remove(command.name, command.service))
                 case EndService():
                     return MembersRemoved(self.state.end_service(command.service))
-        except (LimitReachedError, ServiceInUseError) as refusal:
+        except (MemberLimitError, ServiceInUseError) as refusal:
             return Rejected(str(refusal))
 
     def _record_renewal(self, incarnation: int, seq: int, answered: int) -> None:
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -1,7 +1,7 @@
-"""What the instance that leads does for the fleet: service time, leases, renewals gathered into few entries.
+"""The leader's tasks for the fleet: service time, the members' leases, requests committed in batches.
 
-Whoever has been replaced as leader may not know it yet. So nothing here is done or answered but by commands
-that carry the Raft term, which the log refuses once a later leader has begun (fleet_state.py).
+An instance that has been replaced as leader may not know it yet. So everything here is done and answered by
+commands that carry the Raft term, which the log refuses once a later leader has begun (fleet_state.py).
 """
 
 from __future__ import annotations
@@ -17,6 +17,11 @@
 from loadbalancer.registry.batch import Batcher
 from loadbalancer.registry.clock_file import ClockFile
 from loadbalancer.registry.commands import Command, EndService, EnrolMember, RemoveMembers, encode
+from loadbalancer.registry.errors import (
+    GroupsDisabledError,
+    MemberLimitError,
+    NotLeadingError,
+)
 from loadbalancer.registry.fleet_catalog import (
     FleetCatalog,
     MemberGrant,
@@ -25,44 +30,41 @@
     Rejected,
     Renewal,
 )
-from loadbalancer.registry.fleet_state import LimitReachedError, TermStart
-from loadbalancer.registry.service_clock import ServiceClock
+from loadbalancer.registry.fleet_state import Expired, TermStart
+from loadbalancer.registry.service_clock import ClockBound, ServiceClock
 from loadbalancer.registry.settings import MemberSettings
 
 Commit = Callable[..., Awaitable[Any]]  # a command and its arguments; ConnectionError or TimeoutError
 
-
-class GroupsOffError(ValueError):
-    """A call on one group, where the list service has no groups."""
-
-
-class NotLeadingError(ConnectionError):
-    """This instance does not lead, or not yet."""
+MIN_PERIOD_S, MAX_PERIOD_S = 0.05, 0.25  # of the leader's tasks
+PERIODS_PER_LEASE = 20
+MS_PER_S = 1000.0
 
 
 class FleetLeader:
-    """Leads the fleet while this instance is Raft's leader; `http` is where it answers, host:port."""
+    """Leads the fleet while this instance is Raft's leader; `address` is its host:port for HTTP."""
 
     def __init__(
         self,
         config: MemberSettings,
-        http: str,
+        address: str,
         fleet: FleetCatalog,
         clock: ServiceClock,
         file: ClockFile,
         commit: Commit,
         log: structlog.stdlib.BoundLogger,
     ) -> None:
-        self._config, self.address, self._fleet = config, http, fleet
+        self._config, self.address, self._fleet = config, address, fleet
         self._clock, self._file, self._clocks = clock, file, file.clocks
         self._commit, self._log = commit, log
         self._leases = LeaseClock(config.ttl_ms)
         self._term: int | None = None  # in which calls are answered
+        self._waits_until_ms: float | None = None  # of the monotonic clock: for leases to end (`_start_term`)
         self._renewals: Batcher[Renewal, MemberGrant | None] = Batcher("renewals", self._commit_renewals, log)
-        self._writes: Batcher[Command, Outcome] = Batcher("commands", self._commit_commands, log)
+        self._commands: Batcher[Command, Outcome] = Batcher("commands", self._commit_commands, log)
         self._wake_up = asyncio.Event()
         self._requested = False
-        self._period_s = min(0.25, max(0.05, config.ttl_ms / 20_000.0))
+        self._period_s = min(MAX_PERIOD_S, max(MIN_PERIOD_S, config.ttl_ms / MS_PER_S / PERIODS_PER_LEASE))
         self._save_failed = False
 
     # Calls.
@@ -74,12 +76,12 @@
 
     @property
     def term(self) -> int | None:
-        """Raft's, in which calls are answered: another one is another clock behind service time."""
+        """Raft's term in which calls are answered; another term has another clock behind service time."""
         return self._term
 
     @property
     def groups(self) -> bool:
-        """Whether all instances know groups and what came with them."""
+        """Whether all instances know groups and the calls added with them."""
         return self._config.groups
 
     @property
@@ -89,22 +91,37 @@
 
     @property
     def prepare_ms(self) -> float:
+        """The time in which all members have to prepare a proposed route version."""
         return self._config.prepare_ms
 
     def service_ms(self) -> float:
-        """S now; NotLeadingError on an instance that does not lead."""
+        """Service time now; NotLeadingError on an instance that does not lead."""
         if self._term is None:
-            raise NotLeadingError("not the leader")
+            raise NotLeadingError("not the leader")  # the error has several short reasons
         return self._clock.service_ms(self._clocks.monotonic_ms())
 
-    def out_of_range_by_ms(self, sent: float) -> float | None:
-        """How many ms ago a renewal was sent, where that is more than it may be or lies ahead by as much."""
-        ago = self.service_ms() - sent
-        return ago if abs(ago) > LATE * self.ttl_ms else None
+    def out_of_range_by_ms(self, sent_ms: float) -> float | None:
+        """The age of a renewal by service time, where it is older than allowed or as far in the future."""
+        age_ms = self.service_ms() - sent_ms
+        return age_ms if abs(age_ms) > LATE * self.ttl_ms else None
+
+    def unavailable_reason(self) -> str:
+        """Why calls are neither answered here nor forwarded: what they wait for."""
+        if self._fleet.leader_term is None:
+            known = self._fleet.knows_raft_leader()
+            return "the leader has not begun its term" if known else "no leader in reach"
+        if not self._fleet.has_quorum():
+            return "the leader has no quorum"
+        if self._waits_until_ms is not None:
+            left_ms = max(0.0, self._waits_until_ms - self._clocks.monotonic_ms())
+            return f"the leader waits for service time: leases given before it led end in {left_ms:.0f} ms"
+        return "the leader begins its term"
 
     async def execute(self, command: Callable[..., Any], *args: Any) -> Any:
-        """Commit a command in the term that this instance leads in, and return its result; ConnectionError or
-        TimeoutError if that can't be had, when it may have been done nevertheless."""
+        """Commit a command in the term that this instance leads in, and return its result.
+
+        ConnectionError or TimeoutError without a result; the command may have been carried out nevertheless.
+        """
         term = self._term
         if term is None or self._fleet.leader_term != term:
             raise NotLeadingError("not the leader")
@@ -113,60 +130,68 @@
             raise NotLeadingError("replaced as leader")
         return result
 
-    async def renew(self, renewal: Renewal, takes_deltas: bool) -> MemberGrant | None:
-        """What the process is told, None where it has no row; as `ask`."""
-        if takes_deltas:
+    async def renew(self, renewal: Renewal, takes_delta: bool) -> MemberGrant | None:
+        """What the process is granted, None where it has no row; errors as `execute`."""
+        if takes_delta:
             self._fleet.request_delta(renewal.incarnation)
         return await self._renewals.add(renewal)
 
     async def enrol(self, member: EnrolMember) -> MemberGrant:
-        """What the process is told; LimitReachedError where no further member is taken, else as `ask`.
+        """What the process is granted; MemberLimitError where no further member is taken, else as `execute`.
 
         Where groups are off, all members are one group, whatever service they name.
         """
         if self._config.groups:
-            outcome = await self._writes.add(member)
+            outcome = await self._commands.add(member)
             if isinstance(outcome, Rejected):
-                raise LimitReachedError(outcome.reason)
+                raise MemberLimitError(outcome.reason)
             assert isinstance(outcome, MemberGrant)
             return outcome
         fields = (member.name, member.address, member.zone, member.start)
-        (grant,) = await self.execute(self._fleet.enrol, *fields)
-        if grant is None:
-            raise LimitReachedError("too many members")
-        return grant  # type: ignore[no-any-return]
+        grants: list[MemberGrant | None] = await self.execute(self._fleet.enrol, *fields)
+        if grants[0] is None:
+            raise MemberLimitError("too many members")
+        return grants[0]
 
     async def remove(self, name: str, service: str | None) -> list[int]:
-        """The incarnations that an operator's word ended; GroupsOffError for one service's, else as `ask`."""
+        """The incarnations removed; GroupsDisabledError for one service's, else as `execute`."""
         if service is not None:
             self._require_groups()
         if self._config.groups:
-            outcome = await self._writes.add(RemoveMembers(name, service))
+            outcome = await self._commands.add(RemoveMembers(name, service))
             assert isinstance(outcome, MembersRemoved)
             return outcome.incarnations
-        return await self.execute(self._fleet.remove, name)  # type: ignore[no-any-return]
+        removed: list[int] = await self.execute(self._fleet.remove, name)
+        return removed
 
     async def end_service(self, service: str) -> Outcome:
-        """Remove the group of a service that has ended; GroupsOffError, else as `ask`."""
+        """Remove the group of a service that has ended; GroupsDisabledError, else as `execute`."""
         self._require_groups()
-        return await self._writes.add(EndService(service))
+        return await self._commands.add(EndService(service))
 
     def _require_groups(self) -> None:
-        # Guard: an instance of an earlier release, which does not know the command, would apply nothing more.
+        # An instance of a release that does not know the command could apply nothing after it.
         if not self._config.groups:
-            raise GroupsOffError("groups are off at the instance that leads")
+            raise GroupsDisabledError
 
     async def _commit_renewals(self, renewals: list[Renewal]) -> list[MemberGrant | None]:
-        return await self.execute(self._fleet.renew_many, [tuple(renewal) for renewal in renewals])  # type: ignore[no-any-return]
+        rows = [tuple(renewal) for renewal in renewals]  # the log holds no classes of this program
+        grants: list[MemberGrant | None] = await self.execute(self._fleet.renew_many, rows)
+        return grants
 
     async def _commit_commands(self, commands: list[Command]) -> list[Outcome]:
-        return await self.execute(self._fleet.write, [encode(command) for command in commands])  # type: ignore[no-any-return]
+        rows = [encode(command) for command in commands]
+        outcomes: list[Outcome] = await self.execute(self._fleet.write, rows)
+        return outcomes
 
-    # Duties.
+    # Tasks.
 
     def request_leadership(self) -> None:
-        """A call has come. Until the first ever, the log has no command of the fleet's, so that a service
-        without members can be upgraded one by one from a release that would not know them."""
+        """A call has come, so this instance is to lead the fleet if it leads Raft.
+
+        Until the first call ever, the log has no command of the fleet's, so that a service without members
+        can be upgraded one instance at a time from a release that does not know them.
+        """
         if not self._requested:
             self._requested = True
             self._wake_up.set()
@@ -177,14 +202,15 @@
             self._wake_up.set()
 
     async def run(self) -> None:
+        """Carry out the tasks every period, until cancelled."""
         while True:
             self._wake_up.clear()
             try:
                 await self._run_tasks()
             except (TimeoutError, ConnectionError) as failure:
-                self._log.info("fleet_duty_not_committed", why=str(failure) or "timeout")
+                self._log.info("leader_task_not_committed", why=str(failure) or "timeout")
             except Exception:
-                self._log.exception("fleet_duty_failed")  # Guard: leases must go on being counted
+                self._log.exception("leader_task_failed")  # the next period tries again
             self._save_clock()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._period_s):
@@ -193,10 +219,7 @@
     async def _run_tasks(self) -> None:
         term = self._fleet.leader_term
         if term is None:
-            if self._term is not None:
-                self._term = None
-                self._fleet.read(lambda state: self._clock.stop_leading(self._clocks.monotonic_ms()))
-                self._log.info("fleet_leading_ended")
+            self._end_term()
             return
         if not self._fleet.has_quorum():
             return
@@ -208,39 +231,56 @@
         if self._fleet.read(lambda state: state.decision_due(self.service_ms())):
             await self.execute(self._fleet.decide)
 
+    def _end_term(self) -> None:
+        if self._term is not None:
+            self._term = None
+            self._fleet.read(lambda state: self._clock.stop_leading(self._clocks.monotonic_ms()))
+            self._log.info("fleet_leading_ended")
+
     async def _start_term(self, term: int) -> None:
-        """Begin to lead: the log's first command of the term, then service time, then whole leases."""
+        """Begin to lead: the log's first command of the term, then service time, then full leases."""
         self._term = None
         self._fleet.start_answering(term)
         known = self._clock.bound(self._clocks.monotonic_ms())
-        config = self._config
-        begun: TermStart | None = await self._commit(
-            self._fleet.lead, 0.0, term, self.address, known.epoch if known else None, config.ttl_ms,
-            config.clock_bound_ms,
-        )  # fmt: skip
-        if begun is None:
-            raise NotLeadingError("replaced as leader")
-        goes_on = begun.log_ms == 0.0 or (known is not None and known.epoch == begun.epoch)
-        if not goes_on:
-            # Nodes may rest on service time as it was: by the end of this no lease is left that does.
-            self._log.warning("service_time_lost", log_ms=begun.log_ms, wait_ms=begun.ttl_ms)
-            await asyncio.sleep((begun.ttl_ms + config.clock_bound_ms) / 1000.0)
+        begun = await self._commit_lead(term, known)
+        continues = begun.log_ms == 0.0 or (known is not None and known.epoch == begun.epoch)
+        if not continues:
+            await self._wait_for_leases_to_end(begun)
             if self._fleet.leader_term != term:
                 raise NotLeadingError("replaced as leader")
-        now = self._clocks.monotonic_ms()
-        unix = self._clocks.unix_ms()
-        self._fleet.read(lambda state: self._clock.start_leading(now, unix, begun.log_ms, begun.epoch))
+        now_ms, unix_ms = self._clocks.monotonic_ms(), self._clocks.unix_ms()
+        self._fleet.read(lambda state: self._clock.start_leading(now_ms, unix_ms, begun.log_ms, begun.epoch))
         self._leases = LeaseClock(begun.ttl_ms)
-        self._leases.lead(now, begun.renewals)
+        self._leases.lead(now_ms, begun.renewals)
         self._term = term
         self._log.info(
             "fleet_leading", term=term, rows=len(begun.renewals), service_ms=round(self.service_ms())
         )
         await self.execute(self._fleet.decide)  # a first stamp, by which all instances know service time
 
+    async def _commit_lead(self, term: int, known: ClockBound | None) -> TermStart:
+        epoch = None if known is None else known.epoch
+        settings = (self._config.ttl_ms, self._config.clock_bound_ms)
+        begun: TermStart | None = await self._commit(
+            self._fleet.lead, 0.0, term, self.address, epoch, *settings
+        )
+        if begun is None:
+            raise NotLeadingError("replaced as leader")
+        return begun
+
+    async def _wait_for_leases_to_end(self, begun: TermStart) -> None:
+        """Wait until no lease is left whose process may rely on service time as it was."""
+        wait_ms = begun.ttl_ms + self._config.clock_bound_ms
+        self._log.warning("service_time_lost", log_ms=begun.log_ms, wait_ms=begun.ttl_ms)
+        self._waits_until_ms = self._clocks.monotonic_ms() + wait_ms
+        try:
+            await asyncio.sleep(wait_ms / MS_PER_S)
+        finally:
+            self._waits_until_ms = None
+
     async def _expire_leases(self) -> None:
-        for renewed in self._fleet.take_applied_renewals():
-            self._leases.renewed(renewed.at_ms, renewed.incarnation, renewed.seq, renewed.answered)
+        for renewal in self._fleet.take_applied_renewals():
+            self._leases.renewed(renewal.at_ms, renewal.incarnation, renewal.seq, renewal.answered)
         self._leases.keep(self._fleet.read(lambda state: {row.incarnation for row in state.rows()}))
         lapsed, support = self._leases.due(self._clocks.monotonic_ms())
         if not lapsed:
@@ -248,12 +288,13 @@
         due = self._fleet.read(lambda state: state.due_expiry(lapsed, support))
         if due is None:
             return
-        newly, removed = await self.execute(
-            self._fleet.expire, due.lapsed, due.support, due.repeated_enrolments
-        )
-        for incarnation in newly:
+        rows = [
+            (incarnation, seq) for incarnation, seq in due.lapsed
+        ]  # the log holds no classes of this program
+        expired: Expired = await self.execute(self._fleet.expire, rows, due.support, due.repeated_enrolments)
+        for incarnation in expired.lapsed:
             self._log.info("member_lapsed", incarnation=incarnation, attached=len(due.support))
-        for incarnation in removed:
+        for incarnation in expired.removed:
             self._log.info("member_removed", incarnation=incarnation, attached=len(due.support))
 
     def _save_clock(self) -> None:
@@ -261,6 +302,6 @@
             self._file.save(self._clock.bound(self._clocks.monotonic_ms()))
             self._save_failed = False
         except OSError as failure:
-            if not self._save_failed:  # once a stretch
-                self._log.warning("service_clock_not_kept", why=str(failure))
+            if not self._save_failed:  # one line for a series of failures
+                self._log.warning("service_clock_not_saved", why=str(failure))
             self._save_failed = True
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -23,12 +23,13 @@
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field, fields
-from typing import Any
+from typing import Any, NamedTuple
 
 from msgspec.structs import replace
 
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Beside, Ledger, Row, State
+from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
 from loadbalancer.routing.coordinator import Activations, Ruling
 
 # Guards: enrolments that never end must not grow the log's state without bound.
@@ -39,14 +40,6 @@
 NO_SERVICE = ""  # the group of members that name no service
 
 
-class LimitReachedError(ValueError):
-    """No further member is taken; those that have a row keep it."""
-
-
-class ServiceInUseError(ValueError):
-    """A member in front of the service still has a live lease."""
-
-
 @dataclass(slots=True, frozen=True)
 class TermStart:
     """What the log held when a term of leading began."""
@@ -66,6 +59,13 @@
     repeated_enrolments: int
 
 
+class Expired(NamedTuple):
+    """What an expiry changed, as incarnations."""
+
+    lapsed: list[int]
+    removed: list[int]
+
+
 @dataclass(slots=True)
 class FleetState:
     """`ledger` is the group of members that name no service, and gives all incarnations."""
@@ -130,7 +130,7 @@
         return self._enrol(NO_SERVICE, ledger, name, address, zone, start)
 
     def enrol_in(self, service: str, name: str, address: str, zone: str, start: str) -> Row:
-        """The row of a process in the group of this service; LimitReachedError where there are too many."""
+        """The row of a process in the group of this service; MemberLimitError where there are too many."""
         ledger = self._ledger_of(service)
         if not ledger.replaces(address, start):
             self._check_limits(service, ledger)
@@ -172,19 +172,17 @@
             return []
         live = [row.name for row in ledger.rows() if row.state in (State.LIVE, State.LEAVING)]
         if live:
-            raise ServiceInUseError(f"{len(live)} members of {service!r} have live leases, {live[0]!r} one")
+            raise ServiceInUseError(service, live)
         ended = list(ledger.by_incarnation)
         del self.services[service]
         for incarnation in ended:
             self._forget(incarnation)
         return ended
 
-    def expire(
-        self, lapsed: list[tuple[int, int]], support: list[int], repeats: int
-    ) -> tuple[list[int], list[int]]:
+    def expire(self, lapsed: list[tuple[int, int]], support: list[int], repeats: int) -> Expired:
         """The rows that lapsed now and those removed; none where an enrolment was repeated meanwhile."""
         if repeats != self.repeated_enrolments:
-            return [], []
+            return Expired([], [])
         newly: list[int] = []
         removed: list[int] = []
         for service, rows in self._by_service(lapsed).items():
@@ -198,7 +196,7 @@
             self.routes.lapsed(incarnation)
         for incarnation in removed:
             self._forget(incarnation)
-        return newly, removed
+        return Expired(newly, removed)
 
     def propose(self, text: str, deadline_ms: float) -> Ruling:
         return self.routes.propose(self.log_ms, text, self._voters(), deadline_ms)
@@ -301,10 +299,10 @@
         rows = len(ledger.by_incarnation)
         # Guard: members that name no service had so many before groups were switched on.
         if rows >= (MAX_UNGROUPED_MEMBERS if service == NO_SERVICE else MAX_GROUP_MEMBERS):
-            raise LimitReachedError(f"service {service!r} has {rows} members, the most that a group may have")
+            raise MemberLimitError(f"service {service!r} has {rows} members, the most that a group may have")
         rows = sum(len(other.by_incarnation) for other in self._ledgers())
         if rows >= MAX_MEMBERS:
-            raise LimitReachedError(f"there are {rows} members, the most that all groups may have together")
+            raise MemberLimitError(f"there are {rows} members, the most that all groups may have together")
 
     def _by_service(self, lapsed: list[tuple[int, int]]) -> dict[str, list[tuple[int, int]]]:
         found: dict[str, list[tuple[int, int]]] = {}
--- a/loadbalancer/registry/forwarding.py
+++ b/loadbalancer/registry/forwarding.py
@@ -1,6 +1,6 @@
-"""Passing the fleet's calls on: an agent to an instance, an instance to the one that leads.
+"""Forwarding of the fleet's calls: from an agent to an instance, from an instance to the one that leads.
 
-Each of these calls may be said twice, so one that got no answer is said again elsewhere.
+Each of these calls is idempotent, so a call without an answer is sent again to another instance.
 """
 
 from __future__ import annotations
@@ -13,27 +13,29 @@
 
 from loadbalancer.node.address import Address
 from loadbalancer.node.http.service_http import Answer, Call, Client
-from loadbalancer.registry.renewal_relay import FORWARDED_HEADER
+from loadbalancer.registry.errors import InvalidFieldError
 from loadbalancer.registry.watch import parse_query
 
-FORWARDED_HEADERS = ("content-type",)  # of the answer's headers
-ATTEMPT_TIMEOUT_S = (
-    1.2  # for one instance's answer, over what a watch waits: longer than it waits for its leader's
-)
-TOTAL_TIMEOUT_S = 4.0  # for all of them
+HOP_HEADER = "fleet-hop"  # marks a call forwarded by an instance; the next one answers it or says 503
+RETURNED_HEADERS = ("content-type",)
+ATTEMPT_TIMEOUT_S = 1.2  # of one instance, and a watch's wait; longer than it waits for its leader
+TOTAL_TIMEOUT_S = 4.0  # of all instances, and a watch's wait
+FAILURES_PER_LOG_LINE = 100
+MAX_LOGGED_CHARACTERS = 200
+MAX_LOGGED_PATH_CHARACTERS = 100
 
 
 async def forward(client: Client, to: Address, request: Call, timeout_s: float, hop: bool = False) -> Answer:
     """The answer of the program at `to`; OSError or TimeoutError if there is none in time."""
     target = request.path + (f"?{urlencode(request.query)}" if request.query else "")
-    headers = {FORWARDED_HEADER: "1"} if hop else {}
+    headers = {HOP_HEADER: "1"} if hop else {}
     reply = await client.call(to, request.method, target, request.body, timeout_s, headers)
-    kept = {name: reply.headers[name] for name in FORWARDED_HEADERS if name in reply.headers}
-    return Answer(reply.status, reply.body, kept)
+    returned = {name: reply.headers[name] for name in RETURNED_HEADERS if name in reply.headers}
+    return Answer(reply.status, reply.body, returned)
 
 
 class CallForwarder:
-    """An agent's: `first` is the index of the instance that it follows, which is asked first."""
+    """An agent's: `first` returns the index of the instance that it follows, which is asked first."""
 
     def __init__(
         self, instances: Sequence[Address], first: Callable[[], int], log: structlog.stdlib.BoundLogger
@@ -44,13 +46,10 @@
 
     async def answer(self, request: Call) -> Answer:
         """The first answer that is not 503; 503 where no instance gives one in time."""
-        try:
-            wait_s = parse_query(request)[1] if request.path == "/fleet/watch" else 0.0
-        except ValueError:
-            wait_s = 0.0  # the instance says what is wrong
+        wait_s = self._watch_wait_s(request)
         loop, start = asyncio.get_running_loop(), self._first()
         deadline = loop.time() + TOTAL_TIMEOUT_S + wait_s
-        why = ""
+        reason = ""
         for step in range(len(self._instances)):
             to = self._instances[(start + step) % len(self._instances)]
             left_s = min(ATTEMPT_TIMEOUT_S + wait_s, deadline - loop.time())
@@ -59,12 +58,24 @@
             try:
                 answer = await forward(self._client, to, request, left_s)
             except (OSError, TimeoutError) as failure:
-                why = f"{type(failure).__name__}: {failure}"[:200]
+                reason = f"{type(failure).__name__}: {failure}"[:MAX_LOGGED_CHARACTERS]
                 continue
             if answer.status != 503:
                 return answer
-            why = "503"
-        self._failures += 1
-        if self._failures % 100 == 1:
-            self._log.warning("fleet_call_failed", path=request.path[:100], failures=self._failures, why=why)
+            reason = "503"
+        self._log_failure(request, reason)
         return Answer(503, b'{"error":"no instance of the list service did it in time"}')
+
+    def _watch_wait_s(self, request: Call) -> float:
+        if request.path != "/fleet/watch":
+            return 0.0
+        try:
+            return parse_query(request).wait_s
+        except InvalidFieldError:
+            return 0.0  # the instance answers 400
+
+    def _log_failure(self, request: Call, reason: str) -> None:
+        self._failures += 1
+        if self._failures % FAILURES_PER_LOG_LINE == 1:
+            path = request.path[:MAX_LOGGED_PATH_CHARACTERS]
+            self._log.warning("fleet_call_failed", path=path, failures=self._failures, why=reason)
--- a/loadbalancer/registry/local.py
+++ b/loadbalancer/registry/local.py
@@ -22,7 +22,7 @@
 import structlog
 
 from loadbalancer.node.http.service_http import Answer, Call, call, serve
-from loadbalancer.registry import watch
+from loadbalancer.registry.signals import wait_for_stop
 
 # The node's settings: three classes of worth, as a small shop has; see BRIEF for the keys.
 NODE_SETTINGS: dict[str, Any] = {
@@ -154,7 +154,7 @@
         pids=[child.pid for child in children],
         hint=f"curl -H 'Req-Id: r1' http://127.0.0.1:{node_port}/read/1",
     )
-    await watch.until_signalled()
+    await wait_for_stop()
     for lease in leases:
         lease.cancel()
     for child in children:
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -1,138 +1,118 @@
 """One instance of the list service: PROTOCOL's reads and watches, the registry's writes, leases.
 
-Reads come from what this instance has applied. While it knows no leader that holds a quorum,
-or is a leader whose term has not yet committed a command, it still answers them, marked
-`Registry-Stale: 1`: an agent then looks for a fresher instance
-and keeps what it has if there is none, which is safer than an old list taken as new. A write
-is answered only once a majority has committed it (Raft), else 503 after `COMMIT_S`.
+Reads come from what this instance has applied. While it knows no leader that holds a quorum, or is a leader
+whose term has not yet committed a command, it still answers them, marked `Registry-Stale: 1`: an agent then
+looks for a fresher instance and keeps its cached list if there is none. A write is answered only once a
+majority has committed it (Raft), else 503 after COMMIT_TIMEOUT_S.
 """
 
 from __future__ import annotations
 
 import asyncio
-import time
-import uuid
 from collections.abc import Callable
 from typing import Any
 
 import orjson
 import structlog
-from pysyncobj import SyncObj, SyncObjConf, SyncObjConsumer
 
 from loadbalancer.node.http.service_http import Answer, Call, serve
 from loadbalancer.registry import watch
-from loadbalancer.registry.catalog import TargetCatalog, validate_target
+from loadbalancer.registry.addresses import format_address
+from loadbalancer.registry.answers import error_answer, json_answer
+from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.clock_file import ClockFile, ProcessClocks
+from loadbalancer.registry.errors import InvalidFieldError, NotCommittedError
 from loadbalancer.registry.fleet_api import FleetApi
 from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.fleet_leader import FleetLeader
+from loadbalancer.registry.raft import RAFT_LEADER, join_cluster
 from loadbalancer.registry.service_clock import ServiceClock
-from loadbalancer.registry.settings import CONNECTION_TIMEOUT_MS, InstanceSettings
-from loadbalancer.registry.snapshot_file import SnapshotFile
-from loadbalancer.registry.target_leases import TargetLeases
+from loadbalancer.registry.settings import InstanceSettings
+from loadbalancer.registry.signals import wait_for_stop
+from loadbalancer.registry.target import Target, validate_target
+from loadbalancer.registry.target_leases import TargetLeases, new_change_id, unix_ms
 
-COMMIT_TIMEOUT_S = 2.0  # a write not committed in this time is refused; the caller tries again
-
-
-def unix_ms() -> int:
-    return int(time.time() * 1000)
-
-
-def error(status: int, why: str) -> Answer:
-    return Answer(status, orjson.dumps({"error": why}))
+COMMIT_TIMEOUT_S = 2.0  # a write that is not committed in this time is answered 503
+MAX_ERROR_CHARACTERS = 200
+TARGETS_PATH = "/registry/targets/"
+STALE_HEADER = "Registry-Stale"
 
 
 class RegistryInstance:
-    """An instance: a Raft member that holds the catalog and the fleet's state, and its HTTP face."""
+    """A Raft member that holds the catalog and the fleet's state, and its HTTP interface."""
 
     def __init__(self, config: InstanceSettings, log: structlog.stdlib.BoundLogger) -> None:
         self.config = config
         self.log = log.bind(instance=config.name)
         self._loop = asyncio.get_running_loop()
-        self._news: asyncio.Future[None] = self._loop.create_future()
-        self._fleet_news: dict[str, asyncio.Future[None]] = {}  # by group, where somebody waits
+        self._next_change: asyncio.Future[None] = self._loop.create_future()
+        self._next_group_change: dict[str, asyncio.Future[None]] = {}  # of groups that are being watched
         config.data.mkdir(parents=True, exist_ok=True)
-        self.catalog = TargetCatalog(config.max_tombstones, self._changed)
+        self.catalog = TargetCatalog(config.max_tombstones, self._on_catalog_change)
         clocks = ProcessClocks(config.members.clock_offset_ms)
         clock_file = ClockFile(config.data, clocks)
         clock = ServiceClock(clock_file.load())
-        self.fleet = FleetCatalog(clock, clocks.monotonic_ms, self._fleet_changed)
-        http = "{}:{}".format(*config.listen)
-        self.leader = FleetLeader(config.members, http, self.fleet, clock, clock_file, self.commit, self.log)
-        self._fleet_web = FleetApi(self.fleet, self.leader, self._group_news, config.max_wait_ms, self.log)
-        self.raft = self._join([self.catalog, self.fleet])
+        self.fleet = FleetCatalog(clock, clocks.monotonic_ms, self._on_fleet_change)
+        address = format_address(config.listen)
+        self.leader = FleetLeader(
+            config.members, address, self.fleet, clock, clock_file, self.commit, self.log
+        )
+        self._fleet_api = FleetApi(self.fleet, self.leader, self._group_change, config.max_wait_ms, self.log)
+        self.raft = join_cluster(config, [self.catalog, self.fleet], self.fleet.state_changed)
         self.leases = TargetLeases(self.catalog, self.raft, config.ttl_ms, self.commit, self.log)
 
-    def _join(self, consumers: list[SyncObjConsumer]) -> SyncObj:
-        config, dump = self.config, SnapshotFile(consumers)
-        conf = SyncObjConf(
-            journalFile=str(config.data / "raft.journal"),
-            fullDumpFile=str(config.data / "raft.dump"),
-            # Guard: pysyncobj listens on every address of the machine unless it is told one, and whoever
-            # reaches a member's listener can have it unpickle what they send.
-            bindAddress=config.raft,
-            useFork=False,
-            appendEntriesPeriod=config.append_period_ms / 1000.0,
-            autoTickPeriod=min(0.05, config.append_period_ms / 2000.0),
-            raftMinTimeout=config.election_min_ms / 1000.0,
-            raftMaxTimeout=config.election_max_ms / 1000.0,
-            # Raft's check-quorum: a leader that has heard from no majority for two election times steps
-            # down, so that a parted one says it is stale rather than leading alone for pysyncobj's 30 s.
-            leaderFallbackTimeout=2 * config.election_max_ms / 1000.0,
-            connectionRetryTime=0.5,
-            connectionTimeout=CONNECTION_TIMEOUT_MS / 1000.0,
-            serializer=dump.write,
-            deserializer=dump.read,
-            onStateChanged=self.fleet.state_changed,
-        )
-        return SyncObj(config.raft, list(config.peers), conf, consumers=consumers)
+    # Called in Raft's thread.
 
-    # Raft's side: called from its own thread.
+    def _on_catalog_change(self, revision: int) -> None:
+        self._loop.call_soon_threadsafe(self._wake_watches)
 
-    def _changed(self, revision: int) -> None:
-        self._loop.call_soon_threadsafe(self._wake)
+    def _on_fleet_change(self, groups: frozenset[str] | None) -> None:
+        self._loop.call_soon_threadsafe(self._wake_group_watches, groups)
 
-    def _wake(self) -> None:
-        news, self._news = self._news, self._loop.create_future()
-        news.set_result(None)
+    # Called in the event loop.
 
-    def _fleet_changed(self, groups: frozenset[str] | None) -> None:
-        self._loop.call_soon_threadsafe(self._wake_groups, groups)
+    def _wake_watches(self) -> None:
+        change, self._next_change = self._next_change, self._loop.create_future()
+        change.set_result(None)
 
-    def _group_news(self, group: str) -> asyncio.Future[None]:
-        return self._fleet_news.setdefault(group, self._loop.create_future())
+    def _group_change(self, group: str) -> asyncio.Future[None]:
+        return self._next_group_change.setdefault(group, self._loop.create_future())
 
-    def _wake_groups(self, groups: frozenset[str] | None) -> None:
-        for group in list(self._fleet_news) if groups is None else groups:
-            news = self._fleet_news.pop(group, None)
-            if news is not None:
-                news.set_result(None)
+    def _wake_group_watches(self, groups: frozenset[str] | None) -> None:
+        for group in list(self._next_group_change) if groups is None else groups:
+            change = self._next_group_change.pop(group, None)
+            if change is not None:
+                change.set_result(None)
         self.leader.wake()
 
     async def commit(self, command: Callable[..., Any], *args: Any) -> Any:
-        """Propose a command and wait for its result once committed; TimeoutError if it is not in time."""
+        """Propose a command and return its result once it is committed.
+
+        NotCommittedError where Raft refuses the command, TimeoutError where it is not committed in time.
+        """
         done: asyncio.Future[Any] = self._loop.create_future()
 
-        def settled(result: Any, failure: int) -> None:
-            def give() -> None:
-                if done.done():
-                    return
-                if failure:
-                    done.set_exception(ConnectionError(f"raft refused the command ({failure})"))
-                else:
-                    done.set_result(result)
+        def settle(result: Any, failure: int) -> None:
+            if done.done():
+                return
+            if failure:
+                done.set_exception(NotCommittedError(f"raft refused the command ({failure})"))
+            else:
+                done.set_result(result)
 
-            self._loop.call_soon_threadsafe(give)
+        def on_committed(result: Any, failure: int) -> None:  # called in Raft's thread
+            self._loop.call_soon_threadsafe(settle, result, failure)
 
-        command(*args, callback=settled)
+        command(*args, callback=on_committed)
         async with asyncio.timeout(COMMIT_TIMEOUT_S):
             return await done
 
     # The state of this instance.
 
     def status(self) -> dict[str, Any]:
+        """What GET /registry/status answers; operators see the keys."""
         raft = self.raft.getStatus()
-        revision, live, gone = self.catalog.count()
+        counts = self.catalog.counts()
         leader = raft.get("leader")
         return {
             "name": self.config.name,
@@ -141,93 +121,108 @@
             "term": raft["raft_term"],
             "commit": raft["commit_idx"],
             "applied": raft["last_applied"],
-            "rev": revision,
-            "live": live,
-            "gone": gone,
-            "stale": self.stale(raft),
-            "enrolments_refused": self._fleet_web.rejected_enrolments,
+            "rev": counts.revision,
+            "live": counts.targets,
+            "gone": counts.tombstones,
+            "stale": self.is_stale(raft),
+            "enrolments_refused": self._fleet_api.rejected_enrolments,
         }
 
-    def stale(self, raft: dict[str, Any] | None = None) -> bool:
-        """True without a leader in reach, and for a leader until a command of its own term has
-        committed: before that it may not have applied all that its predecessors committed."""
+    def is_stale(self, raft: dict[str, Any] | None = None) -> bool:
+        """Whether this instance may not have applied all that is committed.
+
+        It may not without a leader in reach and, as a leader, until a command of its own term has committed.
+        """
         raft = raft or self.raft.getStatus()
-        if raft["state"] == 2:
+        if raft["state"] == RAFT_LEADER:
             return not raft["has_quorum"] or raft["raft_term"] != self.leases.granted_term
         return raft.get("leader") is None
 
     # HTTP.
 
     async def handle(self, call: Call) -> Answer:
+        """The answer to any call."""
         if call.path.startswith("/fleet/"):
-            return await self._fleet_web.handle(call)
+            return await self._fleet_api.handle(call)
         try:
-            if call.path == "/discovery/hosts" and call.method == "GET":
-                return await self.read(call)
-            if call.path == "/registry/status" and call.method == "GET":
-                return Answer(200, orjson.dumps(self.status()))
-            if call.path == "/registry/renew" and call.method == "POST":
-                return await self.renew(call)
-            if call.path.startswith("/registry/targets/"):
-                return await self.write(call, call.path.removeprefix("/registry/targets/"))
-            return error(404, f"no {call.method} {call.path}")
+            return await self._answer(call)
         except (TimeoutError, ConnectionError) as failure:
             self.log.warning("write_not_committed", path=call.path, why=str(failure) or "timeout")
-            return error(503, "not committed: no leader with a quorum in time")
-
-    async def read(self, call: Call) -> Answer:
+            return error_answer(503, "not committed: no leader with a quorum in time")
+
+    async def _answer(self, call: Call) -> Answer:
+        match call.method, call.path:
+            case "GET", "/discovery/hosts":
+                return await self._read(call)
+            case "GET", "/registry/status":
+                return json_answer(200, self.status())
+            case "POST", "/registry/renew":
+                return await self._renew(call)
+        if call.path.startswith(TARGETS_PATH):
+            return await self._write(call, call.path.removeprefix(TARGETS_PATH))
+        return error_answer(404, f"no {call.method} {call.path}")
+
+    async def _read(self, call: Call) -> Answer:
         try:
-            since, wait_s = watch.parse_query(call, self.config.max_wait_ms)
-        except ValueError:
-            return error(400, "since and timeout_ms are whole numbers")
-        page = await watch.page_after_change(self.catalog.page, since, wait_s, lambda: self._news)
-        return watch.page_answer(page, {"Registry-Stale": "1"} if self.stale() else {})
-
-    async def write(self, call: Call, uid: str) -> Answer:
-        change = uuid.uuid4().hex[:12]
+            query = watch.parse_query(call, self.config.max_wait_ms)
+        except InvalidFieldError:
+            return error_answer(400, "since and timeout_ms are whole numbers")
+        page = await watch.page_after_change(self.catalog.page, query, lambda: self._next_change)
+        return watch.page_answer(page, {STALE_HEADER: "1"} if self.is_stale() else {})
+
+    async def _write(self, call: Call, uid: str) -> Answer:
+        change = new_change_id()
         log = self.log.bind(change=change, uid=uid, method=call.method)
         if call.method == "DELETE":
             revision = await self.commit(self.catalog.remove, uid, unix_ms())
             log.info("target_removed", rev=revision)
-            return Answer(200, orjson.dumps({"rev": revision, "change": change}))
+            return json_answer(200, {"rev": revision, "change": change})
         if call.method != "PUT":
-            return error(405, "PUT or DELETE")
+            return error_answer(405, "PUT or DELETE")
         try:
-            row = orjson.loads(call.body)
-            if isinstance(row, dict):
-                row.setdefault("uid", uid)
-            target = validate_target(row)
-            if target["uid"] != uid:
-                raise ValueError("uid: not the one in the path")
+            target = _target_in(call.body, uid)
         except ValueError as failure:  # orjson's error is one too
-            log.warning("target_refused", why=str(failure)[:200])
-            return error(400, str(failure)[:200])
+            reason = str(failure)[:MAX_ERROR_CHARACTERS]
+            log.warning("target_rejected", why=reason)
+            return error_answer(400, reason)
         revision = await self.commit(self.catalog.put, target, unix_ms())
         log.info("target_put", rev=revision, state=target["state"], endpoint=target["endpoint"])
-        return Answer(200, orjson.dumps({"rev": revision, "change": change}))
+        return json_answer(200, {"rev": revision, "change": change})
 
-    async def renew(self, call: Call) -> Answer:
+    async def _renew(self, call: Call) -> Answer:
         try:
             uids = orjson.loads(call.body)["uids"]
             if not isinstance(uids, list) or not all(isinstance(uid, str) for uid in uids):
-                raise ValueError("uids: not a list of texts")
+                raise InvalidFieldError("uids", uids, "a list of texts")
         except (ValueError, KeyError, TypeError) as failure:
-            return error(400, f"renew wants {{'uids': [...]}}: {failure}"[:200])
-        return Answer(200, orjson.dumps({"unknown": await self.leases.renew(uids)}))
+            reason = f"renew wants {{'uids': [...]}}: {failure}"
+            return error_answer(400, reason[:MAX_ERROR_CHARACTERS])
+        return json_answer(200, {"unknown": await self.leases.renew(uids)})
+
+
+def _target_in(body: bytes, uid: str) -> Target:
+    """The target of a body under the path of this uid; ValueError says what is wrong."""
+    row = orjson.loads(body)
+    if isinstance(row, dict):
+        row.setdefault("uid", uid)
+    target = validate_target(row)
+    if target["uid"] != uid:
+        raise InvalidFieldError("uid", target["uid"], f"that of the path, {uid!r}")
+    return target
 
 
 async def run_instance(config: InstanceSettings, log: structlog.stdlib.BoundLogger) -> None:
-    """Serve until SIGTERM or SIGINT; then close the door and leave the Raft group."""
-    service = RegistryInstance(config, log)
-    server = await serve(config.listen, service.handle)
-    duties = [
-        asyncio.create_task(duty())
-        for duty in (service.leases.commit_renewals, service.leases.expire_leases, service.leader.run)
+    """Serve until SIGTERM or SIGINT; then close the listener and leave the Raft group."""
+    instance = RegistryInstance(config, log)
+    server = await serve(config.listen, instance.handle)
+    tasks = [
+        asyncio.create_task(run())
+        for run in (instance.leases.commit_renewals, instance.leases.expire_leases, instance.leader.run)
     ]
-    service.log.info("instance_started", listen=f"{config.listen[0]}:{config.listen[1]}", raft=config.raft)
-    await watch.until_signalled()
-    service.log.info("instance_stopping", **service.status())
+    instance.log.info("instance_started", listen=format_address(config.listen), raft=config.raft)
+    await wait_for_stop()
+    instance.log.info("instance_stopping", **instance.status())
     server.close()
-    for duty in duties:
-        duty.cancel()
-    service.raft.destroy()
+    for task in tasks:
+        task.cancel()
+    instance.raft.destroy()
--- /dev/null
+++ b/loadbalancer/registry/signals.py
@@ -0,0 +1,14 @@
+"""The end of a program of the list service: it runs until the system asks it to stop."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+
+
+async def wait_for_stop() -> None:
+    """Return at SIGTERM or SIGINT."""
+    stop = asyncio.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    await stop.wait()
--- a/loadbalancer/registry/snapshot_file.py
+++ b/loadbalancer/registry/snapshot_file.py
@@ -1,9 +1,8 @@
-"""The snapshot file of an instance, as pysyncobj writes it, made safe to read across releases.
+"""The snapshot file of an instance (`raft.dump`), in pysyncobj's layout but read across releases.
 
-pysyncobj's own reader wants one part for each consumer it now has and gives up on a file with fewer, after
-which the instance applies nothing more. Here a part that a file lacks leaves its consumer as it starts (a
-file from before the fleet was added), and parts that are too many are left (a file from a later release). The
-layout stays pysyncobj's, so an earlier release reads these files too.
+pysyncobj's own reader requires a part for each consumer and gives up on a file with fewer, after which the
+instance applies nothing more. Here a consumer without a part keeps its initial state (a file written before
+the fleet existed), and surplus parts are ignored (a file of a later release).
 """
 
 from __future__ import annotations
@@ -17,9 +16,7 @@
 
 from loadbalancer.registry.stored_form import STORED_FORM
 
-GZIP_LEVEL = (
-    1  # of gzip: files are written in Raft's thread, and the default level takes several times as long
-)
+GZIP_LEVEL = 1  # files are written in Raft's thread, and the default level takes several times as long
 
 
 class SnapshotFile:
@@ -29,13 +26,13 @@
         self._consumers = consumers
 
     def write(self, path: str, raft: Sequence[Any]) -> None:
-        """`raft`: pysyncobj's own part, the last two log entries and the cluster."""
+        """Write all consumers. `raft`: pysyncobj's own part, the last two log entries and the cluster."""
         parts = [{}, *(consumer._serialize() for consumer in self._consumers)]
         with gzip.open(path, "wb", compresslevel=GZIP_LEVEL) as file:
             STORED_FORM.dump((parts, *raft), file)
 
     def read(self, path: str) -> tuple[Any, ...]:
-        """Give each consumer its part and return pysyncobj's; any error is pysyncobj's to log."""
+        """Give each consumer its part and return pysyncobj's, which logs any error that this raises."""
         with gzip.open(Path(path), "rb") as file:
             parts, *raft = STORED_FORM.load(file)
         for consumer, part in zip(self._consumers, parts[1:], strict=False):
--- a/loadbalancer/registry/target_leases.py
+++ b/loadbalancer/registry/target_leases.py
@@ -1,7 +1,7 @@
-"""The leases of targets: renewals gathered into few log entries, and what the leader does as one lapses.
+"""The leases of targets: renewals committed in batches, and the leader's removal of targets that expire.
 
-Their times are Unix times of whoever proposed the renewal, unlike the members' (fleet_leader.py): a target
-buried early registers again, and is off the list for that long only.
+Their times are Unix times of whichever instance proposed the renewal, unlike the members' (fleet_leader.py):
+a target that is removed early registers again, and is off the list only until then.
 """
 
 from __future__ import annotations
@@ -16,17 +16,26 @@
 from pysyncobj import SyncObj
 
 from loadbalancer.registry.catalog import TargetCatalog
+from loadbalancer.registry.raft import RAFT_LEADER
 
-RENEWAL_WINDOW_S = 0.05  # renewals gathered into one command
-CHECK_PERIOD_S = 0.25  # of the leader's duties
+RENEWAL_WINDOW_S = 0.05  # renewals of this time share a command
+CHECK_PERIOD_S = 0.25  # of the leader's search for leases that have expired
+CHANGE_ID_LENGTH = 12
+MS_PER_S = 1000
 
 
 def unix_ms() -> int:
-    return int(time.time() * 1000)
+    """The wall clock."""
+    return int(time.time() * MS_PER_S)
+
+
+def new_change_id() -> str:
+    """A random text that identifies one change in logs and answers."""
+    return uuid.uuid4().hex[:CHANGE_ID_LENGTH]
 
 
 class TargetLeases:
-    """`commit` proposes a command and gives its result; TimeoutError or ConnectionError."""
+    """`commit` proposes a command and returns its result; it raises TimeoutError or ConnectionError."""
 
     def __init__(
         self,
@@ -38,55 +47,63 @@
     ) -> None:
         self._catalog, self._raft, self._ttl_ms, self._commit, self._log = catalog, raft, ttl_ms, commit, log
         self._renewals: dict[str, list[asyncio.Future[bool]]] = {}
-        self.granted_term = -1  # the last term in which this instance, leading, has granted all leases anew
+        self.granted_term = -1  # the last term in which this instance, leading, has renewed all leases
 
     async def renew(self, uids: list[str]) -> list[str]:
-        """Renew with the next batch; returns those that are not listed."""
+        """Renew with the next batch; returns those that are not listed. TimeoutError where not committed."""
         waits = []
         for uid in uids:
             waits.append(asyncio.get_running_loop().create_future())
             self._renewals.setdefault(uid, []).append(waits[-1])
         known = await asyncio.gather(*waits)
-        return [uid for uid, ok in zip(uids, known, strict=True) if not ok]
+        return [uid for uid, is_known in zip(uids, known, strict=True) if not is_known]
 
     async def commit_renewals(self) -> None:
-        """Each batch of renewals is one command: thousands of servers cost a few writes a second."""
+        """Commit the renewals of each RENEWAL_WINDOW_S as one command, until cancelled."""
         while True:
             await asyncio.sleep(RENEWAL_WINDOW_S)
-            if not self._renewals:
-                continue
-            batch, self._renewals = self._renewals, {}
-            failed, unknown = False, set[str]()
-            try:
-                unknown = set(await self._commit(self._catalog.renew, list(batch), unix_ms()))
-            except (TimeoutError, ConnectionError) as failure:
-                self._log.warning("renewals_not_committed", count=len(batch), why=str(failure) or "timeout")
-                failed = True
-            for uid, waits in batch.items():
-                for wait in waits:
-                    if wait.done():  # Guard: its caller has gone; settling it would end this duty
-                        continue
-                    if failed:
-                        wait.set_exception(TimeoutError())
-                    else:
-                        wait.set_result(uid not in unknown)
+            if self._renewals:
+                batch, self._renewals = self._renewals, {}
+                await self._commit_batch(batch)
+
+    async def _commit_batch(self, batch: dict[str, list[asyncio.Future[bool]]]) -> None:
+        failed, unknown = False, set[str]()
+        try:
+            unknown = set(await self._commit(self._catalog.renew, list(batch), unix_ms()))
+        except (TimeoutError, ConnectionError) as failure:
+            self._log.warning("renewals_not_committed", count=len(batch), why=str(failure) or "timeout")
+            failed = True
+        for uid, waits in batch.items():
+            for wait in waits:
+                if wait.done():  # cancelled with its caller
+                    continue
+                if failed:
+                    wait.set_exception(TimeoutError())
+                else:
+                    wait.set_result(uid not in unknown)
 
     async def expire_leases(self) -> None:
-        """As leader: first grant every lease a full term, then bury what lapses."""
+        """As leader: renew every lease once, then remove the targets whose leases expire; until cancelled."""
         while True:
             await asyncio.sleep(CHECK_PERIOD_S)
             raft = self._raft.getStatus()
-            if raft["state"] != 2 or not raft["has_quorum"]:
+            if raft["state"] != RAFT_LEADER or not raft["has_quorum"]:
                 continue
             try:
-                if raft["raft_term"] != self.granted_term:
-                    count = await self._commit(self._catalog.grace, unix_ms())
-                    self.granted_term = raft["raft_term"]
-                    self._log.info("leader_granted_leases", term=self.granted_term, leases=count)
-                if not self._catalog.has_expired(unix_ms(), self._ttl_ms):
-                    continue
-                lapsed = await self._commit(self._catalog.expire, unix_ms(), self._ttl_ms)
+                await self._renew_all_in(raft["raft_term"])
+                await self._remove_expired()
             except (TimeoutError, ConnectionError):
                 continue
-            for uid in lapsed:
-                self._log.info("lease_lapsed", uid=uid, change=uuid.uuid4().hex[:12])
+
+    async def _renew_all_in(self, term: int) -> None:
+        if term == self.granted_term:
+            return
+        count = await self._commit(self._catalog.grace, unix_ms())
+        self.granted_term = term
+        self._log.info("leader_granted_leases", term=term, leases=count)
+
+    async def _remove_expired(self) -> None:
+        if not self._catalog.has_expired(unix_ms(), self._ttl_ms):
+            return
+        for uid in await self._commit(self._catalog.expire, unix_ms(), self._ttl_ms):
+            self._log.info("lease_expired", uid=uid, change=new_change_id())
--- a/loadbalancer/registry/watch.py
+++ b/loadbalancer/registry/watch.py
@@ -3,64 +3,73 @@
 from __future__ import annotations
 
 import asyncio
-import signal
 from collections.abc import Callable
+from typing import NamedTuple
 
 import orjson
 
 from loadbalancer.node.http.service_http import Answer, Call
-from loadbalancer.registry.catalog import ListPage
+from loadbalancer.registry.errors import InvalidFieldError
+from loadbalancer.registry.target_list import ListPage
 
-MAX_WAIT_MS = 60_000  # PROTOCOL: a watch waits 60,000 ms at the most
+MAX_WAIT_MS = 60_000  # PROTOCOL, "Discovery": the longest wait of a watch
+MS_PER_S = 1000.0
 
 
-def optional_number(call: Call, name: str) -> int | None:
-    """None where the query has no such field, or an empty one; ValueError if it is no number."""
-    said = call.query.get(name, "")
-    return int(said) if said else None
+class WatchQuery(NamedTuple):
+    """What a watch asks for."""
 
+    since: int | None  # the revision that the caller knows; None for the complete list
+    wait_s: float  # how long to wait for a change
 
-def parse_query(call: Call, cap_ms: int = MAX_WAIT_MS) -> tuple[int | None, float]:
-    """`since` (None for the whole list) and the wait in seconds; ValueError if either is no number. One that
-    is empty is as one that is not there."""
-    since = optional_number(call, "since")
-    wait_ms = optional_number(call, "timeout_ms") or 0
-    return since, max(0, min(wait_ms, cap_ms, MAX_WAIT_MS)) / 1000.0
+
+def optional_integer(call: Call, name: str) -> int | None:
+    """A field of the query; None where it is missing or empty, InvalidFieldError where it is no integer."""
+    text = call.query.get(name, "")
+    if not text:
+        return None
+    try:
+        return int(text)
+    except ValueError as failure:
+        raise InvalidFieldError(name, text, "an integer") from failure
+
+
+def parse_query(call: Call, max_wait_ms: int = MAX_WAIT_MS) -> WatchQuery:
+    """The query's `since` and `timeout_ms`, the latter limited to `max_wait_ms`; InvalidFieldError."""
+    since = optional_integer(call, "since")
+    wait_ms = optional_integer(call, "timeout_ms") or 0
+    return WatchQuery(since, max(0, min(wait_ms, max_wait_ms, MAX_WAIT_MS)) / MS_PER_S)
 
 
 async def page_after_change(
-    page_of: Callable[[int | None], ListPage],
-    since: int | None,
-    wait_s: float,
-    news: Callable[[], asyncio.Future[None]],
+    page_since: Callable[[int | None], ListPage],
+    query: WatchQuery,
+    next_change: Callable[[], asyncio.Future[None]],
 ) -> ListPage:
-    """The page since a revision once it has something, or as it is when the wait is over."""
+    """The page since the query's revision as soon as it has entries, or empty when the wait is over."""
     loop = asyncio.get_running_loop()
-    deadline = loop.time() + wait_s
-    page = page_of(since)
-    while since is not None and not page.complete and not page.targets and loop.time() < deadline:
-        try:
-            async with asyncio.timeout(deadline - loop.time()):
-                await asyncio.shield(news())
-        except TimeoutError:
-            pass
-        page = page_of(since)
+    deadline = loop.time() + query.wait_s
+    page = page_since(query.since)
+    while query.since is not None and not page.complete and not page.targets and loop.time() < deadline:
+        await wait_until(next_change(), deadline)
+        page = page_since(query.since)
     return page
 
 
+async def wait_until(change: asyncio.Future[None], deadline_s: float) -> None:
+    """Return once the future is done or the event loop's clock shows the deadline."""
+    try:
+        async with asyncio.timeout(deadline_s - asyncio.get_running_loop().time()):
+            await asyncio.shield(change)
+    except TimeoutError:
+        pass
+
+
 def page_answer(
-    page: ListPage, headers: dict[str, str] | None = None, origin_rev: int | None = None
+    page: ListPage, headers: dict[str, str] | None = None, origin_revision: int | None = None
 ) -> Answer:
-    """`origin_rev`: the service's own revision of the page, which an agent tells beside its own."""
+    """The answer to a watch. `origin_revision`: the service's revision, which an agent adds to its own."""
     body = {"rev": page.revision, "all": page.complete, "targets": page.targets}
-    if origin_rev is not None:
-        body["origin_rev"] = origin_rev
+    if origin_revision is not None:
+        body["origin_rev"] = origin_revision
     return Answer(200, orjson.dumps(body), headers or {})
-
-
-async def until_signalled() -> None:
-    """Return at SIGTERM or SIGINT."""
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    await stop.wait()
--- a/tests/registry/test_fleet_catalog.py
+++ b/tests/registry/test_fleet_catalog.py
@@ -10,11 +10,12 @@
 import pytest
 from msgspec import UNSET
 
-from loadbalancer.registry.catalog import TargetCatalog, validate_target
+from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.clock_file import ClockFile, ProcessClocks
 from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.service_clock import ClockBound, ServiceClock
 from loadbalancer.registry.snapshot_file import SnapshotFile
+from loadbalancer.registry.target import validate_target
 
 ABOUT = ("n1", "127.0.0.1:9001", "z", "s1")
 
@@ -101,7 +102,7 @@
     SnapshotFile([targets, old.catalog][:parts]).write(path, (("e", 1, 1), ("e", 2, 1), set()))
     new, fresh = Log(), TargetCatalog(9, lambda revision: None)
     assert SnapshotFile([fresh, new.catalog]).read(path) == (("e", 1, 1), ("e", 2, 1), set())
-    assert fresh.count() == (1, 1, 0)
+    assert fresh.counts() == (1, 1, 0)
     state = new.catalog.state
     assert (state.term, len(state.ledger.rows())) == ((4, 1) if parts == 2 else (-1, 0))
     assert new.changes == parts - 1
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -16,7 +16,8 @@
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Ledger, Row, State
 from loadbalancer.registry import fleet_state
-from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, LimitReachedError, ServiceInUseError
+from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
+from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState
 from loadbalancer.registry.stored_form import STORED_FORM
 
 TTL = 1_000.0
@@ -180,13 +181,13 @@
     monkeypatch.setattr(fleet_state, "MAX_MEMBERS", 3)
     state = state_with_leader()
     rows = enrol(state, "pay", "n1", "n2")
-    with pytest.raises(LimitReachedError, match="'pay' has 2 members"):
+    with pytest.raises(MemberLimitError, match="'pay' has 2 members"):
         enrol(state, "pay", "n3")
     assert enrol(state, "pay", "n1") == rows[:1]  # the same process again
     again = state.enrol_in("pay", "n2", "a-n2", "z", "restarted")  # takes its predecessor's place
     assert again.rank == rows[1].rank
     enrol(state, "find", "n4")
-    with pytest.raises(LimitReachedError, match="all groups"):
+    with pytest.raises(MemberLimitError, match="all groups"):
         enrol(state, "other", "n5")
     assert "other" not in state.services
     assert [row.name for row in state.rows()] == ["n1", "n2", "n4"]
@@ -200,7 +201,7 @@
     monkeypatch.setattr(fleet_state, "MAX_GROUP_MEMBERS", 2)
     state = state_with_leader()
     enrol(state, NO_SERVICE, "n1", "n2", "n3")
-    with pytest.raises(LimitReachedError, match="has 3 members"):
+    with pytest.raises(MemberLimitError, match="has 3 members"):
         enrol(state, NO_SERVICE, "n4")
 
 
--- a/tests/registry/test_registry_parts.py
+++ b/tests/registry/test_registry_parts.py
@@ -10,8 +10,10 @@
 
 from loadbalancer.node.http.service_http import MAX_HEAD, Answer, Call, Limits, serve
 from loadbalancer.registry import watch
-from loadbalancer.registry.catalog import TargetCatalog, validate_target
-from loadbalancer.registry.settings import ConfigError, load_agent, load_instance
+from loadbalancer.registry.catalog import TargetCatalog
+from loadbalancer.registry.errors import ConfigError
+from loadbalancer.registry.settings import load_agent, load_instance
+from loadbalancer.registry.target import validate_target
 
 GOOD = '[instance]\nname = "r0"\nlisten = "127.0.0.1:7401"\nraft = "127.0.0.1:7501"\npeers = []\ndata = "d"\n'
 
--- a/tests/registry/test_renewal_relay.py
+++ b/tests/registry/test_renewal_relay.py
@@ -11,9 +11,10 @@
 import structlog
 
 from loadbalancer.node.http.service_http import Answer, Call, Client, serve
-from loadbalancer.registry.batch import MAX_BATCH_SIZE
+from loadbalancer.registry.batch import MAX_BATCH_COUNT
+from loadbalancer.registry.errors import NotCommittedError
 from loadbalancer.registry.messages import RenewRequest
-from loadbalancer.registry.renewal_relay import PATH, RenewalRelay, decode_renewals, encode_answers
+from loadbalancer.registry.renewal_relay import RENEW_MANY_PATH, RenewalRelay, decode_renewals, encode_answers
 
 Handler = Callable[[Call], Awaitable[Answer]]
 LOG = structlog.stdlib.get_logger()
@@ -46,12 +47,12 @@
         rows = [Answer(404 if row.incarnation == 7 else 200, b"%d" % row.incarnation) for row in renewals]
         return encode_answers(rows)
 
-    answers = asyncio.run(relayed(lead, MAX_BATCH_SIZE + 20))
-    assert [int(answer.body) for answer in answers] == list(range(MAX_BATCH_SIZE + 20))
+    answers = asyncio.run(relayed(lead, MAX_BATCH_COUNT + 20))
+    assert [int(answer.body) for answer in answers] == list(range(MAX_BATCH_COUNT + 20))
     assert [at for at, answer in enumerate(answers) if answer.status != 200] == [7]
     assert [(call.path, len(decode_renewals(call.body))) for call in calls] == [
-        (PATH, MAX_BATCH_SIZE),
-        (PATH, 20),
+        (RENEW_MANY_PATH, MAX_BATCH_COUNT),
+        (RENEW_MANY_PATH, 20),
     ]
     assert all("fleet-hop" in call.headers for call in calls)
 
@@ -72,7 +73,7 @@
         return answer
 
     failures = asyncio.run(relayed(lead, 3))
-    assert [type(failure) for failure in failures] == [ConnectionError] * 3
+    assert [type(failure) for failure in failures] == [NotCommittedError] * 3
 
 
 def test_without_a_leader_renewals_fail_at_once() -> None:
@@ -91,7 +92,7 @@
         b"{}",
         b'[{"incarnation":1}]',
         orjson.dumps([1]),
-        msgspec.json.encode([renewal(1)] * (MAX_BATCH_SIZE + 1)),
+        msgspec.json.encode([renewal(1)] * (MAX_BATCH_COUNT + 1)),
     ],
     ids=["empty", "no list", "a field missing", "no renewal", "too many"],
 )
--- a/tests/registry/test_stored_form.py
+++ b/tests/registry/test_stored_form.py
@@ -65,10 +65,10 @@
     ledgers = {"": state.ledger, **state.services}
     row = {
         "page": targets.page(None).targets,
-        "count": targets.count(),
+        "count": list(targets.counts()),
         "since_5": [pages[0].complete, pages[0].targets],
         "since_9": [pages[1].complete, pages[1].targets],
-        "renewed": targets.renewed,
+        "renewed": targets._serialize()["renewed"],
         "members": fleet.members(),
         "routes": state.routes.status(),
         "texts": [state.routes.text(number) for number in range(4)],
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -20,9 +20,10 @@
 from loadbalancer.node.control.route_store import RouteStore
 from loadbalancer.node.state import snapshot
 from loadbalancer.node.state.snapshot import StateFile
-from loadbalancer.registry.catalog import ListPage, TargetCatalog
+from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.fleet_catalog import AppliedRenewal, FleetCatalog
 from loadbalancer.registry.service_clock import ServiceClock
+from loadbalancer.registry.target_list import ListPage
 
 MOST = 1_000  # interleavings of a case
 
