--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -51,9 +51,9 @@
 
 def write(count: int, writes: int) -> dict[str, Any]:
     listed = servers(count)
-    endpoints = {server.address: ("10.1.0.1", 7000 + at) for at, server in enumerate(listed)}
+    endpoints = {server.name: ("10.1.0.1", 7000 + at) for at, server in enumerate(listed)}
     listing = Listing(count, True, listed, endpoints)
-    learned = Balancer(settings(), 1, 0.0).learned()
+    learned = Balancer(settings(), 1, 0.0).learned_state()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "n0.state"
         encodes, puts = [], []
@@ -169,7 +169,7 @@
         busy.handle(now, TimerFired("period"))
     before = busy.threshold(1.0, len(busy.ready))
     found = {}
-    for kind, event in (("warm", StateRestored(busy.learned(), 500.0)), ("cold", None)):
+    for kind, event in (("warm", StateRestored(busy.learned_state(), 500.0)), ("cold", None)):
         node = Balancer(settings(), 2, 0.0)
         node.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, listed))
         if event is not None:
--- a/loadbalancer/balancing/balancer.py
+++ b/loadbalancer/balancing/balancer.py
@@ -5,11 +5,11 @@
 from random import Random
 
 from loadbalancer.balancing import cursor_table as table
-from loadbalancer.balancing import endpoints as servers
+from loadbalancer.balancing import endpoint_set as servers
 from loadbalancer.balancing import fleet_control as fleet
 from loadbalancer.balancing import learned_state as learning
 from loadbalancer.balancing import load_estimate as load
-from loadbalancer.balancing import outliers as health
+from loadbalancer.balancing import outcome_statistics as health
 from loadbalancer.balancing.actions import Action, SetTimer, Watch
 from loadbalancer.balancing.admission import Admission
 from loadbalancer.balancing.events import (
@@ -30,8 +30,8 @@
     StreamStarted,
     TimerFired,
 )
-from loadbalancer.balancing.retries import Attempts
-from loadbalancer.balancing.state import Peer, State
+from loadbalancer.balancing.request_lifecycle import RequestLifecycle
+from loadbalancer.balancing.state import BalancerState, EndpointState
 from loadbalancer.endpoints import RouteVersion
 from loadbalancer.service_settings import Settings
 
@@ -41,100 +41,107 @@
     same actions. Raises KeyError for a request of a class that the settings don't name."""
 
     def __init__(self, settings: Settings, seed: int, now_ms: float) -> None:
-        self.state = state = State(settings, Random(seed))
-        self.cfg, self.kinds, self.period_ms, self.jobs = settings, state.kinds, state.period_ms, state.jobs
+        self.state = state = BalancerState(settings, Random(seed))
+        self.settings, self.service_classes, self.period_ms, self.pending = (
+            settings,
+            state.service_classes,
+            state.period_ms,
+            state.pending,
+        )
         self.admission = Admission(state, now_ms)
-        self.attempts = Attempts(state, self.admission)
-        self.begun = False
-
-    def handle(self, now: float, event: Event) -> list[Action]:
-        acts: list[Action] = []
-        self.state.now = now
-        if not self.begun:
-            self.begun = True
-            acts.append(SetTimer(self.period_ms, "period"))
-            if self.cfg.poll_discovery:
-                acts.append(Watch())
+        self.requests = RequestLifecycle(state, self.admission)
+        self.started = False
+
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        actions: list[Action] = []
+        self.state.now_ms = now_ms
+        if not self.started:
+            self.started = True
+            actions.append(SetTimer(self.period_ms, "period"))
+            if self.settings.poll_discovery:
+                actions.append(Watch())
         match event:
             case Request():
-                self.attempts.requested(now, event, acts)
+                self.requests.on_request(now_ms, event, actions)
             case AttemptOutcome():
-                self.attempts.returned(now, event, acts)
+                self.requests.on_attempt_outcome(now_ms, event, actions)
             case RequestReceived():
-                self.attempts.arrived(now, event)
+                self.requests.on_request_received(now_ms, event)
             case RequestCancelled():
-                self.attempts.lapsed(event, acts)
+                self.requests.on_request_cancelled(event, actions)
             case StreamStarted():
-                self.attempts.started(event, acts)
+                self.requests.on_stream_started(event, actions)
             case TimerFired(name="period"):
-                acts.append(SetTimer(self.period_ms, "period"))
-                load.end_period(self.state, now)
+                actions.append(SetTimer(self.period_ms, "period"))
+                load.end_period(self.state, now_ms)
             case TimerFired(name="watch"):
-                acts.append(Watch())
+                actions.append(Watch())
             case HealthCheckCompleted():
-                health.hear(self.state, now, event.server, event.load_report)
+                health.record_load_report(self.state, now_ms, event.server, event.load_report)
             case EndpointListUpdate():
-                servers.listed(self.state, event, acts)
+                servers.update_list(self.state, event, actions)
             case EndpointEjected():
-                servers.taken_out(self.state, event)
+                servers.eject(self.state, event)
             case EndpointRestored():
-                servers.brought_back(self.state, event)
+                servers.restore(self.state, event)
             case SiblingProcessLoad():
-                servers.held_beside(self.state, event)
+                servers.set_sibling_load(self.state, event)
             case LearnedState():
-                learning.learn(self.state, now, event)
+                learning.import_state(self.state, now_ms, event)
             case StateRestored():
-                learning.restore(self.state, now, event)
+                learning.restore_state(self.state, now_ms, event)
             case QuotaGrant():
-                fleet.shared(self.state, event)
+                fleet.apply_quota_grant(self.state, event)
             case ConfidenceUpdate():
-                fleet.marked(self.state, event)
+                fleet.apply_confidence_update(self.state, event)
             case RouteVersion():
-                fleet.switched(self.state, event)
-        return acts
+                fleet.apply_route_version(self.state, event)
+        return actions
 
     @property
     def cursor(self) -> int:
         return self.state.cursor
 
     @property
-    def peers(self) -> dict[str, Peer]:
-        return self.state.peers
+    def endpoints(self) -> dict[str, EndpointState]:
+        return self.state.endpoints
 
     @property
-    def ready(self) -> list[Peer]:
+    def ready(self) -> list[EndpointState]:
         return self.state.ready
 
     @property
-    def avoided(self) -> int:
+    def ejected_count(self) -> int:
         """Listed servers that get nothing new, by hand or by choice."""
-        return sum(1 for address in self.peers if address in self.state.out_by_hand)
+        return sum(1 for address in self.endpoints if address in self.state.ejected)
 
-    def threshold(self, worth: float, ready: int) -> float:
+    def threshold(self, priority: float, ready: int) -> float:
         """Calls in flight to `ready` servers at which one of this worth (1: the most) is refused."""
-        return table.threshold(self.state, worth, ready)
+        return table.threshold(self.state, priority, ready)
 
-    def learned(self) -> LearnedState:
+    def learned_state(self) -> LearnedState:
         """What a process that starts beside this one may start from."""
-        return learning.learned(self.state)
+        return learning.export_state(self.state)
 
     def pool(self) -> tuple[float, int, float]:
         """The pool as it stands here: calls in flight, the cursor and the threshold of the highest worth."""
         ready = self.state.ready
-        return sum(peer.held for peer in ready), self.state.cursor, self.threshold(1.0, len(ready))
+        in_flight = sum(peer.total_in_flight for peer in ready)
+        return in_flight, self.state.cursor, self.threshold(1.0, len(ready))
 
-    def held(self) -> dict[str, float]:
+    def in_flight(self) -> dict[str, float]:
         """The calls in flight from here, by server."""
-        return {address: peer.load for address, peer in self.peers.items() if peer.load > 0.0}
+        return {address: peer.in_flight for address, peer in self.endpoints.items() if peer.in_flight > 0.0}
 
-    def figures(self) -> str:
+    def summary(self) -> str:
         """What moved the cursor and turned calls away since this was last asked, and where both stand."""
         state = self.state
-        said = ", ".join(f"{name} {count}" for name, count in sorted(state.tally.items())) or "idle"
-        state.tally.clear()
-        util = "-" if state.util is None else f"{state.util:.2f}"
+        said = ", ".join(f"{name} {count}" for name, count in sorted(state.counters.items())) or "idle"
+        state.counters.clear()
+        util = "-" if state.utilisation is None else f"{state.utilisation:.2f}"
         return (
             f"{said}; cursor {state.cursor}, threshold {self.threshold(1.0, len(state.ready)):.1f}, "
-            f"in flight {sum(peer.held for peer in state.ready):.1f}, ready {len(state.ready)}, "
-            f"latency {state.level:.3f} over base {state.base or 0.0:.3f}, utilisation {util}"
+            f"in flight {sum(peer.total_in_flight for peer in state.ready):.1f}, ready {len(state.ready)}, "
+            f"latency {state.latency_ratio:.3f} over base {state.baseline_ratio or 0.0:.3f}, "
+            f"utilisation {util}"
         )
--- a/loadbalancer/endpoints.py
+++ b/loadbalancer/endpoints.py
@@ -51,7 +51,7 @@
 class Endpoint:
     """One line of the server list."""
 
-    address: str
+    name: str
     zone: str = ""
     cell: int = 0
     state: EndpointStatus = EndpointStatus.UP
--- a/loadbalancer/node/discovery/watcher.py
+++ b/loadbalancer/node/discovery/watcher.py
@@ -80,7 +80,7 @@
     boot = target.get("boot_ms") or 0
     model = target.get("model")
     return Endpoint(
-        address=target["uid"],
+        name=target["uid"],
         zone=zone,
         cell=int(target.get("pod_group") or 0),
         state=state,
--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -55,9 +55,9 @@
             self.listed = {}
         for server in listing.servers:
             if server.state is EndpointStatus.REMOVED:
-                self.listed.pop(server.address, None)
+                self.listed.pop(server.name, None)
             else:
-                self.listed[server.address] = server, listing.endpoints[server.address]
+                self.listed[server.name] = server, listing.endpoints[server.name]
         self.change(EndpointListUpdate(form, listing.servers))
 
     def change(self, event: Event) -> None:
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -131,7 +131,9 @@
 
     def metrics(self) -> bytes:
         """The text of GET /status/metrics: the node's own lines, then those of each part."""
-        own = self.figures.text(self.jobs.under_way, len(self.servers.listed), self.driver.balancer.avoided)
+        own = self.figures.text(
+            self.jobs.under_way, len(self.servers.listed), self.driver.balancer.ejected_count
+        )
         return own + "".join(part.metrics() for part in self.parts).encode()
 
     async def start(self) -> None:
--- a/loadbalancer/node/periodic_tasks.py
+++ b/loadbalancer/node/periodic_tasks.py
@@ -75,7 +75,7 @@
             len(self._server.connections),
             self._pool.size,
             self._lag * 1000.0,
-            self._driver.balancer.figures(),
+            self._driver.balancer.summary(),
         )
         self._counts.clear()
         self._lag = 0.0
--- a/loadbalancer/node/sibling_process.py
+++ b/loadbalancer/node/sibling_process.py
@@ -24,7 +24,7 @@
             self._driver.tell(SiblingProcessLoad(held))
         self._beside = bool(held)
         balancer = self._driver.balancer
-        self.handover.write(self._clock.ms(), balancer.learned(), balancer.held())
+        self.handover.write(self._clock.ms(), balancer.learned_state(), balancer.in_flight())
 
     def close(self) -> None:
         self.handover.close()
--- a/loadbalancer/node/state/snapshot.py
+++ b/loadbalancer/node/state/snapshot.py
@@ -74,8 +74,8 @@
     """The file's bytes."""
     targets = [
         {
-            "uid": server.address,
-            "endpoint": "{}:{}".format(*listing.endpoints[server.address]),
+            "uid": server.name,
+            "endpoint": "{}:{}".format(*listing.endpoints[server.name]),
             "az": server.zone,
             "pod_group": server.cell,
             "state": WIRE_STATES[server.state],
--- a/loadbalancer/node/state_writer.py
+++ b/loadbalancer/node/state_writer.py
@@ -80,6 +80,9 @@
     async def _write(self) -> None:
         servers, out = self._servers, self._servers.banned()
         # What the thread reads is made here and never changed after: copies of the figures and the list.
-        learned, listing = self._driver.balancer.learned(), listing_of(servers.listed, servers.listed_rev)
+        learned, listing = (
+            self._driver.balancer.learned_state(),
+            listing_of(servers.listed, servers.listed_rev),
+        )
         learned.class_latency_ms, name, now = dict(learned.class_latency_ms), self._name, self._clock.ms()
         await self._file.write(lambda: encode(name, now, learned, out, listing))
--- a/loadbalancer/routing/route_table.py
+++ b/loadbalancer/routing/route_table.py
@@ -111,7 +111,7 @@
     for server in servers:
         if server.state is EndpointStatus.UP:
             kind = (server.model, server.zone)
-            seen = server.address not in blind or (kind in kinds and kinds[kind][1])
+            seen = server.name not in blind or (kind in kinds and kinds[kind][1])
             kinds[kind] = (server, seen)
     why = []
     for name, groups in table.classes:
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -107,7 +107,7 @@
 
 def _server(row: JsonObject) -> Endpoint:
     return Endpoint(
-        address=row["server"],
+        name=row["server"],
         zone=row.get("zone") or "",
         cell=row.get("bay") or 0,
         state=EndpointStatus(row["stageState"]),
@@ -116,8 +116,8 @@
 
 
 def _request(_host: Host, node: Node, row: JsonObject) -> Event:
-    if row["lane"] not in node.brain.kinds:
-        raise ValueError(f"lane: {row['lane']!r} is not one of {', '.join(node.brain.kinds)}")
+    if row["lane"] not in node.brain.service_classes:
+        raise ValueError(f"lane: {row['lane']!r} is not one of {', '.join(node.brain.service_classes)}")
     return Request(
         id=row["txn"],
         service=row["lane"],
--- a/tests/balancing/test_fleet_control.py
+++ b/tests/balancing/test_fleet_control.py
@@ -36,7 +36,7 @@
 
 def spread(bed: Bed, calls: int) -> Counter[str]:
     """Which models serve so many calls."""
-    return Counter(bed.brain.peers[bed.serve()].info.model for _ in range(calls))
+    return Counter(bed.brain.endpoints[bed.serve()].endpoint.model for _ in range(calls))
 
 
 def test_a_share_of_a_quarter_is_the_settings_four_siblings_until_its_term_ends():
@@ -53,7 +53,8 @@
     bed = Bed(siblings=1, tenants=(tenant,), over_quota_weight=0.0)
     bed.give(QuotaGrant(0.1, 10, math.inf))
     worths = [
-        bed.brain.admission.worth(bed.now, Request("r", "read", 1e9, tenant="acme"), SAFE) for _ in range(8)
+        bed.brain.admission.priority(bed.now, Request("r", "read", 1e9, tenant="acme"), SAFE)
+        for _ in range(8)
     ]
     assert [worth > 0.0 for worth in worths] == [True] * 4 + [False] * 4
 
@@ -66,13 +67,13 @@
     name, acts = bed.ask()
     bed.give(RouteVersion(2, {"read": (M1, M2)}))
     again = bed.end(name, sent(acts)[0].server, AttemptResult.CONNECT_FAILED, done=False)
-    assert bed.brain.peers[sent(again)[0].server].info.model == "m1"  # admitted under version 1
+    assert bed.brain.endpoints[sent(again)[0].server].endpoint.model == "m1"  # admitted under version 1
     shares = spread(bed, 400)
     assert shares["m2"] / 400 == pytest.approx(0.75, abs=0.08)
-    assert set(bed.brain.state.versions) == {1, 2}
+    assert set(bed.brain.state.route_versions) == {1, 2}
     bed.end(name, sent(again)[0].server, AttemptResult.OK, attempt=1)
     bed.give(RouteVersion(0, {}))
-    assert bed.brain.state.versions == {}
+    assert bed.brain.state.route_versions == {}
     assert set(spread(bed, 60)) == {"m1", "m2"}
 
 
@@ -99,7 +100,7 @@
             {"s0": Confidence.NONE, "s1": Confidence.HIGH, "s2": Confidence.HIGH, "gone": Confidence.HIGH}
         )
     )
-    assert set(bed.brain.state.marks) == {"s0", "s1", "s2"}
+    assert set(bed.brain.state.confidence) == {"s0", "s1", "s2"}
     to = Counter(sent(bed.ask()[1])[0].server for _ in range(9))
     assert to["s0"] <= 1
     all_blind = Bed(count=3)
@@ -116,8 +117,8 @@
         bed.end(name, server, AttemptResult.OK, 400.0 if server == "s0" else 100.0)
     before = bed.serve()
     assert before == "s1"
-    slow = bed.brain.peers["s0"]
-    assert slow.slow is not None
-    assert slow.slow > 1.2
+    slow = bed.brain.endpoints["s0"]
+    assert slow.latency_ratio is not None
+    assert slow.latency_ratio > 1.2
     bed.give(ConfidenceUpdate({"s0": Confidence.NONE, "s1": Confidence.MEDIUM}))
     assert "s0" in {bed.serve() for _ in range(20)}  # its old latency says nothing now
--- a/tests/balancing/test_guards.py
+++ b/tests/balancing/test_guards.py
@@ -9,8 +9,8 @@
 
 from loadbalancer.balancing import endpoint_selection as ranking
 from loadbalancer.balancing.actions import Cancel, Fail, Reject, SetTimer, Watch
-from loadbalancer.balancing.cursor_table import SHAPE
-from loadbalancer.balancing.endpoint_selection import paced
+from loadbalancer.balancing.cursor_table import SLOT_RATIOS
+from loadbalancer.balancing.endpoint_selection import slow_start_admits
 from loadbalancer.balancing.events import EndpointListUpdate, RequestCancelled, StreamStarted, TimerFired
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
 from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass
@@ -68,13 +68,13 @@
         deduplication_window_ms=900,
     )
     rows = tuple(Endpoint(f"s{at}", zone="ab"[at % 2], cell=at % 4) for at in range(8))
-    where = {row.address: row for row in rows}
+    where = {row.name: row for row in rows}
     for _ in range(8):
         bed = Bed(count=0, classes=(kind,))
         bed.give(EndpointListUpdate(EndpointListKind.FULL, rows))
         name, acts = bed.ask("k")
         first = where[sent(acts)[0].server]
-        second = where[sent(bed.end(name, first.address, result))[0].server]
+        second = where[sent(bed.end(name, first.name, result))[0].server]
         if scope is not DeduplicationScope.ALL:
             assert second.zone == first.zone
         if scope is DeduplicationScope.CELL:
@@ -95,7 +95,7 @@
     began, server = bed.now, sent(acts)[0].server
     bed.now += 500
     (again,) = sent(bed.end(name, server, AttemptResult.RESET))
-    assert again.written_by_ms == began + 900 - ranking.REPEAT_MARGIN_MS
+    assert again.written_by_ms == began + 900 - ranking.RETRY_MARGIN_MS
     bed.now = again.written_by_ms
     assert kinds(bed.end(name, again.server, AttemptResult.CONNECT_FAILED, attempt=1)) == [Fail]
 
@@ -118,7 +118,7 @@
     assert kinds(acts) == [Cancel]
     assert bed.end(name, server, AttemptResult.CANCELLED, done=True) == []
     assert bed.give(RequestCancelled(name)) == []
-    assert bed.brain.jobs == {}
+    assert bed.brain.pending == {}
 
 
 def test_a_timeout_at_the_deadline_gets_its_answer_at_once():
@@ -308,7 +308,7 @@
     old = [(name, sent(acts)[0].server) for name, acts in (bed.ask() for _ in range(8)) if sent(acts)]
     assert len(old) == 8
     while bed.brain.cursor < 5:
-        bed.brain.state.window.ended, bed.brain.state.window.full = 10.0, 9.0
+        bed.brain.state.window.attempts_ended, bed.brain.state.window.attempts_rejected = 10.0, 9.0
         bed.period()
     for name, server in old:
         bed.end(name, server, AttemptResult.OK, 950.0)
@@ -316,7 +316,7 @@
     assert bed.brain.cursor == 0
     # Calls sent since are heard as ever.
     while bed.brain.cursor < 5:
-        bed.brain.state.window.ended, bed.brain.state.window.full = 10.0, 9.0
+        bed.brain.state.window.attempts_ended, bed.brain.state.window.attempts_rejected = 10.0, 9.0
         bed.period()
     for _ in range(8):
         bed.serve(latency=950.0)
@@ -329,7 +329,7 @@
     admitted = 0
     for seed in range(200):
         bed = Bed(count=2, seed=seed, siblings=200)
-        bed.brain.state.cursor = len(SHAPE) - 1
+        bed.brain.state.cursor = len(SLOT_RATIOS) - 1
         admitted += len(sent(bed.ask("post")[1]))
     assert 5 <= admitted <= 60
 
@@ -352,7 +352,9 @@
 
 def test_discovery_is_watched_at_once_and_again_after_failures_with_growing_waits():
     bed = Bed(count=0, poll_discovery=True)
-    first = type(bed.brain)(bed.brain.cfg, 1, 0.0).handle(0.0, EndpointListUpdate(EndpointListKind.CACHED))
+    first = type(bed.brain)(bed.brain.settings, 1, 0.0).handle(
+        0.0, EndpointListUpdate(EndpointListKind.CACHED)
+    )
     assert Watch in kinds(first)
     waits = []
     for _ in range(6):
@@ -383,7 +385,7 @@
     for _ in range(6):
         bed.serve()
     bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("s0", "a", launched_ms=bed.now),)))
-    assert bed.brain.peers["s0"].slow is None
+    assert bed.brain.endpoints["s0"].latency_ratio is None
     assert [bed.serve(latency=1.0) for _ in range(20)].count("s0") < 10
 
 
@@ -424,11 +426,13 @@
     took = 0
     for bed in beds:
         bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("cold", "a", launched_ms=bed.now),)))
-        bed.brain.state.peak = 1.0 / bed.brain.period_ms  # one call a period is a server's ordinary pace
-        bed.brain.state.sends = calls * bed.brain.state.peak
-        bed.brain.state.let_in = min(1.0, calls / len(bed.brain.ready))  # the others were refused
-        cold = bed.brain.peers["cold"]
-        took += sum(paced(bed.brain.state, bed.now, cold) for _ in range(calls))
+        bed.brain.state.peak_completion_rate = (
+            1.0 / bed.brain.period_ms
+        )  # one call a period is a server's ordinary pace
+        bed.brain.state.send_rate = calls * bed.brain.state.peak_completion_rate
+        bed.brain.state.admitted_ratio = min(1.0, calls / len(bed.brain.ready))  # the others were refused
+        cold = bed.brain.endpoints["cold"]
+        took += sum(slow_start_admits(bed.brain.state, bed.now, cold) for _ in range(calls))
     share = 0.4 * 5.0 * 0.2  # of an ordinary pace, at the server's start
     assert 0.6 * share < took / len(beds) < 1.5 * share
 
--- a/tests/balancing/test_mechanism.py
+++ b/tests/balancing/test_mechanism.py
@@ -7,10 +7,10 @@
 import pytest
 
 from loadbalancer.balancing.actions import Action, Reject
-from loadbalancer.balancing.cursor_table import SHAPE
+from loadbalancer.balancing.cursor_table import SLOT_RATIOS
 from loadbalancer.balancing.events import AttemptOutcome, EndpointListUpdate, Request
-from loadbalancer.balancing.outliers import judge
-from loadbalancer.balancing.state import Job, Try
+from loadbalancer.balancing.outcome_statistics import record_outcome
+from loadbalancer.balancing.state import Attempt, PendingRequest
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
 from loadbalancer.service_settings import ServiceClass, Settings, Tenant
 from tests.support.builders import SAFE, Bed, kinds, sent, servers
@@ -41,12 +41,12 @@
 def test_table_is_flat_then_falls_and_never_to_nothing():
     brain = Bed().brain
     entries = []
-    for cursor in range(len(SHAPE)):
+    for cursor in range(len(SLOT_RATIOS)):
         brain.state.cursor = cursor
         entries.append(brain.threshold(1.0, 20))
     assert entries[0] == entries[1]
     assert all(left > right for left, right in pairwise(entries[1:]))
-    brain.state.cursor = len(SHAPE) - 1
+    brain.state.cursor = len(SLOT_RATIOS) - 1
     assert brain.threshold(1e-9, 1) > 0.0
 
 
@@ -54,7 +54,7 @@
     brain = Bed().brain
     high, low = brain.threshold(1.0, 20), brain.threshold(1 / 12, 20)
     assert low < high
-    brain.state.cursor = len(SHAPE) - 1
+    brain.state.cursor = len(SLOT_RATIOS) - 1
     assert brain.threshold(1 / 12, 20) / low < brain.threshold(1.0, 20) / high
 
 
@@ -66,7 +66,7 @@
             _, acts = bed.ask(service)
             if not sent(acts):
                 break
-        outcome[service] = sum(peer.load for peer in bed.brain.peers.values())
+        outcome[service] = sum(peer.in_flight for peer in bed.brain.endpoints.values())
         assert kinds(acts) == [Reject]
     assert outcome["post"] < outcome["read"]
 
@@ -74,14 +74,14 @@
 def test_marked_retries_and_over_quota_tenants_fall_to_lower_rows():
     bed = Bed(tenants=(Tenant("t", 4.0),), over_quota_weight=0.2)
     fresh = Request("a", "read", 9e9)
-    worth = bed.brain.admission.worth(bed.now, fresh, SAFE)
-    assert bed.brain.admission.worth(bed.now, Request("b", "read", 9e9, is_retry=True), SAFE) < worth
+    worth = bed.brain.admission.priority(bed.now, fresh, SAFE)
+    assert bed.brain.admission.priority(bed.now, Request("b", "read", 9e9, is_retry=True), SAFE) < worth
     tenant = [
-        bed.brain.admission.worth(bed.now, Request("c", "read", 9e9, tenant="t"), SAFE) for _ in range(4)
+        bed.brain.admission.priority(bed.now, Request("c", "read", 9e9, tenant="t"), SAFE) for _ in range(4)
     ]
     assert tenant[:2] == [worth, worth]  # 4 a second over 2 siblings
     assert tenant[2] == tenant[3] == pytest.approx(0.2 * worth)
-    assert bed.brain.admission.worth(bed.now + 1000, Request("d", "read", 9e9, tenant="t"), SAFE) == worth
+    assert bed.brain.admission.priority(bed.now + 1000, Request("d", "read", 9e9, tenant="t"), SAFE) == worth
 
 
 @pytest.mark.parametrize("quota", [0.1, 0.5, 0.99, 1.0, 1.5])
@@ -90,7 +90,7 @@
 
     def worth(tenant: str, after: float) -> float:
         bed.now += after
-        return bed.brain.admission.worth(bed.now, Request("c", "read", 9e9, tenant=tenant), SAFE)
+        return bed.brain.admission.priority(bed.now, Request("c", "read", 9e9, tenant=tenant), SAFE)
 
     whole, apart = worth("unknown", 0.0), 1000.0 / quota + 0.01
     assert [worth("t", apart) for _ in range(5)] == [whole] * 5  # as many as it may
@@ -103,7 +103,7 @@
 
 def test_over_quota_counts_at_the_front_only():
     bed = Bed(tenants=(Tenant("t", 0.0),), over_quota_weight=0.2, tier=1)
-    assert bed.brain.admission.worth(bed.now, Request("c", "read", 9e9, tenant="t"), SAFE) == 1.0
+    assert bed.brain.admission.priority(bed.now, Request("c", "read", 9e9, tenant="t"), SAFE) == 1.0
 
 
 def test_threshold_grows_with_the_completion_rate():
@@ -117,12 +117,12 @@
 def test_what_the_threshold_adds_to_the_quiet_count_is_bounded_by_the_servers_not_by_the_aim():
     bed, ready = Bed(), 4
     brain = bed.brain
-    brain.state.periods = 10**6  # past the start
-    brain.state.base, brain.state.mean_aim = 0.1, 1000.0
+    brain.state.periods_elapsed = 10**6  # past the start
+    brain.state.baseline_ratio, brain.state.mean_latency_objective_ms = 0.1, 1000.0
     for rate in (0.005, 0.05):
-        brain.state.rate = brain.state.peak = rate
-        quiet = ready * rate * brain.state.mean_aim * brain.state.base
-        over = (brain.threshold(1.0, ready) - quiet) * brain.cfg.siblings / ready
+        brain.state.completion_rate = brain.state.peak_completion_rate = rate
+        quiet = ready * rate * brain.state.mean_latency_objective_ms * brain.state.baseline_ratio
+        over = (brain.threshold(1.0, ready) - quiet) * brain.settings.siblings / ready
         assert 2.0 < over < 5.0  # calls that a server holds beyond its quiet count, over all siblings
 
 
@@ -130,7 +130,7 @@
     thresholds = []
     for util in (0.5, 0.9, None):
         bed = Bed(count=4)
-        bed.brain.state.periods = 10**6  # past the start
+        bed.brain.state.periods_elapsed = 10**6  # past the start
         for _ in range(12):
             bed.serve(load_report=None if util is None else {"util": util})
         bed.period()
@@ -146,14 +146,14 @@
     bed = Bed(count=2)
     for _ in range(30):
         for server, latency in (("s0", 300.0), ("s1", 100.0)):
-            judge(bed.brain.state, bed.now, *judged(bed, server, latency))
+            record_outcome(bed.brain.state, bed.now, *judged(bed, server, latency))
     took = [bed.serve() for _ in range(10)]
     assert took.count("s1") == 10
 
 
 def test_the_quiet_count_of_servers_that_have_gone_is_not_let_in_to_those_left():
     bed = Bed(count=8)
-    bed.brain.state.periods = 10**6  # past the start
+    bed.brain.state.periods_elapsed = 10**6  # past the start
     for _ in range(30):
         load_period(bed, 400.0)
     each = bed.brain.threshold(1.0, 8) / 8
@@ -166,21 +166,21 @@
     name, acts = bed.ask()
     leaving = Endpoint(sent(acts)[0].server, zone="a", state=EndpointStatus.DRAINING)
     bed.give(EndpointListUpdate(EndpointListKind.DELTA, (leaving,)))
-    bed.end(name, leaving.address, AttemptResult.OK)
+    bed.end(name, leaving.name, AttemptResult.OK)
     bed.period()
-    assert bed.brain.state.rate == 0.0
+    assert bed.brain.state.completion_rate == 0.0
 
 
 def test_no_server_holds_more_than_its_share_of_all_balancers_thresholds():
     siblings, ready = 24, 10
     beds = [Bed(count=ready, seed=seed, siblings=siblings) for seed in range(siblings)]
     for bed in beds:
-        bed.brain.state.periods = 10**6  # past the start
-        best = bed.brain.peers["s0"]
-        best.slow, best.heard_ms = 0.1, bed.now  # ranked far before the others
+        bed.brain.state.periods_elapsed = 10**6  # past the start
+        best = bed.brain.endpoints["s0"]
+        best.latency_ratio, best.last_outcome_ms = 0.1, bed.now  # ranked far before the others
         for _ in range(20):
             bed.ask()
-    held = [sum(bed.brain.peers[f"s{at}"].load for bed in beds) for at in range(ready)]
+    held = [sum(bed.brain.endpoints[f"s{at}"].in_flight for bed in beds) for at in range(ready)]
     share = sum(bed.brain.threshold(1.0, ready) for bed in beds) / ready
     assert held[0] == max(held)
     assert held[0] < 2.0 * share
@@ -188,16 +188,16 @@
 
 def test_a_balancer_whose_share_of_every_server_is_nothing_still_finds_out():
     bed = Bed(count=2, siblings=400)
-    bed.brain.state.periods = 10**6  # past the start
-    for peer in bed.brain.peers.values():
-        peer.part = 0.0
+    bed.brain.state.periods_elapsed = 10**6  # past the start
+    for peer in bed.brain.endpoints.values():
+        peer.rounding_offset = 0.0
     assert any(sent(bed.ask()[1]) for _ in range(100))
 
 
 def judged(bed: Bed, server: str, latency: float):
     request = Request("x", "read", 9e9)
-    attempt = Try(bed.brain.peers[server], bed.now - latency)
-    job = Job(request, SAFE, bed.now, 1.0, [attempt])
+    attempt = Attempt(bed.brain.endpoints[server], bed.now - latency)
+    job = PendingRequest(request, SAFE, bed.now, 1.0, [attempt])
     return job, attempt, AttemptOutcome("x", 0, server, AttemptResult.OK, latency, True)
 
 
@@ -263,7 +263,7 @@
     bed = Bed(weight_by_work=True)
     bed.ask(cost_hint_ms=10.0)
     bed.ask(cost_hint_ms=100.0)
-    loads = sorted(peer.load for peer in bed.brain.peers.values())
+    loads = sorted(peer.in_flight for peer in bed.brain.endpoints.values())
     assert loads[-1] > loads[-2] > 0
 
 
@@ -316,19 +316,19 @@
 def test_the_figures_name_what_moved_the_cursor_and_what_was_turned_away():
     bed = Bed(count=2)
     bed.ask(left=0.5)  # too late for an attempt
-    assert "refused unsent 1" in bed.brain.figures()
+    assert "refused unsent 1" in bed.brain.summary()
     for _ in range(40):
         bed.ask()
     bed.period()
-    said = bed.brain.figures()
+    said = bed.brain.summary()
     assert "refused at threshold" in said
     assert "left 1" in said
     assert f"cursor {bed.brain.cursor}," in said
-    assert bed.brain.figures().startswith("idle; ")
+    assert bed.brain.summary().startswith("idle; ")
     for _ in range(30):
-        bed.brain.state.window.ended, bed.brain.state.window.full = 10.0, 9.0
+        bed.brain.state.window.attempts_ended, bed.brain.state.window.attempts_rejected = 10.0, 9.0
         bed.period()
-    assert "right by answers as full 30" in bed.brain.figures()
+    assert "right by answers as full 30" in bed.brain.summary()
 
 
 def test_only_an_aim_that_does_not_move_with_the_work_ends_an_attempt_that_is_worth_nothing_after_it():
--- a/tests/balancing/test_recorded_streams.py
+++ b/tests/balancing/test_recorded_streams.py
@@ -166,7 +166,7 @@
         self.ended: set[str] = set()
         self.by_hand: list[tuple[str, float]] = []
         self.jam = self.rush = 1.0
-        self.was = self.balancer.learned()
+        self.was = self.balancer.learned_state()
         for _ in range(self.rng.choice((3, 8, 14))):
             self.launch(None if self.rng.random() < 0.6 else self.now - self.rng.uniform(0.0, 4000.0))
 
@@ -202,7 +202,15 @@
         """What the module tells of itself, and its thresholds."""
         it = self.balancer
         rows = [it.threshold(worth, ready) for ready in (0, len(it.ready)) for worth in (1.0, 0.3, 0.0)]
-        said = (it.figures(), rows, it.learned(), it.held(), it.avoided, it.cursor, it.period_ms)
+        said = (
+            it.summary(),
+            rows,
+            it.learned_state(),
+            it.in_flight(),
+            it.ejected_count,
+            it.cursor,
+            it.period_ms,
+        )
         self.digest.update(recorded_form(f"{said!r}\n").encode())
         self.at(170.0, self.observe)
 
@@ -254,7 +262,7 @@
         event = AttemptOutcome(
             name,
             at,
-            machine.server.address,
+            machine.server.name,
             result,
             self.now - attempt.sent_ms,
             result is AttemptResult.OK or (name in self.ended and self.rng.random() < 0.9),
@@ -313,7 +321,7 @@
         at = len(self.machines)
         state = self.rng.choice((EndpointStatus.UP,) * 6 + (EndpointStatus.DRAINING,))
         server = Endpoint(f"s{at}", "aab"[at % 3], at % 4, state, launched_ms)
-        self.machines[server.address] = Machine(server, 1.0, 0.0)
+        self.machines[server.name] = Machine(server, 1.0, 0.0)
         return server
 
     def listed(self) -> tuple[Endpoint, ...]:
@@ -361,7 +369,7 @@
         self.give(SiblingProcessLoad(held if rng.random() < 0.3 else {}))
         what = rng.randrange(6)
         if what < 2:
-            self.was = self.balancer.learned()
+            self.was = self.balancer.learned_state()
         elif what == 2:
             base = rng.choice((None, 0.0, self.was.baseline_ratio))
             changes: dict[str, Any] = {"baseline_ratio": base, "cursor": rng.choice((-3, 4, 99))}
@@ -372,7 +380,7 @@
     def prober(self) -> None:
         self.at(self.rng.uniform(20.0, 400.0), self.prober)
         machine = self.rng.choice(list(self.machines.values()))
-        self.give(HealthCheckCompleted(machine.server.address, AttemptResult.OK, 3.0, self.report(machine)))
+        self.give(HealthCheckCompleted(machine.server.name, AttemptResult.OK, 3.0, self.report(machine)))
 
     def stray(self) -> None:
         """Events of requests, attempts, servers and alarms that the balancer does not know."""
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -90,7 +90,7 @@
         if isinstance(event, EndpointListUpdate) and event.kind is not EndpointListKind.FAILED:
             if event.kind is not EndpointListKind.DELTA:
                 self.listed = {}
-            self.listed.update({row.address: row for row in event.endpoints})
+            self.listed.update({row.name: row for row in event.endpoints})
         if isinstance(event, Request):
             kind = next(kind for kind in CLASSES if kind.name == event.service)
             self.calls[event.id] = Call(kind, event.deadline_ms)
@@ -155,7 +155,7 @@
         if not call.ended and (result is AttemptResult.OK or call.streaming == at):
             call.ended = True
         told = {"queue": 2.0, "util": 0.97} if report else None
-        self.give(AttemptOutcome(name, at, server.address, result, self.now - then, call.ended, told))
+        self.give(AttemptOutcome(name, at, server.name, result, self.now - then, call.ended, told))
 
     def lapse(self, pick: int) -> None:
         if self.calls:
@@ -230,7 +230,7 @@
         referee.now += 1.0
         referee.outcome(0, AttemptResult.TIMEOUT, False)
     assert all(call.ended for call in referee.calls.values())
-    assert referee.brain.jobs == {}
+    assert referee.brain.pending == {}
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
@@ -251,7 +251,7 @@
         referee.now = 700.0 + at * gap
         referee.request(0, 2000.0)
         call = referee.calls[f"q{referee.names}"]
-        sends.extend(then for server, then in call.tries if server.address == "cold")
+        sends.extend(then for server, then in call.tries if server.name == "cold")
         if call.tries:
             referee.outcome(0, AttemptResult.OK, False)
         while sends and sends[0] <= referee.now - TIP_MS:
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -146,7 +146,7 @@
                 machine.free_ms = begin + work * 1000.0 / plan.pace / plan.warmth(begin - machine.born_ms)
             if told - now > act.timeout_ms:
                 result, told = AttemptResult.TIMEOUT, now + act.timeout_ms
-            attempt = len(node.jobs[act.id].tries) - 1
+            attempt = len(node.pending[act.id].attempts) - 1
             done = result is AttemptResult.OK
             self.at(told, node, AttemptOutcome(act.id, attempt, act.server, result, told - now, done))
 
--- a/tests/node/listener/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -112,7 +112,7 @@
             server.release.set()
             await until(lambda: left)
             assert not node.jobs.held
-            assert node.driver.balancer.peers["s0"].load == 0.0
+            assert node.driver.balancer.endpoints["s0"].in_flight == 0.0
             assert node.pool.size == 1
             caller.close()
 
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from loadbalancer.balancing.endpoint_selection import paced
+from loadbalancer.balancing.endpoint_selection import slow_start_admits
 from loadbalancer.balancing.events import EndpointEjected, EndpointListUpdate, EndpointRestored
 from loadbalancer.endpoints import Endpoint, EndpointListKind
 from loadbalancer.node.node import Node
@@ -222,13 +222,13 @@
     assert {bed.serve() for _ in range(20)} == {"s1"}
     bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(2, launched_ms=bed.now - 60_000.0)))
     assert {bed.serve() for _ in range(20)} == {"s1"}
-    assert [peer.info.address for peer in bed.brain.ready] == ["s1"]
+    assert [peer.endpoint.name for peer in bed.brain.ready] == ["s1"]
 
 
 def test_a_server_brought_back_gets_the_next_call_that_a_cold_one_may_have():
     bed = Bed(3, slow_start_ms=0.0)
-    bed.brain.peers["s0"].slow = 5.0  # ranked last
-    bed.brain.peers["s0"].heard_ms = bed.now
+    bed.brain.endpoints["s0"].latency_ratio = 5.0  # ranked last
+    bed.brain.endpoints["s0"].last_outcome_ms = bed.now
     bed.give(EndpointEjected("s0"))
     assert "s0" not in {bed.serve() for _ in range(20)}
     bed.give(EndpointRestored("s0", bed.now - 3000.0, bed.now))
@@ -252,19 +252,27 @@
     out_ms = bed.now - (5_000.0 if cold else 20_000.0)
     bed.give(EndpointRestored("s0", out_ms, bed.now))
     bed.now += 200.0  # 10.1 s after the launch that the last case lists: warm
-    peer = bed.brain.peers["s0"]
-    bed.brain.state.peak, bed.brain.state.sends = 1.0, 100.0  # as many as 100 servers' ordinary calls
-    passed = sum(paced(bed.brain.state, bed.now, peer) for _ in range(200))
+    peer = bed.brain.endpoints["s0"]
+    bed.brain.state.peak_completion_rate, bed.brain.state.send_rate = (
+        1.0,
+        100.0,
+    )  # as many as 100 servers' ordinary calls
+    passed = sum(slow_start_admits(bed.brain.state, bed.now, peer) for _ in range(200))
     assert (passed < 50) is cold
 
 
 def test_what_a_server_was_known_for_before_its_stay_is_not_held_against_it():
     bed = Bed(2)
-    peer = bed.brain.peers["s0"]
-    peer.slow, peer.errs, peer.queue, peer.util = 5.0, 0.9, 7.0, 1.0
+    peer = bed.brain.endpoints["s0"]
+    peer.latency_ratio, peer.error_rate, peer.reported_queue, peer.utilisation = 5.0, 0.9, 7.0, 1.0
     bed.give(EndpointEjected("s0"))
     bed.give(EndpointRestored("s0", bed.now - 3000.0, bed.now))
-    assert (peer.slow, peer.errs, peer.queue, peer.util) == (None, 0.0, 0.0, None)
+    assert (peer.latency_ratio, peer.error_rate, peer.reported_queue, peer.utilisation) == (
+        None,
+        0.0,
+        0.0,
+        None,
+    )
 
 
 def test_a_second_stay_out_starts_anew():
@@ -272,5 +280,5 @@
     bed.give(EndpointEjected("s0"))
     bed.give(EndpointRestored("s0", bed.now, bed.now))
     bed.give(EndpointEjected("s0"))
-    assert "s0" not in bed.brain.state.returns
+    assert "s0" not in bed.brain.state.restored
     assert {act.server for _ in range(8) for act in sent(bed.ask()[1])} == {"s1"}
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from loadbalancer.balancing.cursor_table import SHAPE
+from loadbalancer.balancing.cursor_table import SLOT_RATIOS
 from loadbalancer.balancing.events import LearnedState, SiblingProcessLoad
 from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.node import Node
@@ -108,16 +108,16 @@
 def test_a_new_process_starts_at_the_threshold_of_the_old_one():
     old, new = taught(Bed(4)), Bed(4)
     assert new.brain.threshold(1.0, 4) > old.brain.threshold(1.0, 4)
-    new.give(old.brain.learned())
+    new.give(old.brain.learned_state())
     assert new.brain.threshold(1.0, 4) == pytest.approx(old.brain.threshold(1.0, 4))
-    assert new.brain.state.class_ms == old.brain.state.class_ms
-    assert {name: peer.slow for name, peer in new.brain.peers.items()} == {
-        name: peer.slow for name, peer in old.brain.peers.items()
+    assert new.brain.state.class_latency_ms == old.brain.state.class_latency_ms
+    assert {name: peer.latency_ratio for name, peer in new.brain.endpoints.items()} == {
+        name: peer.latency_ratio for name, peer in old.brain.endpoints.items()
     }
-    base = new.brain.state.base
+    base = new.brain.state.baseline_ratio
     new.serve("read", 900.0)
     new.period()
-    assert new.brain.state.base == pytest.approx(base, rel=0.1)  # not learned anew from one call
+    assert new.brain.state.baseline_ratio == pytest.approx(base, rel=0.1)  # not learned anew from one call
 
 
 @pytest.mark.parametrize(
@@ -139,8 +139,8 @@
 def test_a_cursor_from_elsewhere_stays_within_the_table():
     bed = Bed(4)
     bed.give(learned(cursor=999, class_latency_ms={"gone": 5.0}))
-    assert bed.brain.cursor == len(SHAPE) - 1
-    assert bed.brain.state.class_ms == {}
+    assert bed.brain.cursor == len(SLOT_RATIOS) - 1
+    assert bed.brain.state.class_latency_ms == {}
 
 
 def test_calls_of_the_process_beside_count_in_the_queue_the_share_and_the_rank():
@@ -152,7 +152,7 @@
     bed.give(SiblingProcessLoad({"s0": 3.0}))
     assert sent(bed.ask()[1])[0].server != "s0"
     bed.give(SiblingProcessLoad({}))
-    assert all(peer.beside == 0.0 for peer in bed.brain.peers.values())
+    assert all(peer.sibling_in_flight == 0.0 for peer in bed.brain.endpoints.values())
 
 
 # ---------------------------------------------------------------------- the node
@@ -173,13 +173,13 @@
             old.sharing.share()
             new.servers.on_list(EndpointListKind.CACHED, new.config.known)
             new.sharing.share(starts=True)
-            assert new.driver.balancer.peers["s0"].beside == 1.0
-            assert old.driver.balancer.peers["s0"].beside == 0.0
+            assert new.driver.balancer.endpoints["s0"].sibling_in_flight == 1.0
+            assert old.driver.balancer.endpoints["s0"].sibling_in_flight == 0.0
             server.release.set()
             await caller.answer()
             old.sharing.share()
             new.sharing.share()
-            assert new.driver.balancer.peers["s0"].beside == 0.0
+            assert new.driver.balancer.endpoints["s0"].sibling_in_flight == 0.0
             new.close()
             assert os.listdir(tmp_path / FOLDER) == [f"{PREFIX}{os.getpid()}"]
         assert os.listdir(tmp_path / FOLDER) == []
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -20,7 +20,7 @@
 
 from loadbalancer.balancing import Balancer
 from loadbalancer.balancing.events import EndpointListUpdate, LearnedState, StateRestored
-from loadbalancer.balancing.learned_state import TRUST_MS
+from loadbalancer.balancing.learned_state import RATES_TRUSTED_MS
 from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.discovery.watcher import Listing
 from loadbalancer.node.state import snapshot
@@ -230,12 +230,14 @@
 
 def test_the_module_trusts_restored_load_figures_only_while_they_are_young() -> None:
     fresh, old = (Balancer(settings(), 1, 0.0) for _ in range(2))
-    for balancer, age in ((fresh, 1000.0), (old, TRUST_MS + 1.0)):
+    for balancer, age in ((fresh, 1000.0), (old, RATES_TRUSTED_MS + 1.0)):
         balancer.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, servers(2)))
         balancer.handle(0.0, StateRestored(LEARNED, age))
     assert fresh.cursor == LEARNED.cursor
-    assert fresh.state.peak > 0.9 * LEARNED.peak_completion_rate
+    assert fresh.state.peak_completion_rate > 0.9 * LEARNED.peak_completion_rate
     assert old.cursor == 0
-    assert old.state.peak < 0.4 * LEARNED.peak_completion_rate
-    for balancer, age in ((fresh, 1000.0), (old, TRUST_MS + 1.0)):
-        assert balancer.peers["s0"].heard_ms == -age  # the verdict fades from when it was last heard
+    assert old.state.peak_completion_rate < 0.4 * LEARNED.peak_completion_rate
+    for balancer, age in ((fresh, 1000.0), (old, RATES_TRUSTED_MS + 1.0)):
+        assert (
+            balancer.endpoints["s0"].last_outcome_ms == -age
+        )  # the verdict fades from when it was last heard
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -659,15 +659,15 @@
     bed = Bed(2)
     acts = bed.give(Request("r", "post", bed.now + 2000.0, receiving=True))
     (send,) = sent(acts)
-    peer = bed.brain.peers[send.server]
-    assert (peer.load, peer.out) == (0.0, {})
+    peer = bed.brain.endpoints[send.server]
+    assert (peer.in_flight, peer.attempts_sent_ms) == (0.0, {})
     bed.now += 60_000.0
     bed.give(RequestReceived("r", bed.now + 2000.0))
-    assert peer.load == 1.0
-    assert list(peer.out.values()) == [bed.now]
+    assert peer.in_flight == 1.0
+    assert list(peer.attempts_sent_ms.values()) == [bed.now]
     bed.now += 100.0
     bed.end("r", send.server, AttemptResult.OK, 100.0)
-    assert (peer.load, peer.out, bed.brain.jobs) == (0.0, {}, {})
+    assert (peer.in_flight, peer.attempts_sent_ms, bed.brain.pending) == (0.0, {}, {})
 
 
 def test_in_the_module_a_request_that_never_arrives_leaves_no_load_behind():
@@ -676,5 +676,5 @@
     bed.give(RequestCancelled("r"))
     bed.end("r", send.server, AttemptResult.CONNECT_FAILED, done=True)
     bed.give(RequestReceived("r", bed.now + 2000.0))
-    assert bed.brain.peers[send.server].load == 0.0
-    assert not bed.brain.jobs
+    assert bed.brain.endpoints[send.server].in_flight == 0.0
+    assert not bed.brain.pending
--- a/tests/node/test_components.py
+++ b/tests/node/test_components.py
@@ -44,7 +44,7 @@
         node.parts.append(part)
         heard: list[tuple[str, AttemptResult, dict[str, float]]] = []
         node.attempts.on_outcome.append(
-            lambda outcome: heard.append((outcome.server, outcome.result, node.driver.balancer.held()))
+            lambda outcome: heard.append((outcome.server, outcome.result, node.driver.balancer.in_flight()))
         )
         await node.start()
         assert (await ask(node, request())).status == 200
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -73,7 +73,7 @@
             assert seen.body == b'{"a":1}'
             assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
             assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
-            assert node.driver.balancer.peers["s0"].queue == 3
+            assert node.driver.balancer.endpoints["s0"].reported_queue == 3
             assert node.jobs.held == {}
 
     asyncio.run(main())
@@ -176,10 +176,10 @@
             caller = await Caller.to(node)
             caller.writer.write(request())
             await until(lambda: server.seen)
-            assert node.driver.balancer.peers["s0"].load == 1.0
+            assert node.driver.balancer.endpoints["s0"].in_flight == 1.0
             caller.writer.close()
             await until(lambda: not node.jobs.held)
-            assert node.driver.balancer.peers["s0"].load == 0.0
+            assert node.driver.balancer.endpoints["s0"].in_flight == 0.0
             assert node.jobs.open == 0
 
     asyncio.run(main())
@@ -627,7 +627,7 @@
         discovery = Discovery(reply(503), listing(5, True, s9=("127.0.0.1:9", "Ready")))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: set(node.pool._servers) == {"s9"})
-            assert set(node.driver.balancer.peers) == {"s9"}
+            assert set(node.driver.balancer.endpoints) == {"s9"}
 
     asyncio.run(main())
 
@@ -689,7 +689,7 @@
         )
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: "s6" in node.pool._servers)
-            assert set(node.pool._servers) == set(node.driver.balancer.peers) == {"s5", "s6"}
+            assert set(node.pool._servers) == set(node.driver.balancer.endpoints) == {"s5", "s6"}
             assert node.counts["list failed"] == 2
             assert caplog.text.count("stale list, version 3 after 5") == 1
             assert caplog.text.count("the old list holds") == 1  # once for the stretch
--- a/tests/node/upstream/test_writes.py
+++ b/tests/node/upstream/test_writes.py
@@ -69,7 +69,7 @@
     """Nothing of any request is left, and its caller's connection is closed."""
     await until(lambda: not node.jobs.held and not node.server.connections)
     assert node.jobs.open == 0
-    assert sum(peer.load for peer in node.driver.balancer.peers.values()) == 0.0
+    assert sum(peer.in_flight for peer in node.driver.balancer.endpoints.values()) == 0.0
 
 
 class Jump:
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -42,7 +42,7 @@
 
 
 def servers(count: int, **changes: Any) -> tuple[Endpoint, ...]:
-    return tuple(Endpoint(address=f"s{at}", zone="ab"[at % 2], **changes) for at in range(count))
+    return tuple(Endpoint(name=f"s{at}", zone="ab"[at % 2], **changes) for at in range(count))
 
 
 class Bed:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -145,9 +145,9 @@
     rows = [row for event in (catalog(), *start(), request("q")) for row in host.event(event)]
     server = of(rows, "ISSUE")[0]["server"]
     host.event(returned("q", server, 0, True, telemetry=[3, None]))
-    peer = host.nodes[0].brain.peers[server]
-    assert peer.queue == 3
-    assert peer.util is None
+    peer = host.nodes[0].brain.endpoints[server]
+    assert peer.reported_queue == 3
+    assert peer.utilisation is None
 
 
 def test_a_catalog_number_is_reused_by_event_order():
@@ -155,7 +155,7 @@
     host.now = 1000.0
     for event in (catalog(0, 2), *start(0), catalog(0, 5), *start(1)):
         host.event(event)
-    assert [len(host.nodes[node].brain.peers) for node in (0, 1)] == [2, 5]
+    assert [len(host.nodes[node].brain.endpoints) for node in (0, 1)] == [2, 5]
 
 
 def test_a_stop_and_a_start_within_a_batch_leave_nothing_behind():
@@ -163,7 +163,7 @@
     host.now = 1000.0
     for event in (catalog(), *start(), request("q"), {"kind": "STOP", "node": 0}, *start()):
         host.event(event)
-    assert host.nodes[0].brain.jobs == {}
+    assert host.nodes[0].brain.pending == {}
 
 
 def test_membership_forms():
@@ -175,10 +175,10 @@
     assert [row["kind"] for row in failed] == ["SLEEP"]
     host.event(catalog(1, 1, stageState="removed"))
     host.event({"kind": "MEMBERSHIP", "node": 0, "form": "delta", "generation": 3, "ref": 1})
-    assert len(host.nodes[0].brain.peers) == 2
+    assert len(host.nodes[0].brain.endpoints) == 2
     host.event(catalog(2, 1))
     host.event({"kind": "MEMBERSHIP", "node": 0, "form": "full", "generation": 4, "ref": 2})
-    assert list(host.nodes[0].brain.peers) == ["10.0.0.0:1"]
+    assert list(host.nodes[0].brain.endpoints) == ["10.0.0.0:1"]
 
 
 def test_other_events_are_taken():
@@ -207,7 +207,7 @@
         {"kind": "ALARM", "node": 0, "name": "not ours"},
     ]
     assert [host.event(event) for event in quiet] == [[], [], [], []]
-    assert host.nodes[0].brain.peers["10.0.0.1:1"].queue == 4
+    assert host.nodes[0].brain.endpoints["10.0.0.1:1"].reported_queue == 4
 
 
 def test_absent_settings_take_their_defaults():
