--- a/tests/registry/test_group_commands.py
+++ b/tests/registry/test_group_commands.py
@@ -35,6 +35,14 @@
     "write": "stamp term commands",
 }
 
+TARGET_ARGUMENTS = {
+    "expire": "now_ms ttl_ms",
+    "grace": "now_ms",
+    "put": "target at_ms",
+    "remove": "uid at_ms",
+    "renew": "uids at_ms",
+}
+
 
 def catalogs() -> tuple[Catalog, FleetCatalog]:
     fleet = FleetCatalog(ServiceClock(None), lambda: 0.0, lambda groups: None)
@@ -51,6 +59,22 @@
     assert [name.removesuffix("_v0") for name in numbered] == RELEASED + ADDED
 
 
+def test_the_commands_on_targets_have_the_first_numbers_and_those_on_the_fleet_the_rest() -> None:
+    targets, fleet = catalogs()
+    raft = SyncObj(None, [], SyncObjConf(autoTick=False), consumers=[targets, fleet])
+    try:
+        owners = [raft._idToMethod[number].__self__ for number in range(len(RELEASED + ADDED))]
+    finally:
+        raft.destroy()
+    assert owners == [targets] * len(TARGET_ARGUMENTS) + [fleet] * len(ARGUMENTS)
+
+
+def test_a_command_on_targets_has_the_arguments_that_it_was_written_with() -> None:
+    for name, arguments in TARGET_ARGUMENTS.items():
+        command = inspect.unwrap(getattr(Catalog, name))
+        assert list(inspect.signature(command).parameters)[1:] == arguments.split(), name
+
+
 def test_a_command_of_a_journal_has_the_arguments_that_it_was_written_with() -> None:
     for name, arguments in ARGUMENTS.items():
         command = inspect.unwrap(getattr(FleetCatalog, name))
--- /dev/null
+++ b/tests/support/pickle_contents.py
@@ -0,0 +1,128 @@
+"""The contents of a pickle as plain JSON, read without the classes that it names.
+
+Classes of the program are replaced by stand-ins that keep what the pickle says of an object. So a test sees
+the stored class and field names, whatever the present names are.
+
+How a value is written: a list as it is, a tuple as `{"tuple": [...]}`, a set as `{"set": [...]}` (sorted), a
+dict whose keys are texts as it is and any other as `{"pairs": [[key, value], ...]}`, an object as
+`{"class": name, "arguments": [...], "state": ...}` where parts that are empty are left out.
+"""
+
+from __future__ import annotations
+
+import gzip
+import io
+import pickle
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+PROGRAM_PACKAGES = ("orchidledge", "loadbalancer")
+PLAIN = (str, int, float, bool, type(None))
+
+
+class StandIn:
+    """An object of a class that the pickle names."""
+
+    module = name = ""
+
+    def __new__(cls, *arguments: Any) -> StandIn:
+        made = super().__new__(cls)
+        made.arguments = arguments
+        made.state = None
+        return made
+
+    def __init__(self, *arguments: Any) -> None:
+        self.arguments: tuple[Any, ...]
+        self.state: Any
+
+    def __setstate__(self, state: Any) -> None:
+        self.state = state
+
+
+class _Reader(pickle.Unpickler):
+    """Loads a pickle with stand-ins in place of the program's classes, and notes those classes."""
+
+    def __init__(self, data: bytes) -> None:
+        super().__init__(io.BytesIO(data))
+        self.classes: dict[tuple[str, str], type[StandIn]] = {}
+
+    def find_class(self, module: str, name: str) -> Any:
+        if module.split(".")[0] not in PROGRAM_PACKAGES:
+            return super().find_class(module, name)
+        if (module, name) not in self.classes:
+            self.classes[module, name] = type(name, (StandIn,), {"module": module, "name": name})
+        return self.classes[module, name]
+
+
+def contents(data: bytes) -> Any:
+    """What a pickle holds, as plain JSON."""
+    return _plain(_Reader(data).load())
+
+
+def named_classes(data: bytes) -> set[str]:
+    """The program's classes that a pickle names, as `module:name`."""
+    reader = _Reader(data)
+    reader.load()
+    return {f"{module}:{name}" for module, name in reader.classes}
+
+
+def field_names(data: bytes) -> set[str]:
+    """The fields of the objects of a pickle, as `class.field`."""
+    return set(_fields(contents(data)))
+
+
+def unzipped(path: Path) -> bytes:
+    """The pickle in a snapshot file."""
+    return gzip.decompress(path.read_bytes())
+
+
+def _plain(value: Any) -> Any:
+    if isinstance(value, PLAIN):
+        return value
+    if isinstance(value, bytes):
+        return {"bytes": value.hex()}
+    if isinstance(value, list):
+        return [_plain(item) for item in value]
+    if isinstance(value, tuple):
+        return {"tuple": [_plain(item) for item in value]}
+    if isinstance(value, set | frozenset):
+        return {"set": sorted(_plain(item) for item in value)}
+    if isinstance(value, dict):
+        return _plain_dict(value)
+    if isinstance(value, StandIn):
+        return _plain_object(value)
+    raise TypeError(f"{type(value)} in a pickle")
+
+
+def _plain_dict(value: dict[Any, Any]) -> dict[str, Any]:
+    if all(isinstance(key, str) for key in value):
+        return {key: _plain(item) for key, item in value.items()}
+    return {"pairs": [[_plain(key), _plain(item)] for key, item in value.items()]}
+
+
+def _plain_object(value: StandIn) -> dict[str, Any]:
+    row: dict[str, Any] = {"class": value.name}
+    if value.arguments:
+        row["arguments"] = [_plain(item) for item in value.arguments]
+    if value.state is not None:
+        row["state"] = _plain(value.state)
+    return row
+
+
+def _fields(value: Any) -> Iterator[str]:
+    if isinstance(value, list):
+        for item in value:
+            yield from _fields(item)
+    elif isinstance(value, dict):
+        if "class" in value and "state" in value:
+            yield from (f"{value['class']}.{field}" for field in _named_state(value["state"]))
+        for item in value.values():
+            yield from _fields(item)
+
+
+def _named_state(state: Any) -> dict[str, Any]:
+    """The fields of an object's state that are named: a dict, or the second of a pair (slots)."""
+    if isinstance(state, dict) and "tuple" in state:
+        state = state["tuple"][-1]
+    return state if isinstance(state, dict) and "pairs" not in state else {}
--- /dev/null
+++ b/tests/support/stored_registry.py
@@ -0,0 +1,89 @@
+"""An instance's replicated state without its HTTP face: read from a data folder, written to one."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+from pysyncobj import SyncObj, SyncObjConf
+from pysyncobj.journal import createJournal
+
+from loadbalancer.registry.catalog import Catalog
+from loadbalancer.registry.fleet_catalog import FleetCatalog
+from loadbalancer.registry.service_clock import ServiceClock
+from loadbalancer.registry.snapshot_file import Dump
+from tests.support.pickle_contents import contents, unzipped
+from tests.support.ports import free_port
+from tests.support.registry_processes import until
+
+KEEP_GONE = 3  # tombstones, as the release's fixtures were made with
+REGULAR = b"\0"  # the kind of a journal's entry that is a call of a consumer
+NO_RAFT_PART = ((), (), ())  # of a snapshot: the last two entries and the cluster
+
+
+class StoredInstance:
+    """Both consumers of the Raft log, with snapshots and a journal in `folder`."""
+
+    def __init__(self, folder: Path) -> None:
+        self.folder = folder
+        self.targets = Catalog(KEEP_GONE, lambda revision: None)
+        self.fleet = FleetCatalog(ServiceClock(None), lambda: 0.0, lambda groups: None)
+        self.snapshot_file = Dump([self.targets, self.fleet])
+
+    def read_snapshot(self) -> None:
+        self.snapshot_file.read(str(self.folder / "raft.dump"))
+
+    def write_snapshot(self) -> bytes:
+        """The pickle in a snapshot file that is written now."""
+        path = self.folder / "written.dump"
+        self.snapshot_file.write(str(path), NO_RAFT_PART)
+        return unzipped(path)
+
+    def state(self) -> dict[str, Any]:
+        """What is stored of both consumers, by stored names."""
+        _, targets, fleet = contents(self.write_snapshot())["tuple"][0]
+        return {"targets": targets, "fleet": fleet}
+
+    def join_alone(self) -> SyncObj:
+        """A Raft member with no others: it applies all that its folder holds, in this thread."""
+        conf = SyncObjConf(
+            journalFile=str(self.folder / "raft.journal"),
+            fullDumpFile=str(self.folder / "raft.dump"),
+            autoTick=False,
+            useFork=False,
+            appendEntriesPeriod=0.01,
+            raftMinTimeout=0.05,
+            raftMaxTimeout=0.1,
+            serializer=self.snapshot_file.write,
+            deserializer=self.snapshot_file.read,
+        )
+        return SyncObj(f"127.0.0.1:{free_port()}", [], conf, consumers=[self.targets, self.fleet])
+
+    def replay(self) -> None:
+        """Apply the snapshot and the journal of the folder."""
+        raft = self.join_alone()
+        try:
+            tick_until_applied(raft)
+        finally:
+            raft.destroy()
+
+
+def tick_until_applied(raft: SyncObj) -> None:
+    """Let this member lead and apply everything in its journal."""
+
+    def applied() -> bool:
+        raft.doTick()
+        status = raft.getStatus()
+        return bool(raft.isReady()) and status["last_applied"] == status["commit_idx"]
+
+    until(applied, what="a journal replayed")
+
+
+def journal_commands(path: Path) -> list[bytes]:
+    """The pickled calls in a journal; other entries are Raft's own."""
+    journal = createJournal(str(path))
+    try:
+        entries = [journal[at][0] for at in range(len(journal))]
+    finally:
+        journal._destroy()
+    return [entry[1:] for entry in entries if entry[:1] == REGULAR]
