--- a/tests/stored/test_registry_data.py
+++ b/tests/stored/test_registry_data.py
@@ -15,7 +15,8 @@
 
 from loadbalancer.registry.clock_file import ClockFile, Clocks
 from loadbalancer.registry.service_clock import Bound
-from tests.support.stored_registry import StoredInstance, journal_commands, tick_until_applied
+from tests.support.journals import journal_commands
+from tests.support.stored_registry import StoredInstance, tick_until_applied
 
 DATA = Path(__file__).parents[1] / "data" / "release_bf594b0"
 EXPECTED: dict[str, Any] = orjson.loads((DATA / "registry-expected.json").read_bytes())
--- /dev/null
+++ b/tests/support/golden_registry.py
@@ -0,0 +1,85 @@
+"""Replays the scripts of the list service and of its agent (tests/data/golden/registry.json, agent.json)."""
+
+from __future__ import annotations
+
+import pickle
+import time
+from pathlib import Path
+from typing import Any
+
+import msgpack
+import orjson
+
+from tests.support.golden import Release, StandIn, agent, exchange, instance, masked, play, request_bytes
+from tests.support.journals import journal_commands
+from tests.support.registry_processes import until
+
+TARGET = {"endpoint": "10.0.0.1:80", "az": "a", "model": "m1"}
+LIST = {"rev": 5, "all": True, "targets": [TARGET | {"uid": "t1", "state": "Ready"}]}
+PERIODIC = (
+    0,
+    1,
+    4,
+    5,
+    7,
+    9,
+)  # commands that the leader proposes of its own accord: expire, grace and the like
+ON_TARGETS = range(5)  # commands whose last argument is a Unix time
+MOMENT = 1e9  # a float above this is a moment, or a clock's bound on one
+FOLLOWED = {"rev": 5, "all": False, "targets": []}
+
+
+def replay_instance(release: Release, folder: Path, case: dict[str, Any]) -> dict[str, Any]:
+    """The case with the answers that an instance of this release gives."""
+    with instance(release, folder, case["members"], case["peers"]) as (port, names):
+        steps = play(port, case["steps"], names)
+    return case | {"steps": steps, "journal": logged(folder / "data" / "raft.journal")}
+
+
+def logged(path: Path) -> list[Any]:
+    """What calls have put into the log: the commands' numbers and arguments."""
+    commands = [pickle.loads(command) for command in journal_commands(path)]
+    asked = [(number, plain(arguments)) for number, arguments in commands if number not in PERIODIC]
+    return [
+        [number, [*arguments[:-1], "<unix ms>"] if number in ON_TARGETS else arguments]
+        for number, arguments in asked
+    ]
+
+
+def plain(value: Any) -> Any:
+    """An argument as JSON: moments masked, packed commands decoded."""
+    if isinstance(value, float) and value > MOMENT:
+        return "<moment>"
+    if isinstance(value, bytes):
+        return {"msgpack": msgpack.unpackb(value)}
+    if isinstance(value, list | tuple):
+        return [plain(item) for item in value]
+    return value
+
+
+def replay_agent(release: Release, folder: Path, case: dict[str, Any]) -> dict[str, Any]:
+    """The case with the answers of an agent before an instance, and its own calls to a stand-in of one."""
+    with (
+        instance(release, folder, "ttl_ms = 600000") as (registry, _),
+        agent(release, folder, registry) as (port, names),
+    ):
+        exchange(registry, request_bytes("PUT", "/registry/targets/t1", orjson.dumps(TARGET)))
+        steps = play(port, case["steps"], names)
+    return case | {"steps": steps, "calls": agent_calls(release, folder)}
+
+
+def agent_calls(release: Release, folder: Path) -> list[str]:
+    """The calls of an agent: for the whole list, and for what has changed since."""
+    calls: list[bytes] = []
+
+    def answer(path: str, body: str) -> bytes:
+        calls.append(service.first.pop(f"GET {path}"))
+        if len(calls) > 1:
+            time.sleep(0.1)
+        return orjson.dumps(FOLLOWED if len(calls) > 1 else LIST)
+
+    service = StandIn(answer)
+    with agent(release, folder, service.port) as (_, names):
+        until(lambda: len(calls) > 1, what="two calls of an agent")
+    service.close()
+    return [masked(call, names) for call in calls[:2]]
--- a/tests/support/stored_registry.py
+++ b/tests/support/stored_registry.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 from pysyncobj import SyncObj, SyncObjConf
-from pysyncobj.journal import createJournal
 
 from loadbalancer.registry.catalog import Catalog
 from loadbalancer.registry.fleet_catalog import FleetCatalog
@@ -17,7 +16,6 @@
 from tests.support.registry_processes import until
 
 KEEP_GONE = 3  # tombstones, as the release's fixtures were made with
-REGULAR = b"\0"  # the kind of a journal's entry that is a call of a consumer
 NO_RAFT_PART = ((), (), ())  # of a snapshot: the last two entries and the cluster
 
 
@@ -77,13 +75,3 @@
         return bool(raft.isReady()) and status["last_applied"] == status["commit_idx"]
 
     until(applied, what="a journal replayed")
-
-
-def journal_commands(path: Path) -> list[bytes]:
-    """The pickled calls in a journal; other entries are Raft's own."""
-    journal = createJournal(str(path))
-    try:
-        entries = [journal[at][0] for at in range(len(journal))]
-    finally:
-        journal._destroy()
-    return [entry[1:] for entry in entries if entry[:1] == REGULAR]
