--- /dev/null
+++ b/tests/data/golden/generate_members.py
@@ -0,0 +1,26 @@
+"""Records `members.json` with the cores of commit bf594b0 (package `orchidledge`).
+
+PYTHONPATH=<worktree of bf594b0>:<this worktree> python generate_members.py <output folder>
+"""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+
+import orjson
+from orchidledge.interface import Result
+from orchidledge.members import FailureDetector, Sibling, Standing
+from orchidledge.view import Marks, Offsets, View
+
+from tests.support.golden_members import Cores, play
+
+
+def main() -> None:
+    cores = Cores(FailureDetector, Sibling, Standing, View, Offsets, Marks, Result)
+    data = orjson.dumps(play(cores))
+    (Path(sys.argv[1]) / "members.json").write_bytes(data)
+
+
+if __name__ == "__main__":
+    main()
