--- a/tests/support/golden_registry.py
+++ b/tests/support/golden_registry.py
@@ -26,6 +26,12 @@
 )  # commands that the leader proposes of its own accord: expire, grace and the like
 ON_TARGETS = range(5)  # commands whose last argument is a Unix time
 MOMENT = 1e9  # a float above this is a moment, or a clock's bound on one
+WATCH_S = 0.1  # that a watch without news is held
+PASSED_ON = (
+    ("POST", "/fleet/renew", b'{"incarnation":1}'),
+    ("GET", "/fleet/watch?since=1&routes_since=2&timeout_ms=10", b""),
+    ("DELETE", "/fleet/members/n%2F1?service=a%20b", b""),
+)
 FOLLOWED = {"rev": 5, "all": False, "targets": []}
 
 
@@ -69,17 +75,21 @@
 
 
 def agent_calls(release: Release, folder: Path) -> list[str]:
-    """The calls of an agent: for the whole list, and for what has changed since."""
-    calls: list[bytes] = []
+    """The calls of an agent: for the whole list, for what has changed since, and those that it passes on."""
+    lists: list[bytes] = []
 
     def answer(path: str, body: str) -> bytes:
-        calls.append(service.first.pop(f"GET {path}"))
-        if len(calls) > 1:
-            time.sleep(0.1)
-        return orjson.dumps(FOLLOWED if len(calls) > 1 else LIST)
+        if path.startswith("/fleet/"):
+            return b"{}"
+        lists.append(service.first.pop(f"GET {path}"))
+        time.sleep(WATCH_S if len(lists) > 1 else 0.0)
+        return orjson.dumps(FOLLOWED if len(lists) > 1 else LIST)
 
     service = StandIn(answer)
-    with agent(release, folder, service.port) as (_, names):
-        until(lambda: len(calls) > 1, what="two calls of an agent")
+    with agent(release, folder, service.port) as (port, names):
+        until(lambda: len(lists) > 1, what="two calls of an agent")
+        for method, target, body in PASSED_ON:
+            exchange(port, request_bytes(method, target, body))
     service.close()
-    return [masked(call, names) for call in calls[:2]]
+    passed_on = [service.first[call] for call in sorted(service.first) if "/fleet/" in call]
+    return [masked(call, names) for call in [*lists[:2], *passed_on]]
--- a/tests/support/pickle_contents.py
+++ b/tests/support/pickle_contents.py
@@ -13,7 +13,6 @@
 import gzip
 import io
 import pickle
-from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -67,11 +66,6 @@
     return {f"{module}:{name}" for module, name in reader.classes}
 
 
-def field_names(data: bytes) -> set[str]:
-    """The fields of the objects of a pickle, as `class.field`."""
-    return set(_fields(contents(data)))
-
-
 def unzipped(path: Path) -> bytes:
     """The pickle in a snapshot file."""
     return gzip.decompress(path.read_bytes())
@@ -108,21 +102,3 @@
     if value.state is not None:
         row["state"] = _plain(value.state)
     return row
-
-
-def _fields(value: Any) -> Iterator[str]:
-    if isinstance(value, list):
-        for item in value:
-            yield from _fields(item)
-    elif isinstance(value, dict):
-        if "class" in value and "state" in value:
-            yield from (f"{value['class']}.{field}" for field in _named_state(value["state"]))
-        for item in value.values():
-            yield from _fields(item)
-
-
-def _named_state(state: Any) -> dict[str, Any]:
-    """The fields of an object's state that are named: a dict, or the second of a pair (slots)."""
-    if isinstance(state, dict) and "tuple" in state:
-        state = state["tuple"][-1]
-    return state if isinstance(state, dict) and "pairs" not in state else {}
--- a/tests/wire/test_golden_registry.py
+++ b/tests/wire/test_golden_registry.py
@@ -11,8 +11,12 @@
 import orjson
 import pytest
 
+from loadbalancer.node.http.service_http import Call, Client
+from loadbalancer.registry.forwarding import pass_on
+from loadbalancer.registry.renewal_relay import RenewalRelay, answer_batch, read_batch
 from tests.support.golden import PRESENT
 from tests.support.golden_registry import replay_agent, replay_instance
+from tests.support.golden_relay import Functions, play
 
 DATA = Path(__file__).parents[1] / "data" / "golden"
 INSTANCES: dict[str, Any] = orjson.loads((DATA / "registry.json").read_bytes())
@@ -26,3 +30,8 @@
 def test_an_agent_answers_each_call_and_asks_for_the_list(tmp_path: Path) -> None:
     case = orjson.loads((DATA / "agent.json").read_bytes())
     assert replay_agent(PRESENT, tmp_path, case) == case
+
+
+def test_an_instance_passes_calls_and_renewals_on_to_the_one_that_leads() -> None:
+    played = play(Functions(Client, Call, pass_on, RenewalRelay, read_batch, answer_batch))
+    assert orjson.loads(orjson.dumps(played)) == orjson.loads((DATA / "relay.json").read_bytes())
