--- a/tests/wire/test_golden_members.py
+++ b/tests/wire/test_golden_members.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from loadbalancer.interface import Result
+from loadbalancer.endpoints import AttemptResult
 from loadbalancer.membership import FailureDetector, Sibling, Standing
 from loadbalancer.staleness import Marks, Offsets, View
 from tests.support.golden_members import Cores, play
@@ -18,6 +18,6 @@
 
 
 def test_members_say_the_same_of_the_same_events() -> None:
-    cores = Cores(FailureDetector, Sibling, Standing, View, Offsets, Marks, Result)
+    cores = Cores(FailureDetector, Sibling, Standing, View, Offsets, Marks, AttemptResult)
     played = orjson.loads(orjson.dumps(play(cores)))
     assert played == orjson.loads((DATA / "members.json").read_bytes())
