--- a/tests/stored/test_registry_data.py
+++ b/tests/stored/test_registry_data.py
@@ -13,8 +13,8 @@
 import orjson
 import pytest
 
-from loadbalancer.registry.clock_file import ClockFile, Clocks
-from loadbalancer.registry.service_clock import Bound
+from loadbalancer.registry.clock_file import ClockFile, ProcessClocks
+from loadbalancer.registry.service_clock import ClockBound
 from tests.support.journals import journal_commands
 from tests.support.stored_registry import StoredInstance, tick_until_applied
 
@@ -84,11 +84,11 @@
 ) -> None:
     stored = (DATA / "service-clock.json").read_bytes()
     row = orjson.loads(stored)
-    bound = Bound(row["ahead"], row["at"], row["epoch"])
+    bound = ClockBound(row["ahead"], row["at"], row["epoch"])
     monkeypatch.setattr("time.monotonic", lambda: 1.0)  # after `at`, as in a run of the machine that goes on
-    ClockFile(tmp_path, Clocks(0.0)).save(bound)
+    ClockFile(tmp_path, ProcessClocks(0.0)).save(bound)
     path = tmp_path / "service-clock.json"
     run = orjson.loads(path.read_bytes())["run"]
     assert path.read_bytes().replace(run.encode(), CLOCK_RUN.encode()) == stored
     path.write_bytes(stored.replace(CLOCK_RUN.encode(), run.encode()))
-    assert ClockFile(tmp_path, Clocks(0.0)).load() == bound
+    assert ClockFile(tmp_path, ProcessClocks(0.0)).load() == bound
--- a/tests/support/pickle_contents.py
+++ b/tests/support/pickle_contents.py
@@ -21,19 +21,19 @@
 
 
 class StandIn:
-    """An object of a class that the pickle names."""
+    """An object of a class that the pickle names, however the pickle creates it."""
 
     module = name = ""
+    arguments: tuple[Any, ...] = ()
+    state: Any = None
 
     def __new__(cls, *arguments: Any) -> StandIn:
         made = super().__new__(cls)
         made.arguments = arguments
-        made.state = None
         return made
 
     def __init__(self, *arguments: Any) -> None:
-        self.arguments: tuple[Any, ...]
-        self.state: Any
+        """Takes what `__new__` has kept."""
 
     def __setstate__(self, state: Any) -> None:
         self.state = state
