--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -27,7 +27,7 @@
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import Config, parse_config
 from loadbalancer.node.control import control_plane as fleet_part
-from loadbalancer.node.control.registry_client import Agent
+from loadbalancer.node.control.registry_client import RegistryClient
 from loadbalancer.node.http import service_http as web
 from loadbalancer.registry.agent import Follower
 from loadbalancer.registry.settings import Agent as AgentSettings
@@ -87,7 +87,7 @@
         return web.Reply(answer.status, answer.headers, answer.body)
 
 
-class MeasuredAgent(Agent):
+class MeasuredAgent(RegistryClient):
     """The node's side of its agent: inner or a real process; each call is timed and what fails is counted."""
 
     def __init__(self, address: Callable[[], Any], node: HollowNode) -> None:
@@ -157,8 +157,8 @@
         if self._setup.probes:
             await self.part.start()
         else:
-            self.part.routing.start()
-            self.part.sight.start()
+            self.part.route_activation.start()
+            self.part.freshness.start()
             self.part.lease.start()
         self._tasks.append(asyncio.create_task(self._see_servers()))
 
@@ -174,8 +174,8 @@
         def agent(address: Callable[[], Any]) -> MeasuredAgent:
             return MeasuredAgent(address, self)
 
-        fleet_part.Agent = agent  # type: ignore[attr-defined, assignment]
-        return fleet_part.FleetPart(config, clock, servers, watcher, driver)  # type: ignore[arg-type]
+        fleet_part.RegistryClient = agent  # type: ignore[attr-defined, assignment]
+        return fleet_part.ControlPlane(config, clock, servers, watcher, driver)  # type: ignore[arg-type]
 
     def _time_enrolment(self) -> None:
         """Note when the first answer comes, ahead of what the part does with it."""
@@ -191,18 +191,18 @@
 
     async def _see_servers(self) -> None:
         """Facts on servers go out with the probes' payloads, as many as calls would make."""
-        view = self.part.sight.view
+        view = self.part.freshness.table
         while True:
-            now = self.part.clock.ms()
+            now = self.part.clock.now_ms()
             for uid in self._setup.servers[self.spec.service]:
-                view.saw(now, uid, AttemptResult.OK)
+                view.record_outcome(now, uid, AttemptResult.OK)
             await asyncio.sleep(SEEN_EVERY_S)
 
     async def leave(self) -> None:
         part, self.part = self.part, None
         if part is None:
             return
-        part.drains()
+        part.begin_drain()
         await part.stop()
         self._end(part)
 
@@ -222,7 +222,7 @@
         """The share that this node takes now."""
         if self.part is None:
             return 0.0
-        share = float(self.part.lease.core.taking(self.part.clock.ms()))
+        share = float(self.part.lease.core.taking(self.part.clock.now_ms()))
         if self._had_share and share <= 0.0:
             self.figures.yielded += 1
         self._had_share = share > 0.0
@@ -243,7 +243,7 @@
         """What this node makes of each sibling."""
         if self.part is None:
             return []
-        return [verdict.value for verdict in self.part.verdicts(self.part.clock.ms()).values()]
+        return [verdict.value for verdict in self.part.verdicts(self.part.clock.now_ms()).values()]
 
     @property
     def ttl_ms(self) -> float:
@@ -255,7 +255,7 @@
 
     @property
     def attached(self) -> bool:
-        return self.enrolled and bool(self.part.lease.core.attached(self.part.clock.ms()))
+        return self.enrolled and bool(self.part.lease.core.attached(self.part.clock.now_ms()))
 
     @property
     def elector(self) -> bool:
@@ -281,8 +281,8 @@
 
 def probes(part: Any) -> tuple[int, int]:
     """Sent and taken; earlier releases name their shell otherwise."""
-    if hasattr(part, "probing"):
-        return part.probing.probes_sent, part.probing.probes_received
+    if hasattr(part, "probe_transport"):
+        return part.probe_transport.probes_sent, part.probe_transport.probes_received
     return part.hearing.asks, part.hearing.asked
 
 
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -253,7 +253,7 @@
 def _is_scoped(program: Program) -> bool:
     """Whether the program under test has shares by service."""
     texts = [path.read_text() for path in (program.checkout / "loadbalancer").rglob("*.py")]
-    settings = [text.partition("class FleetSettings")[2] for text in texts]
+    settings = [text.partition("class MembershipSettings")[2] for text in texts]
     return any("\n    service: " in text for text in settings)
 
 
--- a/bench/view.py
+++ b/bench/view.py
@@ -34,13 +34,13 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from loadbalancer.endpoints import AttemptResult, Confidence
-from loadbalancer.staleness import Marks, Offsets, View, server_edge, sibling_edge
-from loadbalancer.staleness.confidence import BOUNDS
+from loadbalancer.staleness import ClockOffsets, ConfidenceTracker, FreshnessTable, server_edge, sibling_edge
+from loadbalancer.staleness.confidence import MAX_AGE_PERIODS
 
 P, EVERY, CALL, SAMPLE = 15.0, 30.0, 200.0, 100.0  # ms
 LOSS = 0.02
 SLACK = 0.01  # ms: rounding in the simulation's own arithmetic
-LIMITS = {mark: bound * P for mark, bound in zip(Confidence, BOUNDS, strict=False)}  # blind has none
+LIMITS = {mark: bound * P for mark, bound in zip(Confidence, MAX_AGE_PERIODS, strict=False)}  # blind has none
 NEVER = -math.inf
 
 
@@ -49,9 +49,9 @@
 
     def __init__(self, draw: random.Random, name: int, nodes: int) -> None:
         self.name, self.skew, self.rate = name, draw.uniform(-1000.0, 1000.0), draw.uniform(-400e-6, 400e-6)
-        self.view = View(Offsets())
-        self.view.members([other for other in range(nodes) if other != name])
-        self.marks = Marks(self.view, P, EVERY, round_ms=CALL * nodes)
+        self.view = FreshnessTable(ClockOffsets())
+        self.view.set_members([other for other in range(nodes) if other != name])
+        self.marks = ConfidenceTracker(self.view, P, EVERY, round_ms=CALL * nodes)
         self.round: list[int] = []
         self.heard: dict[str, float] = {}  # server -> its last answer
         self.facts: dict[tuple[str, int], float] = {}  # server, version -> the answer that fact speaks of
@@ -102,7 +102,7 @@
 
     def run(self, span: float, jump: float) -> None:
         for node in self.nodes:
-            node.view.listed(node.clock(0.0), 1, self.servers)
+            node.view.confirm_list(node.clock(0.0), 1, self.servers)
             node.marks.update(node.clock(0.0), "attached")
             self.at(self.draw.uniform(0.0, CALL), self.call, node)
             self.at(self.draw.uniform(0.0, EVERY), self.mark, node)
@@ -127,20 +127,27 @@
 
     def use(self, now: float, node: Node, server: str, gap: float) -> None:
         bad = server in self.down or self.draw.random() < 0.005
-        self.calls[node.marks.marks[server], bad] += 1
+        self.calls[node.marks.levels[server], bad] += 1
         self.at(now + self.draw.uniform(1.0, 20.0), self.used, node, server, bad)
         self.at(now + self.draw.expovariate(1.0 / gap), self.use, node, server, gap)
 
     def used(self, now: float, node: Node, server: str, bad: bool) -> None:
-        node.view.saw(node.clock(now), server, AttemptResult.RESET if bad else AttemptResult.OK)
+        node.view.record_outcome(node.clock(now), server, AttemptResult.RESET if bad else AttemptResult.OK)
         if not bad:
             node.heard[server] = now
-        node.facts[server, node.view.seen[server].version] = node.heard.get(server, NEVER)
+        node.facts[server, node.view.observations[server].version] = node.heard.get(server, NEVER)
 
     def call(self, now: float, node: Node) -> None:
         there = node.next(self.draw)
         self.message(
-            now, node.name, there, self.taken, node, self.nodes[there], now, node.view.share(node.clock(now))
+            now,
+            node.name,
+            there,
+            self.taken,
+            node,
+            self.nodes[there],
+            now,
+            node.view.make_report(node.clock(now)),
         )
         self.at(now + CALL, self.call, node)
 
@@ -151,7 +158,7 @@
     def answer(self, now: float, node: Node, there: Node, began: float, t2: float) -> None:
         times = (node.clock(began), t2, there.clock(now))
         self.message(
-            now, there.name, node.name, self.back, node, there, times, now, there.view.share(times[2])
+            now, there.name, node.name, self.back, node, there, times, now, there.view.make_report(times[2])
         )
 
     def back(
@@ -163,16 +170,16 @@
         sent: float,
         entry: bytes,
     ) -> None:
-        node.view.offsets.sample(there.name, *times, node.clock(now))
+        node.view.clock_offsets.add_sample(there.name, *times, node.clock(now))
         self.tell(now, node, there, sent, entry)
 
     def tell(self, now: float, node: Node, origin: Node, sent: float, entry: bytes) -> None:
-        if node.view.told(node.clock(now), origin.name, entry) is None:
+        if node.view.receive_report(node.clock(now), origin.name, entry) is None:
             node.sent[origin.name] = sent
 
     def mark(self, now: float, node: Node) -> None:
         self.check(now, node)
-        node.view.listed(node.clock(now), 1)
+        node.view.confirm_list(node.clock(now), 1)
         node.marks.update(node.clock(now), "attached")
         self.check(now, node)
         self.at(now + EVERY * self.draw.uniform(0.9, 0.999), self.mark, node)
@@ -181,7 +188,7 @@
 
     def check(self, now: float, node: Node) -> None:
         """Whether each mark, as it is given or as it is about to be taken back, is within its bound."""
-        for server, mark in node.marks.marks.items():
+        for server, mark in node.marks.levels.items():
             self.given[mark] += 1
             if mark in LIMITS:
                 known = node.heard.get(server, NEVER)
@@ -191,8 +198,8 @@
 
     def told_of(self, node: Node, server: str, via: int | None = None) -> float:
         """The true time of the newest answer of which a sibling, or this one, told the node."""
-        hearsay = node.view.hearsay.get(server)
-        facts = hearsay.facts.values() if hearsay else ()
+        hearsay = node.view.gossip.get(server)
+        facts = hearsay.by_origin.values() if hearsay else ()
         wanted = (fact for fact in facts if via is None or fact.origin == via)
         return max((self.nodes[fact.origin].facts[server, fact.version] for fact in wanted), default=NEVER)
 
@@ -202,8 +209,8 @@
             for server in self.servers:
                 edge = server_edge(node.view, own, server, 1)
                 known = node.heard.get(server, NEVER)
-                if edge.via is not None:
-                    known = max(known, self.told_of(node, server, edge.via))
+                if edge.reporter is not None:
+                    known = max(known, self.told_of(node, server, edge.reporter))
                 self.hold("age", edge.age, (now - known) * (1.0 + node.rate))
             for name, sent in node.sent.items():
                 age = sibling_edge(node.view, own, name, 1).age
@@ -211,7 +218,7 @@
                 self.widths.append(
                     (age[1] - age[0]) / (self.ways[node.name, name] + self.ways[name, node.name])
                 )
-                offset = node.view.offsets.best(name, own)
+                offset = node.view.clock_offsets.offset(name, own)
                 if offset is not None:
                     self.hold("offset", offset, self.nodes[name].clock(now) - own)
         self.at(now + SAMPLE, self.sample)
@@ -246,17 +253,17 @@
     fleet.run(10_000.0, 0.0)
     node, there = fleet.nodes[0], fleet.nodes[1]
     view, now = node.view, node.clock(10_000.0)
-    entries = iter([there.view.share(there.clock(10_000.0)) for _ in range(500)])
+    entries = iter([there.view.make_report(there.clock(10_000.0)) for _ in range(500)])
     names = iter(fleet.servers * 100)
     ahead = iter(range(10_000, 30_000, 30))
     return {
-        "saw": _us(lambda: view.saw(now, next(names), AttemptResult.OK), 10_000),
-        "share": _us(lambda: view.share(now), 500),
-        "told": _us(lambda: view.told(now, 1, next(entries)), 500),
-        "sample": _us(lambda: view.offsets.sample(1, now, now, now, now), 500),
+        "saw": _us(lambda: view.record_outcome(now, next(names), AttemptResult.OK), 10_000),
+        "share": _us(lambda: view.make_report(now), 500),
+        "told": _us(lambda: view.receive_report(now, 1, next(entries)), 500),
+        "sample": _us(lambda: view.clock_offsets.add_sample(1, now, now, now, now), 500),
         "marks": _us(lambda: node.marks.update(node.clock(next(ahead)), "attached"), 500),
-        "status": _us(lambda: node.marks.routes_status(now), 100),
-        "share_bytes": len(view.share(now)),
+        "status": _us(lambda: node.marks.edge_rows(now), 100),
+        "share_bytes": len(view.make_report(now)),
     }
 
 
--- a/loadbalancer/node/component.py
+++ b/loadbalancer/node/component.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 
-class Part(Protocol):
+class Component(Protocol):
     """Begins, ends and reports with the node that lists it in `Node.parts`."""
 
     async def start(self) -> None:
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -18,7 +18,7 @@
 from loadbalancer.settings import JsonObject, section, settings_from, text_of
 
 if TYPE_CHECKING:
-    from loadbalancer.node.membership_settings import FleetSettings
+    from loadbalancer.node.membership_settings import MembershipSettings
 
 
 LEAST = 0.001  # of any figure that has to be above 0
@@ -38,7 +38,7 @@
     handover: Path | None = None  # and of what they tell each other
     state: Path | None = None  # the state file, kept across a crash; None: nothing is kept
     state_every_ms: float = 1000.0  # how often it is written
-    members: FleetSettings | None = None  # the fleet's part; None: the node knows no other
+    members: MembershipSettings | None = None  # the fleet's part; None: the node knows no other
     memory_mb: float = 2048.0
     sockets: int = 1024  # descriptors for everything
     max_open: int = 20_000  # requests open at once
@@ -100,13 +100,13 @@
     return given
 
 
-def _members(row: JsonObject | None) -> FleetSettings | None:
+def _members(row: JsonObject | None) -> MembershipSettings | None:
     if row is None:
         return None
     # Only a node that is told of members pays for the libraries that it needs for them.
-    from loadbalancer.node.membership_settings import parse_settings
+    from loadbalancer.node.membership_settings import parse_membership_settings
 
-    return parse_settings(row)
+    return parse_membership_settings(row)
 
 
 def parse_config(data: bytes, environment: Mapping[str, str] | None = None) -> Config:
--- a/loadbalancer/node/control/__init__.py
+++ b/loadbalancer/node/control/__init__.py
@@ -6,6 +6,6 @@
 only.
 """
 
-from loadbalancer.node.control.control_plane import FleetPart
+from loadbalancer.node.control.control_plane import ControlPlane
 
-__all__ = ["FleetPart"]
+__all__ = ["ControlPlane"]
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -32,22 +32,22 @@
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import Config as NodeConfig
 from loadbalancer.node.control import lease as lease_shell
-from loadbalancer.node.control.freshness_tracker import Sight
+from loadbalancer.node.control.freshness_tracker import FreshnessTracker
 from loadbalancer.node.control.probe_transport import ProbeTransport, log
-from loadbalancer.node.control.registry_client import Agent
-from loadbalancer.node.control.route_activation import Routing
+from loadbalancer.node.control.registry_client import RegistryClient
+from loadbalancer.node.control.route_activation import RouteActivator
 from loadbalancer.node.control.route_store import RouteStore
-from loadbalancer.node.control.timers import FleetClock
+from loadbalancer.node.control.timers import MembershipClock
 from loadbalancer.node.discovery.watcher import Watcher
 from loadbalancer.node.endpoint_list import ServerList
 from loadbalancer.routing import Follower
-from loadbalancer.staleness import Offsets
+from loadbalancer.staleness import ClockOffsets
 
 ORDER_MS = 3_000.0  # an operator's word that the list service has not answered by then is a no
 SIBLING_MS = 3_000.0  # a node that no sibling has answered for so long, nor the list service, is alone
 
 
-class FleetPart:
+class ControlPlane:
     """A part of the node (node/component.py) where the configuration names `members`."""
 
     def __init__(
@@ -63,80 +63,82 @@
         name, tell, self.settings = config.name, driver.tell, config.members
         settings = self.settings
         classes = tuple(kind.name for kind in config.settings.classes)
-        self.clock = FleetClock(clock, settings.clock_offset_ms)
+        self.clock = MembershipClock(clock, settings.clock_offset_ms)
         self._name, self._tell = name, tell
         self._shared: QuotaGrant | None = None  # as last told to the module
-        self.offsets = Offsets()
-        agent = Agent(lambda: watcher.address)
+        self.clock_offsets = ClockOffsets()
+        agent = RegistryClient(lambda: watcher.address)
         random = Random(int.from_bytes(os.urandom(8), "big"))  # apart from the module's, which stays as it is
         start = secrets.token_hex(8)
-        self.lease = lease_shell.Lease(
+        self.lease = lease_shell.LeaseClient(
             Enrolment(name, settings.listen, settings.zone, start, random, settings.service),
             agent,
             self.clock,
-            self.offsets,
+            self.clock_offsets,
         )
         detection = DetectorConfig(
-            period_ms=settings.ask_every_ms,
-            urgent_period_ms=settings.urgent_ask_every_ms,
-            probe_timeout_ms=settings.ask_timeout_ms,
+            period_ms=settings.probe_period_ms,
+            urgent_period_ms=settings.urgent_probe_period_ms,
+            probe_timeout_ms=settings.probe_timeout_ms,
         )
         detector = FailureDetector(0, random, detection)
-        self.probing = ProbeTransport(detector, self.clock, config.member_sockets // 2)
-        folder = settings.folder
+        self.probe_transport = ProbeTransport(detector, self.clock, config.member_sockets // 2)
+        folder = settings.routes_path
         store = RouteStore(folder) if folder is not None else None
-        follower = Follower(classes, settings.clock_bound_ms)
-        self.routing = Routing(follower, agent, self.clock, store, tell)
-        self.sight = Sight(settings, self.clock, self.offsets, servers, driver, self._on_marks)
-        self.sight.stand = lambda: self.stand(self.clock.ms()).value
-        driver.before.append(self.routing.on_time)
+        follower = Follower(classes, settings.max_clock_uncertainty_ms)
+        self.route_activation = RouteActivator(follower, agent, self.clock, store, tell)
+        self.freshness = FreshnessTracker(
+            settings, self.clock, self.clock_offsets, servers, driver, self._on_marks
+        )
+        self.freshness.connectivity = lambda: self.connectivity(self.clock.now_ms()).value
+        driver.before.append(self.route_activation.run_if_due)
         self._agent = agent
         self._servers = servers
         self.lease.on_answer = self._on_answer
-        self.lease.on_gone = self._on_gone
-        self.lease.on_share = self._on_share
-        self.probing.before_tick = self._before_tick
-        self.probing.on_view = self._on_view
-        self.probing.on_change = self._on_change
+        self.lease.on_lease_lost = self._on_gone
+        self.lease.on_quota_change = self._on_share
+        self.probe_transport.before_tick = self._before_tick
+        self.probe_transport.on_report = self._on_view
+        self.probe_transport.on_change = self._on_change
 
     # -------------------------------------------------------------- as a part of the node
 
     async def start(self) -> None:
         """Listening comes before enrolment: it shows that no other process of this node lives
         (membership/quota_ledger.py)."""
-        self.routing.start()
+        self.route_activation.start()
         self._on_share()
-        self.sight.start()
-        self.probing.listen(self.settings.address, self.lease.start)
+        self.freshness.start()
+        self.probe_transport.listen(self.settings.address, self.lease.start)
 
-    def drains(self) -> None:
-        self.lease.leaving()
+    def begin_drain(self) -> None:
+        self.lease.begin_drain()
 
     async def stop(self) -> None:
         await self.lease.leave()
 
     def close(self) -> None:
         self.lease.close()
-        self.probing.close()
-        self.routing.close()
-        self.sight.close()
+        self.probe_transport.close()
+        self.route_activation.close()
+        self.freshness.close()
         self._agent.close()
 
     def metrics(self) -> str:
-        now = self.clock.ms()
+        now = self.clock.now_ms()
         counts = Counter(self.verdicts(now).values())
         lines: dict[str, float] = {f"members_{kind.value}": counts[kind] for kind in Verdict}
         lines |= {
-            "members_asks": self.probing.probes_sent,
-            "members_asked": self.probing.probes_received,
-            "members_refused": self.probing.refused,
-            "members_ignored": self.probing.core.ignored.total(),
-            "view_refused": self.sight.refused,
+            "members_asks": self.probe_transport.probes_sent,
+            "members_asked": self.probe_transport.probes_received,
+            "members_refused": self.probe_transport.rejected_calls,
+            "members_ignored": self.probe_transport.core.ignored.total(),
+            "view_refused": self.freshness.rejected_reports,
             "lease_failures": self.lease.failures,
             "share": round(self.lease.core.taking(now), 6),
-            "route_version": self.routing.core.running,
-            "route_switches": self.routing.switches,
-            "route_late_ms": round(self.routing.latest_ms, 3),
+            "route_version": self.route_activation.core.running,
+            "route_switches": self.route_activation.switches,
+            "route_late_ms": round(self.route_activation.last_delay_ms, 3),
         }
         return "".join(f"proxy.{name}={value}\n" for name, value in lines.items())
 
@@ -144,28 +146,28 @@
 
     def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
         core = self.lease.core
-        self.probing.core.set_incarnation(answer.incarnation)
+        self.probe_transport.core.set_incarnation(answer.incarnation)
         siblings = [
             Sibling(member.incarnation, member.name, member.address)
             for member in core.members
             if member.state != "left"
         ]
-        self.probing.carry_out(self.probing.core.set_members(now, siblings))
+        self.probe_transport.carry_out(self.probe_transport.core.set_members(now, siblings))
         others = [sibling.incarnation for sibling in siblings if sibling.incarnation != answer.incarnation]
-        self.sight.members(others)
+        self.freshness.set_members(others)
         service = self.lease.service_ms(now)
         if service is not None:
-            self.routing.answered(now, core.lease_end, service, answer)
-        self.lease.told(answer.rev, int(answer.routes.get("rev", 0)))
+            self.route_activation.on_lease_answer(now, core.lease_end, service, answer)
+        self.lease.set_revisions(answer.rev, int(answer.routes.get("rev", 0)))
 
     def _on_gone(self, now: float) -> None:
-        self.routing.carry_out(self.routing.core.gone(now))
+        self.route_activation.carry_out(self.route_activation.core.gone(now))
 
     def _on_share(self) -> None:
         """The module is told of the share with its end, so that no timer of this shell has to end it in
         time."""
-        share = self.lease.core.share(self.clock.ms())
-        event = QuotaGrant(share.share, share.rows, self.clock.of_module(share.until_ms))
+        share = self.lease.core.share(self.clock.now_ms())
+        event = QuotaGrant(share.share, share.rows, self.clock.to_node_ms(share.until_ms))
         if event != self._shared:
             self._shared = event
             self._tell(event)
@@ -173,25 +175,25 @@
     def _before_tick(self, now: float) -> None:
         core, service = self.lease.core, self.lease.service_ms(now)
         if service is not None and core.incarnation is not None:
-            self.probing.core.set_standing(now, core.standing(now), max(0.0, service[0]))
+            self.probe_transport.core.set_standing(now, core.standing(now), max(0.0, service[0]))
         if not core.attached(now):
             core.heard(now, self._words(now))
             self._on_share()
-        self.probing.core.set_view(self.sight.share(now))
+        self.probe_transport.core.set_view(self.freshness.report(now))
 
     def _words(self, now: float) -> dict[int, Word]:
         """What siblings said of themselves, each no later than it may have been said by this node's clock."""
         words = {}
-        for incarnation, (standing, said) in self.probing.core.standings().items():
-            span = self.offsets.to_own(lease_shell.SERVICE, now, said)
+        for incarnation, (standing, said) in self.probe_transport.core.standings().items():
+            span = self.clock_offsets.to_local(lease_shell.REGISTRY_PEER, now, said)
             if span is not None:
                 words[incarnation] = Word(standing, span[0])
         return words
 
     def _on_view(self, viewed: Viewed) -> None:
         if viewed.sent is not None:
-            self.offsets.sample(viewed.incarnation, viewed.sent, viewed.at, viewed.at, viewed.now)
-        self.sight.told(viewed)
+            self.clock_offsets.add_sample(viewed.incarnation, viewed.sent, viewed.at, viewed.at, viewed.now)
+        self.freshness.receive_report(viewed)
 
     def _on_change(self, changed: Changed) -> None:
         log.info(
@@ -200,24 +202,24 @@
 
     def _on_marks(self, marks: dict[str, Confidence]) -> None:
         self._tell(ConfidenceUpdate(marks))
-        now = self.clock.ms()
-        known = self.sight.marks()
+        now = self.clock.now_ms()
+        known = self.freshness.confidence()
         # As in the module: where no route is better than weak, marks tell nothing of one against another.
         told = any(mark in (Confidence.HIGH, Confidence.MEDIUM) for mark in known.values())
         blind = [name for name, mark in known.items() if told and mark is Confidence.NONE]
         listed = tuple(server for server, _ in self._servers.listed.values())
-        self.routing.carry_out(self.routing.core.seen(now, listed, blind))
+        self.route_activation.carry_out(self.route_activation.core.seen(now, listed, blind))
 
     # -------------------------------------------------------------------------- for operators
 
-    def stand(self, now: float) -> Connectivity:
+    def connectivity(self, now: float) -> Connectivity:
         core = self.lease.core
         renewed = now if core.attached(now) else None
-        return connectivity(now, core.ttl_ms, renewed, self.probing.core.last_ack_at, SIBLING_MS)
+        return connectivity(now, core.ttl_ms, renewed, self.probe_transport.core.last_ack_at, SIBLING_MS)
 
     def verdicts(self, now: float) -> dict[int, Verdict]:
         core = self.lease.core
-        attached, reachability = core.attached(now), self.probing.core.reachability()
+        attached, reachability = core.attached(now), self.probe_transport.core.reachability()
         found = {}
         for member in core.members:
             if member.incarnation in reachability:
@@ -229,9 +231,9 @@
 
     def status(self) -> dict[str, Any]:
         """The body of GET /status/members."""
-        now, core = self.clock.ms(), self.lease.core
+        now, core = self.clock.now_ms(), self.lease.core
         share, service = core.share(now), self.lease.service_ms(now)
-        reachability, verdicts = self.probing.core.reachability(), self.verdicts(now)
+        reachability, verdicts = self.probe_transport.core.reachability(), self.verdicts(now)
         siblings = [
             {
                 "name": member.name,
@@ -248,7 +250,7 @@
             "name": self._name,
             "service": self.settings.service,
             "incarnation": core.incarnation,
-            "stand": self.stand(now).value,
+            "stand": self.connectivity(now).value,
             "standing": core.standing(now).name.lower(),
             "share": core.taking(now),
             "rows": share.rows,
@@ -256,18 +258,18 @@
             "lease_ms": max(0.0, core.lease_end - now) if core.incarnation is not None else 0.0,
             "now_ms": now,
             "service_ms": service,
-            "routes": self.routing.core.status(now),
-            "health": self.probing.core.health,
-            "ignored": dict(self.probing.core.ignored),
+            "routes": self.route_activation.core.status(now),
+            "health": self.probe_transport.core.health,
+            "ignored": dict(self.probe_transport.core.ignored),
             "siblings": siblings,
         }
 
     def routes_status(self) -> dict[str, Any]:
         """The body of GET /status/routes."""
-        now = self.clock.ms()
-        return {"stand": self.stand(now).value, "edges": self.sight.status(now)}
+        now = self.clock.now_ms()
+        return {"stand": self.connectivity(now).value, "edges": self.freshness.edges(now)}
 
-    def calls(self) -> Calls:
+    def admin_calls(self) -> Calls:
         """The door's calls on the fleet."""
         return {
             (b"GET", b"/status/members"): lambda _: Answer(200, _json(self.status())),
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -10,10 +10,10 @@
 from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import Viewed
 from loadbalancer.node.balancer_driver import Driver
-from loadbalancer.node.control.timers import Alarm, FleetClock
+from loadbalancer.node.control.timers import MembershipClock, RestartableTimer
 from loadbalancer.node.endpoint_list import ServerList
-from loadbalancer.node.membership_settings import FleetSettings
-from loadbalancer.staleness import Marks, Offsets, Stand, View
+from loadbalancer.node.membership_settings import MembershipSettings
+from loadbalancer.staleness import ClockOffsets, ConfidenceTracker, ConnectivityState, FreshnessTable
 
 log = logging.getLogger("loadbalancer")
 
@@ -21,30 +21,30 @@
 LEAST_MS = 50.0  # but no less, for what an update costs
 
 
-class Sight:
+class FreshnessTracker:
     """`on_marks` hears of the marks that have changed."""
 
     def __init__(
         self,
-        settings: FleetSettings,
-        clock: FleetClock,
-        offsets: Offsets,
+        settings: MembershipSettings,
+        clock: MembershipClock,
+        offsets: ClockOffsets,
         servers: ServerList,
         driver: Driver,
         on_marks: Callable[[dict[str, Confidence]], None],
     ) -> None:
-        self.stand: Callable[[], Stand] = lambda: "alone"
-        self.view = View(offsets)
+        self.connectivity: Callable[[], ConnectivityState] = lambda: "alone"
+        self.table = FreshnessTable(offsets)
         self._settings, self._clock, self._servers = settings, clock, servers
         self._driver, self._on_marks = driver, on_marks
         period_ms = driver.balancer.period_ms
         # A mark has to hold until the next update, so that one late for the bounds would never be given.
-        self._every_ms = min(settings.marks_every_ms, max(LEAST_MS, PERIODS * period_ms))
-        self._marks = Marks(self.view, period_ms, self._every_ms)
-        self._alarm = Alarm(self._update)
+        self._every_ms = min(settings.confidence_period_ms, max(LEAST_MS, PERIODS * period_ms))
+        self._marks = ConfidenceTracker(self.table, period_ms, self._every_ms)
+        self._alarm = RestartableTimer(self._update)
         self._listed: tuple[int, float] | None = None  # the revision and confirmation last taken over
-        self.refused = 0
-        self._shown = (-settings.ask_every_ms, b"")
+        self.rejected_reports = 0
+        self._shown = (-settings.probe_period_ms, b"")
 
     def start(self) -> None:
         self._update()
@@ -52,47 +52,49 @@
     def close(self) -> None:
         self._alarm.cancel()
 
-    def marks(self) -> dict[str, Confidence]:
-        return self._marks.marks
+    def confidence(self) -> dict[str, Confidence]:
+        return self._marks.levels
 
-    def saw(self, outcome: AttemptOutcome) -> None:
+    def record_outcome(self, outcome: AttemptOutcome) -> None:
         """An attempt has ended: on every call's path."""
-        now = self._clock.ms()
-        self.view.saw(now, outcome.server, outcome.result)
+        now = self._clock.now_ms()
+        self.table.record_outcome(now, outcome.server, outcome.result)
         if outcome.load_report:
             load = outcome.load_report.get("util", outcome.load_report.get("queue"))
             if load is not None:
-                self.view.loaded(now, outcome.server, load)
+                self.table.record_load(now, outcome.server, load)
 
-    def members(self, incarnations: Collection[int]) -> None:
-        self.view.members(incarnations)
-        self._marks.round_ms = self._settings.ask_every_ms * max(1, len(incarnations))
+    def set_members(self, incarnations: Collection[int]) -> None:
+        self.table.set_members(incarnations)
+        self._marks.round_ms = self._settings.probe_period_ms * max(1, len(incarnations))
 
-    def told(self, viewed: Viewed) -> None:
-        why = self.view.told(viewed.now, viewed.incarnation, viewed.view)
+    def receive_report(self, viewed: Viewed) -> None:
+        why = self.table.receive_report(viewed.now, viewed.incarnation, viewed.view)
         if why is not None:
-            self.refused += 1
-            if self.refused % 100 == 1:  # one line for the first, then now and then
-                log.warning("view: %d not taken, the last from %d: %s", self.refused, viewed.incarnation, why)
+            self.rejected_reports += 1
+            if self.rejected_reports % 100 == 1:  # one line for the first, then now and then
+                log.warning(
+                    "view: %d not taken, the last from %d: %s", self.rejected_reports, viewed.incarnation, why
+                )
 
-    def share(self, now: float) -> bytes:
+    def report(self, now: float) -> bytes:
         """What goes with the next calls; made anew once a period."""
-        if now - self._shown[0] >= self._settings.ask_every_ms:
+        if now - self._shown[0] >= self._settings.probe_period_ms:
             in_flight, cursor, threshold = self._driver.balancer.pool()
-            self.view.figures(now, in_flight, cursor, threshold)
-            self._shown = now, self.view.share(now)
+            self.table.record_pool(now, in_flight, cursor, threshold)
+            self._shown = now, self.table.make_report(now)
         return self._shown[1]
 
-    def status(self, now: float) -> list[dict[str, object]]:
-        return self._marks.routes_status(now)
+    def edges(self, now: float) -> list[dict[str, object]]:
+        return self._marks.edge_rows(now)
 
     def _update(self) -> None:
-        now = self._clock.ms()
+        now = self._clock.now_ms()
         self._follow_list()
-        changed = self._marks.update(now, self.stand())
+        changed = self._marks.update(now, self.connectivity())
         if changed:
             self._on_marks(changed)
-        self._alarm.at(self._clock.loop_time(now + self._every_ms))
+        self._alarm.schedule(self._clock.loop_time(now + self._every_ms))
 
     def _follow_list(self) -> None:
         servers = self._servers
@@ -101,5 +103,5 @@
             return
         same = self._listed is not None and heard[0] == self._listed[0]
         self._listed = heard
-        at = self._clock.ms() if heard[1] < 0.0 else self._clock.of_fleet(heard[1])
-        self.view.listed(at, servers.origin_rev, None if same else list(servers.listed))
+        at = self._clock.now_ms() if heard[1] < 0.0 else self._clock.from_node_ms(heard[1])
+        self.table.confirm_list(at, servers.origin_rev, None if same else list(servers.listed))
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.membership import Ack, Action, Changed, FailureDetector, IndirectProbe, Probe, Viewed
 from loadbalancer.node.address import Address, parse_address
-from loadbalancer.node.control.timers import Alarm, FleetClock, Tasks
+from loadbalancer.node.control.timers import BackgroundTasks, MembershipClock, RestartableTimer
 from loadbalancer.node.http import service_http as web
 
 log = logging.getLogger("loadbalancer")
@@ -30,16 +30,16 @@
     `before_tick(now)` sets what goes out with the next probes; `on_view` and `on_change` receive what comes.
     """
 
-    def __init__(self, core: FailureDetector, clock: FleetClock, connections: int = 128) -> None:
+    def __init__(self, core: FailureDetector, clock: MembershipClock, connections: int = 128) -> None:
         """`connections`: accepted at most, whoever the peers are, and as many kept open to members."""
         self.core = core
         self.before_tick: Callable[[float], None] = lambda now: None
-        self.on_view: Callable[[Viewed], None] = lambda viewed: None
+        self.on_report: Callable[[Viewed], None] = lambda viewed: None
         self.on_change: Callable[[Changed], None] = lambda changed: None
         self.probes_sent = self.probes_received = 0
         self._clock = clock
-        self._alarm = Alarm(self._tick)
-        self._tasks = Tasks()
+        self._alarm = RestartableTimer(self._tick)
+        self._tasks = BackgroundTasks()
         self._server: asyncio.Server | None = None
         self._numbers = count(1)
         self._waiting: dict[int, asyncio.Future[bytes | None]] = {}
@@ -49,7 +49,7 @@
 
     def listen(self, address: Address, then: Callable[[], None]) -> None:
         """Listen there as soon as it can be: in an upgrade the old process of this node has to end first."""
-        self._tasks.run(self._listen(address, then))
+        self._tasks.spawn(self._listen(address, then))
 
     async def _listen(self, address: Address, then: Callable[[], None]) -> None:
         retrying = tenacity.AsyncRetrying(
@@ -78,23 +78,23 @@
         for action in actions:
             match action:
                 case Probe():
-                    self._tasks.run(self._probe(action, PROBE_PATH))
+                    self._tasks.spawn(self._probe(action, PROBE_PATH))
                 case IndirectProbe():
-                    self._tasks.run(self._probe(action, INDIRECT_PROBE_PATH))
+                    self._tasks.spawn(self._probe(action, INDIRECT_PROBE_PATH))
                 case Ack():
                     waiting = self._waiting.pop(action.call, None)
                     if waiting is not None and not waiting.done():
                         waiting.set_result(action.payload)
                 case Viewed():
-                    self.on_view(action)
+                    self.on_report(action)
                 case Changed():
                     self.on_change(action)
 
     def _tick(self) -> None:
-        now = self._clock.ms()
+        now = self._clock.now_ms()
         self.before_tick(now)
         self.carry_out(self.core.tick(now))
-        self._alarm.at(self._clock.loop_time(max(now + 1.0, self.core.due or now)))
+        self._alarm.schedule(self._clock.loop_time(max(now + 1.0, self.core.due or now)))
 
     async def _probe(self, action: Probe | IndirectProbe, path: str) -> None:
         self.probes_sent += 1
@@ -103,12 +103,12 @@
             reply = await self._client.call(address, "POST", path, action.payload, action.timeout_ms / 1000.0)
         except (OSError, TimeoutError, ValueError) as error:
             refused = isinstance(error, ConnectionRefusedError)
-            self.carry_out(self.core.on_failure(self._clock.ms(), action.id, refused))
+            self.carry_out(self.core.on_failure(self._clock.now_ms(), action.id, refused))
             return
         if reply.status == 200:
-            self.carry_out(self.core.on_ack(self._clock.ms(), action.id, reply.body))
+            self.carry_out(self.core.on_ack(self._clock.now_ms(), action.id, reply.body))
         else:
-            self.carry_out(self.core.on_failure(self._clock.ms(), action.id, refused=False))
+            self.carry_out(self.core.on_failure(self._clock.now_ms(), action.id, refused=False))
 
     # ------------------------------------------------------------------- being probed
 
@@ -118,7 +118,7 @@
         self.probes_received += 1
         if call.method != "POST" or call.path not in (PROBE_PATH, INDIRECT_PROBE_PATH):
             return self._refuse(404, f"no {call.method[:20]} {call.path[:60]}")
-        now = self._clock.ms()
+        now = self._clock.now_ms()
         if call.path == PROBE_PATH:
             payload, actions = self.core.on_probe(now, call.body)
             self.carry_out(actions)
@@ -147,5 +147,5 @@
         return web.Answer(status, b"")
 
     @property
-    def refused(self) -> int:
+    def rejected_calls(self) -> int:
         return self._refused
--- a/loadbalancer/node/control/registry_client.py
+++ b/loadbalancer/node/control/registry_client.py
@@ -17,7 +17,7 @@
 _lease_answer = msgspec.json.Decoder(LeaseAnswer)
 
 
-def read_lease(body: bytes) -> LeaseAnswer:
+def decode_lease_answer(body: bytes) -> LeaseAnswer:
     """ValueError on anything that is not such an answer."""
     try:
         return _lease_answer.decode(body)
@@ -25,7 +25,7 @@
         raise ValueError(f"answer: {error}") from error
 
 
-class Agent:
+class RegistryClient:
     """Calls of the fleet; each raises OSError or TimeoutError where there is no answer in time.
 
     Connections are kept from one call to the next: dialling anew for each took four fifths of what a renewal
--- a/loadbalancer/node/control/route_store.py
+++ b/loadbalancer/node/control/route_store.py
@@ -23,7 +23,7 @@
         self._folder = folder
         self._worker = ThreadPoolExecutor(1, thread_name_prefix="routes")
 
-    def read(self) -> list[tuple[int, str]]:
+    def load_all(self) -> list[tuple[int, str]]:
         """What is there; a file that can't be read says so in one line and is left as it is."""
         found = []
         with contextlib.suppress(FileNotFoundError):
@@ -39,7 +39,7 @@
         """Done once the version is on disk, synced; OSError if it can't be."""
         return self._worker.submit(self._write, number, text)
 
-    def forget(self, number: int) -> Future[None]:
+    def remove(self, number: int) -> Future[None]:
         return self._worker.submit(self._forget, number)
 
     def close(self) -> None:
--- a/loadbalancer/node/control/timers.py
+++ b/loadbalancer/node/control/timers.py
@@ -12,21 +12,21 @@
 log = logging.getLogger("loadbalancer")
 
 
-class FleetClock:
+class MembershipClock:
     """The node's clock in ms, off by what tests set: everything between siblings and the service stands in
     it."""
 
     def __init__(self, clock: Clock, offset_ms: float = 0.0) -> None:
         self._clock, self._offset_ms = clock, offset_ms
 
-    def ms(self) -> float:
+    def now_ms(self) -> float:
         return self._clock.ms() + self._offset_ms
 
-    def of_module(self, ms: float) -> float:
+    def to_node_ms(self, ms: float) -> float:
         """This moment by the decision module's clock."""
         return ms - self._offset_ms
 
-    def of_fleet(self, ms: float) -> float:
+    def from_node_ms(self, ms: float) -> float:
         """This moment of the decision module's clock by this one."""
         return ms + self._offset_ms
 
@@ -34,7 +34,7 @@
         return self._clock.loop_time(ms - self._offset_ms)
 
 
-class Alarm:
+class RestartableTimer:
     """One timer: `at` puts it forward or back, and no earlier one of it remains."""
 
     def __init__(self, act: Callable[[], None]) -> None:
@@ -42,7 +42,7 @@
         self._act = act
         self._timer: asyncio.TimerHandle | None = None
 
-    def at(self, loop_time: float) -> None:
+    def schedule(self, loop_time: float) -> None:
         self.cancel()
         self._timer = self._loop.call_at(loop_time, self._act)
 
@@ -51,13 +51,13 @@
             self._timer.cancel()
 
 
-class Tasks:
+class BackgroundTasks:
     """Tasks under way; one that fails by a fault says so in one line and harms no other."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def run(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._ended)
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -18,7 +18,7 @@
 from loadbalancer.node.attempts import Attempts
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.component import Part
+from loadbalancer.node.component import Component
 from loadbalancer.node.config import Config
 from loadbalancer.node.discovery.watcher import PAUSE_S, Patience, Watcher
 from loadbalancer.node.endpoint_list import ServerList
@@ -33,7 +33,7 @@
 from loadbalancer.node.upstream.pool import Pool
 
 if TYPE_CHECKING:
-    from loadbalancer.node.control import FleetPart
+    from loadbalancer.node.control import ControlPlane
 
 log = logging.getLogger("loadbalancer")
 
@@ -80,11 +80,11 @@
         self.sharing = self._sharing()
         self.keeper = self._keeper()
         self.fleet = self._fleet()
-        self.parts: list[Part] = [part for part in (self.keeper, self.fleet) if part is not None]
+        self.parts: list[Component] = [part for part in (self.keeper, self.fleet) if part is not None]
         self.clockwork = Clockwork(
             config.name, self._each_beat(), self.counts, self.jobs, self.server, self.pool, self.driver
         )
-        fleet = {} if self.fleet is None else self.fleet.calls()
+        fleet = {} if self.fleet is None else self.fleet.admin_calls()
         self.door = Door({**self._calls(), **self.servers.calls(), **fleet})
 
     def _sharing(self) -> Sharing | None:
@@ -99,14 +99,14 @@
             return None
         return Keeper(path, self.config, self.clock, self.servers, self.watcher, self.driver)
 
-    def _fleet(self) -> FleetPart | None:
+    def _fleet(self) -> ControlPlane | None:
         if self.config.members is None:
             return None
         # Only a node that is told of members pays for the libraries that it needs for them.
-        from loadbalancer.node.control import FleetPart
+        from loadbalancer.node.control import ControlPlane
 
-        part = FleetPart(self.config, self.clock, self.servers, self.watcher, self.driver)
-        self.attempts.on_outcome.append(part.sight.saw)
+        part = ControlPlane(self.config, self.clock, self.servers, self.watcher, self.driver)
+        self.attempts.on_outcome.append(part.freshness.record_outcome)
         return part
 
     def _each_beat(self) -> list[Callable[[], None]]:
@@ -155,7 +155,7 @@
         began = self.loop.time()
         self.stopping = True
         if self.fleet is not None:
-            self.fleet.drains()
+            self.fleet.begin_drain()
         self.server.resume()  # a standby before it has other times
         if self.server.shares_socket:
             self.server.stop_accepting()
--- a/loadbalancer/staleness/__init__.py
+++ b/loadbalancer/staleness/__init__.py
@@ -15,9 +15,18 @@
    is bounded by the server list and the members.
 """
 
-from loadbalancer.staleness.clock_offsets import Offsets, Reading
-from loadbalancer.staleness.confidence import Marks, Stand
+from loadbalancer.staleness.clock_offsets import ClockOffsets, OffsetReading
+from loadbalancer.staleness.confidence import ConfidenceTracker, ConnectivityState
 from loadbalancer.staleness.edges import Edge, server_edge, sibling_edge
-from loadbalancer.staleness.freshness import View
+from loadbalancer.staleness.freshness import FreshnessTable
 
-__all__ = ["Edge", "Marks", "Offsets", "Reading", "Stand", "View", "server_edge", "sibling_edge"]
+__all__ = [
+    "ClockOffsets",
+    "ConfidenceTracker",
+    "ConnectivityState",
+    "Edge",
+    "FreshnessTable",
+    "OffsetReading",
+    "server_edge",
+    "sibling_edge",
+]
--- a/loadbalancer/staleness/confidence.py
+++ b/loadbalancer/staleness/confidence.py
@@ -24,18 +24,22 @@
 
 from loadbalancer.endpoints import Confidence
 from loadbalancer.staleness.edges import Edge, server_edge, sibling_edge
-from loadbalancer.staleness.freshness import View
-
-Stand = Literal["attached", "adrift", "alone"]
-
-MARKS = (Confidence.HIGH, Confidence.MEDIUM, Confidence.LOW, Confidence.NONE)
-BOUNDS = (16.0, 64.0, 256.0)  # periods
-SPARE = 0.75  # of a bound, to rise to its mark
-LASTING = 8.0  # periods that a state of the node must last to lower marks
-LIST_MS = 6000.0  # a list confirmed no later is old: discovery may be silent for as long
-MISSES = (2, 4)  # calls in a row that failed: at most fair, weak
-BEHIND = (2, 9)  # revisions behind: the same
-ROUNDS = (2.0, 4.0, 8.0)  # bounds of a sibling's edge, in rounds; a shuffled round may leave one out for two
+from loadbalancer.staleness.freshness import FreshnessTable
+
+ConnectivityState = Literal["attached", "adrift", "alone"]
+
+LEVELS = (Confidence.HIGH, Confidence.MEDIUM, Confidence.LOW, Confidence.NONE)
+MAX_AGE_PERIODS = (16.0, 64.0, 256.0)  # periods
+RISE_AGE_RATIO = 0.75  # of a bound, to rise to its mark
+SUSTAINED_PERIODS = 8.0  # periods that a state of the node must last to lower marks
+MAX_LIST_AGE_MS = 6000.0  # a list confirmed no later is old: discovery may be silent for as long
+FAILURE_LIMITS = (2, 4)  # calls in a row that failed: at most fair, weak
+REVISION_LIMITS = (2, 9)  # revisions behind: the same
+SIBLING_MAX_AGE_ROUNDS = (
+    2.0,
+    4.0,
+    8.0,
+)  # bounds of a sibling's edge, in rounds; a shuffled round may leave one out for two
 _SURE, _FAIR, _WEAK, _BLIND = range(4)
 _Cap = tuple[int, str]
 
@@ -51,47 +55,49 @@
         self.earning: float | None = None
 
 
-class Marks:
+class ConfidenceTracker:
     """The marks of every listed server. `update` runs every `every_ms` at most, from the caller's timer.
 
     `round_ms` is how long a members' round takes, kept up by the caller as the fleet grows or shrinks.
     """
 
-    def __init__(self, view: View, period_ms: float, every_ms: float, round_ms: float = 0.0) -> None:
+    def __init__(
+        self, view: FreshnessTable, period_ms: float, every_ms: float, round_ms: float = 0.0
+    ) -> None:
         if not (0.0 < period_ms < math.inf and 0.0 < every_ms < math.inf):
             raise ValueError(f"period_ms, every_ms: {period_ms!r}, {every_ms!r} are not both over 0")
         self.round_ms = round_ms
         self._view = view
-        self._lasting = LASTING * period_ms
-        self._bounds = tuple(bound * period_ms for bound in BOUNDS)
+        self._lasting = SUSTAINED_PERIODS * period_ms
+        self._bounds = tuple(bound * period_ms for bound in MAX_AGE_PERIODS)
         self._keeps = tuple(bound - every_ms for bound in self._bounds)
-        self._earns = tuple(bound * SPARE - every_ms for bound in self._bounds)
+        self._earns = tuple(bound * RISE_AGE_RATIO - every_ms for bound in self._bounds)
         self._listed: frozenset[str] = frozenset()
         self._routes: dict[str, _Route] = {}
         self._state: _Cap = (_SURE, "")  # the node's own state as it is,
         self._cap: _Cap = (_SURE, "")  # and as it caps marks, once it has lasted
         self._worse_since: float | None = None
 
-    def update(self, now: float, stand: Stand) -> dict[str, Confidence]:
+    def update(self, now: float, stand: ConnectivityState) -> dict[str, Confidence]:
         """Judge every route anew; the marks that changed or are new, by server. Linear in the list."""
         self._weigh_node(now, stand)
-        if self._view.listing.servers is not self._listed:
-            self._listed = self._view.listing.servers
+        if self._view.endpoint_list.servers is not self._listed:
+            self._listed = self._view.endpoint_list.servers
             self._routes = {server: self._routes.get(server) or _Route() for server in self._listed}
         changed = {}
         for server, route in self._routes.items():
             self._step(now, server, route)
             if route.level != route.given:
                 route.given = route.level
-                changed[server] = MARKS[route.level]
+                changed[server] = LEVELS[route.level]
         return changed
 
     @property
-    def marks(self) -> dict[str, Confidence]:
+    def levels(self) -> dict[str, Confidence]:
         """All marks as they stand."""
-        return {server: MARKS[route.level] for server, route in self._routes.items()}
+        return {server: LEVELS[route.level] for server, route in self._routes.items()}
 
-    def routes_status(self, now: float) -> list[dict[str, object]]:
+    def edge_rows(self, now: float) -> list[dict[str, object]]:
         """Every edge, for the door: mark, age in ms (`most_ms` None: no bound), revisions behind, reason."""
         newest = self._view.newest_revision
         rows = []
@@ -100,23 +106,23 @@
             rows.append(_row("server", server, route.level, edge, self._reason(now, server, route.level)))
         for incarnation in sorted(self._view.siblings, key=str):
             edge = sibling_edge(self._view, now, incarnation, newest)
-            level = bisect_left([bound * self.round_ms for bound in ROUNDS], edge.age[1])
+            level = bisect_left([bound * self.round_ms for bound in SIBLING_MAX_AGE_ROUNDS], edge.age[1])
             why = "unheard" if edge.age[0] == math.inf else "unsampled" if edge.age[1] == math.inf else "told"
             rows.append(_row("sibling", incarnation, level, edge, why))
         return rows
 
     # ---------------------------------------------------------------- inside
 
-    def _weigh_node(self, now: float, stand: Stand) -> None:
-        listing = self._view.listing
+    def _weigh_node(self, now: float, stand: ConnectivityState) -> None:
+        listing = self._view.endpoint_list
         behind = self._view.newest_revision - listing.revision
         caps: list[_Cap] = [
             (_SURE, ""),
             {"attached": (_SURE, ""), "adrift": (_FAIR, stand)}.get(stand, (_WEAK, stand)),
         ]
-        if behind >= BEHIND[0]:
-            caps.append((_FAIR if behind < BEHIND[1] else _WEAK, "behind"))
-        if now - listing.at > LIST_MS:
+        if behind >= REVISION_LIMITS[0]:
+            caps.append((_FAIR if behind < REVISION_LIMITS[1] else _WEAK, "behind"))
+        if now - listing.confirmed_at > MAX_LIST_AGE_MS:
             caps.append((_FAIR, "list-old"))
         self._state = max(caps, key=lambda cap: cap[0])
         if self._state[0] <= self._cap[0]:
@@ -149,13 +155,18 @@
 
     def _evidence(self, now: float, server: str) -> tuple[float, float, int, str]:
         """The most that the own and the told evidence may be old; the cap of failed calls, why."""
-        seen = self._view.seen.get(server)
-        hearsay = self._view.hearsay.get(server)
-        heard = -math.inf if seen is None else seen.heard
-        told = math.inf if hearsay is None else now - hearsay.heard
-        if seen is not None and seen.misses >= MISSES[0]:
-            return now - heard, told, _FAIR if seen.misses < MISSES[1] else _WEAK, "missing"
-        if hearsay is not None and hearsay.missed > heard:
+        seen = self._view.observations.get(server)
+        hearsay = self._view.gossip.get(server)
+        heard = -math.inf if seen is None else seen.answered_at
+        told = math.inf if hearsay is None else now - hearsay.answered_at
+        if seen is not None and seen.consecutive_failures >= FAILURE_LIMITS[0]:
+            return (
+                now - heard,
+                told,
+                _FAIR if seen.consecutive_failures < FAILURE_LIMITS[1] else _WEAK,
+                "missing",
+            )
+        if hearsay is not None and hearsay.failed_at > heard:
             return now - heard, told, _FAIR, "missing-for-sibling"
         return now - heard, told, _SURE, ""
 
@@ -182,10 +193,10 @@
     return {
         "kind": kind,
         "to": to,
-        "mark": MARKS[level].value,
+        "mark": LEVELS[level].value,
         "least_ms": least,
         "most_ms": most,
-        "behind": edge.behind,
-        "via": edge.via if edge.told[1] < edge.own[1] else None,
+        "behind": edge.revisions_behind,
+        "via": edge.reporter if edge.reported_age[1] < edge.direct_age[1] else None,
         "reason": reason,
     }
--- a/loadbalancer/staleness/edges.py
+++ b/loadbalancer/staleness/edges.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from loadbalancer.staleness.clock_offsets import Interval
-from loadbalancer.staleness.freshness import View
+from loadbalancer.staleness.freshness import FreshnessTable
 
 UNKNOWN: Interval = (math.inf, math.inf)  # nothing was ever heard
 
@@ -21,34 +21,36 @@
 class Edge:
     """`own`: since this process heard of it; `told`: since the sibling `via` did. Either may be UNKNOWN."""
 
-    own: Interval
-    told: Interval
-    via: Hashable | None
-    behind: int  # revisions: this node's list (a server's edge) or the sibling's, behind the newest heard of
+    direct_age: Interval
+    reported_age: Interval
+    reporter: Hashable | None
+    revisions_behind: (
+        int  # revisions: this node's list (a server's edge) or the sibling's, behind the newest heard of
+    )
 
     @property
     def age(self) -> Interval:
         """Of the freshest that is known, from either."""
-        return (min(self.own[0], self.told[0]), min(self.own[1], self.told[1]))
+        return (min(self.direct_age[0], self.reported_age[0]), min(self.direct_age[1], self.reported_age[1]))
 
 
-def server_edge(view: View, now: float, server: str, newest: int | None = None) -> Edge:
+def server_edge(view: FreshnessTable, now: float, server: str, newest: int | None = None) -> Edge:
     """The edge to a server; `newest` spares looking for the newest revision where many edges are asked."""
-    seen = view.seen.get(server)
-    own = UNKNOWN if seen is None else (now - seen.heard, now - seen.heard)
-    behind = (view.newest_revision if newest is None else newest) - view.listing.revision
-    hearsay = view.hearsay.get(server)
-    fact = None if hearsay is None else hearsay.best
-    if fact is None or fact.heard is None:
+    seen = view.observations.get(server)
+    own = UNKNOWN if seen is None else (now - seen.answered_at, now - seen.answered_at)
+    behind = (view.newest_revision if newest is None else newest) - view.endpoint_list.revision
+    hearsay = view.gossip.get(server)
+    fact = None if hearsay is None else hearsay.freshest
+    if fact is None or fact.answered_at is None:
         return Edge(own, UNKNOWN, None, behind)
-    return Edge(own, (now - fact.heard[1], now - fact.heard[0]), fact.origin, behind)
+    return Edge(own, (now - fact.answered_at[1], now - fact.answered_at[0]), fact.origin, behind)
 
 
-def sibling_edge(view: View, now: float, incarnation: Hashable, newest: int | None = None) -> Edge:
+def sibling_edge(view: FreshnessTable, now: float, incarnation: Hashable, newest: int | None = None) -> Edge:
     """The edge to a sibling: the age of what it last told of itself, its figures and revision."""
     newest = view.newest_revision if newest is None else newest
     sibling = view.siblings.get(incarnation)
     if sibling is None:
         return Edge(UNKNOWN, UNKNOWN, None, newest)
-    told = (now - sibling.sent[1], now - sibling.sent[0])
-    return Edge(UNKNOWN, told, incarnation, newest - sibling.revision)
+    told = (now - sibling.sent_at[1], now - sibling.sent_at[0])
+    return Edge(UNKNOWN, told, incarnation, newest - sibling.list_revision)
--- a/tests/node/control/test_registry_client.py
+++ b/tests/node/control/test_registry_client.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from loadbalancer.node.control.registry_client import Agent
+from loadbalancer.node.control.registry_client import RegistryClient
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
@@ -30,7 +30,7 @@
     stand_in = CountingServer(answers)
     server = await asyncio.start_server(stand_in.serve, "127.0.0.1", 0)
     address = server.sockets[0].getsockname()
-    agent = Agent(lambda: address)
+    agent = RegistryClient(lambda: address)
     for _ in range(calls):
         assert (await agent.post("renew", {"seq": 1}, 5_000.0)).body == b"{}"
     agent.close()
--- a/tests/registry/test_groups_faults.py
+++ b/tests/registry/test_groups_faults.py
@@ -101,7 +101,7 @@
         lost = {member.name: "lapsed" for member in groups[service] if member in zone}
         until(lambda s=service, x=lost: x.items() <= registry.states(s).items(), LIMIT_S, f"{lost} lapsed")
     hollows.until_sampled(30)
-    now = hollows.clock.ms()
+    now = hollows.clock.now_ms()
     kept = hollows.call(lambda: [one.taking(now) for one in rest["three"] + rest["two"]])
     assert kept == [pytest.approx(1 / 3), pytest.approx(1 / 2)]
     before = {member.name: member.incarnations[-1] for member in zone}
@@ -144,7 +144,7 @@
     )
     hollows.until_shared(groups["most-east"][:3])
     hollows.until_shared(groups["even"][:2])  # a tie is won by the side of the oldest
-    assert hollows.call(lambda: groups["most-west"][0].taking(hollows.clock.ms())) == 0.25
+    assert hollows.call(lambda: groups["most-west"][0].taking(hollows.clock.now_ms())) == 0.25
     assert sorted(registry.states("most-west").values()) == ["lapsed"] * 3 + ["live"]
     registry.cut(apart, silent=False)
     hollows.parted = lambda one, other: False
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -20,11 +20,11 @@
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.address import Address
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.control.lease import Lease
-from loadbalancer.node.control.registry_client import Agent
-from loadbalancer.node.control.timers import FleetClock
+from loadbalancer.node.control.lease import LeaseClient
+from loadbalancer.node.control.registry_client import RegistryClient
+from loadbalancer.node.control.timers import MembershipClock
 from loadbalancer.node.http.service_http import Reply
-from loadbalancer.staleness import Offsets
+from loadbalancer.staleness import ClockOffsets
 from tests.support.faults import LoopThread
 from tests.support.group_registry import LIMIT_S, MOST
 from tests.support.registry_processes import Registry, until
@@ -35,7 +35,7 @@
 Post = Callable[[str, dict[str, Any], float], Awaitable[Reply]]
 
 
-class Line(Agent):
+class Line(RegistryClient):
     """What stands between a member and the instances: each call goes to the next of those that it reaches.
 
     `on_post(path, body, timeout_ms, through)` stands in a call's place where a test injects faults.
@@ -70,7 +70,9 @@
 class Hollow:
     """A member; made on the loop of its `Hollows`."""
 
-    def __init__(self, number: int, service: str, instances: Sequence[Address], clock: FleetClock) -> None:
+    def __init__(
+        self, number: int, service: str, instances: Sequence[Address], clock: MembershipClock
+    ) -> None:
         self.name, self.service, self.zone = f"h{number}", service, "z"
         self.address = f"127.0.0.1:{10_000 + number}"
         self.incarnations: list[int] = []  # in the order that they were given
@@ -79,7 +81,7 @@
         self.words: dict[int, Word] = {}
         self.line, self._clock = Line(instances), clock
         self._starts = count(1)
-        self.lease: Lease | None = None
+        self.lease: LeaseClient | None = None
 
     @property
     def core(self) -> Enrolment:
@@ -96,8 +98,8 @@
         start = f"{self.name}-{next(self._starts)}"
         core = Enrolment(self.name, self.address, self.zone, start, Random(start), self.service)
         self.words = {}
-        self.lease = Lease(core, self.line, self._clock, Offsets())
-        self.lease.on_answer, self.lease.on_gone = self._on_answer, self._on_gone
+        self.lease = LeaseClient(core, self.line, self._clock, ClockOffsets())
+        self.lease.on_answer, self.lease.on_lease_lost = self._on_answer, self._on_gone
         if watches:
             self.lease.start()
         else:
@@ -127,7 +129,7 @@
 
     def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
         assert self.lease is not None
-        self.lease.told(answer.rev, int(answer.routes.get("rev", 0)))
+        self.lease.set_revisions(answer.rev, int(answer.routes.get("rev", 0)))
         self.renewals += 1
         if answer.incarnation not in self.incarnations[-1:]:
             self.incarnations.append(answer.incarnation)
@@ -143,7 +145,9 @@
         self.registry, self._numbers, self._sample_s = registry, count(), sample_s
         self._instances = [("127.0.0.1", port) for port in registry.http]
         self._loops = LoopThread()
-        self.clock: FleetClock = self._loops.call(lambda: FleetClock(Clock(asyncio.get_running_loop())))
+        self.clock: MembershipClock = self._loops.call(
+            lambda: MembershipClock(Clock(asyncio.get_running_loop()))
+        )
         self.all: list[Hollow] = []
         self.parted: Callable[[Hollow, Hollow], bool] = lambda one, other: False
         self.samples = 0
@@ -184,7 +188,7 @@
         until(lambda: self.holds(check), within_s, what)
 
     def holds(self, check: Callable[[float], bool]) -> bool:
-        return bool(self.call(lambda: check(self.clock.ms())))
+        return bool(self.call(lambda: check(self.clock.now_ms())))
 
     def until_shared(self, members: Sequence[Hollow]) -> None:
         """Until each takes its part of the whole among these, is an elector and knows just these."""
@@ -200,7 +204,7 @@
         try:
             self.until(f"{len(members)} of {members[0].service!r} sharing", shared)
         except AssertionError as error:
-            now = self.clock.ms()
+            now = self.clock.now_ms()
             seen = [(one.name, one.taking(now), one.core.elector, len(one.core.members)) for one in members]
             raise AssertionError(f"{error}: {seen[:12]}") from error
 
@@ -212,7 +216,7 @@
 
     async def _sample(self) -> None:
         while True:
-            now = self.clock.ms()
+            now = self.clock.now_ms()
             self._check_shares(now)
             for member in self.all:
                 if member.incarnations != sorted(set(member.incarnations)):
@@ -232,7 +236,7 @@
     async def _speak(self) -> None:
         """Members that are not attached hear what siblings in reach say of themselves."""
         while True:
-            now = self.clock.ms()
+            now = self.clock.now_ms()
             groups: dict[str, list[Hollow]] = {}
             for member in self.all:
                 if member.enrolled:
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -177,7 +177,7 @@
             self._step("forget", lambda: self.store._forget(1))
 
     def reader(self) -> None:
-        self._step("read", lambda: self.seen.extend(RouteStore(self.folder).read()))
+        self._step("read", lambda: self.seen.extend(RouteStore(self.folder).load_all()))
 
     def _step(self, name: str, act: Callable[[], object]) -> None:
         self.done.append(name)
@@ -186,7 +186,7 @@
     def holds(self) -> bool:
         """What is read is whole and was there at one moment; what is left is what was asked for last."""
         moments = ([], [(1, "aborted")], [(2, "proposed next")])
-        return self.seen in moments and RouteStore(self.folder).read() == [(2, "proposed next")]
+        return self.seen in moments and RouteStore(self.folder).load_all() == [(2, "proposed next")]
 
 
 CASES: dict[str, tuple[Callable[[bool], Any], list[Callable[[Any], None]]]] = {
