--- a/bench/view.py
+++ b/bench/view.py
@@ -262,7 +262,7 @@
         "told": _us(lambda: view.receive_report(now, 1, next(entries)), 500),
         "sample": _us(lambda: view.clock_offsets.add_sample(1, now, now, now, now), 500),
         "marks": _us(lambda: node.marks.update(node.clock(next(ahead)), "attached"), 500),
-        "status": _us(lambda: node.marks.edge_rows(now), 100),
+        "status": _us(lambda: node.marks.edge_statuses(now), 100),
         "share_bytes": len(view.make_report(now)),
     }
 
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -8,6 +8,7 @@
 from random import Random
 from typing import Any
 
+import msgspec
 import orjson
 
 from loadbalancer.balancing.events import ConfidenceUpdate, QuotaGrant
@@ -267,7 +268,10 @@
     def routes_status(self) -> dict[str, Any]:
         """The body of GET /status/routes."""
         now = self.clock.now_ms()
-        return {"stand": self.connectivity(now).value, "edges": self.freshness.edges(now)}
+        return {
+            "stand": self.connectivity(now).value,
+            "edges": msgspec.to_builtins(self.freshness.edges(now)),
+        }
 
     def admin_calls(self) -> Calls:
         """The door's calls on the fleet."""
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -13,7 +13,13 @@
 from loadbalancer.node.control.timers import MembershipClock, RestartableTimer
 from loadbalancer.node.endpoint_list import ServerList
 from loadbalancer.node.membership_settings import MembershipSettings
-from loadbalancer.staleness import ClockOffsets, ConfidenceTracker, ConnectivityState, FreshnessTable
+from loadbalancer.staleness import (
+    ClockOffsets,
+    ConfidenceTracker,
+    ConnectivityState,
+    EdgeStatus,
+    FreshnessTable,
+)
 
 log = logging.getLogger("loadbalancer")
 
@@ -85,8 +91,8 @@
             self._shown = now, self.table.make_report(now)
         return self._shown[1]
 
-    def edges(self, now: float) -> list[dict[str, object]]:
-        return self._marks.edge_rows(now)
+    def edges(self, now: float) -> list[EdgeStatus]:
+        return self._marks.edge_statuses(now)
 
     def _update(self) -> None:
         now = self._clock.now_ms()
--- a/loadbalancer/staleness/confidence.py
+++ b/loadbalancer/staleness/confidence.py
@@ -1,202 +1,215 @@
-"""Marks: how sure this node can be of each route, a server as it may use it.
-
-The bounds, in periods P (a share of the shortest aim, the decision module's), on the oldest that the
-evidence may be: `sure` 16, `fair` 64, `weak` 256, `blind` past that or where there is none. Evidence is an
-answer or a load report that this node had itself; a sibling's answer, by the `most` end of its age, is
-worth `fair` at best. Capped at `fair`: the node is adrift, its list two or more revisions behind or
-unconfirmed for 6 s, two of its calls in a row failed, or a sibling's call failed surely later than the
-server last answered here. Capped at `weak`: the node is alone, or nine or more behind, or four calls in a
-row failed.
-
-A mark is given only if it will still hold at the next update. It worsens at once when the evidence grows
-too old or calls fail (the count is the hysteresis); by the node's own state only once that has lasted 8 P.
-It leaves `blind` at once on any evidence, for a blind route is tried by one call at a time. Further it
-rises one step at a time, when the better mark's bound was kept with a quarter to spare for as long as the
-bound: a route whose evidence comes at intervals around a bound stays below it.
+"""How confident this node may be in each of its routes, a route being one server as this node may use it.
+
+The maximum age of the evidence, in control periods: HIGH 16, MEDIUM 64, LOW 256, NONE past that or where
+there is none. Evidence is an answer or a load report that this node itself received; a sibling's report of an
+answer, taken at the upper end of its age, supports MEDIUM at best.
+
+Caps. At MEDIUM: the node is detached from the list service, its endpoint list is two or more revisions behind
+or unconfirmed for 6 s, two of its attempts in a row failed, or a sibling's attempt failed certainly later
+than the server last answered here. At LOW: the node is isolated, or nine or more revisions behind, or four
+attempts in a row failed.
+
+Hysteresis. A level is given only if it will still hold at the next update. It falls at once when the evidence
+grows too old or attempts fail; by the node's own state only once that has lasted for 8 periods. It leaves
+NONE at once on any evidence, since such a route is tried by one call at a time. Further it rises one level at
+a time, after the evidence has stayed a quarter younger than the better level's maximum age for as long as
+that age: a route whose evidence comes at intervals around a limit stays below it.
 """
 
 from __future__ import annotations
 
 import math
 from bisect import bisect_left
-from collections.abc import Hashable
-from typing import Literal
+from typing import Final, Literal, NamedTuple
 
 from loadbalancer.endpoints import Confidence
-from loadbalancer.staleness.edges import Edge, server_edge, sibling_edge
+from loadbalancer.staleness.edge_status import LEVELS, EdgeReason, EdgeStatus, server_status, sibling_status
+from loadbalancer.staleness.edges import server_edge, sibling_edge
+from loadbalancer.staleness.errors import PeriodOutOfRangeError
 from loadbalancer.staleness.freshness import FreshnessTable
 
+# What the node reaches: the list service; only siblings; neither.
 ConnectivityState = Literal["attached", "adrift", "alone"]
 
-LEVELS = (Confidence.HIGH, Confidence.MEDIUM, Confidence.LOW, Confidence.NONE)
-MAX_AGE_PERIODS = (16.0, 64.0, 256.0)  # periods
-RISE_AGE_RATIO = 0.75  # of a bound, to rise to its mark
-SUSTAINED_PERIODS = 8.0  # periods that a state of the node must last to lower marks
-MAX_LIST_AGE_MS = 6000.0  # a list confirmed no later is old: discovery may be silent for as long
-FAILURE_LIMITS = (2, 4)  # calls in a row that failed: at most fair, weak
-REVISION_LIMITS = (2, 9)  # revisions behind: the same
-SIBLING_MAX_AGE_ROUNDS = (
-    2.0,
-    4.0,
-    8.0,
-)  # bounds of a sibling's edge, in rounds; a shuffled round may leave one out for two
-_SURE, _FAIR, _WEAK, _BLIND = range(4)
-_Cap = tuple[int, str]
+MAX_AGE_PERIODS: Final = (16.0, 64.0, 256.0)  # of the evidence for HIGH, MEDIUM, LOW
+RISE_AGE_RATIO: Final = 0.75  # of a level's maximum age: the evidence must be younger to rise to it
+SUSTAINED_PERIODS: Final = 8.0  # that a state of the node must last to lower levels
+MAX_LIST_AGE_MS: Final = 6000.0  # the longest that discovery may be silent
+FAILURE_LIMITS: Final = (2, 4)  # consecutive failures that cap a level at MEDIUM, at LOW
+REVISION_LIMITS: Final = (2, 9)  # revisions behind that cap a level at MEDIUM, at LOW
+_HIGH, _MEDIUM, _LOW, _NONE = range(4)  # indices of LEVELS; a higher one is worse
+
+# The age of the direct and of the reported evidence, the cap by failed attempts and its reason. A plain
+# tuple, as one is made for each server at each update.
+_Evidence = tuple[float, float, int, EdgeReason | None]
+
+
+class _NodeCap(NamedTuple):
+    """The best level that the node's own state allows, and why; no reason at HIGH."""
+
+    level: int
+    reason: EdgeReason | None
+
+
+_NO_CAP: Final = _NodeCap(_HIGH, None)
+_CONNECTIVITY_CAPS: Final[dict[ConnectivityState, _NodeCap]] = {
+    "attached": _NO_CAP,
+    "adrift": _NodeCap(_MEDIUM, EdgeReason.DETACHED),
+    "alone": _NodeCap(_LOW, EdgeReason.ISOLATED),
+}
 
 
 class _Route:
-    """A route's mark as it stands, and since when it has earned a better one."""
+    """A route's current level, and since when its evidence has supported a better one."""
 
-    __slots__ = ("earning", "given", "level")
+    __slots__ = ("level", "reported_level", "rising_since")
 
     def __init__(self) -> None:
-        self.level = _BLIND
-        self.given = -1  # the level that `update` told last
-        self.earning: float | None = None
+        self.level = _NONE
+        self.reported_level = -1  # the level last returned by `update`
+        self.rising_since: float | None = None
 
 
 class ConfidenceTracker:
-    """The marks of every listed server. `update` runs every `every_ms` at most, from the caller's timer.
-
-    `round_ms` is how long a members' round takes, kept up by the caller as the fleet grows or shrinks.
-    """
+    """The confidence level of every listed server."""
 
     def __init__(
-        self, view: FreshnessTable, period_ms: float, every_ms: float, round_ms: float = 0.0
+        self, table: FreshnessTable, period_ms: float, update_every_ms: float, round_ms: float = 0.0
     ) -> None:
-        if not (0.0 < period_ms < math.inf and 0.0 < every_ms < math.inf):
-            raise ValueError(f"period_ms, every_ms: {period_ms!r}, {every_ms!r} are not both over 0")
+        """PeriodOutOfRangeError for a period that is not over 0.
+
+        `period_ms`: the control period, a ratio of the shortest latency objective. `update_every_ms`: the
+        longest time between two calls of `update`. `round_ms`: how long a round of probes to all members
+        takes; the caller sets it as the fleet grows or shrinks.
+        """
+        for name, value_ms in (("period_ms", period_ms), ("update_every_ms", update_every_ms)):
+            if not 0.0 < value_ms < math.inf:
+                raise PeriodOutOfRangeError(name, value_ms)
         self.round_ms = round_ms
-        self._view = view
-        self._lasting = SUSTAINED_PERIODS * period_ms
-        self._bounds = tuple(bound * period_ms for bound in MAX_AGE_PERIODS)
-        self._keeps = tuple(bound - every_ms for bound in self._bounds)
-        self._earns = tuple(bound * RISE_AGE_RATIO - every_ms for bound in self._bounds)
+        self._table = table
+        self._sustained_ms = SUSTAINED_PERIODS * period_ms
+        self._max_ages_ms = tuple(periods * period_ms for periods in MAX_AGE_PERIODS)
+        # A level has to hold until the next update.
+        self._hold_ages_ms = tuple(age - update_every_ms for age in self._max_ages_ms)
+        self._rise_ages_ms = tuple(age * RISE_AGE_RATIO - update_every_ms for age in self._max_ages_ms)
         self._listed: frozenset[str] = frozenset()
         self._routes: dict[str, _Route] = {}
-        self._state: _Cap = (_SURE, "")  # the node's own state as it is,
-        self._cap: _Cap = (_SURE, "")  # and as it caps marks, once it has lasted
+        self._current_cap = _NO_CAP  # by the node's state as it is now,
+        self._sustained_cap = _NO_CAP  # and as it applies, once that state has lasted
         self._worse_since: float | None = None
 
-    def update(self, now: float, stand: ConnectivityState) -> dict[str, Confidence]:
-        """Judge every route anew; the marks that changed or are new, by server. Linear in the list."""
-        self._weigh_node(now, stand)
-        if self._view.endpoint_list.servers is not self._listed:
-            self._listed = self._view.endpoint_list.servers
+    def update(self, now: float, connectivity: ConnectivityState) -> dict[str, Confidence]:
+        """Judge every route anew; returns the levels that are new or changed, by server. O(servers)."""
+        self._update_node_cap(now, connectivity)
+        if self._table.endpoint_list.servers is not self._listed:
+            self._listed = self._table.endpoint_list.servers
             self._routes = {server: self._routes.get(server) or _Route() for server in self._listed}
         changed = {}
         for server, route in self._routes.items():
-            self._step(now, server, route)
-            if route.level != route.given:
-                route.given = route.level
+            self._update_route(now, server, route)
+            if route.level != route.reported_level:
+                route.reported_level = route.level
                 changed[server] = LEVELS[route.level]
         return changed
 
     @property
     def levels(self) -> dict[str, Confidence]:
-        """All marks as they stand."""
+        """The current level of every route, by server."""
         return {server: LEVELS[route.level] for server, route in self._routes.items()}
 
-    def edge_rows(self, now: float) -> list[dict[str, object]]:
-        """Every edge, for the door: mark, age in ms (`most_ms` None: no bound), revisions behind, reason."""
-        newest = self._view.newest_revision
-        rows = []
-        for server, route in sorted(self._routes.items()):
-            edge = server_edge(self._view, now, server, newest)
-            rows.append(_row("server", server, route.level, edge, self._reason(now, server, route.level)))
-        for incarnation in sorted(self._view.siblings, key=str):
-            edge = sibling_edge(self._view, now, incarnation, newest)
-            level = bisect_left([bound * self.round_ms for bound in SIBLING_MAX_AGE_ROUNDS], edge.age[1])
-            why = "unheard" if edge.age[0] == math.inf else "unsampled" if edge.age[1] == math.inf else "told"
-            rows.append(_row("sibling", incarnation, level, edge, why))
-        return rows
-
-    # ---------------------------------------------------------------- inside
-
-    def _weigh_node(self, now: float, stand: ConnectivityState) -> None:
-        listing = self._view.endpoint_list
-        behind = self._view.newest_revision - listing.revision
-        caps: list[_Cap] = [
-            (_SURE, ""),
-            {"attached": (_SURE, ""), "adrift": (_FAIR, stand)}.get(stand, (_WEAK, stand)),
+    def edge_statuses(self, now: float) -> list[EdgeStatus]:
+        """Every edge for operators: the servers by name, then the siblings."""
+        newest = self._table.newest_revision
+        servers = [
+            server_status(
+                server,
+                LEVELS[route.level],
+                server_edge(self._table, now, server, newest),
+                self._reason(now, server, route.level),
+            )
+            for server, route in sorted(self._routes.items())
         ]
-        if behind >= REVISION_LIMITS[0]:
-            caps.append((_FAIR if behind < REVISION_LIMITS[1] else _WEAK, "behind"))
-        if now - listing.confirmed_at > MAX_LIST_AGE_MS:
-            caps.append((_FAIR, "list-old"))
-        self._state = max(caps, key=lambda cap: cap[0])
-        if self._state[0] <= self._cap[0]:
-            self._cap, self._worse_since = self._state, None
+        siblings = [
+            sibling_status(incarnation, sibling_edge(self._table, now, incarnation, newest), self.round_ms)
+            for incarnation in sorted(self._table.siblings, key=str)
+        ]
+        return servers + siblings
+
+    # ------------------------------------------------------------- internals
+
+    def _update_node_cap(self, now: float, connectivity: ConnectivityState) -> None:
+        """Lift the node's cap at once; tighten it once the worse state has lasted."""
+        self._current_cap = self._node_cap(now, connectivity)
+        if self._current_cap.level <= self._sustained_cap.level:
+            self._sustained_cap, self._worse_since = self._current_cap, None
         elif self._worse_since is None:
             self._worse_since = now
-        elif now - self._worse_since >= self._lasting:
-            self._cap, self._worse_since = self._state, None
-
-    def _step(self, now: float, server: str, route: _Route) -> None:
-        """Move a route's mark as the module's docstring says."""
-        own, told, cap, _ = self._evidence(now, server)
-        best = own if own < told else told
-        keep = bisect_left(self._keeps, best) or (_SURE if own <= self._keeps[_SURE] else _FAIR)
-        keep = max(keep, cap, self._cap[0])
-        if keep > route.level:
-            route.level, route.earning = keep, None
+        elif now - self._worse_since >= self._sustained_ms:
+            self._sustained_cap, self._worse_since = self._current_cap, None
+
+    def _node_cap(self, now: float, connectivity: ConnectivityState) -> _NodeCap:
+        """The strictest cap by the node's state; of equal ones the first."""
+        listing = self._table.endpoint_list
+        behind = self._table.newest_revision - listing.revision
+        caps = [_CONNECTIVITY_CAPS[connectivity]]
+        medium_limit, low_limit = REVISION_LIMITS
+        if behind >= medium_limit:
+            caps.append(_NodeCap(_MEDIUM if behind < low_limit else _LOW, EdgeReason.LIST_BEHIND))
+        if now - listing.confirmed_at > MAX_LIST_AGE_MS:
+            caps.append(_NodeCap(_MEDIUM, EdgeReason.LIST_OLD))
+        return max(caps, key=lambda cap: cap.level)
+
+    def _update_route(self, now: float, server: str, route: _Route) -> None:
+        """Move a route's level as the module's docstring says."""
+        direct_age, reported_age, failure_cap, _ = self._evidence(now, server)
+        age = direct_age if direct_age < reported_age else reported_age
+        level = bisect_left(self._hold_ages_ms, age)
+        if level == _HIGH and direct_age > self._hold_ages_ms[_HIGH]:
+            level = _MEDIUM
+        level = max(level, failure_cap, self._sustained_cap.level)
+        if level > route.level:
+            route.level, route.rising_since = level, None
             return
-        if route.level == _SURE:
+        if route.level == _HIGH:
             return
-        earn = bisect_left(self._earns, best) or (_SURE if own <= self._earns[_SURE] else _FAIR)
-        if max(earn, cap, self._state[0]) >= route.level:
-            route.earning = None
-        elif route.level == _BLIND:
-            route.level, route.earning = _WEAK, now
-        elif route.earning is None:
-            route.earning = now
-        elif now - route.earning >= self._bounds[route.level - 1]:
-            route.level, route.earning = route.level - 1, now
-
-    def _evidence(self, now: float, server: str) -> tuple[float, float, int, str]:
-        """The most that the own and the told evidence may be old; the cap of failed calls, why."""
-        seen = self._view.observations.get(server)
-        hearsay = self._view.gossip.get(server)
-        heard = -math.inf if seen is None else seen.answered_at
-        told = math.inf if hearsay is None else now - hearsay.answered_at
-        if seen is not None and seen.consecutive_failures >= FAILURE_LIMITS[0]:
-            return (
-                now - heard,
-                told,
-                _FAIR if seen.consecutive_failures < FAILURE_LIMITS[1] else _WEAK,
-                "missing",
-            )
-        if hearsay is not None and hearsay.failed_at > heard:
-            return now - heard, told, _FAIR, "missing-for-sibling"
-        return now - heard, told, _SURE, ""
-
-    def _reason(self, now: float, server: str, level: int) -> str:
-        """Why the mark is no better, or what it rests on."""
-        own, told, cap, why = self._evidence(now, server)
-        if own == told == math.inf:
-            return "unheard"
-        if self._cap[0] > cap:
-            cap, why = self._cap
-        by_own = bisect_left(self._keeps, own)
-        by_age = min(by_own, max(bisect_left(self._keeps, told), _FAIR))
+        level = bisect_left(self._rise_ages_ms, age)
+        if level == _HIGH and direct_age > self._rise_ages_ms[_HIGH]:
+            level = _MEDIUM
+        if max(level, failure_cap, self._current_cap.level) >= route.level:
+            route.rising_since = None
+        elif route.level == _NONE:
+            route.level, route.rising_since = _LOW, now
+        elif route.rising_since is None:
+            route.rising_since = now
+        elif now - route.rising_since >= self._max_ages_ms[route.level - 1]:
+            route.level, route.rising_since = route.level - 1, now
+
+    def _evidence(self, now: float, server: str) -> _Evidence:
+        """The upper ends of the evidence's ages, and what failed attempts allow at best."""
+        observation = self._table.observations.get(server)
+        gossip = self._table.gossip.get(server)
+        answered_at = -math.inf if observation is None else observation.answered_at
+        reported_age = math.inf if gossip is None else now - gossip.answered_at
+        if observation is not None and observation.consecutive_failures >= FAILURE_LIMITS[0]:
+            cap = _MEDIUM if observation.consecutive_failures < FAILURE_LIMITS[1] else _LOW
+            return now - answered_at, reported_age, cap, EdgeReason.FAILURES
+        if gossip is not None and gossip.failed_at > answered_at:
+            return now - answered_at, reported_age, _MEDIUM, EdgeReason.SIBLING_FAILURE
+        return now - answered_at, reported_age, _HIGH, None
+
+    def _reason(self, now: float, server: str, level: int) -> EdgeReason:
+        """Why the level is no better, or what it is based on."""
+        direct_age, reported_age, cap, reason = self._evidence(now, server)
+        if direct_age == reported_age == math.inf:
+            return EdgeReason.NO_EVIDENCE
+        if self._sustained_cap.level > cap:
+            cap, reason = self._sustained_cap
+        by_direct_age = bisect_left(self._hold_ages_ms, direct_age)
+        by_age = min(by_direct_age, max(bisect_left(self._hold_ages_ms, reported_age), _MEDIUM))
         if max(by_age, cap) < level:
-            return "settling"
-        if cap >= by_age and cap > _SURE:
-            return why
-        if by_age < by_own or (told < own and by_age > _SURE):
-            return "told"
-        return "aged" if by_age > _SURE else "heard"
-
-
-def _row(kind: str, to: Hashable, level: int, edge: Edge, reason: str) -> dict[str, object]:
-    least, most = (age if age < math.inf else None for age in edge.age)
-    return {
-        "kind": kind,
-        "to": to,
-        "mark": LEVELS[level].value,
-        "least_ms": least,
-        "most_ms": most,
-        "behind": edge.revisions_behind,
-        "via": edge.reporter if edge.reported_age[1] < edge.direct_age[1] else None,
-        "reason": reason,
-    }
+            return EdgeReason.SETTLING
+        if cap >= by_age and reason is not None:
+            return reason
+        if by_age < by_direct_age or (reported_age < direct_age and by_age > _HIGH):
+            return EdgeReason.REPORTED
+        return EdgeReason.AGED if by_age > _HIGH else EdgeReason.DIRECT
--- a/loadbalancer/staleness/edges.py
+++ b/loadbalancer/staleness/edges.py
@@ -1,8 +1,9 @@
-"""How old what this process knows at each of its edges is: itself to a server, itself to a sibling.
+"""The age of what this process knows about a server or a sibling.
 
-An age is an interval [least, most] in ms of own time that holds whatever the link's asymmetry: exact where
-this process saw the fact itself, from the offset's bounds where a sibling told it, with no `most` (inf)
-where the sibling's clock is not known yet.
+An edge leads from this process to one of them. An age is an interval [least, most] in ms of local time that
+holds whatever the asymmetry of the link: exact where this process observed the fact itself, from the bounds
+of the clock offset where a sibling reported it, with no upper bound (inf) while the sibling's clock is
+unknown.
 """
 
 from __future__ import annotations
@@ -10,47 +11,56 @@
 import math
 from collections.abc import Hashable
 from dataclasses import dataclass
+from typing import Final
 
 from loadbalancer.staleness.clock_offsets import Interval
 from loadbalancer.staleness.freshness import FreshnessTable
 
-UNKNOWN: Interval = (math.inf, math.inf)  # nothing was ever heard
+UNKNOWN_AGE: Final[Interval] = (math.inf, math.inf)  # nothing has been observed or reported
 
 
 @dataclass(slots=True, frozen=True)
 class Edge:
-    """`own`: since this process heard of it; `told`: since the sibling `via` did. Either may be UNKNOWN."""
+    """Ages of the information on one server or sibling; either may be UNKNOWN_AGE."""
 
-    direct_age: Interval
-    reported_age: Interval
+    direct_age: Interval  # since this process observed it
+    reported_age: Interval  # since the sibling `reporter` observed it
     reporter: Hashable | None
-    revisions_behind: (
-        int  # revisions: this node's list (a server's edge) or the sibling's, behind the newest heard of
-    )
+    # How far the endpoint list of this node (a server's edge) or of the sibling is behind the newest known.
+    revisions_behind: int
 
     @property
     def age(self) -> Interval:
-        """Of the freshest that is known, from either."""
-        return (min(self.direct_age[0], self.reported_age[0]), min(self.direct_age[1], self.reported_age[1]))
-
-
-def server_edge(view: FreshnessTable, now: float, server: str, newest: int | None = None) -> Edge:
-    """The edge to a server; `newest` spares looking for the newest revision where many edges are asked."""
-    seen = view.observations.get(server)
-    own = UNKNOWN if seen is None else (now - seen.answered_at, now - seen.answered_at)
-    behind = (view.newest_revision if newest is None else newest) - view.endpoint_list.revision
-    hearsay = view.gossip.get(server)
-    fact = None if hearsay is None else hearsay.freshest
-    if fact is None or fact.answered_at is None:
-        return Edge(own, UNKNOWN, None, behind)
-    return Edge(own, (now - fact.answered_at[1], now - fact.answered_at[0]), fact.origin, behind)
-
-
-def sibling_edge(view: FreshnessTable, now: float, incarnation: Hashable, newest: int | None = None) -> Edge:
-    """The edge to a sibling: the age of what it last told of itself, its figures and revision."""
-    newest = view.newest_revision if newest is None else newest
-    sibling = view.siblings.get(incarnation)
+        """The age of the freshest information, from either."""
+        return (
+            min(self.direct_age[0], self.reported_age[0]),
+            min(self.direct_age[1], self.reported_age[1]),
+        )
+
+
+def server_edge(table: FreshnessTable, now: float, server: str, newest_revision: int | None = None) -> Edge:
+    """The edge to a server; pass `newest_revision` to look it up once for many edges."""
+    observation = table.observations.get(server)
+    direct_age = UNKNOWN_AGE
+    if observation is not None:
+        direct_age = (now - observation.answered_at, now - observation.answered_at)
+    newest = table.newest_revision if newest_revision is None else newest_revision
+    behind = newest - table.endpoint_list.revision
+    gossip = table.gossip.get(server)
+    report = None if gossip is None else gossip.freshest
+    if report is None or report.answered_at is None:
+        return Edge(direct_age, UNKNOWN_AGE, None, behind)
+    reported_age = (now - report.answered_at[1], now - report.answered_at[0])
+    return Edge(direct_age, reported_age, report.origin, behind)
+
+
+def sibling_edge(
+    table: FreshnessTable, now: float, incarnation: Hashable, newest_revision: int | None = None
+) -> Edge:
+    """The edge to a sibling: the age of its last report of itself."""
+    newest = table.newest_revision if newest_revision is None else newest_revision
+    sibling = table.siblings.get(incarnation)
     if sibling is None:
-        return Edge(UNKNOWN, UNKNOWN, None, newest)
-    told = (now - sibling.sent_at[1], now - sibling.sent_at[0])
-    return Edge(UNKNOWN, told, incarnation, newest - sibling.list_revision)
+        return Edge(UNKNOWN_AGE, UNKNOWN_AGE, None, newest)
+    reported_age = (now - sibling.sent_at[1], now - sibling.sent_at[0])
+    return Edge(UNKNOWN_AGE, reported_age, incarnation, newest - sibling.list_revision)
--- a/loadbalancer/staleness/freshness.py
+++ b/loadbalancer/staleness/freshness.py
@@ -1,43 +1,41 @@
-"""What this process knows and from whom: its own facts, and those that siblings told on their calls.
+"""What this process knows and from whom: its own observations and those that siblings reported.
 
-A fact has an origin (an incarnation, or this process), a version that rises at its origin and the origin's
-time. A time of another's clock is turned into an interval of own time as it is told, and ages by the own
-clock alone from then on. Own facts have exact times. All times are in ms.
+An observation has an origin (an incarnation, or this process), a version that rises at its origin and the
+origin's time. A time of another clock is converted to an interval of local time on receipt, and ages by the
+local clock alone from then on. The process's own observations have exact times. All times are in ms.
 """
 
 from __future__ import annotations
 
 import math
-from collections import Counter, deque
-from collections.abc import Collection, Hashable, Iterator
+from collections import Counter
+from collections.abc import Collection, Hashable
 from dataclasses import dataclass, field
 from enum import StrEnum
-from itertools import chain, islice
+from typing import Final
 
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.staleness import wire
-from loadbalancer.staleness.clock_offsets import ClockOffsets, Interval
+from loadbalancer.staleness.clock_offsets import ClockOffsets, Interval, OffsetReading
 from loadbalancer.staleness.gossip_reports import (
     GossipReports,
     intersect_or_latest,
     to_local_report,
     to_local_time,
 )
+from loadbalancer.staleness.report_selection import ReportSelection
 
-MAX_FLIPPED = 16  # servers in a share that have lately begun or ceased to fail,
-MAX_RECENT = 16  # those with the latest facts,
-MAX_ROTATED = 16  # and some of all in turn, so that each is told at some time
-REORDER_WINDOW = 64  # a share up to so many behind the last came late; one further behind starts anew
-_OK, _ERROR, _FULL = (
-    AttemptResult.OK,
-    AttemptResult.ERROR,
-    AttemptResult.REJECTED,
-)  # an enum's own look-up is slow
-_MUTE = (AttemptResult.CANCELLED, AttemptResult.ABANDONED)  # these say nothing of the server
+REORDER_WINDOW: Final = (
+    64  # a report up to so many behind the last is out of order; further behind, a restart
+)
+
+# Module-level names, since looking up an enum's member by attribute is slow on the path of a call.
+_OK, _ERROR, _REJECTED = AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED
+_INCONCLUSIVE: Final = (AttemptResult.CANCELLED, AttemptResult.ABANDONED)  # these say nothing of the server
 
 
 class Observation:
-    """Own facts on one server."""
+    """What this process itself observed of one server."""
 
     __slots__ = (
         "answered_at",
@@ -53,16 +51,16 @@
         self.version = 0
         self.attempted_at = self.answered_at = self.load_at = -math.inf
         self.outcome: AttemptResult | None = None
-        self.consecutive_failures = 0  # failures since the last good answer
-        self.load: float | None = None
+        self.consecutive_failures = 0
+        self.load: float | None = None  # a ratio of the server's capacity
 
 
 @dataclass(slots=True, frozen=True)
 class SiblingState:
-    """What a sibling last told of itself."""
+    """A sibling's last report of itself; intervals are of local time."""
 
     sequence: int
-    sent_at: Interval  # in own time
+    sent_at: Interval
     list_revision: int
     list_confirmed_at: Interval | None
     pools: tuple[wire.PoolState, ...]
@@ -74,7 +72,7 @@
     MALFORMED = "malformed"
     UNKNOWN_MEMBER = "unknown-member"  # no member has the report's origin
     OUT_OF_ORDER = "out-of-order"  # a later report of the origin was used before
-    FROM_FUTURE = "from-future"  # sent at a time that lies ahead of the local clock
+    FROM_FUTURE = "from-future"  # sent at a time that is certainly later than now
 
 
 @dataclass(slots=True)
@@ -86,176 +84,189 @@
 
 
 @dataclass(slots=True)
-class _EndpointList:
+class EndpointListState:
+    """The endpoint list as last confirmed."""
+
     revision: int = 0
     confirmed_at: float = -math.inf
     servers: frozenset[str] = field(default_factory=frozenset)
 
 
 class FreshnessTable:
-    """Own and told facts; memory is bounded by the server list and the members.
+    """Own observations and siblings' reports; memory is bounded by the endpoint list and the members."""
 
-    `offsets` is the one that the process samples its calls into, with the siblings' incarnations as peers.
-    """
-
-    def __init__(self, offsets: ClockOffsets) -> None:
-        self.clock_offsets = offsets
+    def __init__(self, clock_offsets: ClockOffsets) -> None:
+        """`clock_offsets`: into which the process samples its calls, with siblings' incarnations as peers."""
+        self.clock_offsets = clock_offsets
         self.counts = ReportCounts()
-        self.endpoint_list = _EndpointList()
-        self.siblings: dict[
-            Hashable, SiblingState | None
-        ] = {}  # every member but this; None: has told nothing
-        self.observations: dict[str, Observation] = {}  # the one with the latest fact last
-        self.gossip: dict[str, GossipReports] = {}
+        self.endpoint_list = EndpointListState()
+        # Every member but this process; None: it has reported nothing.
+        self.siblings: dict[Hashable, SiblingState | None] = {}
+        self.observations: dict[str, Observation] = {}  # by server, the one observed last at the end
+        self.gossip: dict[str, GossipReports] = {}  # by server
         self._pools: dict[str, wire.PoolState] = {}
-        self._flipped: dict[str, None] = {}  # the latest last
-        self._turn: deque[str] = deque()  # servers with own facts
-        self._version = 0
-        self._shares = 0
+        self._selection = ReportSelection()
+        self._version = 0  # of the latest observation
+        self._sequence = 0  # of the latest report
 
-    # ------------------------------------------------------------- own facts
+    # ----------------------------------------------------- own observations
 
     def record_outcome(self, now: float, server: str, outcome: AttemptResult) -> None:
-        """An attempt at a server ended. On every call's path, so a few stores and no more."""
-        if outcome in _MUTE:
+        """An attempt at a server ended. Runs on the path of every call."""
+        if outcome in _INCONCLUSIVE:
             return
-        seen = self._touch(server)
-        if seen is None:
+        observation = self._observe(server)
+        if observation is None:
             return
-        seen.attempted_at = now
-        seen.outcome = outcome
+        observation.attempted_at = now
+        observation.outcome = outcome
         if outcome is _OK:
-            seen.answered_at = now
-            if seen.consecutive_failures:
-                seen.consecutive_failures = 0
-                self._flip(server)
+            observation.answered_at = now
+            if observation.consecutive_failures:
+                observation.consecutive_failures = 0
+                self._selection.flip(server)
             return
-        if outcome is _FULL or outcome is _ERROR:
-            seen.answered_at = now
-        if outcome is not _FULL:
-            seen.consecutive_failures += 1
-            if seen.consecutive_failures == 1:
-                self._flip(server)
+        if outcome is _REJECTED or outcome is _ERROR:
+            observation.answered_at = now
+        if outcome is not _REJECTED:
+            observation.consecutive_failures += 1
+            if observation.consecutive_failures == 1:
+                self._selection.flip(server)
 
     def record_load(self, now: float, server: str, load: float) -> None:
-        """A server reported its load (a share of its capacity); what is no figure is dropped."""
-        if not (isinstance(load, int | float) and 0.0 <= load <= 1e12):
+        """A server reported its load, a ratio of its capacity; a value that is not a quantity is dropped."""
+        if not (isinstance(load, int | float) and 0.0 <= load <= wire.MAX_QUANTITY):
             return
-        seen = self._touch(server)
-        if seen is not None:
-            seen.load = float(load)
-            seen.load_at = seen.answered_at = now
+        observation = self._observe(server)
+        if observation is not None:
+            observation.load = float(load)
+            observation.load_at = observation.answered_at = now
+
+    def record_pool(
+        self, now: float, in_flight: float, cursor: int, threshold: float, pool: str = ""
+    ) -> None:
+        """This process's own state of a pool; pools past the report's limits are left out."""
+        if pool in self._pools or (len(self._pools) < wire.MAX_POOLS and len(pool) <= wire.MAX_NAME_CHARS):
+            self._pools[pool] = wire.PoolState(pool, now, in_flight, cursor, threshold)
 
     def confirm_list(self, now: float, revision: int, servers: Collection[str] | None = None) -> None:
-        """The list was confirmed at this revision; `servers` are all its names, None: the same as before."""
+        """The endpoint list was confirmed at `now`; `servers`: all its names, None: unchanged."""
         self.endpoint_list.confirmed_at = now
         self.endpoint_list.revision = revision
         if servers is None:
             return
-        self.endpoint_list.servers = frozenset(servers)
-        for facts in (self.observations, self.gossip, self._flipped):
-            for server in [name for name in facts if name not in self.endpoint_list.servers]:
-                del facts[server]
-        self._turn = deque(name for name in self._turn if name in self.endpoint_list.servers)
+        listed = self.endpoint_list.servers = frozenset(servers)
+        for table in (self.observations, self.gossip):
+            for server in [name for name in table if name not in listed]:
+                del table[server]
+        self._selection.retain(listed)
 
-    def record_pool(
-        self, now: float, in_flight: float, cursor: int, threshold: float, pool: str = ""
-    ) -> None:
-        """This process's own figures of a pool; pools past MAX_POOLS and names past MAX_NAME are not told."""
-        if pool in self._pools or (len(self._pools) < wire.MAX_POOLS and len(pool) <= wire.MAX_NAME_CHARS):
-            self._pools[pool] = wire.PoolState(pool, now, in_flight, cursor, threshold)
+    # ------------------------------------------------------------- siblings
 
     def set_members(self, incarnations: Collection[Hashable]) -> None:
-        """All members but this one; what a former one told of itself is dropped."""
+        """All members but this process; what a former one reported of itself is dropped."""
         for gone in self.siblings.keys() - set(incarnations):
             del self.siblings[gone]
             self.clock_offsets.forget(gone)
         for incarnation in incarnations:
             self.siblings.setdefault(incarnation, None)
 
-    # --------------------------------------------------------------- sharing
-
     def make_report(self, now: float) -> bytes:
-        """The `view` entry for a call or an answer that goes out now: at most 48 servers, in under 64 KiB."""
-        self._shares += 1
+        """The encoded report to send now: at most 48 servers, in under 64 KiB."""
+        self._sequence += 1
         listing = self.endpoint_list
-        confirmed = listing.confirmed_at if listing.confirmed_at > -math.inf else None
-        servers = [self._fact(name) for name in self._chosen()]
-        pools = list(self._pools.values())
-        return wire.encode(wire.Report(1, self._shares, now, listing.revision, confirmed, pools, servers))
+        report = wire.Report(
+            version=wire.FORMAT_VERSION,
+            sequence=self._sequence,
+            sent_at=now,
+            list_revision=listing.revision,
+            list_confirmed_at=listing.confirmed_at if listing.confirmed_at > -math.inf else None,
+            pools=list(self._pools.values()),
+            servers=[
+                self._encodable(name)
+                for name in self._selection.select(reversed(self.observations))
+                if 0 < len(name) <= wire.MAX_NAME_CHARS
+            ],
+        )
+        return wire.encode(report)
 
     def receive_report(self, now: float, origin: Hashable, payload: object) -> ReportRejection | None:
-        """Take the entry of a sibling's call, once or again. None: taken; else why not, as it is counted."""
+        """Use a sibling's report, which may come repeatedly. None: used; else why it was rejected."""
         if origin not in self.siblings:
             return self._reject(ReportRejection.UNKNOWN_MEMBER)
-        share = wire.decode(payload)
-        if share is None:
+        report = wire.decode(payload)
+        if report is None:
             return self._reject(ReportRejection.MALFORMED)
-        before = self.siblings[origin]
-        if before is not None and 0 < before.sequence - share.sequence <= REORDER_WINDOW:
+        earlier = self.siblings[origin]
+        if earlier is not None and 0 < earlier.sequence - report.sequence <= REORDER_WINDOW:
             return self._reject(ReportRejection.OUT_OF_ORDER)
         reading = self.clock_offsets.reading(origin, now)
-        sent = to_local_time(reading, now, share.sent_at)
-        if sent is None:  # its clock jumped since it was sampled: the next call tells where to
+        sent_at = to_local_time(reading, now, report.sent_at)
+        if (
+            sent_at is None
+        ):  # the origin's clock was set since its last sample; the next call measures it anew
             self.clock_offsets.forget(origin)
             return self._reject(ReportRejection.FROM_FUTURE)
-        if before is not None and before.sequence == share.sequence:  # the same again, by another call
-            sent = intersect_or_latest(before.sent_at, sent)
-        confirmed = (
-            None if share.list_confirmed_at is None else to_local_time(reading, now, share.list_confirmed_at)
-        )
-        self.siblings[origin] = SiblingState(
-            share.sequence, sent, share.list_revision, confirmed, tuple(share.pools)
-        )
-        for fact in share.servers:
-            if fact.name in self.endpoint_list.servers:
-                hearsay = self.gossip.get(fact.name)
-                if hearsay is None:
-                    hearsay = self.gossip[fact.name] = GossipReports()
-                hearsay.add(to_local_report(origin, reading, now, fact))
+        if earlier is not None and earlier.sequence == report.sequence:  # the same report on another call
+            sent_at = intersect_or_latest(earlier.sent_at, sent_at)
+        self.siblings[origin] = _sibling_state(report, sent_at, reading, now)
+        self._add_gossip(origin, reading, now, report)
         self.counts.accepted += 1
         return None
 
     @property
     def newest_revision(self) -> int:
-        """Of all that this process and its siblings hold."""
-        heard = (sibling.list_revision for sibling in self.siblings.values() if sibling is not None)
-        return max(self.endpoint_list.revision, max(heard, default=0))
+        """The newest revision of the endpoint list that this process or a sibling holds."""
+        reported = (sibling.list_revision for sibling in self.siblings.values() if sibling is not None)
+        return max(self.endpoint_list.revision, max(reported, default=0))
 
-    # ---------------------------------------------------------------- inside
+    # ------------------------------------------------------------- internals
 
-    def _touch(self, server: str) -> Observation | None:
-        """The server's facts, moved to the end of the order; None: no such server is listed."""
-        seen = self.observations.pop(server, None)
-        if seen is None:
+    def _observe(self, server: str) -> Observation | None:
+        """The server's observation, versioned anew and moved to the end; None for an unlisted server."""
+        observation = self.observations.pop(server, None)
+        if observation is None:
             if server not in self.endpoint_list.servers:
                 return None
-            seen = Observation()
-            self._turn.append(server)
-        self.observations[server] = seen
+            observation = Observation()
+            self._selection.add(server)
+        self.observations[server] = observation
         self._version += 1
-        seen.version = self._version
-        return seen
-
-    def _flip(self, server: str) -> None:
-        self._flipped.pop(server, None)
-        self._flipped[server] = None
-        if len(self._flipped) > MAX_FLIPPED:
-            del self._flipped[next(iter(self._flipped))]
-
-    def _chosen(self) -> Iterator[str]:
-        turn = list(islice(self._turn, MAX_ROTATED))
-        self._turn.rotate(-len(turn))
-        names = chain(self._flipped, islice(reversed(self.observations), MAX_RECENT), turn)
-        return (name for name in dict.fromkeys(names) if 0 < len(name) <= wire.MAX_NAME_CHARS)
-
-    def _fact(self, name: str) -> wire.ServerObservation:
-        seen = self.observations[name]
-        at = seen.attempted_at if seen.outcome is not None else seen.load_at
-        heard = seen.answered_at if seen.answered_at > -math.inf else None
-        load_at = seen.load_at if seen.load is not None else None
-        return wire.ServerObservation(name, seen.version, at, seen.outcome, heard, seen.load, load_at)
+        observation.version = self._version
+        return observation
+
+    def _encodable(self, server: str) -> wire.ServerObservation:
+        observation = self.observations[server]
+        attempted = observation.outcome is not None
+        return wire.ServerObservation(
+            name=server,
+            version=observation.version,
+            attempted_at=observation.attempted_at if attempted else observation.load_at,
+            outcome=observation.outcome,
+            answered_at=observation.answered_at if observation.answered_at > -math.inf else None,
+            load=observation.load,
+            load_at=observation.load_at if observation.load is not None else None,
+        )
+
+    def _add_gossip(
+        self, origin: Hashable, reading: OffsetReading | None, now: float, report: wire.Report
+    ) -> None:
+        for observation in report.servers:
+            if observation.name in self.endpoint_list.servers:
+                gossip = self.gossip.get(observation.name)
+                if gossip is None:
+                    gossip = self.gossip[observation.name] = GossipReports()
+                gossip.add(to_local_report(origin, reading, now, observation))
 
     def _reject(self, reason: ReportRejection) -> ReportRejection:
         self.counts.rejected[reason] += 1
         return reason
+
+
+def _sibling_state(
+    report: wire.Report, sent_at: Interval, reading: OffsetReading | None, now: float
+) -> SiblingState:
+    confirmed_at = None
+    if report.list_confirmed_at is not None:
+        confirmed_at = to_local_time(reading, now, report.list_confirmed_at)
+    return SiblingState(report.sequence, sent_at, report.list_revision, confirmed_at, tuple(report.pools))
--- a/loadbalancer/staleness/gossip_reports.py
+++ b/loadbalancer/staleness/gossip_reports.py
@@ -1,9 +1,10 @@
-"""What siblings tell of one server, in own time."""
+"""What siblings report of one server, in local time. All times are in ms."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Hashable
+from typing import Final
 
 import msgspec
 
@@ -11,27 +12,28 @@
 from loadbalancer.staleness.clock_offsets import Interval, OffsetReading
 from loadbalancer.staleness.wire import ServerObservation
 
-MAX_ORIGINS = 3  # siblings' facts kept of one server: those heard last
-_GOOD = (None, AttemptResult.OK, AttemptResult.REJECTED)
+MAX_ORIGINS: Final = 3  # siblings whose reports are kept of one server: those that heard it last
+_NO_FAILURE: Final = (None, AttemptResult.OK, AttemptResult.REJECTED)
 
 
 class ServerReport(msgspec.Struct, frozen=True):
-    """A sibling's fact on a server; intervals are of own time, from -inf where nothing bounds them."""
+    """A sibling's report of a server; intervals are of local time, from -inf where nothing bounds them."""
 
     origin: Hashable
     version: int
     outcome: AttemptResult | None
-    attempted_at: Interval  # the last outcome's time
-    answered_at: Interval | None  # when the server last answered it; None: never
+    attempted_at: Interval  # when the last outcome came
+    answered_at: Interval | None  # when the server last answered the sibling; None: never
     load: float | None
     load_at: Interval | None
 
 
 class GossipReports:
-    """The facts of a few siblings on one server, with what the marks ask of them.
+    """The reports of up to `MAX_ORIGINS` siblings on one server, and what the confidence levels need of them.
 
-    `best` is the fact by which the server was surely heard last, None where no sibling has heard it, `heard`
-    that time's low end; `missed` is the low end of the time of a sibling's failed call, the latest of these.
+    `freshest` is the report with the latest certain answer of the server, None where no sibling has had one;
+    `answered_at` is the low end of that answer's time; `failed_at` is the low end of the time of a sibling's
+    failed attempt, the latest of these.
     """
 
     __slots__ = ("answered_at", "by_origin", "failed_at", "freshest")
@@ -41,56 +43,70 @@
         self.freshest: ServerReport | None = None
         self.answered_at = self.failed_at = -math.inf
 
-    def add(self, fact: ServerReport) -> None:
-        before = self.by_origin.get(fact.origin)
-        self.by_origin[fact.origin] = fact if before is None else _merge(before, fact)
+    def add(self, report: ServerReport) -> None:
+        """Add a sibling's report, or replace its earlier one."""
+        earlier = self.by_origin.get(report.origin)
+        self.by_origin[report.origin] = report if earlier is None else _merge(earlier, report)
         if len(self.by_origin) > MAX_ORIGINS:
             del self.by_origin[min(self.by_origin, key=lambda origin: _recency(self.by_origin[origin]))]
+        self._summarize()
+
+    def _summarize(self) -> None:
         self.freshest, self.answered_at, self.failed_at = None, -math.inf, -math.inf
-        for fact in self.by_origin.values():
-            if fact.answered_at is not None and (
-                self.freshest is None or fact.answered_at[0] > self.answered_at
-            ):
-                self.freshest, self.answered_at = fact, fact.answered_at[0]
-            if fact.attempted_at[0] > self.failed_at and fact.outcome not in _GOOD:
-                self.failed_at = fact.attempted_at[0]
+        for report in self.by_origin.values():
+            answered_at = report.answered_at
+            if answered_at is not None and (self.freshest is None or answered_at[0] > self.answered_at):
+                self.freshest, self.answered_at = report, answered_at[0]
+            if report.attempted_at[0] > self.failed_at and report.outcome not in _NO_FAILURE:
+                self.failed_at = report.attempted_at[0]
 
 
 def to_local_time(reading: OffsetReading | None, now: float, stamp: float) -> Interval | None:
-    """The own time of a sibling's stamp, no later than now; None: it would surely lie ahead of now."""
+    """The local time of a sibling's stamp, no later than now; None where it is certainly later than now.
+
+    `reading` is None where the sibling's clock is unknown: the interval then has no lower bound.
+    """
     if reading is None:
         return (-math.inf, now)
     low, high = reading.to_local(stamp)
     return (low, min(high, now)) if low <= now else None
 
 
-def intersect_or_latest(before: Interval, now: Interval) -> Interval:
-    """One moment told twice; where the two contradict, the clock jumped and the later one counts."""
-    low, high = max(before[0], now[0]), min(before[1], now[1])
-    return (low, high) if low <= high else now
+def intersect_or_latest(earlier: Interval, latest: Interval) -> Interval:
+    """One moment reported twice: the intersection, or `latest` where a clock was set between the two."""
+    low, high = max(earlier[0], latest[0]), min(earlier[1], latest[1])
+    return (low, high) if low <= high else latest
 
 
 def to_local_report(
-    origin: Hashable, reading: OffsetReading | None, now: float, fact: ServerObservation
+    origin: Hashable, reading: OffsetReading | None, now: float, observation: ServerObservation
 ) -> ServerReport:
-    """A fact of an entry whose sending is known not to lie ahead of now."""
-    tried = to_local_time(reading, now, fact.attempted_at) or (now, now)
-    times = {None: None, fact.attempted_at: tried}  # most often all three are the same
-    for stamp in (fact.answered_at, fact.load_at):
+    """An observation in local time, of a report that was certainly not sent later than now."""
+    attempted_at = to_local_time(reading, now, observation.attempted_at) or (now, now)
+    # Most often all three times of an observation are equal: each distinct one is converted once.
+    times = {None: None, observation.attempted_at: attempted_at}
+    for stamp in (observation.answered_at, observation.load_at):
         if stamp not in times and stamp is not None:
             times[stamp] = to_local_time(reading, now, stamp)
     return ServerReport(
-        origin, fact.version, fact.outcome, tried, times[fact.answered_at], fact.load, times[fact.load_at]
+        origin,
+        observation.version,
+        observation.outcome,
+        attempted_at,
+        times[observation.answered_at],
+        observation.load,
+        times[observation.load_at],
     )
 
 
-def _merge(before: ServerReport, fact: ServerReport) -> ServerReport:
-    """The same fact told again, with what is known of its time from both tellings."""
-    if before.version != fact.version or before.answered_at is None or fact.answered_at is None:
-        return fact
-    return msgspec.structs.replace(fact, answered_at=intersect_or_latest(before.answered_at, fact.answered_at))
+def _merge(earlier: ServerReport, latest: ServerReport) -> ServerReport:
+    """The latest report; if both are of the same observation, with the time bounds of both."""
+    if earlier.version != latest.version or earlier.answered_at is None or latest.answered_at is None:
+        return latest
+    answered_at = intersect_or_latest(earlier.answered_at, latest.answered_at)
+    return msgspec.structs.replace(latest, answered_at=answered_at)
 
 
-def _recency(fact: ServerReport) -> tuple[float, float]:
-    """By when the server surely was heard or tried: those least known are dropped first."""
-    return (-math.inf if fact.answered_at is None else fact.answered_at[0], fact.attempted_at[0])
+def _recency(report: ServerReport) -> tuple[float, float]:
+    """Orders reports by when the server certainly answered, then by when it was tried."""
+    return (-math.inf if report.answered_at is None else report.answered_at[0], report.attempted_at[0])
--- a/loadbalancer/staleness/wire.py
+++ b/loadbalancer/staleness/wire.py
@@ -1,54 +1,64 @@
-"""The `view` entry of the members' calls: what one process tells of itself, as msgpack, strictly read."""
+"""The freshness report on the wire: the `view` entry of members' probes, as MessagePack, decoded strictly.
+
+The arrays' order is the wire format; field names do not appear in it. Times are in ms of the origin's clock.
+"""
 
 from __future__ import annotations
 
-from typing import Annotated, Literal
+from typing import Annotated, Final, Literal
 
 import msgspec
 
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.staleness.clock_offsets import MAX_TIMESTAMP_MS
 
-MAX_REPORT_BYTES = 65_536  # of one entry; the largest that `share` makes is under this
-MAX_NAME_CHARS = 256  # characters of a server's or a pool's name
-MAX_SERVERS = 64  # in one entry
-MAX_POOLS = 8
+FORMAT_VERSION: Final = 1
+MAX_REPORT_BYTES: Final = 65_536  # over the largest that `FreshnessTable.make_report` encodes
+MAX_NAME_CHARS: Final = 256  # of a server's or a pool's name
+MAX_SERVERS: Final = 64  # in one report
+MAX_POOLS: Final = 8  # in one report
+MAX_SEQUENCE: Final = 2**53  # the largest integer that every double represents exactly
+MAX_QUANTITY: Final = 1e12  # of a load, a number of requests or a threshold
+MAX_CURSOR: Final = 2**31
 
-_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARS)]
-_Pool = Annotated[str, msgspec.Meta(max_length=MAX_NAME_CHARS)]
-_Count = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
-_Time = Annotated[float, msgspec.Meta(ge=-MAX_TIMESTAMP_MS, le=MAX_TIMESTAMP_MS)]
-_Figure = Annotated[float, msgspec.Meta(ge=0.0, le=1e12)]
+_ServerName = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARS)]
+_PoolName = Annotated[str, msgspec.Meta(max_length=MAX_NAME_CHARS)]
+_Sequence = Annotated[int, msgspec.Meta(ge=0, le=MAX_SEQUENCE)]
+_Timestamp = Annotated[float, msgspec.Meta(ge=-MAX_TIMESTAMP_MS, le=MAX_TIMESTAMP_MS)]
+_Quantity = Annotated[float, msgspec.Meta(ge=0.0, le=MAX_QUANTITY)]
+_Cursor = Annotated[int, msgspec.Meta(ge=-MAX_CURSOR, le=MAX_CURSOR)]
 
 
 class ServerObservation(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What the origin last saw of a server; times in ms on the origin's clock."""
+    """What the origin last observed of a server."""
 
-    name: _Name
-    version: _Count  # rises with every fact of the origin's
-    attempted_at: _Time  # of the last outcome
-    outcome: AttemptResult | None  # None: only reports have come
-    answered_at: _Time | None  # when the server last answered anything
-    load: _Figure | None
-    load_at: _Time | None
+    name: _ServerName
+    version: _Sequence  # rises with every observation of the origin
+    attempted_at: _Timestamp  # when the last outcome came
+    outcome: AttemptResult | None  # None: only load reports were received
+    answered_at: _Timestamp | None  # when the server last answered anything
+    load: _Quantity | None  # a ratio of the server's capacity
+    load_at: _Timestamp | None
 
 
 class PoolState(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """A pool at the origin: calls in flight, cursor and threshold."""
+    """A pool at the origin: requests in flight, admission cursor and threshold."""
 
-    pool: _Pool
-    measured_at: _Time
-    in_flight: _Figure
-    cursor: Annotated[int, msgspec.Meta(ge=-(2**31), le=2**31)]
-    threshold: _Figure
+    pool: _PoolName
+    measured_at: _Timestamp
+    in_flight: _Quantity
+    cursor: _Cursor
+    threshold: _Quantity
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """What one process reports of itself and of the servers."""
+
     version: Literal[1]
-    sequence: _Count  # rises with each that the origin makes
-    sent_at: _Time
-    list_revision: _Count  # of the server list it holds,
-    list_confirmed_at: _Time | None  # last confirmed then; None: it has none yet
+    sequence: _Sequence  # rises with each report of the origin
+    sent_at: _Timestamp
+    list_revision: _Sequence  # of the endpoint list that the origin holds
+    list_confirmed_at: _Timestamp | None  # None: the origin has no list yet
     pools: Annotated[list[PoolState], msgspec.Meta(max_length=MAX_POOLS)]
     servers: Annotated[list[ServerObservation], msgspec.Meta(max_length=MAX_SERVERS)]
 
@@ -58,21 +68,21 @@
 
 
 def decode(payload: object) -> Report | None:
-    """The entry, or None where it is anything else: too long, not msgpack, of the wrong shape, absurd."""
+    """The report, or None for anything else: too long, not MessagePack, malformed or inconsistent."""
     if not isinstance(payload, bytes) or len(payload) > MAX_REPORT_BYTES:
         return None
     try:
-        share = _decode(payload)
+        report = _decode(payload)
     except (ValueError, RecursionError):  # msgspec's errors are ValueErrors, as is text that is not UTF-8
         return None
-    return share if _is_consistent(share) else None
+    return report if _is_consistent(report) else None
 
 
-def _is_consistent(share: Report) -> bool:
-    """No time is past the sending; a load has a time."""
-    times = [share.list_confirmed_at, *(pool.measured_at for pool in share.pools)]
-    for fact in share.servers:
-        times += (fact.attempted_at, fact.answered_at, fact.load_at)
-        if (fact.load is None) != (fact.load_at is None):
+def _is_consistent(report: Report) -> bool:
+    """Whether no time is later than the sending and every load has a time."""
+    times = [report.list_confirmed_at, *(pool.measured_at for pool in report.pools)]
+    for server in report.servers:
+        times += (server.attempted_at, server.answered_at, server.load_at)
+        if (server.load is None) != (server.load_at is None):
             return False
-    return all(time is None or time <= share.sent_at for time in times)
+    return all(time is None or time <= report.sent_at for time in times)
--- a/tests/staleness/test_staleness.py
+++ b/tests/staleness/test_staleness.py
@@ -14,8 +14,9 @@
 from loadbalancer.staleness import ClockOffsets, ConfidenceTracker, FreshnessTable, server_edge, sibling_edge
 from loadbalancer.staleness.clock_offsets import MAX_DRIFT_PPM, MAX_PEERS, MAX_SAMPLES
 from loadbalancer.staleness.confidence import MAX_AGE_PERIODS, RISE_AGE_RATIO, SUSTAINED_PERIODS
-from loadbalancer.staleness.freshness import MAX_FLIPPED, MAX_RECENT, MAX_ROTATED, ReportRejection
+from loadbalancer.staleness.freshness import ReportRejection
 from loadbalancer.staleness.gossip_reports import MAX_ORIGINS
+from loadbalancer.staleness.report_selection import MAX_FLIPPED, MAX_RECENT, MAX_ROTATED
 
 P, EVERY = 15.0, 30.0
 delays = st.floats(0.0, 500.0)
@@ -289,7 +290,7 @@
             self.now += EVERY
 
     def reason(self) -> object:
-        return self.marks.edge_rows(self.now)[0]["reason"]
+        return self.marks.edge_statuses(self.now)[0].reason
 
 
 def test_a_route_rises_step_by_step_on_steady_answers_and_falls_step_by_step_without():
@@ -412,9 +413,9 @@
     ticker = Ticker()
     ticker.run(EVERY)
     ticker.view.record_outcome(0.0, "s", AttemptResult.OK)
-    row, sibling = ticker.marks.edge_rows(ticker.now)
-    assert (row["to"], row["least_ms"], row["most_ms"]) == ("s", EVERY, EVERY)
-    assert (sibling["kind"], sibling["mark"], sibling["most_ms"], sibling["reason"]) == (
+    row, sibling = ticker.marks.edge_statuses(ticker.now)
+    assert (row.target, row.least_ms, row.most_ms) == ("s", EVERY, EVERY)
+    assert (sibling.kind, sibling.confidence.value, sibling.most_ms, sibling.reason) == (
         "sibling",
         "blind",
         None,
