--- a/tests/stored/test_node_data.py
+++ b/tests/stored/test_node_data.py
@@ -61,7 +61,7 @@
 def test_route_versions_are_read_and_written_as_the_same_bytes(node: Path, tmp_path: Path) -> None:
     expected = [(number, text) for number, text in EXPECTED["routes"]]
     store = RouteStore(node / "routes")
-    assert store.read() == expected
+    assert store.load_all() == expected
     store.close()
     again = RouteStore(tmp_path / "again")
     for number, text in expected:
--- a/tests/wire/test_golden_members.py
+++ b/tests/wire/test_golden_members.py
@@ -11,13 +11,15 @@
 
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.membership import FailureDetector, Sibling, Standing
-from loadbalancer.staleness import Marks, Offsets, View
+from loadbalancer.staleness import ClockOffsets, ConfidenceTracker, FreshnessTable
 from tests.support.golden_members import Cores, play
 
 DATA = Path(__file__).parents[1] / "data" / "golden"
 
 
 def test_members_say_the_same_of_the_same_events() -> None:
-    cores = Cores(FailureDetector, Sibling, Standing, View, Offsets, Marks, AttemptResult)
+    cores = Cores(
+        FailureDetector, Sibling, Standing, FreshnessTable, ClockOffsets, ConfidenceTracker, AttemptResult
+    )
     played = orjson.loads(orjson.dumps(play(cores)))
     assert played == orjson.loads((DATA / "members.json").read_bytes())
