--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -41,7 +41,7 @@
     TimerFired,
 )
 from loadbalancer.endpoints import AttemptResult, EndpointListKind
-from loadbalancer.node.discovery.watcher import Listing
+from loadbalancer.node.discovery.watcher import DiscoveryResponse
 from loadbalancer.node.state import snapshot
 from tests.support.builders import servers, settings
 from tests.support.load import Load
@@ -52,20 +52,20 @@
 def write(count: int, writes: int) -> dict[str, Any]:
     listed = servers(count)
     endpoints = {server.address: ("10.1.0.1", 7000 + at) for at, server in enumerate(listed)}
-    listing = Listing(count, True, listed, endpoints)
+    listing = DiscoveryResponse(count, True, listed, endpoints)
     learned = Balancer(settings(), 1, 0.0).learned()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "n0.state"
         encodes, puts = [], []
         for _ in range(writes):
             began = time.perf_counter()
-            data = snapshot.encode("n0", time.time() * 1000.0, learned, {}, listing)
+            data = snapshot.encode_state("n0", time.time() * 1000.0, learned, {}, listing)
             encoded = time.perf_counter()
-            snapshot.put(path, data)
+            snapshot.write_atomically(path, data)
             encodes.append(encoded - began)
             puts.append(time.perf_counter() - encoded)
         began = time.perf_counter()
-        snapshot.verify(path.read_bytes(), "n0", time.time() * 1000.0, 0)
+        snapshot.verify_state(path.read_bytes(), "n0", time.time() * 1000.0, 0)
         verify_ms = (time.perf_counter() - began) * 1000.0
     return {
         "servers": count,
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -25,7 +25,7 @@
 from loadbalancer.balancing import Balancer
 from loadbalancer.endpoints import AttemptResult, Endpoint
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.config import NodeConfig, parse_config
 from loadbalancer.node.control import control_plane as fleet_part
 from loadbalancer.node.control.registry_client import Agent
 from loadbalancer.node.http import service_http as web
@@ -271,8 +271,8 @@
 
     def __init__(self, clock: Clock, uids: list[str]) -> None:
         self._clock = clock
-        self.listed = {uid: (Endpoint(uid), ("127.0.0.1", 9)) for uid in uids}
-        self.listed_rev = self.origin_rev = 1
+        self.endpoints = {uid: (Endpoint(uid), ("127.0.0.1", 9)) for uid in uids}
+        self.revision = self.service_revision = 1
 
     @property
     def confirmed_ms(self) -> float:
@@ -289,7 +289,7 @@
 _seeds = itertools.count(1)
 
 
-def _config(spec: HollowSpec, setup: Setup) -> Config:
+def _config(spec: HollowSpec, setup: Setup) -> NodeConfig:
     group = len(setup.servers[spec.service]) if setup.scoped else len(setup.regions)
     kept = KEPT_MOST if group <= KEPT_MOST else KEPT_LARGE
     members: dict[str, Any] = {"listen": f"127.0.0.1:{spec.port}", "zone": spec.zone}
@@ -302,7 +302,7 @@
     return parse_config(orjson.dumps(row))
 
 
-def _balancer(config: Config) -> Any:
+def _balancer(config: NodeConfig) -> Any:
     """Its period is the real module's; it has no calls."""
     real = Balancer(config.settings, next(_seeds), 0.0)
     return SimpleNamespace(period_ms=real.period_ms, pool=lambda: (0.0, 0, 0.0))
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -15,14 +15,14 @@
 import sys
 from pathlib import Path
 
-from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.config import NodeConfig, parse_config
 from loadbalancer.node.node import Node
-from loadbalancer.node.state.snapshot import show
+from loadbalancer.node.state.snapshot import describe_state
 
 LONGEST_SAID = 400  # characters of what is wrong: a value that it quotes may be of any length
 
 
-def read_config() -> Config:
+def read_config() -> NodeConfig:
     path = os.environ.get("PROXY_CONFIG")
     if not path:
         raise ValueError("PROXY_CONFIG is not set")
@@ -36,14 +36,14 @@
     except (OSError, ValueError) as error:
         # Guard: a bad file must not end a node in service; it goes on with what it was told before.
         logging.error("configuration not read again, the old one holds: %s", " ".join(str(error).split()))
-        node.figures.reloads["failure"] += 1
+        node.metrics.reloads["failure"] += 1
         return
-    node.figures.reloads["success"] += 1
+    node.metrics.reloads["success"] += 1
     logging.info("%s follows discovery at %s:%d", config.name, *config.discovery)
-    node.watcher.move(config.discovery)
+    node.watcher.change_address(config.discovery)
 
 
-async def serve(config: Config) -> None:
+async def serve(config: NodeConfig) -> None:
     """Run the node until SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -66,7 +66,7 @@
     parser.add_argument("file", type=Path)
     parser.add_argument("--node", help="check it against this node's name, as a start would")
     told = parser.parse_args(argv)
-    text, whole = show(told.file, told.node)
+    text, whole = describe_state(told.file, told.node)
     print(text)
     return 0 if whole else 1
 
--- a/loadbalancer/node/admin/server.py
+++ b/loadbalancer/node/admin/server.py
@@ -14,30 +14,30 @@
 
 log = logging.getLogger("loadbalancer")
 
-MAX_CALL = 16 * 1024  # bytes of one call, head and body
-VISITS = 16  # calls under way at once; of more, the oldest goes
-PATIENCE_S = 5.0  # how long a call may take to come in
+MAX_REQUEST_BYTES = 16 * 1024  # bytes of one call, head and body
+MAX_CONNECTIONS = 16  # calls under way at once; of more, the oldest goes
+REQUEST_TIMEOUT_S = 5.0  # how long a call may take to come in
 LINGER_S = 1.0  # how long what a visitor still sends after its answer is read and dropped
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class AdminResponse:
     status: int
-    text: bytes = b""
+    body: bytes = b""
 
 
-def yes_or_no(yes: bool) -> Answer:
-    return Answer(200 if yes else 503)
+def ok_or_unavailable(yes: bool) -> AdminResponse:
+    return AdminResponse(200 if yes else 503)
 
 
 # By method and path, each given the body; an answer that others have to give first may be awaited.
-Calls = Mapping[tuple[bytes, bytes], Callable[[bytes], Answer | Awaitable[Answer]]]
+AdminRoutes = Mapping[tuple[bytes, bytes], Callable[[bytes], AdminResponse | Awaitable[AdminResponse]]]
 
 
-class _Visit(asyncio.Protocol):
+class _AdminConnection(asyncio.Protocol):
     """One connection to the door, and the one call on it."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AdminServer) -> None:
         self._door = door
         self._transport: asyncio.Transport
         self._parser = httptools.HttpRequestParser(self)
@@ -47,14 +47,14 @@
         self._whole = False
         self._over = False
         self._answered = False
-        self._waits: asyncio.Future[Answer] | None = None  # of a call that others have to answer first
+        self._waits: asyncio.Future[AdminResponse] | None = None  # of a call that others have to answer first
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._timer = self._door.loop.call_later(PATIENCE_S, self._answer, Answer(408))
-        self._door.opened(self)
+        self._timer = self._door.loop.call_later(REQUEST_TIMEOUT_S, self._answer, AdminResponse(408))
+        self._door.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         if self._over:
@@ -64,13 +64,13 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self._whole:
-                self._answer(Answer(400))
+                self._answer(AdminResponse(400))
                 return
-        if self._size > MAX_CALL:
-            self._answer(Answer(413))
+        if self._size > MAX_REQUEST_BYTES:
+            self._answer(AdminResponse(413))
         elif self._whole:
-            answer = self._door.call(self._parser.get_method(), bytes(self._target), bytes(self._body))
-            if isinstance(answer, Answer):
+            answer = self._door.dispatch(self._parser.get_method(), bytes(self._target), bytes(self._body))
+            if isinstance(answer, AdminResponse):
                 self._answer(answer)
             else:
                 self._over = True
@@ -81,21 +81,21 @@
         self._over = True
         if self._timer is not None:
             self._timer.cancel()
-        self._door.closed(self)
+        self._door.connection_closed(self)
 
     def abort(self) -> None:
         self._transport.abort()
 
-    def _answer(self, answer: Answer) -> None:
+    def _answer(self, answer: AdminResponse) -> None:
         if self._answered or self._transport.is_closing():
             return  # too late, or nobody waits for it any more
         self._over = self._answered = True
         head = (
             f"HTTP/1.1 {answer.status} {HTTPStatus(answer.status).phrase}\r\n"
-            f"Content-Type: text/plain; charset=utf-8\r\nContent-Length: {len(answer.text)}\r\n"
+            f"Content-Type: text/plain; charset=utf-8\r\nContent-Length: {len(answer.body)}\r\n"
             "Connection: close\r\n\r\n"
         )
-        self._transport.write(head.encode() + answer.text)
+        self._transport.write(head.encode() + answer.body)
         if self._timer is not None:
             self._timer.cancel()
         try:
@@ -122,13 +122,13 @@
         self._whole = True
 
 
-class Door:
+class AdminServer:
     """Listens at the operators' address."""
 
-    def __init__(self, calls: Calls) -> None:
+    def __init__(self, calls: AdminRoutes) -> None:
         self.loop = asyncio.get_running_loop()
-        self._calls = calls
-        self._visits: dict[_Visit, None] = {}  # in the order of their opening
+        self._routes = calls
+        self._connections: dict[_AdminConnection, None] = {}  # in the order of their opening
         self._listener: asyncio.Server | None = None
 
     @property
@@ -138,50 +138,54 @@
         return host, port
 
     async def open(self, address: Address) -> None:
-        self._listener = await self.loop.create_server(lambda: _Visit(self), *address)
+        self._listener = await self.loop.create_server(lambda: _AdminConnection(self), *address)
 
     def close(self) -> None:
         if self._listener is not None:
             self._listener.close()
-        for visit in list(self._visits):
+        for visit in list(self._connections):
             visit.abort()
 
     # ---------------------------------------------------------------- for visits
 
-    def opened(self, visit: _Visit) -> None:
-        self._visits[visit] = None
-        if len(self._visits) > VISITS:  # Guard: callers that finish no call must not keep others out
-            next(iter(self._visits)).abort()
+    def connection_opened(self, visit: _AdminConnection) -> None:
+        self._connections[visit] = None
+        if (
+            len(self._connections) > MAX_CONNECTIONS
+        ):  # Guard: callers that finish no call must not keep others out
+            next(iter(self._connections)).abort()
 
-    def closed(self, visit: _Visit) -> None:
-        self._visits.pop(visit, None)
+    def connection_closed(self, visit: _AdminConnection) -> None:
+        self._connections.pop(visit, None)
 
-    def call(self, method: bytes, target: bytes, body: bytes) -> Answer | Awaitable[Answer]:
+    def dispatch(self, method: bytes, target: bytes, body: bytes) -> AdminResponse | Awaitable[AdminResponse]:
         """What the node says to a call, now or later; only calls that change something are worth a line."""
         path = target.partition(b"?")[0]
-        method_of = self._calls.get((method, path))
+        method_of = self._routes.get((method, path))
         if method_of is None:
-            return Answer(405 if any(path == known for _, known in self._calls) else 404)
+            return AdminResponse(405 if any(path == known for _, known in self._routes) else 404)
         try:
             answer = method_of(body)
         except Exception:
             answer = self._fault(path)
-        if isinstance(answer, Answer):
+        if isinstance(answer, AdminResponse):
             return self._said(method, path, body, answer)
         return self._later(method, path, body, answer)
 
-    async def _later(self, method: bytes, path: bytes, body: bytes, answer: Awaitable[Answer]) -> Answer:
+    async def _later(
+        self, method: bytes, path: bytes, body: bytes, answer: Awaitable[AdminResponse]
+    ) -> AdminResponse:
         try:
             return self._said(method, path, body, await answer)
         except Exception:
             return self._said(method, path, body, self._fault(path))
 
-    def _fault(self, path: bytes) -> Answer:
+    def _fault(self, path: bytes) -> AdminResponse:
         # Guard: a fault behind one call is a no to its caller, and no end of the others.
         log.exception("operators' call %s failed", path.decode("latin-1"))
-        return Answer(500)
+        return AdminResponse(500)
 
-    def _said(self, method: bytes, path: bytes, body: bytes, answer: Answer) -> Answer:
+    def _said(self, method: bytes, path: bytes, body: bytes, answer: AdminResponse) -> AdminResponse:
         if method != b"GET":
             said = body[:80].decode("utf-8", "replace").strip()
             log.info("operators: %s %r: %d", path.decode("latin-1"), said, answer.status)
--- a/loadbalancer/node/balancer_driver.py
+++ b/loadbalancer/node/balancer_driver.py
@@ -12,7 +12,7 @@
 from loadbalancer.balancing.events import AttemptOutcome, Event, Request, RequestCancelled, TimerFired
 from loadbalancer.node.attempts import Attempts
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.discovery.watcher import Watcher
+from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from loadbalancer.node.request_registry import Jobs
 
 log = logging.getLogger("loadbalancer")
@@ -29,7 +29,7 @@
         clock: Clock,
         jobs: Jobs,
         attempts: Attempts,
-        watcher: Watcher,
+        watcher: EndpointListWatcher,
         counts: Counter[str],
     ) -> None:
         self.balancer = balancer
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -11,7 +11,7 @@
 import orjson
 
 from loadbalancer.node.address import Address, parse_address
-from loadbalancer.node.discovery.watcher import Listing, parse_listing
+from loadbalancer.node.discovery.watcher import DiscoveryResponse, decode_response
 from loadbalancer.node.state import ejections as maintenance
 from loadbalancer.node.state import handover
 from loadbalancer.service_settings import Settings, check_within
@@ -25,31 +25,31 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
+class NodeConfig:
     name: str
     listen: Address
     discovery: Address
     seed: int
-    known: Listing
+    initial_list: DiscoveryResponse
     settings: Settings
-    operator: Address | None = None  # the operators' door
+    admin_address: Address | None = None  # the operators' door
     accept_fd: str | None = None  # descriptor of the clients' listening socket, where the platform holds it
-    maintenance: Path | None = None  # the folder of the bans that two processes of a node share
-    handover: Path | None = None  # and of what they tell each other
-    state: Path | None = None  # the state file, kept across a crash; None: nothing is kept
-    state_every_ms: float = 1000.0  # how often it is written
-    members: FleetSettings | None = None  # the fleet's part; None: the node knows no other
+    ejections_folder: Path | None = None  # the folder of the bans that two processes of a node share
+    handover_folder: Path | None = None  # and of what they tell each other
+    state_path: Path | None = None  # the state file, kept across a crash; None: nothing is kept
+    state_write_interval_ms: float = 1000.0  # how often it is written
+    membership: FleetSettings | None = None  # the fleet's part; None: the node knows no other
     memory_mb: float = 2048.0
-    sockets: int = 1024  # descriptors for everything
-    max_open: int = 20_000  # requests open at once
-    conn_idle_ms: float = 15_000.0  # after which a server closes an idle connection
+    max_descriptors: int = 1024  # descriptors for everything
+    max_open_requests: int = 20_000  # requests open at once
+    connection_idle_ms: float = 15_000.0  # after which a server closes an idle connection
     connect_timeout_ms: float = 250.0
-    ask_within_ms: float = 10_000.0  # a node that has not asked for so long counts as told
+    poll_deadline_ms: float = 10_000.0  # a node that has not asked for so long counts as told
 
     @property
-    def member_sockets(self) -> int:
+    def membership_descriptors(self) -> int:
         """Of `sockets`, those for siblings' kept connections: one to each, and one from each."""
-        return 0 if self.members is None else min(256, self.sockets // 4)
+        return 0 if self.membership is None else min(256, self.max_descriptors // 4)
 
 
 def _folder(tmpdir: str | None, name: str) -> Path | None:
@@ -75,9 +75,9 @@
     return int(value, 16)
 
 
-def _known(row: JsonObject) -> Listing:
+def _known(row: JsonObject) -> DiscoveryResponse:
     try:
-        return parse_listing(row["known"])
+        return decode_response(row["known"])
     except ValueError as error:
         raise ValueError(f"known: {error}") from error
 
@@ -85,19 +85,22 @@
 def _figures(row: JsonObject, settings: JsonObject) -> JsonObject:
     """The figures that are given, each by its name in Config: where one is not, Config's default holds."""
     limits, bounds = section(row, "limits"), section(settings, "bounds")
-    given: JsonObject = {
-        "memory_mb": limits.get("memory_mb"),
-        "sockets": limits.get("sockets"),
-        "max_open": bounds.get("maxOpen"),
-        "conn_idle_ms": bounds.get("connIdleMs"),
-        "connect_timeout_ms": bounds.get("connectTimeoutMs"),
-        "ask_within_ms": section(settings, "invariants").get("askWithinMs"),
-        "state_every_ms": row.get("state_every_ms"),
+    invariants = section(settings, "invariants")
+    given = {
+        "memory_mb": ("memory_mb", limits.get("memory_mb")),
+        "sockets": ("max_descriptors", limits.get("sockets")),
+        "max_open": ("max_open_requests", bounds.get("maxOpen")),
+        "conn_idle_ms": ("connection_idle_ms", bounds.get("connIdleMs")),
+        "connect_timeout_ms": ("connect_timeout_ms", bounds.get("connectTimeoutMs")),
+        "ask_within_ms": ("poll_deadline_ms", invariants.get("askWithinMs")),
+        "state_every_ms": ("state_write_interval_ms", row.get("state_every_ms")),
     }
-    given = {key: value for key, value in given.items() if value is not None}
-    for key, value in given.items():
-        check_within(key, value, LEAST)
-    return given
+    found: JsonObject = {}
+    for key, (name, value) in given.items():
+        if value is not None:
+            check_within(key, value, LEAST)
+            found[name] = value
+    return found
 
 
 def _members(row: JsonObject | None) -> FleetSettings | None:
@@ -109,7 +112,7 @@
     return parse_settings(row)
 
 
-def parse_config(data: bytes, environment: Mapping[str, str] | None = None) -> Config:
+def parse_config(data: bytes, environment: Mapping[str, str] | None = None) -> NodeConfig:
     """The configuration; ValueError says in one line what is wrong with it. What the environment tells
     comes first, as the second process of an upgrade may share the file with the first."""
     told = environment or {}
@@ -124,18 +127,18 @@
     state = told.get("PROXY_STATE") or row.get("state")
     if state is not None and not (isinstance(state, str) and state):
         raise ValueError(f"state: {state!r} is not a path")
-    return Config(
+    return NodeConfig(
         name=text_of(row, "name"),
         listen=_address("listen", row["listen"]),
         discovery=_address("discovery", row["discovery"]),
         seed=_seed(row),
-        known=_known(row),
+        initial_list=_known(row),
         settings=settings_from(settings),
-        operator=_address("operator", operator) if operator else None,
-        maintenance=_folder(told.get("TMPDIR"), maintenance.FOLDER),
-        handover=_folder(told.get("TMPDIR"), handover.FOLDER),
+        admin_address=_address("operator", operator) if operator else None,
+        ejections_folder=_folder(told.get("TMPDIR"), maintenance.FOLDER_NAME),
+        handover_folder=_folder(told.get("TMPDIR"), handover.FOLDER_NAME),
         accept_fd=told.get("PROXY_ACCEPT_FD") or None,
-        state=Path(state) if state else None,
-        members=_members(row.get("members")),
+        state_path=Path(state) if state else None,
+        membership=_members(row.get("members")),
         **_figures(row, settings),
     )
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -27,10 +27,10 @@
     verdict,
 )
 from loadbalancer.membership.messages import LeaseAnswer
-from loadbalancer.node.admin.server import Answer, Calls
+from loadbalancer.node.admin.server import AdminResponse, AdminRoutes
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.config import Config as NodeConfig
+from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.control import lease as lease_shell
 from loadbalancer.node.control.freshness_tracker import Sight
 from loadbalancer.node.control.probe_transport import ProbeTransport, log
@@ -38,8 +38,8 @@
 from loadbalancer.node.control.route_activation import Routing
 from loadbalancer.node.control.route_store import RouteStore
 from loadbalancer.node.control.timers import FleetClock
-from loadbalancer.node.discovery.watcher import Watcher
-from loadbalancer.node.endpoint_list import ServerList
+from loadbalancer.node.discovery.watcher import EndpointListWatcher
+from loadbalancer.node.endpoint_list import EndpointList
 from loadbalancer.routing import Follower
 from loadbalancer.staleness import Offsets
 
@@ -54,13 +54,13 @@
         self,
         config: NodeConfig,
         clock: Clock,
-        servers: ServerList,
-        watcher: Watcher,
+        servers: EndpointList,
+        watcher: EndpointListWatcher,
         driver: Driver,
     ) -> None:
         """`config.members` is there."""
-        assert config.members is not None
-        name, tell, self.settings = config.name, driver.tell, config.members
+        assert config.membership is not None
+        name, tell, self.settings = config.name, driver.tell, config.membership
         settings = self.settings
         classes = tuple(kind.name for kind in config.settings.classes)
         self.clock = FleetClock(clock, settings.clock_offset_ms)
@@ -82,7 +82,7 @@
             probe_timeout_ms=settings.ask_timeout_ms,
         )
         detector = FailureDetector(0, random, detection)
-        self.probing = ProbeTransport(detector, self.clock, config.member_sockets // 2)
+        self.probing = ProbeTransport(detector, self.clock, config.membership_descriptors // 2)
         folder = settings.folder
         store = RouteStore(folder) if folder is not None else None
         follower = Follower(classes, settings.clock_bound_ms)
@@ -205,7 +205,7 @@
         # As in the module: where no route is better than weak, marks tell nothing of one against another.
         told = any(mark in (Confidence.HIGH, Confidence.MEDIUM) for mark in known.values())
         blind = [name for name, mark in known.items() if told and mark is Confidence.NONE]
-        listed = tuple(server for server, _ in self._servers.listed.values())
+        listed = tuple(server for server, _ in self._servers.endpoints.values())
         self.routing.carry_out(self.routing.core.seen(now, listed, blind))
 
     # -------------------------------------------------------------------------- for operators
@@ -267,25 +267,25 @@
         now = self.clock.ms()
         return {"stand": self.stand(now).value, "edges": self.sight.status(now)}
 
-    def calls(self) -> Calls:
+    def calls(self) -> AdminRoutes:
         """The door's calls on the fleet."""
         return {
-            (b"GET", b"/status/members"): lambda _: Answer(200, _json(self.status())),
-            (b"GET", b"/status/routes"): lambda _: Answer(200, _json(self.routes_status())),
+            (b"GET", b"/status/members"): lambda _: AdminResponse(200, _json(self.status())),
+            (b"GET", b"/status/routes"): lambda _: AdminResponse(200, _json(self.routes_status())),
             (b"PUT", b"/routes/halt"): lambda body: self._order("routes/halt", body),
             (b"PUT", b"/routes/rollback"): lambda body: self._order("routes/rollback", body),
         }
 
-    async def _order(self, path: str, body: bytes) -> Answer:
+    async def _order(self, path: str, body: bytes) -> AdminResponse:
         """Pass an operator's word on to the list service: its yes is this call's."""
         text = body.decode("ascii", "replace").strip()
         if text and not (text.isdigit() and len(text) < 16):
-            return Answer(400, b"a version's number")
+            return AdminResponse(400, b"a version's number")
         try:
             reply = await self._agent.post(path, {"number": int(text)} if text else {}, ORDER_MS)
         except (OSError, TimeoutError) as error:
-            return Answer(503, f"list service not reached: {error}".encode())
-        return Answer(reply.status, reply.body)
+            return AdminResponse(503, f"list service not reached: {error}".encode())
+        return AdminResponse(reply.status, reply.body)
 
 
 def _json(row: dict[str, Any]) -> bytes:
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -11,7 +11,7 @@
 from loadbalancer.membership import Viewed
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.control.timers import Alarm, FleetClock
-from loadbalancer.node.endpoint_list import ServerList
+from loadbalancer.node.endpoint_list import EndpointList
 from loadbalancer.node.membership_settings import FleetSettings
 from loadbalancer.staleness import Marks, Offsets, Stand, View
 
@@ -29,7 +29,7 @@
         settings: FleetSettings,
         clock: FleetClock,
         offsets: Offsets,
-        servers: ServerList,
+        servers: EndpointList,
         driver: Driver,
         on_marks: Callable[[dict[str, Confidence]], None],
     ) -> None:
@@ -96,10 +96,10 @@
 
     def _follow_list(self) -> None:
         servers = self._servers
-        heard = servers.listed_rev, servers.confirmed_ms
+        heard = servers.revision, servers.confirmed_ms
         if heard == self._listed:
             return
         same = self._listed is not None and heard[0] == self._listed[0]
         self._listed = heard
         at = self._clock.ms() if heard[1] < 0.0 else self._clock.of_fleet(heard[1])
-        self.view.listed(at, servers.origin_rev, None if same else list(servers.listed))
+        self.view.listed(at, servers.service_revision, None if same else list(servers.endpoints))
--- a/loadbalancer/node/control/route_store.py
+++ b/loadbalancer/node/control/route_store.py
@@ -11,7 +11,13 @@
 
 import msgpack
 
-from loadbalancer.node.state.snapshot import FORMAT, decode, frame, put, sync_folder
+from loadbalancer.node.state.snapshot import (
+    FORMAT_VERSION,
+    decode_frame,
+    encode_frame,
+    sync_directory,
+    write_atomically,
+)
 
 log = logging.getLogger("loadbalancer")
 
@@ -29,7 +35,7 @@
         with contextlib.suppress(FileNotFoundError):
             for path in sorted(self._folder.glob("*.route")):
                 try:
-                    row = decode(path.read_bytes())
+                    row = decode_frame(path.read_bytes())
                     found.append((int(row["number"]), str(row["text"])))
                 except (OSError, ValueError, KeyError, TypeError) as error:
                     log.warning("routes: %s is not used: %s", path, " ".join(str(error).split())[:200])
@@ -51,9 +57,12 @@
 
     def _write(self, number: int, text: str) -> None:
         self._folder.mkdir(parents=True, exist_ok=True)
-        put(self._path(number), frame(msgpack.packb({"format": FORMAT, "number": number, "text": text})))
+        write_atomically(
+            self._path(number),
+            encode_frame(msgpack.packb({"format": FORMAT_VERSION, "number": number, "text": text})),
+        )
 
     def _forget(self, number: int) -> None:
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self._path(number))
-            sync_folder(self._folder)
+            sync_directory(self._folder)
--- a/loadbalancer/node/discovery/watcher.py
+++ b/loadbalancer/node/discovery/watcher.py
@@ -17,24 +17,28 @@
 
 log = logging.getLogger("loadbalancer")
 
-TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
-SLACK_S = 0.3  # of it, for a busy event loop
-LATE_S = 1.2  # a call unanswered so long after its wait has failed
-CONNECT_S = 1.0  # of a call's time
-FIRST_WAIT_MS = 50  # of a call that is to show whether discovery answers at all
-FIRST_CALL_S = FIRST_WAIT_MS / 1000.0 + LATE_S
-PAUSE_S = 0.5  # at the most, before discovery is asked again after the first failure
+PROPAGATION_DEADLINE_S = 6.0  # a change counts as told so long after discovery had it and could be reached
+SCHEDULING_SLACK_S = 0.3  # of it, for a busy event loop
+RESPONSE_TIMEOUT_S = 1.2  # a call unanswered so long after its wait has failed
+CONNECT_TIMEOUT_S = 1.0  # of a call's time
+LIVENESS_WAIT_MS = 50  # of a call that is to show whether discovery answers at all
+LIVENESS_POLL_S = LIVENESS_WAIT_MS / 1000.0 + RESPONSE_TIMEOUT_S
+INITIAL_BACKOFF_S = 0.5  # at the most, before discovery is asked again after the first failure
 # What a watch misses in a wait that stays silent is learned by the first call after it;
-WAIT_S = TOLD_S - SLACK_S - LATE_S - PAUSE_S - FIRST_CALL_S
+MAX_POLL_WAIT_S = (
+    PROPAGATION_DEADLINE_S - SCHEDULING_SLACK_S - RESPONSE_TIMEOUT_S - INITIAL_BACKOFF_S - LIVENESS_POLL_S
+)
 # and discovery may return right after a first call that it will not answer.
-LONGEST_PAUSE_S = TOLD_S - SLACK_S - 2.0 * FIRST_CALL_S
-MAX_LIST = 16 * 1024 * 1024
+MAX_BACKOFF_S = PROPAGATION_DEADLINE_S - SCHEDULING_SLACK_S - 2.0 * LIVENESS_POLL_S
+MAX_LIST_BYTES = 16 * 1024 * 1024
 # Older whole lists for so long, and no newer answer, come from a source rebuilt: what it has is news as well.
-REBUILT_S = TOLD_S - 2.0 * PAUSE_S - LATE_S
-MOVED_S = 4.0  # what a new address has counts as told so long after the move to it,
-REBUILT_AFTER_MOVE_S = MOVED_S - 2.0 * PAUSE_S - SLACK_S  # also where it counts from elsewhere
+REBUILD_HOLD_S = PROPAGATION_DEADLINE_S - 2.0 * INITIAL_BACKOFF_S - RESPONSE_TIMEOUT_S
+MOVE_DEADLINE_S = 4.0  # what a new address has counts as told so long after the move to it,
+MOVE_REBUILD_HOLD_S = (
+    MOVE_DEADLINE_S - 2.0 * INITIAL_BACKOFF_S - SCHEDULING_SLACK_S
+)  # also where it counts from elsewhere
 
-STATES = {
+WIRE_STATUSES = {
     "Ready": EndpointStatus.UP,
     "Terminating": EndpointStatus.DRAINING,
     "Gone": EndpointStatus.REMOVED,
@@ -42,17 +46,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class DiscoveryResponse:
     """A server list or changes of one; a server's name is its uid, which no restart and no node changes."""
 
     revision: int
-    whole: bool
-    servers: tuple[Endpoint, ...]
-    endpoints: dict[str, Address]
-    origin_rev: int = 0  # the list service's revision, alike at all nodes, where the agent tells it
+    complete: bool
+    endpoints: tuple[Endpoint, ...]
+    addresses: dict[str, Address]
+    service_revision: int = 0  # the list service's revision, alike at all nodes, where the agent tells it
 
 
-def parse_listing(row: object) -> Listing:
+def decode_response(row: object) -> DiscoveryResponse:
     """A listing from its JSON; ValueError on any that is malformed."""
     if not isinstance(row, dict):
         raise ValueError("a list is not an object")
@@ -67,13 +71,13 @@
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"malformed list: {type(error).__name__}: {error}") from error
     origin = row.get("origin_rev")
-    return Listing(revision, whole, servers, endpoints, origin if isinstance(origin, int) else 0)
+    return DiscoveryResponse(revision, whole, servers, endpoints, origin if isinstance(origin, int) else 0)
 
 
 def _server(target: dict[str, Any]) -> Endpoint:
-    state = STATES.get(target["state"])
+    state = WIRE_STATUSES.get(target["state"])
     if state is None:
-        raise ValueError(f"state {target['state']!r} is not one of {', '.join(STATES)}")
+        raise ValueError(f"state {target['state']!r} is not one of {', '.join(WIRE_STATUSES)}")
     zone = target.get("az") or ""
     if not isinstance(target["uid"], str) or not isinstance(zone, str):
         raise ValueError("a uid or an az is not a text")
@@ -110,14 +114,14 @@
             self.done.set_exception(ConnectionError("discovery closed the connection"))
 
 
-class Patience:
+class PollPolicy:
     """The one clock for discovery's silence, alike for lists pushed and asked for: how long a call may wait,
     when it has failed, and how long to pause then, so that what discovery has is learned within TOLD_S."""
 
     def __init__(self, wait_s: float, pause_s: float, rng: Random) -> None:
         """`wait_s` and `pause_s`: the most that the node's settings leave to a wait and to a pause."""
-        self._wait_ms = round(min(wait_s, WAIT_S) * 1000.0)
-        self._pause_s = min(pause_s, LONGEST_PAUSE_S)
+        self._wait_ms = round(min(wait_s, MAX_POLL_WAIT_S) * 1000.0)
+        self._pause_s = min(pause_s, MAX_BACKOFF_S)
         self._rng = rng
         self.reset()
 
@@ -131,40 +135,40 @@
         """How long the next call asks discovery to wait for news."""
         # Guard: what an agent has counts as told from a process's first moment and at once after an outage,
         # and 4 s after a move; a first call that stayed silent for its whole wait was noticed after 6 s.
-        return self._wait_ms if self._heard else min(FIRST_WAIT_MS, self._wait_ms)
+        return self._wait_ms if self._heard else min(LIVENESS_WAIT_MS, self._wait_ms)
 
     @property
-    def limit_s(self) -> float:
+    def timeout_s(self) -> float:
         """How long the next call may take, its connection's opening included."""
-        return self.wait_ms / 1000.0 + LATE_S
+        return self.wait_ms / 1000.0 + RESPONSE_TIMEOUT_S
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         self._heard, self._failures = True, 0
 
-    def failed(self) -> float:
+    def record_failure(self) -> float:
         """Seconds to pause before the next call."""
         self._heard = False
-        longest = min(self._pause_s, PAUSE_S * 2.0 ** min(self._failures, 8))
+        longest = min(self._pause_s, INITIAL_BACKOFF_S * 2.0 ** min(self._failures, 8))
         self._failures += 1
         # Guard: what fails for a whole fleet fails in the same moment, and all nodes asked again in step.
         return longest * self._rng.uniform(0.5, 1.0)
 
 
-class Watcher:
+class EndpointListWatcher:
     """Follows the list until it is closed; whatever a call or its news may raise, the next call comes."""
 
     def __init__(
         self,
         address: Address,
         revision: int,
-        patience: Patience,
-        on_news: Callable[[EndpointListKind, Listing | None], None],
+        patience: PollPolicy,
+        on_news: Callable[[EndpointListKind, DiscoveryResponse | None], None],
     ) -> None:
         self._address = address
         self._revision = revision
         self._oldest = 0  # an answer of a version before this is stale; none is until one has come from there
         self._went_back: float | None = None  # since when the answers have been whole lists of older versions
-        self._rebuilt_s = REBUILT_S  # how long they have to be before one is taken
+        self._rebuilt_s = REBUILD_HOLD_S  # how long they have to be before one is taken
         self._ask_whole = False  # the next call is for the whole list
         self._patience = patience
         self._on_news = on_news
@@ -183,17 +187,17 @@
         """Where the list is followed now."""
         return self._address
 
-    def told(self, revision: int) -> None:
+    def resume_from(self, revision: int) -> None:
         """The node knows the list at this rev from elsewhere (its state file): ask for what came since."""
         self._revision = max(self._revision, revision)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Follow the list at this address from now on."""
         if address == self._address:
             return
         self._address = address
         self._oldest = 0  # where versions may count from elsewhere
-        self._rebuilt_s = REBUILT_AFTER_MOVE_S
+        self._rebuilt_s = MOVE_REBUILD_HOLD_S
         self._went_back = None
         self._ask_whole = self._failing = False
         self._patience.reset()
@@ -213,20 +217,20 @@
     async def _follow(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(self._patience.limit_s):
+                async with asyncio.timeout(self._patience.timeout_s):
                     listing = await self._ask(self._patience.wait_ms)
-                self._on_news(EndpointListKind.FULL if listing.whole else EndpointListKind.DELTA, listing)
+                self._on_news(EndpointListKind.FULL if listing.complete else EndpointListKind.DELTA, listing)
             except Exception as error:
                 # Guard: an exception of a kind not foreseen, a listener's too, ended the watch for good.
                 self._fail(error)
-                await asyncio.sleep(self._patience.failed())
+                await asyncio.sleep(self._patience.record_failure())
                 continue
             # Only now: what the node could not take is asked for again.
             self._revision = self._oldest = listing.revision
             self._went_back = None
-            self._rebuilt_s = REBUILT_S
+            self._rebuilt_s = REBUILD_HOLD_S
             self._failing = False
-            self._patience.answered()
+            self._patience.record_success()
 
     def _fail(self, error: Exception) -> None:
         foreseen = isinstance(error, OSError | TimeoutError | ValueError)
@@ -242,13 +246,13 @@
         except Exception:
             log.exception("the failure of discovery could not be told")
 
-    async def _ask(self, wait_ms: int) -> Listing:
+    async def _ask(self, wait_ms: int) -> DiscoveryResponse:
         connection = self._connection
         if connection is None or not connection.usable:
             self._drop()
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: ClientConnection(lambda _: None, MAX_LIST), *self._address
+                    lambda: ClientConnection(lambda _: None, MAX_LIST_BYTES), *self._address
                 )
             self._connection = connection
         call = _Call()
@@ -261,23 +265,25 @@
         response = await call.done
         if response.status != 200:
             raise ValueError(f"discovery answered {response.status}")
-        listing = parse_listing(orjson.loads(response.body))
+        listing = decode_response(orjson.loads(response.body))
         self._ask_whole = False
-        if not listing.whole:  # changes since an older version than the node's: what lies between is not told
+        if (
+            not listing.complete
+        ):  # changes since an older version than the node's: what lies between is not told
             self._oldest = max(self._oldest, since)
         if listing.revision < self._oldest and not self._rebuilt(listing):
             self._ask_whole = True
-            self._patience.answered()  # discovery is heard: nothing to back off from
+            self._patience.record_success()  # discovery is heard: nothing to back off from
             # Guard: it would bring servers back that have gone, and take away those that have come.
             raise ValueError(f"stale list, version {listing.revision} after {self._oldest}")
         return listing
 
-    def _rebuilt(self, listing: Listing) -> bool:
+    def _rebuilt(self, listing: DiscoveryResponse) -> bool:
         """A source that counts again from the start (rebuilt from nothing) and says so long enough, with no
         newer answer between: its whole list is taken. Refused for good, it would freeze the list; a replica
         that lags for a moment must not bring back what has gone."""
         now = asyncio.get_running_loop().time()
-        if not listing.whole:
+        if not listing.complete:
             return False
         if self._went_back is None:
             self._went_back = now
--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -9,133 +9,133 @@
 from loadbalancer.balancing.events import EndpointEjected, EndpointListUpdate, EndpointRestored, Event
 from loadbalancer.endpoints import Endpoint, EndpointListKind, EndpointStatus
 from loadbalancer.node.address import Address
-from loadbalancer.node.admin.server import Answer, Calls, yes_or_no
+from loadbalancer.node.admin.server import AdminResponse, AdminRoutes, ok_or_unavailable
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.discovery.watcher import Listing
+from loadbalancer.node.discovery.watcher import DiscoveryResponse
 from loadbalancer.node.listener.server import Server
-from loadbalancer.node.state.ejections import Bans
+from loadbalancer.node.state.ejections import EjectionStore
 from loadbalancer.node.upstream.pool import Pool
 
 
-class ServerList:
+class EndpointList:
     """What discovery lists, less what operators have taken out by hand. The module hears of each change; the
     pool reaches only what is up and in."""
 
     def __init__(
         self,
-        bans: Bans,
+        bans: EjectionStore,
         clock: Clock,
         pool: Pool,
         server: Server,
         counts: Counter[str],
         tell: Callable[[Event], None],
     ) -> None:
-        self.bans = bans
+        self.ejections = bans
         self._clock = clock
         self._pool = pool
         self._server = server
         self._counts = counts
-        self._tell = tell
-        self.listed: dict[str, tuple[Endpoint, Address]] = {}  # by name, whatever their state
-        self.listed_rev = 0  # discovery's version of that list
-        self.origin_rev = 0  # the list service's own revision of it; 0 where the agent tells none
+        self._handle_event = tell
+        self.endpoints: dict[str, tuple[Endpoint, Address]] = {}  # by name, whatever their state
+        self.revision = 0  # discovery's version of that list
+        self.service_revision = 0  # the list service's own revision of it; 0 where the agent tells none
         self.confirmed_ms = -math.inf  # when discovery last said that this list holds
-        self.up: set[str] = set()  # those that the pool may reach
+        self.available: set[str] = set()  # those that the pool may reach
 
-    def on_list(self, form: EndpointListKind, listing: Listing | None) -> None:
+    def apply_update(self, form: EndpointListKind, listing: DiscoveryResponse | None) -> None:
         """News of discovery; none if asking has failed."""
         self._counts[f"list {form.value}"] += 1
         if listing is None:
-            self._tell(EndpointListUpdate(form))
+            self._handle_event(EndpointListUpdate(form))
             return
-        self.listed_rev, self.origin_rev = listing.revision, listing.origin_rev
+        self.revision, self.service_revision = listing.revision, listing.service_revision
         if form is not EndpointListKind.CACHED:
             self.confirmed_ms = self._clock.ms()
         if form is not EndpointListKind.DELTA:
-            self.listed = {}
-        for server in listing.servers:
+            self.endpoints = {}
+        for server in listing.endpoints:
             if server.state is EndpointStatus.REMOVED:
-                self.listed.pop(server.address, None)
+                self.endpoints.pop(server.address, None)
             else:
-                self.listed[server.address] = server, listing.endpoints[server.address]
-        self.change(EndpointListUpdate(form, listing.servers))
+                self.endpoints[server.address] = server, listing.addresses[server.address]
+        self.apply_change(EndpointListUpdate(form, listing.endpoints))
 
-    def change(self, event: Event) -> None:
+    def apply_change(self, event: Event) -> None:
         """Tell the module of a change of the servers, and let the pool reach those that it may."""
         up = {
             name
-            for name, (server, _) in self.listed.items()
-            if server.state is EndpointStatus.UP and not self.bans.out(name)
+            for name, (server, _) in self.endpoints.items()
+            if server.state is EndpointStatus.UP and not self.ejections.is_ejected(name)
         }
         for name in up:
-            server, endpoint = self.listed[name]
+            server, endpoint = self.endpoints[name]
             self._pool.add(name, endpoint, server.launched_ms)
-        self._tell(event)
+        self._handle_event(event)
         # The module hears of it first, so that what is withdrawn here is sent on by the new list.
-        for name in self.up - up:
+        for name in self.available - up:
             self._pool.remove(name)
-        self.up = up
-        self._server.ready = self._server.ready or bool(self.up)  # once there is a server to send to
+        self.available = up
+        self._server.ready = self._server.ready or bool(self.available)  # once there is a server to send to
 
     # ------------------------------------------------------------------- maintenance
 
-    def calls(self) -> Calls:
+    def admin_routes(self) -> AdminRoutes:
         """The operators' calls that take a server out and bring it back."""
         return {
-            (b"PUT", b"/maintenance/enter"): lambda body: self._on_call(body, self.enter_maintenance),
-            (b"PUT", b"/maintenance/exit"): lambda body: self._on_call(body, self.exit_maintenance),
+            (b"PUT", b"/maintenance/enter"): lambda body: self._on_call(body, self.eject),
+            (b"PUT", b"/maintenance/exit"): lambda body: self._on_call(body, self.restore),
         }
 
-    def enter_maintenance(self, name: str) -> bool | None:
+    def eject(self, name: str) -> bool | None:
         """Take a server out by hand; None if nobody knows it, false if an upgrade would forget it."""
-        self.read_bans()  # the other process may have been told something a moment ago
-        if name not in self.listed and not self.bans.out(name):
+        self.sync_ejections()  # the other process may have been told something a moment ago
+        if name not in self.endpoints and not self.ejections.is_ejected(name):
             return None
-        new = not self.bans.out(name)
-        kept = self.bans.take_out(name, self._clock.ms())
+        new = not self.ejections.is_ejected(name)
+        kept = self.ejections.eject(name, self._clock.ms())
         if new:
-            self._on_ban(name)
+            self._apply_ejection(name)
         return kept
 
-    def exit_maintenance(self, name: str) -> bool | None:
+    def restore(self, name: str) -> bool | None:
         """Let it serve again; None as above, false if it stays out as the end could not be written."""
-        self.read_bans()
-        if name not in self.listed and not self.bans.out(name):
+        self.sync_ejections()
+        if name not in self.endpoints and not self.ejections.is_ejected(name):
             return None
-        was_out = self.bans.out(name)
-        kept = self.bans.bring_back(name, self._clock.ms())
+        was_out = self.ejections.is_ejected(name)
+        kept = self.ejections.restore(name, self._clock.ms())
         if was_out and kept:
-            self._on_ban(name)
+            self._apply_ejection(name)
         return kept
 
-    def read_bans(self) -> None:
+    def sync_ejections(self) -> None:
         """Follow what another process of this node has been told."""
-        for name in self.bans.read(self._clock.ms()):
-            self._on_ban(name)
+        for name in self.ejections.read_changes(self._clock.ms()):
+            self._apply_ejection(name)
 
-    def restore_bans(self, out: dict[str, float]) -> None:
+    def restore_ejections(self, out: dict[str, float]) -> None:
         """Bans as the state file has them: names, and since when in Unix ms."""
         for name, since in out.items():
-            if self.bans.get(name) is None:  # the folder of bans knows better where it has the server
-                self.bans.take_out(name, since)
-                self._on_ban(name)
+            if self.ejections.get(name) is None:  # the folder of bans knows better where it has the server
+                self.ejections.eject(name, since)
+                self._apply_ejection(name)
 
-    def banned(self) -> dict[str, float]:
+    def ejected_since_ms(self) -> dict[str, float]:
         """Listed servers that are out by hand, and since when in Unix ms."""
-        bans = ((name, self.bans.get(name)) for name in self.listed)
-        return {name: ban.out_ms for name, ban in bans if ban is not None and ban.back_ms is None}
+        bans = ((name, self.ejections.get(name)) for name in self.endpoints)
+        return {name: ban.ejected_ms for name, ban in bans if ban is not None and ban.restored_ms is None}
 
-    def _on_call(self, body: bytes, change: Callable[[str], bool | None]) -> Answer:
+    def _on_call(self, body: bytes, change: Callable[[str], bool | None]) -> AdminResponse:
         try:
             done = change(body.decode().strip())
         except UnicodeDecodeError:
-            return Answer(400)
-        return Answer(404) if done is None else yes_or_no(done)
+            return AdminResponse(400)
+        return AdminResponse(404) if done is None else ok_or_unavailable(done)
 
-    def _on_ban(self, name: str) -> None:
-        ban = self.bans.get(name)
+    def _apply_ejection(self, name: str) -> None:
+        ban = self.ejections.get(name)
         assert ban is not None
-        if ban.back_ms is None:
-            self.change(EndpointEjected(name))
+        if ban.restored_ms is None:
+            self.apply_change(EndpointEjected(name))
         else:
-            self.change(EndpointRestored(name, ban.out_ms, ban.back_ms))
+            self.apply_change(EndpointRestored(name, ban.ejected_ms, ban.restored_ms))
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -13,23 +13,23 @@
 from loadbalancer.balancing import Balancer
 from loadbalancer.balancing.events import Event
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.admin.metrics import Figures
-from loadbalancer.node.admin.server import Answer, Calls, Door, yes_or_no
+from loadbalancer.node.admin.metrics import NodeMetrics
+from loadbalancer.node.admin.server import AdminResponse, AdminRoutes, AdminServer, ok_or_unavailable
 from loadbalancer.node.attempts import Attempts
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.component import Part
-from loadbalancer.node.config import Config
-from loadbalancer.node.discovery.watcher import PAUSE_S, Patience, Watcher
-from loadbalancer.node.endpoint_list import ServerList
+from loadbalancer.node.config import NodeConfig
+from loadbalancer.node.discovery.watcher import INITIAL_BACKOFF_S, EndpointListWatcher, PollPolicy
+from loadbalancer.node.endpoint_list import EndpointList
 from loadbalancer.node.listener.call import Call
 from loadbalancer.node.listener.server import Server
-from loadbalancer.node.periodic_tasks import Clockwork
+from loadbalancer.node.periodic_tasks import PeriodicTasks
 from loadbalancer.node.request_registry import Jobs
-from loadbalancer.node.sibling_process import Sharing
-from loadbalancer.node.state.ejections import Bans
-from loadbalancer.node.state.handover import Handover
-from loadbalancer.node.state_writer import Keeper
+from loadbalancer.node.sibling_process import SiblingProcess
+from loadbalancer.node.state.ejections import EjectionStore
+from loadbalancer.node.state.handover import HandoverFiles
+from loadbalancer.node.state_writer import StateWriter
 from loadbalancer.node.upstream.pool import Pool
 
 if TYPE_CHECKING:
@@ -55,107 +55,132 @@
     """Everything of one process of a node. A further part is listed in `parts`, its operators' calls are
     merged in where `door` is made, and `attempts.on_outcome` lets it hear of outcomes."""
 
-    def __init__(self, config: Config) -> None:
+    def __init__(self, config: NodeConfig) -> None:
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(self.loop)
         self.config = config
         self.stopping = False
-        self.counts: Counter[str] = Counter()  # what has happened since the last line of figures
-        self.figures = Figures(kind.name for kind in config.settings.classes)
-        usable = max(16, config.sockets - SPARE_SOCKETS - config.member_sockets)
-        self.server = Server(int(usable * INBOUND_SHARE), lambda call: self.jobs.take(call))
+        self.event_counts: Counter[str] = Counter()  # what has happened since the last line of figures
+        self.metrics = NodeMetrics(kind.name for kind in config.settings.classes)
+        usable = max(16, config.max_descriptors - SPARE_SOCKETS - config.membership_descriptors)
+        self.server = Server(int(usable * INBOUND_SHARE), lambda call: self.request_registry.take(call))
         self.pool = Pool(
             int(usable * UPSTREAM_SHARE),
-            config.conn_idle_ms / 1000.0,
+            config.connection_idle_ms / 1000.0,
             config.connect_timeout_ms / 1000.0,
-            self.figures.sent,
+            self.metrics.count_attempt_sent,
         )
-        self.jobs = Jobs(config, self.clock, self.server, self.figures, self.counts, self.tell)
-        self.attempts = Attempts(config.settings, self.clock, self.jobs, self.pool, self.counts, self.tell)
-        bans = Bans(config.maintenance)
-        self.servers = ServerList(bans, self.clock, self.pool, self.server, self.counts, self.tell)
-        self.watcher = _watcher(config, self.servers)
+        self.request_registry = Jobs(
+            config, self.clock, self.server, self.metrics, self.event_counts, self.handle_event
+        )
+        self.attempts = Attempts(
+            config.settings,
+            self.clock,
+            self.request_registry,
+            self.pool,
+            self.event_counts,
+            self.handle_event,
+        )
+        bans = EjectionStore(config.ejections_folder)
+        self.endpoint_list = EndpointList(
+            bans, self.clock, self.pool, self.server, self.event_counts, self.handle_event
+        )
+        self.watcher = _watcher(config, self.endpoint_list)
         balancer = Balancer(config.settings, config.seed, self.clock.ms())
-        self.driver = Driver(balancer, self.clock, self.jobs, self.attempts, self.watcher, self.counts)
-        self.sharing = self._sharing()
-        self.keeper = self._keeper()
-        self.fleet = self._fleet()
-        self.parts: list[Part] = [part for part in (self.keeper, self.fleet) if part is not None]
-        self.clockwork = Clockwork(
-            config.name, self._each_beat(), self.counts, self.jobs, self.server, self.pool, self.driver
+        self.driver = Driver(
+            balancer, self.clock, self.request_registry, self.attempts, self.watcher, self.event_counts
         )
-        fleet = {} if self.fleet is None else self.fleet.calls()
-        self.door = Door({**self._calls(), **self.servers.calls(), **fleet})
+        self.sibling_process = self._sharing()
+        self.state_writer = self._keeper()
+        self.control_plane = self._fleet()
+        self.components: list[Part] = [
+            part for part in (self.state_writer, self.control_plane) if part is not None
+        ]
+        self.periodic_tasks = PeriodicTasks(
+            config.name,
+            self._each_beat(),
+            self.event_counts,
+            self.request_registry,
+            self.server,
+            self.pool,
+            self.driver,
+        )
+        fleet = {} if self.control_plane is None else self.control_plane.calls()
+        self.admin_server = AdminServer({**self._calls(), **self.endpoint_list.admin_routes(), **fleet})
 
-    def _sharing(self) -> Sharing | None:
-        folder = self.config.handover
+    def _sharing(self) -> SiblingProcess | None:
+        folder = self.config.handover_folder
         if self.config.accept_fd is None or folder is None:
             return None
-        return Sharing(Handover(folder, os.getpid()), self.clock, self.driver)
+        return SiblingProcess(HandoverFiles(folder, os.getpid()), self.clock, self.driver)
 
-    def _keeper(self) -> Keeper | None:
-        path = self.config.state
+    def _keeper(self) -> StateWriter | None:
+        path = self.config.state_path
         if path is None:
             return None
-        return Keeper(path, self.config, self.clock, self.servers, self.watcher, self.driver)
+        return StateWriter(path, self.config, self.clock, self.endpoint_list, self.watcher, self.driver)
 
     def _fleet(self) -> FleetPart | None:
-        if self.config.members is None:
+        if self.config.membership is None:
             return None
         # Only a node that is told of members pays for the libraries that it needs for them.
         from loadbalancer.node.control import FleetPart
 
-        part = FleetPart(self.config, self.clock, self.servers, self.watcher, self.driver)
+        part = FleetPart(self.config, self.clock, self.endpoint_list, self.watcher, self.driver)
         self.attempts.on_outcome.append(part.sight.saw)
         return part
 
     def _each_beat(self) -> list[Callable[[], None]]:
         acts: list[Callable[[], None]] = []
-        if self.config.operator is not None:  # another process of this node may have changed them
-            acts.append(self.servers.read_bans)
-        if self.sharing is not None:
-            acts.append(self.sharing.share)
+        if self.config.admin_address is not None:  # another process of this node may have changed them
+            acts.append(self.endpoint_list.sync_ejections)
+        if self.sibling_process is not None:
+            acts.append(self.sibling_process.exchange)
         return acts
 
-    def _calls(self) -> Calls:
+    def _calls(self) -> AdminRoutes:
         return {
-            (b"GET", b"/status"): lambda _: yes_or_no(self.server.takes_clients),
-            (b"GET", b"/status/metrics"): lambda _: Answer(200, self.metrics()),
-            (b"PUT", b"/standby"): lambda _: yes_or_no(self.standby()),
-            (b"PUT", b"/active"): lambda _: yes_or_no(self.active()),
+            (b"GET", b"/status"): lambda _: ok_or_unavailable(self.server.takes_clients),
+            (b"GET", b"/status/metrics"): lambda _: AdminResponse(200, self.render_metrics()),
+            (b"PUT", b"/standby"): lambda _: ok_or_unavailable(self.standby()),
+            (b"PUT", b"/active"): lambda _: ok_or_unavailable(self.active()),
         }
 
-    def tell(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Give the module an event and carry out what it says."""
         self.driver.tell(event)
 
-    def metrics(self) -> bytes:
+    def render_metrics(self) -> bytes:
         """The text of GET /status/metrics: the node's own lines, then those of each part."""
-        own = self.figures.text(self.jobs.under_way, len(self.servers.listed), self.driver.balancer.avoided)
-        return own + "".join(part.metrics() for part in self.parts).encode()
+        own = self.metrics.render(
+            self.request_registry.under_way, len(self.endpoint_list.endpoints), self.driver.balancer.avoided
+        )
+        return own + "".join(part.metrics() for part in self.components).encode()
 
     async def start(self) -> None:
         """Tell the module what is known and begin to serve."""
-        self.servers.read_bans()  # first, so that a server that is out is never sent anything
-        self.servers.on_list(EndpointListKind.CACHED, self.config.known)
-        if self.keeper is not None:
-            self.keeper.restore()
-        if self.sharing is not None:
-            self.sharing.share(starts=True)  # what a process beside this one tells is newer than any file
-        if self.config.operator is not None:
-            await self.door.open(self.config.operator)
+        self.endpoint_list.sync_ejections()  # first, so that a server that is out is never sent anything
+        self.endpoint_list.apply_update(EndpointListKind.CACHED, self.config.initial_list)
+        if self.state_writer is not None:
+            self.state_writer.restore()
+        if self.sibling_process is not None:
+            self.sibling_process.exchange(
+                starts=True
+            )  # what a process beside this one tells is newer than any file
+        if self.config.admin_address is not None:
+            await self.admin_server.open(self.config.admin_address)
         await self.server.listen(*self.config.listen, self.config.accept_fd)
         self.watcher.start()
-        self.clockwork.start()
-        for part in self.parts:
+        self.periodic_tasks.start()
+        for part in self.components:
             await part.start()
 
     async def stop(self) -> None:
         """Leave service: take what still comes, finish what is held, and end in time."""
         began = self.loop.time()
         self.stopping = True
-        if self.fleet is not None:
-            self.fleet.drains()
+        if self.control_plane is not None:
+            self.control_plane.drains()
         self.server.resume()  # a standby before it has other times
         if self.server.shares_socket:
             self.server.stop_accepting()
@@ -176,7 +201,7 @@
     async def _stop_parts(self) -> None:
         # Guard: a part that hangs or fails in its stop must keep neither the others from theirs nor the
         # process from its orderly end.
-        stops = asyncio.gather(*(part.stop() for part in self.parts), return_exceptions=True)
+        stops = asyncio.gather(*(part.stop() for part in self.components), return_exceptions=True)
         try:
             async with asyncio.timeout(PARTS_S):
                 found = await stops
@@ -193,7 +218,7 @@
         self.server.resume()
         self.server.drain(open_s=0.0)  # at once, where it was to wait for longer
         self.server.turn_away()
-        self.jobs.fail_all()
+        self.request_registry.fail_all()
         until = self.loop.time() + FAREWELL_S
         while not self.server.deserted and self.loop.time() < until:
             await asyncio.sleep(STOP_STEP_S)
@@ -210,8 +235,8 @@
         """The operators' drain: what is held is finished, callers go elsewhere, the process runs on."""
         if not self.stopping:
             self.server.drain(YOUNG_S)
-            if self.keeper is not None:
-                self.keeper.write_soon()
+            if self.state_writer is not None:
+                self.state_writer.write_soon()
         return True
 
     def active(self) -> bool:
@@ -222,15 +247,15 @@
 
     def close(self) -> None:
         """Let go of everything at once."""
-        self.door.close()
-        if self.sharing is not None:
-            self.sharing.close()
-        for part in self.parts:
+        self.admin_server.close()
+        if self.sibling_process is not None:
+            self.sibling_process.close()
+        for part in self.components:
             part.close()
         self.server.close()
         self.watcher.close()
         self.pool.close()
-        self.clockwork.close()
+        self.periodic_tasks.close()
         self.driver.close()
 
 
@@ -238,10 +263,10 @@
     call.answer(503)
 
 
-def _watcher(config: Config, servers: ServerList) -> Watcher:
+def _watcher(config: NodeConfig, servers: EndpointList) -> EndpointListWatcher:
     # Half of the time within which discovery has to be asked: the other half is for the call's way.
-    share_s = config.ask_within_ms * WATCH_SHARE / 1000.0
+    share_s = config.poll_deadline_ms * WATCH_SHARE / 1000.0
     # An agent that pushes is this machine's own: it is not crowded, and what it gets counts at once.
-    pause_s = share_s if config.settings.poll_discovery else PAUSE_S
-    patience = Patience(share_s, pause_s, Random(config.seed))
-    return Watcher(config.discovery, config.known.revision, patience, servers.on_list)
+    pause_s = share_s if config.settings.poll_discovery else INITIAL_BACKOFF_S
+    patience = PollPolicy(share_s, pause_s, Random(config.seed))
+    return EndpointListWatcher(config.discovery, config.initial_list.revision, patience, servers.apply_update)
--- a/loadbalancer/node/periodic_tasks.py
+++ b/loadbalancer/node/periodic_tasks.py
@@ -18,7 +18,7 @@
 BEAT_S = 0.1
 
 
-class Clockwork:
+class PeriodicTasks:
     """Calls `each_beat` ten times a second, and logs what `counts` has gathered since the last line."""
 
     def __init__(
@@ -43,20 +43,20 @@
         self._timers: dict[str, asyncio.TimerHandle] = {}
 
     def start(self) -> None:
-        self.beat(self._loop.time())
+        self.tick(self._loop.time())
         self._stats()
 
     def close(self) -> None:
         for timer in self._timers.values():
             timer.cancel()
 
-    def beat(self, due: float) -> None:
+    def tick(self, due: float) -> None:
         """One beat, which was due at this time of the loop."""
         now = self._loop.time()
         self._lag = max(self._lag, now - due)
         for act in self._each_beat:
             act()
-        self._timers["beat"] = self._loop.call_at(now + BEAT_S, self.beat, now + BEAT_S)
+        self._timers["beat"] = self._loop.call_at(now + BEAT_S, self.tick, now + BEAT_S)
 
     def _stats(self) -> None:
         """One line of figures every few seconds."""
--- a/loadbalancer/node/request_registry.py
+++ b/loadbalancer/node/request_registry.py
@@ -10,9 +10,9 @@
 from loadbalancer.balancing.actions import Fail, Reject
 from loadbalancer.balancing.events import Event, Request, RequestCancelled, RequestReceived
 from loadbalancer.endpoints import AttemptResult
-from loadbalancer.node.admin.metrics import Figures
+from loadbalancer.node.admin.metrics import NodeMetrics
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.config import Config
+from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.http.body import Body
 from loadbalancer.node.listener.call import Call
 from loadbalancer.node.listener.requests import BadRequestError, parse
@@ -50,10 +50,10 @@
 
     def __init__(
         self,
-        config: Config,
+        config: NodeConfig,
         clock: Clock,
         server: Server,
-        figures: Figures,
+        figures: NodeMetrics,
         counts: Counter[str],
         tell: Callable[[Event], None],
     ) -> None:
@@ -64,7 +64,7 @@
         self._counts = counts
         self._tell = tell
         self._classes = {kind.name: kind for kind in config.settings.classes}
-        self._max_open = config.max_open
+        self._max_open = config.max_open_requests
         self.max_coming = max(1, int(config.memory_mb * BODIES_SHARE * 1024 * 1024 / BODY_COST))
         self.held: dict[str, Job] = {}
         # Requests that may have run when their callers left, for as long as these might still come again.
@@ -103,7 +103,7 @@
         if many or self.under_way >= self._max_open or self._server.crowded:
             # Guard: too many to hold. None of it has gone anywhere, so it is a refusal.
             self._counts["over the limit"] += 1
-            self._figures.reply(request.service, 503)
+            self._figures.count_response(request.service, 503)
             call.answer(503)
             return
         job = Job(request.id, request.service, call, call.arrived + give_up_s, give_up_s, call.arrived)
@@ -180,7 +180,7 @@
         """The final answer, unless the request has had one or its caller has gone."""
         if not job.done:
             self._counts[f"answered {status}"] += 1
-            self._figures.reply(job.service, status)
+            self._figures.count_response(job.service, status)
             self._end(job)
             job.call.answer(status, body, retry_after_ms)
 
@@ -200,7 +200,7 @@
             self.passing_on -= 1
             if not whole:
                 self._counts["broken off"] += 1
-            self._figures.reply(job.service, 200 if whole else 502)
+            self._figures.count_response(job.service, 200 if whole else 502)
 
         def cut_off() -> None:
             # Guard: a server that hung held its caller for 10 s, past the time by which it is owed an end.
--- a/loadbalancer/node/sibling_process.py
+++ b/loadbalancer/node/sibling_process.py
@@ -5,19 +5,19 @@
 from loadbalancer.balancing.events import SiblingProcessLoad
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.state.handover import Handover
+from loadbalancer.node.state.handover import HandoverFiles
 
 
-class Sharing:
-    def __init__(self, handover: Handover, clock: Clock, driver: Driver) -> None:
+class SiblingProcess:
+    def __init__(self, handover: HandoverFiles, clock: Clock, driver: Driver) -> None:
         self.handover = handover
         self._clock = clock
         self._driver = driver
         self._beside = False  # another process of this node holds calls
 
-    def share(self, starts: bool = False) -> None:
+    def exchange(self, starts: bool = False) -> None:
         """Tell another process of this node what is held and known here, and the module what is there."""
-        learned, held = self.handover.read(self._clock.ms())
+        learned, held = self.handover.read_siblings(self._clock.ms())
         if starts and learned is not None:
             self._driver.tell(learned)
         if held or self._beside:
--- a/loadbalancer/node/state/handover.py
+++ b/loadbalancer/node/state/handover.py
@@ -15,11 +15,11 @@
 
 log = logging.getLogger("loadbalancer")
 
-FOLDER = "orchidledge-handover"
-PREFIX = "process-"
-FRESH_MS = 1000.0  # a process that has not written for so long has ended or hangs
-KEEP_MS = 60_000.0  # then its file goes
-MAX_FILE = 256 * 1024
+FOLDER_NAME = "orchidledge-handover"
+FILE_PREFIX = "process-"
+FRESHNESS_MS = 1000.0  # a process that has not written for so long has ended or hangs
+RETENTION_MS = 60_000.0  # then its file goes
+MAX_FILE_BYTES = 256 * 1024
 # The key of each field of `LearnedState` in handover files and in the state file.
 LEARNED_FIELDS = {
     "base": "baseline_ratio",
@@ -34,16 +34,16 @@
 }
 
 
-class Handover:
+class HandoverFiles:
     """This process's file and those of the others."""
 
     def __init__(self, folder: Path, process: int) -> None:
         self._folder = folder
-        self._name = f"{PREFIX}{process}"
+        self._name = f"{FILE_PREFIX}{process}"
         self._failing = False
 
     def write(self, now_ms: float, learned: LearnedState, held: dict[str, float]) -> None:
-        row = {"at_ms": now_ms, "learned": learned_row(learned), "held": held}
+        row = {"at_ms": now_ms, "learned": encode_learned(learned), "held": held}
         draft = self._folder / f"draft-{self._name}"
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
@@ -52,27 +52,27 @@
         except OSError as error:
             self._complain("nothing handed over: %s", error)
 
-    def read(self, now_ms: float) -> tuple[LearnedState | None, dict[str, float]]:
+    def read_siblings(self, now_ms: float) -> tuple[LearnedState | None, dict[str, float]]:
         """What the newest of the other processes has learned, and what all of them hold at each server."""
         newest, newest_ms, held = None, -math.inf, dict[str, float]()
         for path in self._others():
             try:
                 with path.open("rb") as opened:
-                    row = orjson.loads(opened.read(MAX_FILE))
+                    row = orjson.loads(opened.read(MAX_FILE_BYTES))
                 at_ms, theirs, learned = (
                     _number(row["at_ms"]),
                     _numbers(row["held"]),
-                    learned_from(row["learned"]),
+                    decode_learned(row["learned"]),
                 )
             except FileNotFoundError:
                 continue  # it has just ended
             except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
                 self._complain(f"{path.name} is passed over: %s", error)
                 continue
-            if at_ms < now_ms - KEEP_MS:
+            if at_ms < now_ms - RETENTION_MS:
                 with contextlib.suppress(OSError):
                     path.unlink()
-            if not now_ms - FRESH_MS <= at_ms <= now_ms + FRESH_MS:
+            if not now_ms - FRESHNESS_MS <= at_ms <= now_ms + FRESHNESS_MS:
                 continue
             for server, load in theirs.items():
                 held[server] = held.get(server, 0.0) + load
@@ -92,7 +92,7 @@
         except OSError as error:
             self._complain("other processes not looked for: %s", error)
             return []
-        return [self._folder / name for name in names if name.startswith(PREFIX) and name != self._name]
+        return [self._folder / name for name in names if name.startswith(FILE_PREFIX) and name != self._name]
 
     def _complain(self, text: str, error: Exception) -> None:
         if not self._failing:  # once: it is looked at several times a second
@@ -110,12 +110,12 @@
     return {name: max(0.0, _number(value)) for name, value in row.items()}
 
 
-def learned_row(learned: LearnedState) -> dict[str, Any]:
+def encode_learned(learned: LearnedState) -> dict[str, Any]:
     """The stored form of what a process has learned."""
     return {stored: getattr(learned, name) for stored, name in LEARNED_FIELDS.items()}
 
 
-def learned_from(row: dict[str, Any]) -> LearnedState:
+def decode_learned(row: dict[str, Any]) -> LearnedState:
     """What a process had learned, from its stored form; ValueError or KeyError where that is malformed."""
     return LearnedState(
         baseline_ratio=None if row["base"] is None else _number(row["base"]),
--- a/loadbalancer/node/state/snapshot.py
+++ b/loadbalancer/node/state/snapshot.py
@@ -31,18 +31,20 @@
 from loadbalancer.balancing.events import LearnedState
 from loadbalancer.endpoints import Endpoint, EndpointStatus
 from loadbalancer.node.address import Address
-from loadbalancer.node.discovery.watcher import Listing, parse_listing
-from loadbalancer.node.state.handover import learned_from, learned_row
+from loadbalancer.node.discovery.watcher import DiscoveryResponse, decode_response
+from loadbalancer.node.state.handover import decode_learned, encode_learned
 
 log = logging.getLogger("loadbalancer")
 
 MAGIC = b"OLST"
-HEADER = struct.Struct(">4sQI")
-FORMAT = 1  # raised whenever the body changes its meaning; another format is not read
-PROGRAM = "0.1.0"
-MAX_FILE = 64 * 1024 * 1024
-SKEW_MS = 1000.0  # a file written later than now by more than this was written before the clock went back
-LIST_MS = 300_000.0  # a restored list older than this is not used: servers have come and gone since
+FRAME_HEADER = struct.Struct(">4sQI")
+FORMAT_VERSION = 1  # raised whenever the body changes its meaning; another format is not read
+PROGRAM_VERSION = "0.1.0"
+MAX_FILE_BYTES = 64 * 1024 * 1024
+MAX_CLOCK_SKEW_MS = (
+    1000.0  # a file written later than now by more than this was written before the clock went back
+)
+MAX_LIST_AGE_MS = 300_000.0  # a restored list older than this is not used: servers have come and gone since
 WIRE_STATES = {EndpointStatus.UP: "Ready", EndpointStatus.DRAINING: "Terminating"}
 
 RULES = {
@@ -54,53 +56,57 @@
     "format": "of another format: a cold start",
     "another node": "written by another node: a cold start",
     "future": "written after now, so the clock has gone back: only servers out by hand are used",
-    "list old": f"its list is older than {LIST_MS / 1000:.0f} s: the list is not used",
+    "list old": f"its list is older than {MAX_LIST_AGE_MS / 1000:.0f} s: the list is not used",
     "list behind": "its list is no newer than the one the node was given: that one is used",
 }
 
 
 @dataclass(slots=True)
-class Recovered:
+class RestoredState:
     """What a verified file gives: all of it None or empty for a cold start; `age_ms` since it was written."""
 
     age_ms: float = math.inf
     learned: LearnedState | None = None
-    out: dict[str, float] = field(default_factory=dict)  # servers out by hand, and since when (Unix ms)
-    listing: Listing | None = None
-    broken: list[str] = field(default_factory=list)  # the rules that rejected all or part of it
+    ejected_since_ms: dict[str, float] = field(
+        default_factory=dict
+    )  # servers out by hand, and since when (Unix ms)
+    endpoint_list: DiscoveryResponse | None = None
+    violated_rules: list[str] = field(default_factory=list)  # the rules that rejected all or part of it
 
 
-def encode(node: str, now_ms: float, learned: LearnedState, out: dict[str, float], listing: Listing) -> bytes:
+def encode_state(
+    node: str, now_ms: float, learned: LearnedState, out: dict[str, float], listing: DiscoveryResponse
+) -> bytes:
     """The file's bytes."""
     targets = [
         {
             "uid": server.address,
-            "endpoint": "{}:{}".format(*listing.endpoints[server.address]),
+            "endpoint": "{}:{}".format(*listing.addresses[server.address]),
             "az": server.zone,
             "pod_group": server.cell,
             "state": WIRE_STATES[server.state],
             "boot_ms": server.launched_ms or 0,
         }
-        for server in listing.servers
+        for server in listing.endpoints
         if server.state in WIRE_STATES
     ]
     body: bytes = msgpack.packb(
         {
-            "format": FORMAT,
-            "program": PROGRAM,
+            "format": FORMAT_VERSION,
+            "program": PROGRAM_VERSION,
             "node": node,
             "written_ms": now_ms,
-            "learned": learned_row(learned),
+            "learned": encode_learned(learned),
             "out": out,
             "list": {"rev": listing.revision, "all": True, "targets": targets},
         }
     )
-    return frame(body)
+    return encode_frame(body)
 
 
-def frame(body: bytes) -> bytes:
+def encode_frame(body: bytes) -> bytes:
     """A body with its header: MAGIC, its xxh64 digest and its length."""
-    return HEADER.pack(MAGIC, xxhash.xxh64_intdigest(body), len(body)) + body
+    return FRAME_HEADER.pack(MAGIC, xxhash.xxh64_intdigest(body), len(body)) + body
 
 
 def rule_of(error: ValueError) -> str:
@@ -108,12 +114,12 @@
     return str(error) if str(error) in RULES else "malformed"
 
 
-def decode(data: bytes) -> dict[str, Any]:
+def decode_frame(data: bytes) -> dict[str, Any]:
     """The body of a file; ValueError names the rule it breaks."""
-    if len(data) < HEADER.size:
+    if len(data) < FRAME_HEADER.size:
         raise ValueError("torn")
-    magic, digest, length = HEADER.unpack_from(data)
-    body = data[HEADER.size :]
+    magic, digest, length = FRAME_HEADER.unpack_from(data)
+    body = data[FRAME_HEADER.size :]
     if magic != MAGIC or length != len(body):
         raise ValueError("torn")
     if xxhash.xxh64_intdigest(body) != digest:
@@ -124,64 +130,64 @@
         raise ValueError("malformed") from error
     if not isinstance(row, dict):
         raise ValueError("malformed")
-    if row.get("format") != FORMAT:
+    if row.get("format") != FORMAT_VERSION:
         raise ValueError("format")
     return row
 
 
-def verify(data: bytes, node: str, now_ms: float, given_rev: int) -> Recovered:
+def verify_state(data: bytes, node: str, now_ms: float, given_rev: int) -> RestoredState:
     """Apply RULES to a file's bytes for this node at this time, given the rev of the list it was told."""
-    row = decode(data)
+    row = decode_frame(data)
     if row.get("node") != node:
         raise ValueError("another node")
     try:
         written = float(row["written_ms"])
         out = {str(name): float(since) for name, since in row["out"].items()}
-        learned = learned_from(row["learned"])
-        listing = parse_listing(row["list"])
+        learned = decode_learned(row["learned"])
+        listing = decode_response(row["list"])
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ValueError("malformed") from error
-    found = Recovered(now_ms - written, learned, out, listing)
-    if not math.isfinite(written) or written > now_ms + SKEW_MS:
-        return Recovered(out=out, broken=["future"])
-    if found.age_ms > LIST_MS:
-        found.listing, found.broken = None, ["list old"]
+    found = RestoredState(now_ms - written, learned, out, listing)
+    if not math.isfinite(written) or written > now_ms + MAX_CLOCK_SKEW_MS:
+        return RestoredState(ejected_since_ms=out, violated_rules=["future"])
+    if found.age_ms > MAX_LIST_AGE_MS:
+        found.endpoint_list, found.violated_rules = None, ["list old"]
     elif listing.revision <= given_rev:
-        found.listing, found.broken = None, ["list behind"]
+        found.endpoint_list, found.violated_rules = None, ["list behind"]
     return found
 
 
-def read(path: Path, node: str, now_ms: float, given_rev: int) -> Recovered:
+def read_state(path: Path, node: str, now_ms: float, given_rev: int) -> RestoredState:
     """The verified file, with one log line for what it gave or why it gave nothing or less."""
     try:
         with path.open("rb") as opened:
-            data = opened.read(MAX_FILE + 1)
-        found = verify(data, node, now_ms, given_rev)
+            data = opened.read(MAX_FILE_BYTES + 1)
+        found = verify_state(data, node, now_ms, given_rev)
     except FileNotFoundError:
-        found = Recovered(broken=["missing"])
+        found = RestoredState(violated_rules=["missing"])
     except OSError as error:
         log.error("state %s: %s", path, " ".join(str(error).split()))
-        found = Recovered(broken=["unreadable"])
+        found = RestoredState(violated_rules=["unreadable"])
     except ValueError as error:
-        found = Recovered(broken=[rule_of(error)])
-    listed = 0 if found.listing is None else len(found.listing.servers)
-    said = "; ".join(f"{rule}, {RULES[rule]}" for rule in found.broken) or "verified"
+        found = RestoredState(violated_rules=[rule_of(error)])
+    listed = 0 if found.endpoint_list is None else len(found.endpoint_list.endpoints)
+    said = "; ".join(f"{rule}, {RULES[rule]}" for rule in found.violated_rules) or "verified"
     log.info(
         "state %s: %s; age %.0f ms, figures %s, %d out by hand, %d listed",
         path,
         said,
         found.age_ms,
         "yes" if found.learned is not None else "no",
-        len(found.out),
+        len(found.ejected_since_ms),
         listed,
     )
     return found
 
 
-def show(path: Path, node: str | None = None) -> tuple[str, bool]:
+def describe_state(path: Path, node: str | None = None) -> tuple[str, bool]:
     """A file's verdict and body as JSON text, and whether it is whole; `node` checks its name as well."""
     try:
-        row = decode(path.read_bytes())
+        row = decode_frame(path.read_bytes())
         if node is not None and row.get("node") != node:
             raise ValueError("another node")
     except OSError as error:
@@ -195,13 +201,15 @@
     return orjson.dumps({**summary, **row}, option=orjson.OPT_INDENT_2).decode(), True
 
 
-def listing_of(listed: dict[str, tuple[Endpoint, Address]], revision: int) -> Listing:
+def complete_list(listed: dict[str, tuple[Endpoint, Address]], revision: int) -> DiscoveryResponse:
     """The node's present list in the form that `encode` keeps."""
     servers = tuple(server for server, _ in listed.values())
-    return Listing(revision, True, servers, {name: endpoint for name, (_, endpoint) in listed.items()})
+    return DiscoveryResponse(
+        revision, True, servers, {name: endpoint for name, (_, endpoint) in listed.items()}
+    )
 
 
-def put(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Write whole or not at all: the rename is atomic, the fsyncs make it outlive a power loss."""
     draft = path.with_name(f"{path.name}.draft")
     with draft.open("wb") as opened:
@@ -209,10 +217,10 @@
         opened.flush()
         os.fsync(opened.fileno())
     os.replace(draft, path)
-    sync_folder(path.parent)
+    sync_directory(path.parent)
 
 
-def sync_folder(path: Path) -> None:
+def sync_directory(path: Path) -> None:
     """Make a rename or a removal in this folder outlive a power loss."""
     folder = os.open(path, os.O_RDONLY)
     try:
@@ -227,15 +235,15 @@
     def __init__(self, path: Path) -> None:
         self.path = path
         self.writes = self.failures = 0  # since the start
-        self.bytes = 0  # of the last write
-        self.last_s = 0.0  # time the last write took
+        self.last_write_bytes = 0  # of the last write
+        self.last_write_s = 0.0  # time the last write took
         self._lock: int | None = None
         self._writing = threading.Lock()  # a write is under way in a worker thread
         self._busy = False
         self._failing = False
-        self._told_shared = False
+        self._lock_denied = False
 
-    def holds(self) -> bool:
+    def acquire_lock(self) -> bool:
         """Whether this process may write; tried again at each call, as the other may have ended."""
         if self._lock is not None:
             return True
@@ -249,19 +257,19 @@
             fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(handle)
-            if not self._told_shared:
+            if not self._lock_denied:
                 log.warning("state %s: another process writes it; this one only reads it", self.path)
-            self._told_shared = True
+            self._lock_denied = True
             return False
         self._lock = handle
-        if self._told_shared:
+        if self._lock_denied:
             log.info("state %s: this process writes it from now on", self.path)
         return True
 
     async def write(self, make: Callable[[], bytes]) -> None:
         """Make the bytes and put them on disk in a worker thread, off the event loop; a write still under way
         makes this one wait for the next period. `make` must read only what the loop no longer changes."""
-        if self._busy or not self.holds():
+        if self._busy or not self.acquire_lock():
             return
         self._busy = True
         began = asyncio.get_running_loop().time()
@@ -271,7 +279,7 @@
             self._fail(error)
         else:
             self.writes += 1
-            self.bytes, self.last_s = size, asyncio.get_running_loop().time() - began
+            self.last_write_bytes, self.last_write_s = size, asyncio.get_running_loop().time() - began
             if self._failing:
                 log.info("state %s: written again", self.path)
             self._failing = False
@@ -283,7 +291,7 @@
             if self._lock is None:
                 raise OSError("closed before the write began")
             data = make()
-            put(self.path, data)
+            write_atomically(self.path, data)
             return len(data)
 
     def close(self) -> None:
--- a/tests/node/admin/test_admin_server.py
+++ b/tests/node/admin/test_admin_server.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loadbalancer.node.admin import server as door_module
-from loadbalancer.node.admin.server import VISITS, Answer, Door
+from loadbalancer.node.admin.server import MAX_CONNECTIONS, AdminResponse, AdminServer
 from loadbalancer.node.config import parse_config
 from loadbalancer.node.node import Node
 from tests.support.callers import LEAVING, Leave
@@ -34,7 +34,7 @@
 
 
 async def say(node: Node, data: bytes) -> Message:
-    reader, writer = await asyncio.open_connection(*node.door.address)
+    reader, writer = await asyncio.open_connection(*node.admin_server.address)
     writer.write(data)
     try:
         return await read_message(reader)
@@ -60,7 +60,7 @@
     async def main():
         async with running(Peer()) as node:
             with pytest.raises(AssertionError):
-                _ = node.door.address
+                _ = node.admin_server.address
 
     asyncio.run(main())
 
@@ -87,13 +87,13 @@
 
 def test_a_fault_behind_a_call_is_a_no_and_the_door_stays_open(caplog):
     async def main():
-        def broken(_: bytes) -> Answer:
+        def broken(_: bytes) -> AdminResponse:
             raise KeyError("x")
 
-        door = Door({(b"PUT", b"/broken"): broken, (b"GET", b"/fine"): lambda _: Answer(200)})
+        door = AdminServer({(b"PUT", b"/broken"): broken, (b"GET", b"/fine"): lambda _: AdminResponse(200)})
         await door.open(("127.0.0.1", 0))
-        assert door.call(b"PUT", b"/broken", b"").status == 500
-        assert door.call(b"GET", b"/fine", b"").status == 200
+        assert door.dispatch(b"PUT", b"/broken", b"").status == 500
+        assert door.dispatch(b"GET", b"/fine", b"").status == 200
         door.close()
 
     asyncio.run(main())
@@ -106,18 +106,18 @@
     async def main():
         caller, gone = socket.socket(), []
 
-        def left(_: bytes) -> Answer:  # between the call and its answer, with no turn of the loop
+        def left(_: bytes) -> AdminResponse:  # between the call and its answer, with no turn of the loop
             gone.append(leave(caller))
-            return Answer(200)
+            return AdminResponse(200)
 
-        async def left_later(body: bytes) -> Answer:
+        async def left_later(body: bytes) -> AdminResponse:
             return left(body)
 
-        door = Door({(b"GET", b"/left"): left_later if later else left})
+        door = AdminServer({(b"GET", b"/left"): left_later if later else left})
         await door.open(("127.0.0.1", 0))
         caller.connect(door.address)
         caller.sendall(call("GET", "/left"))
-        await until(lambda: gone and not door._visits)
+        await until(lambda: gone and not door._connections)
         door.close()
         caller.close()
 
@@ -128,11 +128,13 @@
 def test_callers_that_finish_no_call_keep_nobody_out_and_are_closed(monkeypatch):
     async def main():
         async with running(Peer(), **DOOR) as node:
-            held = [await asyncio.open_connection(*node.door.address) for _ in range(VISITS + 4)]
+            held = [
+                await asyncio.open_connection(*node.admin_server.address) for _ in range(MAX_CONNECTIONS + 4)
+            ]
             assert await status(node, "GET", "/status") == 200
             assert await held[0][0].read() == b""  # the oldest went
-            monkeypatch.setattr(door_module, "PATIENCE_S", 0.0)
-            reader, _ = await asyncio.open_connection(*node.door.address)
+            monkeypatch.setattr(door_module, "REQUEST_TIMEOUT_S", 0.0)
+            reader, _ = await asyncio.open_connection(*node.admin_server.address)
             assert (await read_message(reader)).status == 408
             for _, writer in held:
                 writer.close()
@@ -153,8 +155,8 @@
 
 def test_the_environments_address_comes_before_the_files_and_a_bad_one_is_said():
     row = orjson.dumps(config_row("127.0.0.1:1", operator="127.0.0.1:7"))
-    assert parse_config(row).operator == ("127.0.0.1", 7)
-    assert parse_config(row, {"PROXY_OPERATOR": "127.0.0.1:8"}).operator == ("127.0.0.1", 8)
+    assert parse_config(row).admin_address == ("127.0.0.1", 7)
+    assert parse_config(row, {"PROXY_OPERATOR": "127.0.0.1:8"}).admin_address == ("127.0.0.1", 8)
     with pytest.raises(ValueError, match="'nowhere' is not an address"):
         parse_config(row, {"PROXY_OPERATOR": "nowhere"})
 
--- a/tests/node/admin/test_metrics.py
+++ b/tests/node/admin/test_metrics.py
@@ -9,7 +9,7 @@
 from loadbalancer.__main__ import reload
 from loadbalancer.balancing.actions import Reject
 from loadbalancer.balancing.events import Request
-from loadbalancer.node.admin.metrics import Figures
+from loadbalancer.node.admin.metrics import NodeMetrics
 from loadbalancer.node.node import Node
 from tests.node.admin.test_admin_server import DOOR, call, say, status
 from tests.support.loopback import (
@@ -34,12 +34,12 @@
 
 
 def test_the_text_names_every_class_from_the_start():
-    found = Figures(["read", "post"])
-    found.reply("read", 200)
+    found = NodeMetrics(["read", "post"])
+    found.count_response("read", 200)
     for code in (429, 503):
-        found.reply("post", code)
-    found.reply("post", 504)
-    assert found.text(3, 12, 1).decode().splitlines() == [
+        found.count_response("post", code)
+    found.count_response("post", 504)
+    assert found.render(3, 12, 1).decode().splitlines() == [
         "proxy.replies.read.success=1",
         "proxy.replies.read.overload=0",
         "proxy.replies.read.error=0",
--- a/tests/node/discovery/test_discovery_lists.py
+++ b/tests/node/discovery/test_discovery_lists.py
@@ -10,7 +10,7 @@
 import pytest
 
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.discovery.watcher import parse_listing
+from loadbalancer.node.discovery.watcher import decode_response
 from tests.support.clocks import run
 from tests.support.discoveries import MODES, TOLD_S, Source, now, row, watching
 
@@ -99,9 +99,9 @@
     ],
 )
 def test_a_list_in_another_dress_is_taken(text, servers):
-    listing = parse_listing(orjson.loads(text))
-    assert (listing.revision, len(listing.servers), set(listing.endpoints)) == (9, servers, {"s1"})
-    assert listing.servers[-1].launched_ms is None
+    listing = decode_response(orjson.loads(text))
+    assert (listing.revision, len(listing.endpoints), set(listing.addresses)) == (9, servers, {"s1"})
+    assert listing.endpoints[-1].launched_ms is None
 
 
 FAULTS = [
--- a/tests/node/discovery/test_discovery_silence.py
+++ b/tests/node/discovery/test_discovery_silence.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.discovery.watcher import Patience
+from loadbalancer.node.discovery.watcher import PollPolicy
 from tests.support.clocks import run
 from tests.support.discoveries import MODES, MOVED_S, PUSH_S, TOLD_S, Luck, Source, now, watching
 
@@ -18,42 +18,42 @@
 
 @MODES
 def test_what_a_silent_watch_misses_is_learned_in_time(pause_s):
-    patience = Patience(20.0, pause_s, Luck(1.0))
-    patience.answered()
-    silent_s = patience.limit_s
-    assert silent_s + patience.failed() + patience.limit_s < TOLD_S
+    patience = PollPolicy(20.0, pause_s, Luck(1.0))
+    patience.record_success()
+    silent_s = patience.timeout_s
+    assert silent_s + patience.record_failure() + patience.timeout_s < TOLD_S
 
 
 @MODES
 def test_the_call_after_any_number_of_failures_comes_in_time(pause_s):
     """The worst: discovery is back right after a call was sent that it will never answer."""
-    patience = Patience(20.0, pause_s, Luck(1.0))
+    patience = PollPolicy(20.0, pause_s, Luck(1.0))
     pauses = []
     for _ in range(5000):  # some hours of an outage
-        unheard_s = patience.limit_s
-        pauses.append(patience.failed())
-        assert unheard_s + pauses[-1] + patience.limit_s < TOLD_S
+        unheard_s = patience.timeout_s
+        pauses.append(patience.record_failure())
+        assert unheard_s + pauses[-1] + patience.timeout_s < TOLD_S
     assert pauses == sorted(pauses)
     assert pauses[-1] == (PUSH_S if pause_s == PUSH_S else pytest.approx(3.2))  # backs off where it may crowd
-    patience.answered()
-    assert patience.failed() == pauses[0]
+    patience.record_success()
+    assert patience.record_failure() == pauses[0]
 
 
 @MODES
 def test_pauses_are_drawn_apart_at_every_failure(pause_s):
-    fleet = [Patience(20.0, pause_s, Random(seed)) for seed in range(40)]
+    fleet = [PollPolicy(20.0, pause_s, Random(seed)) for seed in range(40)]
     for _ in range(6):
-        pauses = sorted(patience.failed() for patience in fleet)
+        pauses = sorted(patience.record_failure() for patience in fleet)
         assert pauses[-1] > 1.8 * pauses[0]
         assert max(later - earlier for earlier, later in itertools.pairwise(pauses)) < 0.1 * pauses[-1]
 
 
 def test_settings_may_leave_less():
-    patience = Patience(0.1, 0.1, Luck(1.0))
+    patience = PollPolicy(0.1, 0.1, Luck(1.0))
     assert patience.wait_ms == 50
-    patience.answered()
+    patience.record_success()
     assert patience.wait_ms == 100
-    assert [patience.failed() for _ in range(4)] == [0.1] * 4
+    assert [patience.record_failure() for _ in range(4)] == [0.1] * 4
 
 
 @MODES
@@ -125,12 +125,12 @@
         async with watching(source, pause_s) as (watcher, listener):
             await asyncio.sleep(after_s)
             moved = now()
-            watcher.move(new.address)
-            watcher.move(new.address)
+            watcher.change_address(new.address)
+            watcher.change_address(new.address)
             assert await listener.learned(3) - moved < 0.1
             assert new.connections == 1
-            watcher.move(source.address)
-            watcher.move(new.address)
+            watcher.change_address(source.address)
+            watcher.change_address(new.address)
             new.change()
             assert await listener.learned(4) - moved < 0.3
         new.close()
@@ -149,7 +149,7 @@
         async with watching(source, pause_s) as (watcher, listener):
             await listener.learned(41)
             moved = now()
-            watcher.move(new.address)
+            watcher.change_address(new.address)
             while not any((form, rev) == (EndpointListKind.FULL, lower) for _, form, rev in listener.heard):
                 await listener.next()
             assert 2.0 < now() - moved < MOVED_S  # a replica that only lags has some time to catch up
@@ -165,7 +165,7 @@
         async with watching(source) as (watcher, listener):
             await listener.learned(2)
             watcher.close()
-            watcher.move(new.address)
+            watcher.change_address(new.address)
             watcher.start()
             await asyncio.sleep(10.0)
             assert not new.connections
--- a/tests/node/listener/test_connection_closes.py
+++ b/tests/node/listener/test_connection_closes.py
@@ -88,11 +88,11 @@
         async with running(server) as node:
             headers = {"Connection": "close"} if end == "said close" else {}
             caller = await last_answer_due(node, server, end, b"", **headers)
-            (job,) = node.jobs.held.values()
-            node.jobs.answer(job, 200, ANSWER)
+            (job,) = node.request_registry.held.values()
+            node.request_registry.answer(job, 200, ANSWER)
             caller.sendall(late)  # in the moment of the shutdown
             assert (await read_to_the_end(caller)).endswith(ANSWER)
-            assert node.counts["taken"] == len(server.seen) == 1
+            assert node.event_counts["taken"] == len(server.seen) == 1
 
     asyncio.run(main())
 
@@ -105,7 +105,7 @@
             server.release.set()
             answers = await read_to_the_end(caller)
             assert answers.count(b"HTTP/1.1 ") == answers.count(b"HTTP/1.1 200 ") == 1
-            assert node.counts["taken"] == 1
+            assert node.event_counts["taken"] == 1
 
     asyncio.run(main())
 
@@ -117,14 +117,14 @@
             caller = connect(node)
             caller.sendall(request(name="q1").replace(b"HTTP/1.1", b"HTTP/1.0"))
             await until(lambda: server.seen)
-            (job,) = node.jobs.held.values()
+            (job,) = node.request_registry.held.values()
             body = Body(Ends())
-            node.jobs.begin(job, None, body)
+            node.request_registry.begin(job, None, body)
             body.put(ANSWER)
             body.fail()
             with pytest.raises(ConnectionResetError):
                 await read_to_the_end(caller)
-            assert not node.jobs.passing_on
+            assert not node.request_registry.passing_on
 
     asyncio.run(main())
 
@@ -207,7 +207,7 @@
     await until(lambda: node.server.connections)
     if asked:
         caller.sendall(request(name="q1"))
-        await until(lambda: node.counts["answered 200"])
+        await until(lambda: node.event_counts["answered 200"])
         caller.recv(65_536)
     return caller
 
@@ -233,7 +233,7 @@
                     await until(lambda: connection._requests.call)
                     CLOSES["drain"](node)
                     caller.sendall(request(name="q2")[9:])
-                await until(lambda: node.counts["answered 200"] == 1 + asked)
+                await until(lambda: node.event_counts["answered 200"] == 1 + asked)
                 assert caller.recv(12) == b"HTTP/1.1 200"
             elif put != "a reset":
                 if asked and close == "overdue" and put != "an end":
@@ -244,7 +244,7 @@
                     assert caller.recv(12) == b""
             caller.close()
             await until(lambda: not node.server.connections)
-            assert node.counts["taken"] == asked + ("request" in put)
+            assert node.event_counts["taken"] == asked + ("request" in put)
 
     asyncio.run(main())
 
@@ -275,7 +275,7 @@
             if caller.fileno() >= 0:
                 with contextlib.suppress(ConnectionResetError):
                     assert caller.recv(12) == b""  # so it asks again
-            assert node.counts["taken"] == asked
+            assert node.event_counts["taken"] == asked
             assert await asked_anew(node) == 200
             assert len(server.seen) == 1 + asked
             caller.close()
--- a/tests/node/listener/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -34,8 +34,8 @@
                 caller.sendall(request("post", "q1", bytes(4 * HIGH_WATER))[: -2 * HIGH_WATER])
             else:
                 caller.sendall(request(name="q1"))
-            await until(lambda: node.jobs.held)
-            (job,) = node.jobs.held.values()
+            await until(lambda: node.request_registry.held)
+            (job,) = node.request_registry.held.values()
             if waits == "a second request":
                 caller.sendall(request(name="q2") + b"GET /half")
                 await until(lambda: not job.call.connection._transport.is_reading())
@@ -56,13 +56,17 @@
             caller = connect(node)
             caller.sendall(request(name="q1") + request(name="q2"))
             await until(lambda: server.seen)
-            (job,) = node.jobs.held.values()
+            (job,) = node.request_registry.held.values()
             assert not job.call.connection._transport.is_reading()
             caller.sendall(request(name="q3"))
             leave(caller)
             job.call.connection.sweep(node.loop.time())
             await until(lambda: not node.server.connections)
-            assert (node.counts["gone"], node.jobs.open, node.counts["taken"]) == (1, 0, 1)
+            assert (node.event_counts["gone"], node.request_registry.open, node.event_counts["taken"]) == (
+                1,
+                0,
+                1,
+            )
             caller.close()
 
     asyncio.run(main())
@@ -80,9 +84,9 @@
             node.server.drain()
             for caller in callers[:-1]:
                 leave(caller)  # and the loop has no turn before the answers
-            node.jobs.fail_all()
+            node.request_registry.fail_all()
             assert callers[-1].recv(12) == b"HTTP/1.1 504"
-            assert node.jobs.open == 0
+            assert node.request_registry.open == 0
             await until(lambda: len(node.server.connections) == 1)  # the last one's, until that has read
             for caller in callers:
                 caller.close()
@@ -98,7 +102,7 @@
             caller = connect(node)
             caller.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            (job,) = node.jobs.held.values()
+            (job,) = node.request_registry.held.values()
             node.server.drain()
             on_result, left = job.attempts[0]._on_result, []
 
@@ -111,7 +115,7 @@
             job.attempts[0]._on_result = result
             server.release.set()
             await until(lambda: left)
-            assert not node.jobs.held
+            assert not node.request_registry.held
             assert node.driver.balancer.peers["s0"].load == 0.0
             assert node.pool.size == 1
             caller.close()
@@ -128,19 +132,19 @@
             caller = connect(node)
             caller.sendall(b"".join(request(name=f"q{at}") for at in range(50)))
             await until(lambda: server.seen)
-            (job,) = node.jobs.held.values()
+            (job,) = node.request_registry.held.values()
             body = Body(Ends())
             if first == "passed on":
-                node.jobs.begin(job, len(ANSWER), body)
+                node.request_registry.begin(job, len(ANSWER), body)
                 body.put(ANSWER[:-1])
             leave(caller)  # much sent at once and gone, and nothing of that read
             if first == "passed on":
                 body.put(ANSWER[-1:])
                 body.end()
             else:
-                node.jobs.answer(job, 200, b"done")
+                node.request_registry.answer(job, 200, b"done")
             await until(lambda: not node.server.connections)
-            assert node.counts["taken"] == 1
+            assert node.event_counts["taken"] == 1
             if leave is half_close:
                 assert (await read_to_the_end(caller)).count(b"HTTP/1.1 400 ") == 1
             caller.close()
@@ -160,9 +164,9 @@
             leave(caller)
             if leave is half_close:
                 assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
-            await until(lambda: not node.server.connections and not node.jobs.held)
-            assert node.figures.dispatches == server.connections == 0
-            assert node.counts["taken"] <= 1
+            await until(lambda: not node.server.connections and not node.request_registry.held)
+            assert node.metrics.attempts_sent == server.connections == 0
+            assert node.event_counts["taken"] <= 1
 
     asyncio.run(main())
 
@@ -186,7 +190,7 @@
             caller.sendall(sent)
             half_close(caller)
             assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
-            assert node.counts["taken"] == 0
+            assert node.event_counts["taken"] == 0
 
     asyncio.run(main())
 
@@ -198,10 +202,10 @@
             caller = connect(node)
             caller.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            (job,) = node.jobs.held.values()
+            (job,) = node.request_registry.held.values()
             half_close(caller)
             job.call.connection.eof_received()  # as the loop will: what else comes in that turn finds it over
-            assert (job.done, node.counts["gone"]) == (True, 1)
+            assert (job.done, node.event_counts["gone"]) == (True, 1)
             assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
             await until(lambda: not node.server.connections)
 
@@ -218,7 +222,7 @@
             caller.sendall(request(name="q2"))
             await until(lambda: len(server.seen) == 2)
             half_close(caller)
-            await until(lambda: node.counts["gone"])
+            await until(lambda: node.event_counts["gone"])
             assert b"HTTP/1.1 400 " in (await read_to_the_end(caller)).partition(ANSWER)[2]
 
     asyncio.run(main())
@@ -231,9 +235,9 @@
             caller = connect(node)
             caller.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            (job,) = node.jobs.held.values()
+            (job,) = node.request_registry.held.values()
             body = Body(Ends())
-            node.jobs.begin(job, len(ANSWER), body)
+            node.request_registry.begin(job, len(ANSWER), body)
             body.put(ANSWER[:1000])
             ended, eof_received = [], job.call.connection.eof_received
             job.call.connection.eof_received = lambda: ended.append(True) or eof_received()
@@ -243,7 +247,7 @@
             body.end()
             assert (await read_to_the_end(caller)).endswith(ANSWER)
             await until(lambda: not node.server.connections)
-            assert not node.jobs.passing_on
+            assert not node.request_registry.passing_on
 
     asyncio.run(main())
 
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -13,7 +13,7 @@
 from loadbalancer.balancing.events import EndpointEjected, EndpointListUpdate, EndpointRestored
 from loadbalancer.endpoints import Endpoint, EndpointListKind
 from loadbalancer.node.node import Node
-from loadbalancer.node.state.ejections import FOLDER, KEEP_MS, PREFIX, Ban, Bans
+from loadbalancer.node.state.ejections import FILE_PREFIX, FOLDER_NAME, RETENTION_MS, Ejection, EjectionStore
 from tests.node.admin.test_admin_server import DOOR, status
 from tests.support.builders import Bed, sent, servers
 from tests.support.loopback import Caller, Discovery, Held, Peer, ask, listing, request, running, until
@@ -24,68 +24,68 @@
 
 
 def test_a_ban_said_to_one_process_is_read_by_the_other_and_by_a_later_one(tmp_path):
-    one, two = Bans(tmp_path / "x"), Bans(tmp_path / "x")
-    assert two.read(0.0) == []  # nothing was ever out
-    assert one.take_out("s/1 ü", 1000.0)
-    assert two.read(2000.0) == ["s/1 ü"]
-    assert two.get("s/1 ü") == Ban(1000.0)
-    assert two.read(2100.0) == []  # told once
-    assert two.bring_back("s/1 ü", 5000.0)
-    assert one.read(5100.0) == ["s/1 ü"]
-    assert one.get("s/1 ü") == Ban(1000.0, 5000.0)
-    later = Bans(tmp_path / "x")
-    later.read(6000.0)
-    assert later.get("s/1 ü") == Ban(1000.0, 5000.0)
-    assert not later.out("s/1 ü")
+    one, two = EjectionStore(tmp_path / "x"), EjectionStore(tmp_path / "x")
+    assert two.read_changes(0.0) == []  # nothing was ever out
+    assert one.eject("s/1 ü", 1000.0)
+    assert two.read_changes(2000.0) == ["s/1 ü"]
+    assert two.get("s/1 ü") == Ejection(1000.0)
+    assert two.read_changes(2100.0) == []  # told once
+    assert two.restore("s/1 ü", 5000.0)
+    assert one.read_changes(5100.0) == ["s/1 ü"]
+    assert one.get("s/1 ü") == Ejection(1000.0, 5000.0)
+    later = EjectionStore(tmp_path / "x")
+    later.read_changes(6000.0)
+    assert later.get("s/1 ü") == Ejection(1000.0, 5000.0)
+    assert not later.is_ejected("s/1 ü")
 
 
 def test_putting_a_server_out_twice_is_undone_by_one_call_back(tmp_path):
-    bans = Bans(tmp_path)
-    bans.take_out("s", 1000.0)
-    bans.take_out("s", 2000.0)
-    assert bans.get("s") == Ban(1000.0)
-    bans.bring_back("s", 3000.0)
-    assert not bans.out("s")
+    bans = EjectionStore(tmp_path)
+    bans.eject("s", 1000.0)
+    bans.eject("s", 2000.0)
+    assert bans.get("s") == Ejection(1000.0)
+    bans.restore("s", 3000.0)
+    assert not bans.is_ejected("s")
 
 
 def test_a_return_from_long_ago_is_forgotten_with_its_file(tmp_path):
-    bans = Bans(tmp_path)
-    bans.take_out("s", 0.0)
-    bans.bring_back("s", 1.0)
-    bans.read(KEEP_MS)
+    bans = EjectionStore(tmp_path)
+    bans.eject("s", 0.0)
+    bans.restore("s", 1.0)
+    bans.read_changes(RETENTION_MS)
     assert list(tmp_path.iterdir())
-    bans.read(KEEP_MS + 2.0)
+    bans.read_changes(RETENTION_MS + 2.0)
     assert not list(tmp_path.iterdir())
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", '{"out_ms": "x", "back_ms": null}', "\0" * 4096])
 def test_a_file_that_cannot_be_read_keeps_its_server_out_and_is_logged(tmp_path, caplog, text):
-    (tmp_path / (PREFIX + "s")).write_text(text)
+    (tmp_path / (FILE_PREFIX + "s")).write_text(text)
     (tmp_path / "something else").write_text(text)
-    bans = Bans(tmp_path)
-    assert bans.read(0.0) == ["s"]
-    assert bans.out("s")
+    bans = EjectionStore(tmp_path)
+    assert bans.read_changes(0.0) == ["s"]
+    assert bans.is_ejected("s")
     assert len(caplog.records) == 1
-    bans.bring_back("s", 10.0)
-    assert not bans.out("s")
+    bans.restore("s", 10.0)
+    assert not bans.is_ejected("s")
 
 
 def test_a_folder_that_takes_no_file_is_a_no_and_the_ban_holds_in_this_process(tmp_path, caplog):
     (tmp_path / "file").write_text("")
-    bans = Bans(tmp_path / "file")
-    assert bans.read(0.0) == []
-    assert not bans.take_out("s", 0.0)
-    assert bans.out("s")
-    assert not bans.bring_back("s", 1.0)
-    assert bans.out("s")
+    bans = EjectionStore(tmp_path / "file")
+    assert bans.read_changes(0.0) == []
+    assert not bans.eject("s", 0.0)
+    assert bans.is_ejected("s")
+    assert not bans.restore("s", 1.0)
+    assert bans.is_ejected("s")
     assert len(caplog.records) == 1  # once for the stretch
 
 
 def test_without_a_folder_bans_are_kept_in_memory():
-    bans = Bans(None)
-    assert bans.take_out("s", 0.0)
-    assert bans.read(1.0) == []
-    assert bans.out("s")
+    bans = EjectionStore(None)
+    assert bans.eject("s", 0.0)
+    assert bans.read_changes(1.0) == []
+    assert bans.is_ejected("s")
 
 
 # --------------------------------------------------------------------- the calls
@@ -122,11 +122,11 @@
             filler.connect(silent.getsockname())
             server = Peer()
             async with running(server, bounds={"connectTimeoutMs": 10_000.0}, **DOOR) as node:
-                known = node.servers.listed["s0"][0]
+                known = node.endpoint_list.endpoints["s0"][0]
                 silent_server = Endpoint("quiet", zone=known.zone)
-                node.servers.listed["quiet"] = silent_server, silent.getsockname()[:2]
+                node.endpoint_list.endpoints["quiet"] = silent_server, silent.getsockname()[:2]
                 assert await status(node, "PUT", ENTER, b"s0") == 200
-                node.servers.change(EndpointListUpdate(EndpointListKind.DELTA, (silent_server,)))
+                node.endpoint_list.apply_change(EndpointListUpdate(EndpointListKind.DELTA, (silent_server,)))
                 caller = await Caller.to(node)
                 caller.writer.write(request())
                 await until(lambda: node.pool.size)
@@ -157,7 +157,7 @@
         async with running(server, discovery=discovery, **DOOR) as node:
             assert await status(node, "PUT", ENTER, b"s0") == 200
             discovery.news.append(news)  # for the next call: the first stays silent and is given up
-            await until(lambda: "s1" in node.servers.listed)
+            await until(lambda: "s1" in node.endpoint_list.endpoints)
             for at in range(10):
                 assert (await ask(node, request(name=f"q{at}"))).status == 200
             assert not server.seen
@@ -174,13 +174,13 @@
             new.server.listen = _nowhere  # type: ignore[method-assign]
             await new.start()
             assert await status(old, "PUT", ENTER, b"s0") == 200
-            await until(lambda: not new.servers.up)  # by its own look at the folder
+            await until(lambda: not new.endpoint_list.available)  # by its own look at the folder
             later = Node(old.config)
             later.server.listen = _nowhere  # type: ignore[method-assign]
             await later.start()
-            assert not later.servers.up
+            assert not later.endpoint_list.available
             assert await status(later, "PUT", EXIT, b"s0") == 200
-            await until(lambda: old.servers.up and new.servers.up)
+            await until(lambda: old.endpoint_list.available and new.endpoint_list.available)
             new.close()
             later.close()
 
@@ -194,10 +194,10 @@
 def test_a_call_back_right_after_the_other_process_was_told_is_not_lost(tmp_path):
     async def main():
         async with running(Peer(), tmpdir=str(tmp_path), **DOOR) as node:
-            Bans(tmp_path / FOLDER).take_out("s0", 1.0)
-            assert node.servers.exit_maintenance("s0")
-            assert not Bans(tmp_path / FOLDER).out("s0")
-            assert node.servers.up == {"s0"}
+            EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
+            assert node.endpoint_list.restore("s0")
+            assert not EjectionStore(tmp_path / FOLDER_NAME).is_ejected("s0")
+            assert node.endpoint_list.available == {"s0"}
 
     asyncio.run(main())
 
@@ -205,12 +205,12 @@
 def test_without_a_door_the_folder_is_not_looked_at_again(tmp_path):
     async def main():
         async with running(Peer(), tmpdir=str(tmp_path)) as node:
-            Bans(tmp_path / FOLDER).take_out("s0", 1.0)
-            node.clockwork.beat(node.loop.time())
-            assert node.servers.up == {"s0"}
+            EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
+            node.periodic_tasks.tick(node.loop.time())
+            assert node.endpoint_list.available == {"s0"}
 
     asyncio.run(main())
-    assert os.listdir(Path(tmp_path)) == [FOLDER]
+    assert os.listdir(Path(tmp_path)) == [FOLDER_NAME]
 
 
 # -------------------------------------------------------------------- the module
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -12,7 +12,13 @@
 from loadbalancer.balancing.events import LearnedState, SiblingProcessLoad
 from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.node import Node
-from loadbalancer.node.state.handover import FOLDER, FRESH_MS, KEEP_MS, PREFIX, Handover
+from loadbalancer.node.state.handover import (
+    FILE_PREFIX,
+    FOLDER_NAME,
+    FRESHNESS_MS,
+    RETENTION_MS,
+    HandoverFiles,
+)
 from tests.node.test_upgrade import listening
 from tests.support.builders import Bed, sent
 from tests.support.loopback import Caller, Held, request, running, until
@@ -37,23 +43,23 @@
 
 
 def test_a_process_reads_what_the_others_wrote_and_not_its_own(tmp_path):
-    one, two, three = (Handover(tmp_path / "x", number) for number in (1, 2, 3))
-    assert three.read(0.0) == (None, {})  # the first process
+    one, two, three = (HandoverFiles(tmp_path / "x", number) for number in (1, 2, 3))
+    assert three.read_siblings(0.0) == (None, {})  # the first process
     one.write(1000.0, learned(cursor=1), {"s0": 2.0, "s1": 1.0})
     two.write(1100.0, learned(cursor=2), {"s0": 3.0})
     three.write(1200.0, learned(cursor=3), {"s0": 9.0})
-    assert three.read(1200.0) == (learned(cursor=2), {"s0": 5.0, "s1": 1.0})
+    assert three.read_siblings(1200.0) == (learned(cursor=2), {"s0": 5.0, "s1": 1.0})
     two.close()
-    assert three.read(1200.0) == (learned(cursor=1), {"s0": 2.0, "s1": 1.0})
+    assert three.read_siblings(1200.0) == (learned(cursor=1), {"s0": 2.0, "s1": 1.0})
 
 
 def test_a_process_that_has_stopped_writing_says_nothing_and_its_file_goes(tmp_path):
-    one, two = Handover(tmp_path, 1), Handover(tmp_path, 2)
+    one, two = HandoverFiles(tmp_path, 1), HandoverFiles(tmp_path, 2)
     one.write(0.0, learned(), {"s0": 2.0})
-    assert two.read(FRESH_MS)[1] == {"s0": 2.0}
-    assert two.read(FRESH_MS + 1.0) == (None, {})
+    assert two.read_siblings(FRESHNESS_MS)[1] == {"s0": 2.0}
+    assert two.read_siblings(FRESHNESS_MS + 1.0) == (None, {})
     assert list(tmp_path.iterdir())
-    two.read(KEEP_MS + 1.0)
+    two.read_siblings(RETENTION_MS + 1.0)
     assert not list(tmp_path.iterdir())
 
 
@@ -69,25 +75,25 @@
     ],
 )
 def test_a_malformed_file_is_passed_over_and_logged_once(tmp_path, caplog, change):
-    one, two = Handover(tmp_path, 1), Handover(tmp_path, 2)
+    one, two = HandoverFiles(tmp_path, 1), HandoverFiles(tmp_path, 2)
     one.write(0.0, learned(), {"s0": 2.0})
-    path = tmp_path / f"{PREFIX}1"
+    path = tmp_path / f"{FILE_PREFIX}1"
     row = orjson.loads(path.read_bytes())
     change(row)
     path.write_bytes(orjson.dumps(row))
     for _ in range(3):
-        assert two.read(0.0) == (None, {})
+        assert two.read_siblings(0.0) == (None, {})
     path.write_bytes(b"\0")
-    assert two.read(0.0) == (None, {})
+    assert two.read_siblings(0.0) == (None, {})
     assert len(caplog.records) == 1
 
 
 def test_a_folder_that_takes_no_file_is_logged_once(tmp_path, caplog):
     (tmp_path / "file").write_text("")
-    one = Handover(tmp_path / "file", 1)
+    one = HandoverFiles(tmp_path / "file", 1)
     for _ in range(3):
         one.write(0.0, learned(), {})
-        assert one.read(0.0) == (None, {})
+        assert one.read_siblings(0.0) == (None, {})
     one.close()
     assert len(caplog.records) == 1
 
@@ -167,22 +173,22 @@
             caller.writer.write(request(name="q1"))
             await until(lambda: server.seen)
             new = Node(old.config)
-            assert new.sharing is not None
+            assert new.sibling_process is not None
             # As both run in one process here.
-            new.sharing.handover = Handover(tmp_path / FOLDER, os.getpid() + 1)
-            old.sharing.share()
-            new.servers.on_list(EndpointListKind.CACHED, new.config.known)
-            new.sharing.share(starts=True)
+            new.sibling_process.handover = HandoverFiles(tmp_path / FOLDER_NAME, os.getpid() + 1)
+            old.sibling_process.exchange()
+            new.endpoint_list.apply_update(EndpointListKind.CACHED, new.config.initial_list)
+            new.sibling_process.exchange(starts=True)
             assert new.driver.balancer.peers["s0"].beside == 1.0
             assert old.driver.balancer.peers["s0"].beside == 0.0
             server.release.set()
             await caller.answer()
-            old.sharing.share()
-            new.sharing.share()
+            old.sibling_process.exchange()
+            new.sibling_process.exchange()
             assert new.driver.balancer.peers["s0"].beside == 0.0
             new.close()
-            assert os.listdir(tmp_path / FOLDER) == [f"{PREFIX}{os.getpid()}"]
-        assert os.listdir(tmp_path / FOLDER) == []
+            assert os.listdir(tmp_path / FOLDER_NAME) == [f"{FILE_PREFIX}{os.getpid()}"]
+        assert os.listdir(tmp_path / FOLDER_NAME) == []
         raw.close()
 
     asyncio.run(main())
@@ -191,8 +197,8 @@
 def test_a_node_with_a_socket_of_its_own_hands_nothing_over(tmp_path):
     async def main():
         async with running(Held(), tmpdir=str(tmp_path)) as node:
-            node.clockwork.beat(node.loop.time())
-            assert node.sharing is None
+            node.periodic_tasks.tick(node.loop.time())
+            assert node.sibling_process is None
 
     asyncio.run(main())
     assert not os.listdir(tmp_path)
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -22,7 +22,7 @@
 from loadbalancer.balancing.events import EndpointListUpdate, LearnedState, StateRestored
 from loadbalancer.balancing.learned_state import TRUST_MS
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.discovery.watcher import Listing
+from loadbalancer.node.discovery.watcher import DiscoveryResponse
 from loadbalancer.node.state import snapshot
 from tests.support.builders import servers, settings
 from tests.support.load import Load
@@ -86,12 +86,14 @@
     until(one, what="a request served")
 
 
-def written(path: Path, listing: Listing, node: str = "n0", at_ms: float | None = None, **body: Any) -> None:
-    data = snapshot.encode(node, time.time() * 1000.0 if at_ms is None else at_ms, LEARNED, {}, listing)
+def written(
+    path: Path, listing: DiscoveryResponse, node: str = "n0", at_ms: float | None = None, **body: Any
+) -> None:
+    data = snapshot.encode_state(node, time.time() * 1000.0 if at_ms is None else at_ms, LEARNED, {}, listing)
     if body:  # a body of another shape, digested as it should be
-        row = msgpack.unpackb(data[snapshot.HEADER.size :]) | body
+        row = msgpack.unpackb(data[snapshot.FRAME_HEADER.size :]) | body
         raw = msgpack.packb(row)
-        data = snapshot.frame(raw)
+        data = snapshot.encode_frame(raw)
     path.write_bytes(data)
 
 
@@ -112,7 +114,7 @@
         # A call the node sent just before its kill may reach the server later: ids differ in every round.
         assert upstream.most() <= 1, "a request reached its server twice"
         if state.exists():  # the rename leaves the old file or the new one, never a part
-            snapshot.decode(state.read_bytes())
+            snapshot.decode_frame(state.read_bytes())
         assert len(node.lines("state ")) >= kill + 1, "a start that did not say what it made of the file"
     node.start()
     served(node.port)
@@ -145,10 +147,10 @@
     ],
 )
 def test_a_bad_file_is_never_trusted_and_the_node_serves(
-    tmp_path: Path, upstream: ServerPool, change: Callable[[Path, Listing], None], rule: str
+    tmp_path: Path, upstream: ServerPool, change: Callable[[Path, DiscoveryResponse], None], rule: str
 ) -> None:
     state = tmp_path / "n0.state"
-    listing = Listing(9, True, servers(1), {"s0": ("127.0.0.1", 9)})  # a server that is not there
+    listing = DiscoveryResponse(9, True, servers(1), {"s0": ("127.0.0.1", 9)})  # a server that is not there
     written(state, listing)
     change(state, listing)
     node = stateful(tmp_path, state, upstream)
@@ -196,7 +198,7 @@
         first.kill()
         until(lambda: second.metric("proxy.state_writes") > 0, what="the second taking over")
         assert second.lines("this process writes it from now on")
-        snapshot.decode(state.read_bytes())
+        snapshot.decode_frame(state.read_bytes())
     finally:
         second.stop()
 
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -173,9 +173,9 @@
             for at in range(2):
                 caller.writer.write(request(name=f"q{at}"))
                 assert await body_of(caller.reader) == LONG
-            await until(lambda: not node.jobs.passing_on)
+            await until(lambda: not node.request_registry.passing_on)
             assert node.pool.size == 1
-            assert not node.jobs.held
+            assert not node.request_registry.held
             caller.writer.close()
 
     asyncio.run(main())
@@ -219,11 +219,16 @@
             assert await caller.reader.readexactly(1000) == LONG[:1000]
             (outcome,) = scripted.of(AttemptOutcome)
             assert (outcome.result, outcome.request_ended) == (AttemptResult.OK, True)
-            assert node.figures.text(node.jobs.open + node.jobs.passing_on, 0, 0).count(b"concurrent=1") == 1
+            assert (
+                node.metrics.render(
+                    node.request_registry.open + node.request_registry.passing_on, 0, 0
+                ).count(b"concurrent=1")
+                == 1
+            )
             more.set()
             assert await caller.reader.readexactly(len(LONG) - 1000) == LONG[1000:]
-            await until(lambda: not node.jobs.passing_on)
-            assert b"proxy.replies.read.success=1" in node.metrics()
+            await until(lambda: not node.request_registry.passing_on)
+            assert b"proxy.replies.read.success=1" in node.render_metrics()
             caller.writer.close()
 
     asyncio.run(main())
@@ -254,7 +259,7 @@
             left = total
             while left:
                 left -= len(await caller.reader.read(MIB))
-            await until(lambda: not node.jobs.passing_on)
+            await until(lambda: not node.request_registry.passing_on)
             caller.writer.close()
 
     asyncio.run(main())
@@ -275,8 +280,8 @@
                 answer = await caller.reader.read()
                 assert not answer.endswith(b"0\r\n\r\n")
                 assert len(answer) < len(LONG)
-            await until(lambda: not node.jobs.passing_on)
-            assert b"proxy.replies.read.error=1" in node.metrics()
+            await until(lambda: not node.request_registry.passing_on)
+            assert b"proxy.replies.read.error=1" in node.render_metrics()
 
     asyncio.run(main())
 
@@ -299,7 +304,7 @@
             caller.writer.transport.abort()
             async with asyncio.timeout(20):
                 await left.wait()
-            await until(lambda: not node.jobs.passing_on and not node.pool.size)
+            await until(lambda: not node.request_registry.passing_on and not node.pool.size)
 
     asyncio.run(main())
 
@@ -318,7 +323,7 @@
             caller.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 assert len(await caller.reader.read()) < len(LONG)
-            await until(lambda: not node.jobs.passing_on)
+            await until(lambda: not node.request_registry.passing_on)
 
     asyncio.run(main())
 
@@ -370,7 +375,7 @@
             caller.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 assert len(await caller.reader.read()) < len(LONG)
-            await until(lambda: not node.jobs.passing_on and not node.pool.size)
+            await until(lambda: not node.request_registry.passing_on and not node.pool.size)
             assert node.pool.unreadable == 1
 
     asyncio.run(main())
@@ -386,7 +391,7 @@
         async with behind(serve, settings={"tier": 1}) as node:
             caller = await Caller.to(node)
             assert (await caller.ask(request("post"))).status == 502
-            assert node.counts["error"] == 1
+            assert node.event_counts["error"] == 1
             caller.writer.close()
 
     asyncio.run(main())
@@ -442,7 +447,12 @@
             assert server.bodies == [LONG]
             assert (await caller.ask(request("post", "q2", b"short"))).status == 200
             assert server.bodies[1:] == [b"short"]
-            assert (node.pool.size, node.jobs.open, node.jobs.coming, node.figures.dispatches) == (1, 0, 0, 2)
+            assert (
+                node.pool.size,
+                node.request_registry.open,
+                node.request_registry.coming,
+                node.metrics.attempts_sent,
+            ) == (1, 0, 0, 2)
             caller.writer.close()
 
     asyncio.run(main())
@@ -461,16 +471,16 @@
             await until(lambda: scripted.of(Request) and server.heads)
             (early,) = scripted.of(Request)
             assert early.receiving
-            (job,) = node.jobs.held.values()
+            (job,) = node.request_registry.held.values()
             assert job.backstop is None
-            assert node.figures.dispatches == 0
+            assert node.metrics.attempts_sent == 0
             caller.writer.write(data[MIB:])
             assert (await caller.answer()).status == 200
             (arrived,) = scripted.of(RequestReceived)
             assert arrived.deadline_ms > early.deadline_ms
             (outcome,) = scripted.of(AttemptOutcome)
             assert outcome.latency_ms <= (node.loop.time() - job.whole_at) * 1000.0
-            assert node.figures.dispatches == 1
+            assert node.metrics.attempts_sent == 1
             caller.writer.close()
 
     asyncio.run(main())
@@ -550,16 +560,20 @@
             if how == "leaves":
                 caller.writer.transport.abort()
             elif how == "stalls":
-                await until(lambda: not node.server.connections or node.jobs.coming)
+                await until(lambda: not node.server.connections or node.request_registry.coming)
                 node.server.expire(node.loop.time() + 60.0)
                 assert (await caller.answer()).status == 408
             else:
                 caller.writer.write(b"\r\nnonsense\r\n" * 100_000)
                 assert (await caller.answer()).status == 400
-            await until(lambda: server.lost and not node.jobs.held)
+            await until(lambda: server.lost and not node.request_registry.held)
             assert not server.bodies
             assert len(server.heads) == 1
-            assert (node.jobs.open, node.jobs.coming, node.figures.dispatches) == (0, 0, 0)
+            assert (node.request_registry.open, node.request_registry.coming, node.metrics.attempts_sent) == (
+                0,
+                0,
+                0,
+            )
 
     asyncio.run(main())
 
@@ -599,7 +613,7 @@
         async with behind(serve) as node:
             answer = await ask(node, request("post", "q1", LONG))
             assert answer.status == 503
-            assert not node.jobs.held
+            assert not node.request_registry.held
 
     asyncio.run(main())
 
@@ -616,7 +630,7 @@
             caller.writer.write(request("post", "q1", LONG)[:MIB])
             answer = await caller.answer()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
-            assert (node.jobs.open, node.jobs.coming) == (0, 0)
+            assert (node.request_registry.open, node.request_registry.coming) == (0, 0)
             caller.writer.close()
 
     asyncio.run(main())
@@ -626,10 +640,10 @@
     async def main():
         server = Taking()
         async with behind(server.serve, limits={"memory_mb": 1, "sockets": 1024}) as node:
-            assert node.jobs.max_coming == 1
+            assert node.request_registry.max_coming == 1
             first = await Caller.to(node)
             first.writer.write(request("post", "q1", LONG)[:MIB])
-            await until(lambda: node.jobs.coming)
+            await until(lambda: node.request_registry.coming)
             second = await Caller.to(node)
             second.writer.write(request("post", "q2", LONG)[:MIB])
             assert (await second.answer()).status == 503
@@ -649,7 +663,7 @@
             caller = await Caller.to(node)
             caller.writer.write(chunked(LONG))
             assert (await caller.answer()).status == 413
-            await until(lambda: not node.jobs.held)
+            await until(lambda: not node.request_registry.held)
             assert not server.bodies
 
     asyncio.run(main())
--- a/tests/node/test_components.py
+++ b/tests/node/test_components.py
@@ -24,10 +24,10 @@
         self.seen.append(("start", bool(self._node.server.address)))
 
     async def stop(self) -> None:
-        self.seen.append(("stop", bool(self._node.jobs.under_way)))
+        self.seen.append(("stop", bool(self._node.request_registry.under_way)))
 
     def close(self) -> None:
-        self.seen.append(("close", bool(self._node.jobs.under_way)))
+        self.seen.append(("close", bool(self._node.request_registry.under_way)))
 
     def metrics(self) -> str:
         return "proxy.recorded=1\n"
@@ -41,7 +41,7 @@
         known = targets(s0=(server.endpoint, "Ready"))
         node = Node(config(discovery.endpoint, known=known, state=str(tmp_path / "state")))
         part = Recorded(node)
-        node.parts.append(part)
+        node.components.append(part)
         heard: list[tuple[str, AttemptResult, dict[str, float]]] = []
         node.attempts.on_outcome.append(
             lambda outcome: heard.append((outcome.server, outcome.result, node.driver.balancer.held()))
@@ -50,7 +50,7 @@
         assert (await ask(node, request())).status == 200
         # The module had heard of it first: nothing was in flight any more.
         assert heard == [("s0", AttemptResult.OK, {})]
-        *_, kept, last = node.metrics().splitlines()
+        *_, kept, last = node.render_metrics().splitlines()
         assert (kept.partition(b"=")[0], last) == (b"proxy.state_write_ms", b"proxy.recorded=1")
         await node.stop()
         assert part.seen == [("start", True), ("stop", False), ("close", False)]
@@ -65,8 +65,8 @@
     async def main():
         more = {"state": str(tmp_path / "state")} if state else {}
         node = Node(config("127.0.0.1:1", **more))
-        assert (b"proxy.state_writes=0\n" in node.metrics()) is state
-        assert node.metrics().endswith(b"\n")
+        assert (b"proxy.state_writes=0\n" in node.render_metrics()) is state
+        assert node.render_metrics().endswith(b"\n")
         node.close()
 
     asyncio.run(main())
@@ -99,7 +99,7 @@
     async def main():
         node = Node(config("127.0.0.1:1"))
         faulty, other = Faulty(node, end), Recorded(node)
-        node.parts += [faulty, other]
+        node.components += [faulty, other]
         await node.start()
         async with asyncio.timeout(20):
             await node.stop()
--- a/tests/node/test_long_answers.py
+++ b/tests/node/test_long_answers.py
@@ -82,8 +82,8 @@
             assert b" 200 " in read
             assert not read.endswith(b"0\r\n\r\n")  # no end of its own
             await until(lambda: server.left and not node.pool.size)
-            assert node.jobs.passing_on == 0
-            assert node.counts["broken off"] == 1
+            assert node.request_registry.passing_on == 0
+            assert node.event_counts["broken off"] == 1
 
     run(main())
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -25,7 +25,7 @@
 from loadbalancer.node import balancer_driver as driver_module
 from loadbalancer.node.address import parse_address
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.discovery.watcher import Listing, Patience
+from loadbalancer.node.discovery.watcher import DiscoveryResponse, PollPolicy
 from loadbalancer.node.listener.request_parser import BODY_S, HEAD_S, PACE, Receiving
 from loadbalancer.node.listener.server import SWEEP_S
 from tests.support.loopback import (
@@ -74,7 +74,7 @@
             assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
             assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
             assert node.driver.balancer.peers["s0"].queue == 3
-            assert node.jobs.held == {}
+            assert node.request_registry.held == {}
 
     asyncio.run(main())
 
@@ -178,9 +178,9 @@
             await until(lambda: server.seen)
             assert node.driver.balancer.peers["s0"].load == 1.0
             caller.writer.close()
-            await until(lambda: not node.jobs.held)
+            await until(lambda: not node.request_registry.held)
             assert node.driver.balancer.peers["s0"].load == 0.0
-            assert node.jobs.open == 0
+            assert node.request_registry.open == 0
 
     asyncio.run(main())
 
@@ -198,7 +198,7 @@
             node.driver.balancer = scripted = Scripted(act)
             assert (await ask(node, request())).body == b"done"
             server.release.set()
-            await until(lambda: not node.jobs.held)
+            await until(lambda: not node.request_registry.held)
             outcomes = scripted.of(AttemptOutcome)
             assert [(event.attempt, event.request_ended) for event in outcomes] == [(1, True), (0, True)]
 
@@ -218,7 +218,7 @@
             node.driver.balancer = scripted = Scripted(act)
             assert (await ask(node, request())).status == 500
             assert scripted.of(RequestCancelled)
-            assert not node.jobs.held
+            assert not node.request_registry.held
             assert node.server.ready
 
     asyncio.run(main())
@@ -297,7 +297,7 @@
             node.driver.balancer = scripted = Scripted()
             assert (await ask(node, data)).status == status
             assert not scripted.of(Request)
-            assert not node.jobs.held
+            assert not node.request_registry.held
 
     asyncio.run(main())
 
@@ -515,7 +515,7 @@
             callers = [await Caller.to(node) for _ in range(node.server.limit)]
             for at, caller in enumerate(callers):
                 caller.writer.write(request(name=f"q{at}"))
-            await until(lambda: node.jobs.open == len(callers))
+            await until(lambda: node.request_registry.open == len(callers))
             late = await ask(node, request(name="late"))
             assert (late.status, late.headers["connection"]) == (503, "close")
             assert len(scripted.of(Request)) == len(callers)
@@ -595,7 +595,7 @@
 
 def test_a_list_larger_than_any_may_be_is_a_failure_and_keeps_the_list(monkeypatch, caplog):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.MAX_LIST", 400)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.MAX_LIST_BYTES", 400)
         huge = listing(2, True, **{f"s{n}": (f"127.0.0.1:{1000 + n}", "Ready") for n in range(20)})
         async with running(Peer(), discovery=Discovery(huge)) as node:
             node.driver.balancer = scripted = Scripted()
@@ -609,21 +609,21 @@
 
 def test_a_hung_discovery_call_fails_and_the_module_asks_again(monkeypatch):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.LATE_S", 0.05)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.RESPONSE_TIMEOUT_S", 0.05)
         discovery = Discovery()
         async with running(
             Peer(), discovery=discovery, settings={"invariants": {"askWithinMs": 100.0}}
         ) as node:
             await until(lambda: len(discovery.seen) >= 2)
             assert discovery.seen[0].first[1].endswith("&timeout_ms=50")
-            assert node.counts["list failed"] >= 1
+            assert node.event_counts["list failed"] >= 1
 
     asyncio.run(main())
 
 
 def test_a_pushed_list_is_followed_unasked_and_through_failures(monkeypatch):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.PAUSE_S", 0.01)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.INITIAL_BACKOFF_S", 0.01)
         discovery = Discovery(reply(503), listing(5, True, s9=("127.0.0.1:9", "Ready")))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: set(node.pool._servers) == {"s9"})
@@ -647,8 +647,8 @@
 
 def test_a_pushed_list_that_is_silent_from_the_start_is_asked_again_at_once(monkeypatch):
     """Guard: what an agent has counts as told from a process's first moment; its silence showed after 6 s."""
-    monkeypatch.setattr("loadbalancer.node.discovery.watcher.LATE_S", 0.05)
-    monkeypatch.setattr("loadbalancer.node.discovery.watcher.PAUSE_S", 0.01)
+    monkeypatch.setattr("loadbalancer.node.discovery.watcher.RESPONSE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("loadbalancer.node.discovery.watcher.INITIAL_BACKOFF_S", 0.01)
 
     async def main():
         discovery = Deaf(listing(5, True, s9=("127.0.0.1:9", "Ready")), reply(503))
@@ -668,9 +668,9 @@
         elsewhere, gone = Discovery(listing(6, True, s6=("127.0.0.1:6", "Ready"))), Discovery(None)
         await elsewhere.start()
         async with running(Peer(), discovery=gone, settings={"registryMode": mode}) as node:
-            await until(lambda: node.counts["list failed"])
+            await until(lambda: node.event_counts["list failed"])
             node.balancer = Scripted()  # asks for no watch of its own
-            node.watcher.move(parse_address(elsewhere.endpoint))
+            node.watcher.change_address(parse_address(elsewhere.endpoint))
             await until(lambda: "s6" in node.pool._servers and len(elsewhere.seen) == 2)
             assert waits(elsewhere) == [50, 2750]
         elsewhere.stop()
@@ -680,7 +680,7 @@
 
 def test_a_stale_list_is_a_failure_and_the_newer_one_holds(monkeypatch, caplog):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.PAUSE_S", 0.01)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.INITIAL_BACKOFF_S", 0.01)
         discovery = Discovery(
             listing(5, True, s5=("127.0.0.1:5", "Ready")),
             listing(3, True, s3=("127.0.0.1:3", "Ready")),
@@ -690,7 +690,7 @@
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: "s6" in node.pool._servers)
             assert set(node.pool._servers) == set(node.driver.balancer.peers) == {"s5", "s6"}
-            assert node.counts["list failed"] == 2
+            assert node.event_counts["list failed"] == 2
             assert caplog.text.count("stale list, version 3 after 5") == 1
             assert caplog.text.count("the old list holds") == 1  # once for the stretch
 
@@ -699,8 +699,8 @@
 
 def test_a_rebuilt_discovery_counting_again_is_taken_once_it_has_said_so_long_enough(monkeypatch, caplog):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.PAUSE_S", 0.01)
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.REBUILT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.INITIAL_BACKOFF_S", 0.01)
+        monkeypatch.setattr("loadbalancer.node.discovery.watcher.REBUILD_HOLD_S", 0.0)
         discovery = Discovery(
             listing(50, True, s5=("127.0.0.1:5", "Ready")),
             listing(2, True, s2=("127.0.0.1:2", "Ready")),
@@ -710,7 +710,7 @@
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: "s4" in node.pool._servers)
             assert set(node.pool._servers) == {"s2", "s3", "s4"}
-            assert node.counts["list failed"] == 1
+            assert node.event_counts["list failed"] == 1
             assert caplog.text.count("counts versions again (3 after 50)") == 1
 
     asyncio.run(main())
@@ -723,7 +723,7 @@
         discovery = Discovery(listing(5, True, s5=("127.0.0.1:5", "Ready")))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: "s5" in node.pool._servers)
-            node.watcher.move(parse_address(elsewhere.endpoint))
+            node.watcher.change_address(parse_address(elsewhere.endpoint))
             await until(lambda: set(node.pool._servers) == {"s1"})
         elsewhere.stop()
 
@@ -732,7 +732,7 @@
 
 def test_nodes_whose_discovery_failed_in_the_same_moment_ask_again_spread_out():
     """Guard: the first watches of a whole fleet fell silent, and all of it asked again within some 10 ms."""
-    pauses = sorted(Patience(5.0, 5.0, Random(seed)).failed() for seed in range(40))
+    pauses = sorted(PollPolicy(5.0, 5.0, Random(seed)).record_failure() for seed in range(40))
     assert 0.25 <= pauses[0] < 0.3
     assert 0.45 < pauses[-1] <= 0.5
     assert max(later - earlier for earlier, later in itertools.pairwise(pauses)) < 0.05
@@ -752,8 +752,10 @@
             node.pool.open = never  # a connection that does not come up
             caller.writer.write(request())
             await until(lambda: node.pool.size)
-            row = Listing(9, False, (Endpoint("s0", state=EndpointStatus.DRAINING),), {"s0": ("", 1)})
-            node.servers.on_list(EndpointListKind.DELTA, row)
+            row = DiscoveryResponse(
+                9, False, (Endpoint("s0", state=EndpointStatus.DRAINING),), {"s0": ("", 1)}
+            )
+            node.endpoint_list.apply_update(EndpointListKind.DELTA, row)
             assert [event.result for event in scripted.of(AttemptOutcome)] == [
                 AttemptResult.CONNECT_FAILED
             ] * 2
@@ -824,8 +826,8 @@
             assert (await ask(node, request(name="q1"))).status == 200
             endpoints = {"s0": ("127.0.0.1", server.port)}
             for launched in (5.0, 5.0):
-                row = Listing(9, False, (Endpoint("s0", launched_ms=launched),), endpoints)
-                node.servers.on_list(EndpointListKind.DELTA, row)
+                row = DiscoveryResponse(9, False, (Endpoint("s0", launched_ms=launched),), endpoints)
+                node.endpoint_list.apply_update(EndpointListKind.DELTA, row)
                 assert (await ask(node, request(name="q2"))).status == 200
             assert server.connections == 2
 
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loadbalancer.node import node as node_module
-from loadbalancer.node.config import Config
+from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.listener.server import inherited
 from loadbalancer.node.node import Node
 from tests.support.loopback import Caller, Held, Peer, ask, request, running, until
@@ -21,10 +21,10 @@
     return socket.create_server(("127.0.0.1", 0))
 
 
-def beside(node: Node, raw: socket.socket) -> Config:
+def beside(node: Node, raw: socket.socket) -> NodeConfig:
     """The configuration of a second process on the same socket."""
-    fields = {name: getattr(node.config, name) for name in Config.__dataclass_fields__}
-    return Config(**fields | {"accept_fd": str(os.dup(raw.fileno()))})
+    fields = {name: getattr(node.config, name) for name in NodeConfig.__dataclass_fields__}
+    return NodeConfig(**fields | {"accept_fd": str(os.dup(raw.fileno()))})
 
 
 def test_callers_are_accepted_from_the_inherited_socket():
--- a/tests/node/upstream/test_writes.py
+++ b/tests/node/upstream/test_writes.py
@@ -67,8 +67,8 @@
 
 async def is_over(node: Node) -> None:
     """Nothing of any request is left, and its caller's connection is closed."""
-    await until(lambda: not node.jobs.held and not node.server.connections)
-    assert node.jobs.open == 0
+    await until(lambda: not node.request_registry.held and not node.server.connections)
+    assert node.request_registry.open == 0
     assert sum(peer.load for peer in node.driver.balancer.peers.values()) == 0.0
 
 
@@ -98,9 +98,9 @@
             assert (await ask(node, request(name="q0"))).status == 200  # its connection is kept
             client = Leaver(node, request(), how)
             client.leave()  # request and end are there before the connection is accepted
-            await until(lambda: node.counts["gone"])
+            await until(lambda: node.event_counts["gone"])
             await is_over(node)
-            assert node.figures.dispatches == 1
+            assert node.metrics.attempts_sent == 1
             client.close()
 
     asyncio.run(main())
@@ -117,10 +117,14 @@
             await until(lambda: late.ready)
             if seen:
                 client.leave()
-                await until(lambda: node.counts["gone"])
+                await until(lambda: node.event_counts["gone"])
             late.up.set()
             await is_over(node)
-            assert (node.figures.dispatches, node.counts["gone"], node.counts["moot"]) == (0, 1, 1)
+            assert (node.metrics.attempts_sent, node.event_counts["gone"], node.event_counts["moot"]) == (
+                0,
+                1,
+                1,
+            )
             assert (await ask(node, request(name="q2"))).status == 200
             client.close()
 
@@ -144,10 +148,14 @@
                 return balancer.handle(node.clock.ms(), event)
 
             node.driver.balancer = Scripted(act)
-            await until(lambda: node.counts["gone"])
+            await until(lambda: node.event_counts["gone"])
             node.driver.balancer = balancer
             await is_over(node)
-            assert (node.figures.dispatches, node.counts["full"], node.counts["error"]) == (1, 1, 0)
+            assert (node.metrics.attempts_sent, node.event_counts["full"], node.event_counts["error"]) == (
+                1,
+                1,
+                0,
+            )
             client.close()
 
     asyncio.run(main())
@@ -169,7 +177,11 @@
             client.leave()
             late.up.set()
             await is_over(node)
-            assert (node.figures.dispatches, node.counts["gone"], node.counts["moot"]) == (0, 1, 1)
+            assert (node.metrics.attempts_sent, node.event_counts["gone"], node.event_counts["moot"]) == (
+                0,
+                1,
+                1,
+            )
             assert server.seen == []
             client.close()
 
@@ -187,10 +199,10 @@
                     clients.pop().leave()
 
             late = LateConnections(node, all_leave)
-            await until(lambda: late.ready + node.counts["answered 503"] == 24)
+            await until(lambda: late.ready + node.event_counts["answered 503"] == 24)
             late.up.set()
-            await until(lambda: not node.jobs.held)
-            assert node.figures.dispatches == 0
+            await until(lambda: not node.request_registry.held)
+            assert node.metrics.attempts_sent == 0
             assert late.ready > 1
 
     asyncio.run(main())
@@ -207,7 +219,7 @@
 
             node.driver.balancer = scripted = Scripted(act)
             opened, up = node.pool.open, asyncio.Event()
-            addresses = {server: address for server, (_, address) in node.servers.listed.items()}
+            addresses = {server: address for server, (_, address) in node.endpoint_list.endpoints.items()}
 
             async def late(endpoint):
                 if endpoint == addresses["s0"]:
@@ -217,8 +229,8 @@
             node.pool.open = late
             assert (await ask(node, request())).status == 200
             up.set()
-            await until(lambda: not node.jobs.held)
-            assert node.figures.dispatches == 2
+            await until(lambda: not node.request_registry.held)
+            assert node.metrics.attempts_sent == 2
             results = {event.attempt: event.result for event in scripted.of(AttemptOutcome)}
             assert results == {0: AttemptResult.ABANDONED, 1: AttemptResult.OK}
 
@@ -233,11 +245,11 @@
             caller.writer.write(request())
             await until(lambda: server.seen)
             caller.writer.close()
-            await until(lambda: node.counts["gone"])
-            assert node.jobs.held
+            await until(lambda: node.event_counts["gone"])
+            assert node.request_registry.held
             server.release.set()
             await is_over(node)
-            assert node.counts["ok"] == 1
+            assert node.event_counts["ok"] == 1
 
     asyncio.run(main())
 
@@ -252,12 +264,12 @@
 
         async def script(message):
             await release.wait()
-            return None if node.figures.dispatches < 2 else reply()  # the first is lost, and may have run
+            return None if node.metrics.attempts_sent < 2 else reply()  # the first is lost, and may have run
 
         async with running(Peer(script), Peer(script)) as node:
             caller = await Caller.to(node)
             caller.writer.write(request("move", "q1", Idempotency_Key="k"))
-            await until(lambda: node.figures.dispatches)
+            await until(lambda: node.metrics.attempts_sent)
             late = LateConnections(node, lambda: clock.forward(passes_s))
             release.set()
             await until(lambda: late.ready)
@@ -266,7 +278,7 @@
             else:
                 clock.forward(passes_s)
             assert (await caller.answer()).status == status
-            assert node.figures.dispatches == written
+            assert node.metrics.attempts_sent == written
             caller.writer.close()
 
     asyncio.run(main())
@@ -375,7 +387,7 @@
             node.pool.open = failing
             async with asyncio.timeout(15):  # its own time is 30 s
                 assert (await ask(node, request("post", "q1"))).status == 503
-            assert node.counts["connect_failed"] == 1
+            assert node.event_counts["connect_failed"] == 1
             assert (await ask(node, request("post", "q2"))).status == 200
 
     asyncio.run(main())
@@ -420,7 +432,7 @@
                     while True:
                         taken.append(os.dup(0))
                 assert (await caller.ask(request("post", "q1"))).status == 503
-                assert (node.figures.dispatches, node.counts["connect_failed"]) == (0, 2)
+                assert (node.metrics.attempts_sent, node.event_counts["connect_failed"]) == (0, 2)
             finally:
                 for descriptor in taken:
                     os.close(descriptor)
@@ -449,13 +461,13 @@
             again = await Caller.to(node)
             client.leave()
             if seen:
-                await until(lambda: node.counts["gone"])
+                await until(lambda: node.event_counts["gone"])
             again.writer.write(data)
             server.script = None
             assert (await again.answer()).status == statuses[cancel]
             server.release.set()
-            await until(lambda: not node.jobs.held)
-            assert node.figures.dispatches == 1 + (statuses[cancel] == 200)
+            await until(lambda: not node.request_registry.held)
+            assert node.metrics.attempts_sent == 1 + (statuses[cancel] == 200)
             again.writer.close()
 
     asyncio.run(main())
@@ -469,9 +481,9 @@
             await until(lambda: late.ready)
             client.leave()
             late.up.set()
-            await until(lambda: node.counts["gone"])
+            await until(lambda: node.event_counts["gone"])
             assert (await ask(node, request("post", "q1"))).status == 200
-            assert node.figures.dispatches == 1
+            assert node.metrics.attempts_sent == 1
 
     asyncio.run(main())
 
@@ -486,17 +498,17 @@
         clock = Jump()
 
         async def script(message):
-            if node.figures.dispatches < 2:
+            if node.metrics.attempts_sent < 2:
                 await asyncio.Event().wait()
             return reply()
 
         async with running(Peer(script), Peer(script), bounds=can(False)) as node:
             caller = await Caller.to(node)
             caller.writer.write(request(kind, "q1", Idempotency_Key="k"))
-            await until(lambda: node.figures.dispatches)
+            await until(lambda: node.metrics.attempts_sent)
             clock.forward(19.7)  # past the aim, after which it earns nothing, and the window for repeats
             assert (await caller.answer()).status == status
-            assert node.figures.dispatches == written
+            assert node.metrics.attempts_sent == written
             caller.writer.close()
 
     asyncio.run(main())
--- a/tests/support/discoveries.py
+++ b/tests/support/discoveries.py
@@ -13,7 +13,7 @@
 import pytest
 
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.discovery.watcher import Listing, Patience, Watcher
+from loadbalancer.node.discovery.watcher import DiscoveryResponse, EndpointListWatcher, PollPolicy
 from tests.support.loopback import read_message, reply
 
 TOLD_S = 6.0  # by the operators' terms, not by the program's own constant
@@ -125,7 +125,7 @@
         self.raises: dict[EndpointListKind, BaseException] = {}  # once each
         self.more = asyncio.Event()
 
-    def __call__(self, form: EndpointListKind, news: Listing | None) -> None:
+    def __call__(self, form: EndpointListKind, news: DiscoveryResponse | None) -> None:
         if (error := self.raises.pop(form, None)) is not None:
             raise error
         self.more.set()
@@ -146,9 +146,9 @@
 @contextlib.asynccontextmanager
 async def watching(
     source: Source, pause_s: float = PUSH_S, known: int = 1, luck: float = 1.0
-) -> AsyncIterator[tuple[Watcher, Listener]]:
+) -> AsyncIterator[tuple[EndpointListWatcher, Listener]]:
     listener = Listener()
-    watcher = Watcher(source.address, known, Patience(20.0, pause_s, Luck(luck)), listener)
+    watcher = EndpointListWatcher(source.address, known, PollPolicy(20.0, pause_s, Luck(luck)), listener)
     watcher.start()
     try:
         yield watcher, listener
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.balancing.actions import Action
 from loadbalancer.balancing.events import Event
-from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.config import NodeConfig, parse_config
 from loadbalancer.node.node import Node
 
 SETTINGS: dict[str, Any] = {
@@ -156,7 +156,7 @@
     } | more
 
 
-def config(discovery: str, **more: Any) -> Config:
+def config(discovery: str, **more: Any) -> NodeConfig:
     told = {"accept_fd": "PROXY_ACCEPT_FD", "tmpdir": "TMPDIR"}
     environment = {variable: more.pop(key) for key, variable in told.items() if key in more}
     return parse_config(orjson.dumps(config_row(discovery, **more)), environment)
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -107,26 +107,26 @@
     def __init__(self, wrong: bool) -> None:
         path = Path(tempfile.mkdtemp()) / "state"
         self.old, self.next = StateFile(path), StateFile(path)
-        self.wrote = self.old.holds()
+        self.wrote = self.old.acquire_lock()
         self.refused = False
         if wrong:
             self.old._writing = nullcontext()
 
     def write(self) -> None:
         try:
-            self.old._make_and_put(lambda: snapshot.frame(b"old"))
+            self.old._make_and_put(lambda: snapshot.encode_frame(b"old"))
         except OSError:
             self.refused = True
 
     def stop(self) -> None:
         self.old.close()
-        self.wrote = self.next.holds()
+        self.wrote = self.next.acquire_lock()
         if self.wrote:
-            self.next._make_and_put(lambda: snapshot.frame(b"new"))
+            self.next._make_and_put(lambda: snapshot.encode_frame(b"new"))
         self.next.close()
 
     def holds(self) -> bool:
-        return self.wrote and self.old.path.read_bytes() == snapshot.frame(b"new")
+        return self.wrote and self.old.path.read_bytes() == snapshot.encode_frame(b"new")
 
 
 class Twice:
@@ -135,7 +135,7 @@
     def __init__(self, wrong: bool) -> None:
         self.file = StateFile(Path(tempfile.mkdtemp()) / "state")
         self.failed: list[OSError] = []
-        self.wrote = self.file.holds()
+        self.wrote = self.file.acquire_lock()
         if wrong:
             self.file._writing = nullcontext()
 
@@ -147,12 +147,12 @@
 
     def _write(self, body: bytes) -> None:
         try:
-            self.file._make_and_put(lambda: snapshot.frame(body))
+            self.file._make_and_put(lambda: snapshot.encode_frame(body))
         except OSError as error:
             self.failed.append(error)
 
     def holds(self) -> bool:
-        whole = [snapshot.frame(body) for body in (b"first", b"second, longer")]
+        whole = [snapshot.encode_frame(body) for body in (b"first", b"second, longer")]
         return self.wrote and not self.failed and self.file.path.read_bytes() in whole
 
 
--- a/tests/test_settings_bad.py
+++ b/tests/test_settings_bad.py
@@ -17,7 +17,7 @@
 from loadbalancer.balancing.actions import Fail, Send
 from loadbalancer.balancing.events import AttemptOutcome, EndpointListUpdate, Request, TimerFired
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind
-from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.config import NodeConfig, parse_config
 from loadbalancer.service_settings import DeduplicationScope
 from tests.support.loopback import config_row, targets
 
@@ -104,10 +104,10 @@
     return orjson.dumps(row)
 
 
-def work(config: Config) -> None:
+def work(config: NodeConfig) -> None:
     """Requests of each class, served and failed, and some periods: no figure may break the module."""
     module, now = Balancer(config.settings, config.seed, 0.0), 0.0
-    module.handle(now, EndpointListUpdate(EndpointListKind.CACHED, config.known.servers))
+    module.handle(now, EndpointListUpdate(EndpointListKind.CACHED, config.initial_list.endpoints))
     for turn in range(6):
         for kind in config.settings.classes:
             name, now = f"{kind.name}{turn}", now + 10.0
--- a/tests/test_settings_kinds.py
+++ b/tests/test_settings_kinds.py
@@ -75,9 +75,9 @@
 
 
 def sound(node: Node) -> None:
-    assert not node.counts["faults"]
-    assert not node.counts["backstop"]
-    assert not node.jobs.held
+    assert not node.event_counts["faults"]
+    assert not node.event_counts["backstop"]
+    assert not node.request_registry.held
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
@@ -99,7 +99,7 @@
                     answer = await ask(node, asked(name, f"good-{name}-{turn}", **headers))
                     assert (answer.status, answer.body) == (200, b"done"), name
             for name in classes(node):
-                effect = node.jobs._classes[name].effect
+                effect = node.request_registry._classes[name].effect
                 answer = await ask(node, asked(name, f"full-{name}"))
                 assert answer.status == 503, name  # turned away wherever it went: a refusal
                 answer = await ask(node, asked(name, f"lost-{name}"))
@@ -159,9 +159,9 @@
             caller.writer.write(request("read", "q1"))
             await until(lambda: any(server.seen for server in servers))
             for _ in range(50):  # periods go by, each of which might send another
-                node.tell(TimerFired("period"))
+                node.handle_event(TimerFired("period"))
             assert sum(len(server.seen) for server in servers) == 1
-            assert node.jobs.held["q1"].out == 1
+            assert node.request_registry.held["q1"].out == 1
             for server in servers:
                 server.release.set()
             assert (await caller.answer()).status == 200
