--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -55,9 +55,9 @@
             self.endpoints = {}
         for server in listing.endpoints:
             if server.state is EndpointStatus.REMOVED:
-                self.endpoints.pop(server.address, None)
+                self.endpoints.pop(server.name, None)
             else:
-                self.endpoints[server.address] = server, listing.addresses[server.address]
+                self.endpoints[server.name] = server, listing.addresses[server.name]
         self.apply_change(EndpointListUpdate(form, listing.endpoints))
 
     def apply_change(self, event: Event) -> None:
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -153,7 +153,9 @@
     def render_metrics(self) -> bytes:
         """The text of GET /status/metrics: the node's own lines, then those of each part."""
         own = self.metrics.render(
-            self.request_registry.under_way, len(self.endpoint_list.endpoints), self.driver.balancer.avoided
+            self.request_registry.under_way,
+            len(self.endpoint_list.endpoints),
+            self.driver.balancer.ejected_count,
         )
         return own + "".join(part.metrics() for part in self.components).encode()
 
--- a/loadbalancer/node/state/snapshot.py
+++ b/loadbalancer/node/state/snapshot.py
@@ -80,8 +80,8 @@
     """The file's bytes."""
     targets = [
         {
-            "uid": server.address,
-            "endpoint": "{}:{}".format(*listing.addresses[server.address]),
+            "uid": server.name,
+            "endpoint": "{}:{}".format(*listing.addresses[server.name]),
             "az": server.zone,
             "pod_group": server.cell,
             "state": WIRE_STATES[server.state],
--- a/loadbalancer/node/state_writer.py
+++ b/loadbalancer/node/state_writer.py
@@ -81,6 +81,9 @@
     async def _write(self) -> None:
         servers, out = self._servers, self._servers.ejected_since_ms()
         # What the thread reads is made here and never changed after: copies of the figures and the list.
-        learned, listing = self._driver.balancer.learned(), complete_list(servers.endpoints, servers.revision)
+        learned, listing = (
+            self._driver.balancer.learned_state(),
+            complete_list(servers.endpoints, servers.revision),
+        )
         learned.class_latency_ms, name, now = dict(learned.class_latency_ms), self._name, self._clock.ms()
         await self._file.write(lambda: encode_state(name, now, learned, out, listing))
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -192,9 +192,9 @@
         self.events.append(event)
         return self.act(event)
 
-    avoided = 0
+    ejected_count = 0
 
-    def figures(self) -> str:
+    def summary(self) -> str:
         return "scripted"
 
     def of(self, kind: type) -> list[Any]:
