--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -11,7 +11,7 @@
 from loadbalancer.membership import Viewed
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.control.timers import MembershipClock, RestartableTimer
-from loadbalancer.node.endpoint_list import ServerList
+from loadbalancer.node.endpoint_list import EndpointList
 from loadbalancer.node.membership_settings import MembershipSettings
 from loadbalancer.staleness import (
     ClockOffsets,
@@ -35,7 +35,7 @@
         settings: MembershipSettings,
         clock: MembershipClock,
         offsets: ClockOffsets,
-        servers: ServerList,
+        servers: EndpointList,
         driver: Driver,
         on_marks: Callable[[dict[str, Confidence]], None],
     ) -> None:
@@ -104,10 +104,10 @@
 
     def _follow_list(self) -> None:
         servers = self._servers
-        heard = servers.listed_rev, servers.confirmed_ms
+        heard = servers.revision, servers.confirmed_ms
         if heard == self._listed:
             return
         same = self._listed is not None and heard[0] == self._listed[0]
         self._listed = heard
         at = self._clock.now_ms() if heard[1] < 0.0 else self._clock.from_node_ms(heard[1])
-        self.table.confirm_list(at, servers.origin_rev, None if same else list(servers.listed))
+        self.table.confirm_list(at, servers.service_revision, None if same else list(servers.endpoints))
