--- a/bench/fleet_routes.py
+++ b/bench/fleet_routes.py
@@ -18,7 +18,7 @@
 from tests.support.load import Load, Outcome
 from tests.support.registry_processes import until
 
-SWITCHED = re.compile(r"routes: version (\d+) from now on, ([\d.]+) ms after its moment")
+SWITCHED = re.compile(r"routes: version (\d+) in force, ([\d.]+) ms after its moment")
 SKEWED = (0.0, 2_000.0, -2_000.0, 900.0)
 
 
--- a/loadbalancer/node/control/__init__.py
+++ b/loadbalancer/node/control/__init__.py
@@ -1,9 +1,9 @@
-"""The fleet's part of a node: the thin shell round the cores of members, view and routes (docs/fleet.md).
+"""The node's control plane: membership in a fleet, its lease, gossip and route activation (docs/fleet.md).
 
-It exists only where the configuration names `members`. The cores decide; this package has the sockets,
-timers, files and the order of things: what an answer of the list service says reaches every core in the
-same turn of the loop, and the decision module hears of shares, marks and route versions as typed events
-only.
+It exists only where the configuration names `members`. The packages `membership`, `staleness` and `routing`
+decide; this package has the sockets, timers and files, and the order of events: what an answer of the list
+service states reaches every core in the same turn of the event loop, and the balancer learns of quota,
+confidence and route versions through typed events only.
 """
 
 from loadbalancer.node.control.control_plane import ControlPlane
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -1,15 +1,14 @@
-"""The fleet's part of a node: its cores put together, and what operators see of them."""
+"""Assembles the control plane of a node and passes facts between its cores."""
 
 from __future__ import annotations
 
+import logging
 import os
 import secrets
-from collections import Counter
+from collections.abc import Mapping
+from http import HTTPStatus
 from random import Random
-from typing import Any
-
-import msgspec
-import orjson
+from typing import Final
 
 from loadbalancer.balancing.events import ConfidenceUpdate, QuotaGrant
 from loadbalancer.endpoints import Confidence
@@ -27,29 +26,41 @@
     connectivity,
     verdict,
 )
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseAnswer, Member
 from loadbalancer.node.admin.server import Answer, Calls
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import Config as NodeConfig
-from loadbalancer.node.control import lease as lease_shell
+from loadbalancer.node.control import member_status
+from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.freshness_tracker import FreshnessTracker
-from loadbalancer.node.control.probe_transport import ProbeTransport, log
+from loadbalancer.node.control.lease_client import REGISTRY_PEER, LeaseClient
+from loadbalancer.node.control.member_status import MembersStatus, RoutesStatus, SiblingStatus
+from loadbalancer.node.control.operator_requests import forward_request
+from loadbalancer.node.control.probe_transport import ProbeTransport
 from loadbalancer.node.control.registry_client import RegistryClient
 from loadbalancer.node.control.route_activation import RouteActivator
 from loadbalancer.node.control.route_store import RouteStore
-from loadbalancer.node.control.timers import MembershipClock
 from loadbalancer.node.discovery.watcher import Watcher
 from loadbalancer.node.endpoint_list import ServerList
 from loadbalancer.routing import Follower
 from loadbalancer.staleness import ClockOffsets
 
-ORDER_MS = 3_000.0  # an operator's word that the list service has not answered by then is a no
-SIBLING_MS = 3_000.0  # a node that no sibling has answered for so long, nor the list service, is alone
+log = logging.getLogger("loadbalancer")
+
+SIBLING_ACK_TIMEOUT_MS: Final = 3_000.0  # a detached node that no sibling acked for so long is isolated
+NONCE_BYTES: Final = 8  # tells one start of a process from another
+SEED_BYTES: Final = 8
+QUOTA_DECIMALS: Final = 6  # of the metric
+DELAY_DECIMALS: Final = 3  # of the metric, in ms
 
 
 class ControlPlane:
-    """A part of the node (node/component.py) where the configuration names `members`."""
+    """A component of the node (node/component.py) where the configuration names `members`.
+
+    Its fields are the parts that it assembles: the lease, the probe transport, the route activation and the
+    freshness of what the node knows.
+    """
 
     def __init__(
         self,
@@ -59,240 +70,259 @@
         watcher: Watcher,
         driver: Driver,
     ) -> None:
-        """`config.members` is there."""
+        """`config.members` is present; the other arguments are the node's own components."""
         assert config.members is not None
-        name, tell, self.settings = config.name, driver.tell, config.members
-        settings = self.settings
-        classes = tuple(kind.name for kind in config.settings.classes)
+        self.settings = settings = config.members
         self.clock = MembershipClock(clock, settings.clock_offset_ms)
-        self._name, self._tell = name, tell
-        self._shared: QuotaGrant | None = None  # as last told to the module
         self.clock_offsets = ClockOffsets()
-        agent = RegistryClient(lambda: watcher.address)
-        random = Random(int.from_bytes(os.urandom(8), "big"))  # apart from the module's, which stays as it is
-        start = secrets.token_hex(8)
-        self.lease = lease_shell.LeaseClient(
-            Enrolment(name, settings.listen, settings.zone, start, random, settings.service),
-            agent,
-            self.clock,
-            self.clock_offsets,
-        )
-        detection = DetectorConfig(
-            period_ms=settings.probe_period_ms,
-            urgent_period_ms=settings.urgent_probe_period_ms,
-            probe_timeout_ms=settings.probe_timeout_ms,
-        )
-        detector = FailureDetector(0, random, detection)
-        self.probe_transport = ProbeTransport(detector, self.clock, config.member_sockets // 2)
-        folder = settings.routes_path
-        store = RouteStore(folder) if folder is not None else None
-        follower = Follower(classes, settings.max_clock_uncertainty_ms)
-        self.route_activation = RouteActivator(follower, agent, self.clock, store, tell)
+        self._name, self._servers, self._tell = config.name, servers, driver.tell
+        self._granted: QuotaGrant | None = None  # the last one that the balancer was notified of
+        self._client = RegistryClient(lambda: watcher.address)
+        rng = Random(int.from_bytes(os.urandom(SEED_BYTES), "big"))  # the balancer's draws are its own
+        self.lease = self._make_lease(rng)
+        self.probe_transport = self._make_probe_transport(rng, config.member_sockets // 2)
+        self.route_activation = self._make_route_activation(config)
         self.freshness = FreshnessTracker(
-            settings, self.clock, self.clock_offsets, servers, driver, self._on_marks
+            settings, self.clock, self.clock_offsets, servers, driver, self._on_levels
         )
         self.freshness.connectivity = lambda: self.connectivity(self.clock.now_ms()).value
         driver.before.append(self.route_activation.run_if_due)
-        self._agent = agent
-        self._servers = servers
-        self.lease.on_answer = self._on_answer
-        self.lease.on_lease_lost = self._on_gone
-        self.lease.on_quota_change = self._on_share
-        self.probe_transport.before_tick = self._before_tick
-        self.probe_transport.on_report = self._on_view
-        self.probe_transport.on_change = self._on_change
 
-    # -------------------------------------------------------------- as a part of the node
+    def _make_lease(self, rng: Random) -> LeaseClient:
+        settings, start = self.settings, secrets.token_hex(NONCE_BYTES)
+        core = Enrolment(self._name, settings.listen, settings.zone, start, rng, settings.service)
+        lease = LeaseClient(core, self._client, self.clock, self.clock_offsets)
+        lease.on_answer = self._on_answer
+        lease.on_lease_lost = self._on_lease_lost
+        lease.on_quota_change = self._on_quota_change
+        return lease
+
+    def _make_probe_transport(self, rng: Random, max_connections: int) -> ProbeTransport:
+        config = DetectorConfig(
+            period_ms=self.settings.probe_period_ms,
+            urgent_period_ms=self.settings.urgent_probe_period_ms,
+            probe_timeout_ms=self.settings.probe_timeout_ms,
+        )
+        transport = ProbeTransport(FailureDetector(0, rng, config), self.clock, max_connections)
+        transport.before_tick = self._before_tick
+        transport.on_report = self._on_report
+        transport.on_change = self._on_reachability_change
+        return transport
+
+    def _make_route_activation(self, config: NodeConfig) -> RouteActivator:
+        class_names = tuple(kind.name for kind in config.settings.classes)
+        core = Follower(class_names, self.settings.max_clock_uncertainty_ms)
+        folder = self.settings.routes_path
+        store = RouteStore(folder) if folder is not None else None
+        return RouteActivator(core, self._client, self.clock, store, self._tell)
+
+    # ------------------------------------------------- as a component of the node
 
     async def start(self) -> None:
-        """Listening comes before enrolment: it shows that no other process of this node lives
-        (membership/quota_ledger.py)."""
+        """Start all parts; the node serves callers already.
+
+        The node listens for probes before it enrols: that shows that no other process of this node is alive
+        (membership/quota_ledger.py).
+        """
         self.route_activation.start()
-        self._on_share()
+        self._on_quota_change()
         self.freshness.start()
         self.probe_transport.listen(self.settings.address, self.lease.start)
 
     def begin_drain(self) -> None:
+        """Announce to the group that this node drains."""
         self.lease.begin_drain()
 
     async def stop(self) -> None:
+        """Leave the group, after the last request has been answered."""
         await self.lease.leave()
 
     def close(self) -> None:
+        """Release timers, sockets and files at once."""
         self.lease.close()
         self.probe_transport.close()
         self.route_activation.close()
         self.freshness.close()
-        self._agent.close()
+        self._client.close()
 
     def metrics(self) -> str:
+        """The lines of GET /status/metrics."""
         now = self.clock.now_ms()
-        counts = Counter(self.verdicts(now).values())
-        lines: dict[str, float] = {f"members_{kind.value}": counts[kind] for kind in Verdict}
-        lines |= {
+        metrics = member_status.count_verdicts(self.verdicts(now).values()) | {
             "members_asks": self.probe_transport.probes_sent,
             "members_asked": self.probe_transport.probes_received,
             "members_refused": self.probe_transport.rejected_calls,
             "members_ignored": self.probe_transport.core.ignored.total(),
             "view_refused": self.freshness.rejected_reports,
             "lease_failures": self.lease.failures,
-            "share": round(self.lease.core.taking(now), 6),
+            "share": round(self.lease.core.taking(now), QUOTA_DECIMALS),
             "route_version": self.route_activation.core.running,
             "route_switches": self.route_activation.switches,
-            "route_late_ms": round(self.route_activation.last_delay_ms, 3),
+            "route_late_ms": round(self.route_activation.last_delay_ms, DELAY_DECIMALS),
         }
-        return "".join(f"proxy.{name}={value}\n" for name, value in lines.items())
+        return member_status.format_metrics(metrics)
 
-    # --------------------------------------------------------------- what passes between the cores
+    def admin_calls(self) -> Calls:
+        """The admin server's calls on the control plane."""
+        return {
+            (b"GET", b"/status/members"): lambda _: _ok(self.status()),
+            (b"GET", b"/status/routes"): lambda _: _ok(self.routes_status()),
+            (b"PUT", b"/routes/halt"): lambda body: self._forward("routes/halt", body),
+            (b"PUT", b"/routes/rollback"): lambda body: self._forward("routes/rollback", body),
+        }
+
+    async def _forward(self, path: str, body: bytes) -> Answer:
+        return await forward_request(self._client, path, body)
+
+    # ------------------------------------------------------------ between the cores
 
     def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
+        """Pass what a lease answer states to every core, in the same turn of the event loop."""
         core = self.lease.core
-        self.probe_transport.core.set_incarnation(answer.incarnation)
+        detector = self.probe_transport.core
+        detector.set_incarnation(answer.incarnation)
         siblings = [
             Sibling(member.incarnation, member.name, member.address)
             for member in core.members
             if member.state != "left"
         ]
-        self.probe_transport.carry_out(self.probe_transport.core.set_members(now, siblings))
-        others = [sibling.incarnation for sibling in siblings if sibling.incarnation != answer.incarnation]
-        self.freshness.set_members(others)
-        service = self.lease.service_ms(now)
-        if service is not None:
-            self.route_activation.on_lease_answer(now, core.lease_end, service, answer)
+        self.probe_transport.carry_out(detector.set_members(now, siblings))
+        self.freshness.set_members(
+            [sibling.incarnation for sibling in siblings if sibling.incarnation != answer.incarnation]
+        )
+        service_ms = self.lease.service_ms(now)
+        if service_ms is not None:
+            self.route_activation.on_lease_answer(now, core.lease_end, service_ms, answer)
         self.lease.set_revisions(answer.rev, int(answer.routes.get("rev", 0)))
 
-    def _on_gone(self, now: float) -> None:
+    def _on_lease_lost(self, now: float) -> None:
         self.route_activation.carry_out(self.route_activation.core.gone(now))
 
-    def _on_share(self) -> None:
-        """The module is told of the share with its end, so that no timer of this shell has to end it in
-        time."""
+    def _on_quota_change(self) -> None:
+        """Notify the balancer of the quota and its end, so that no timer here has to end it in time."""
         share = self.lease.core.share(self.clock.now_ms())
-        event = QuotaGrant(share.share, share.rows, self.clock.to_node_ms(share.until_ms))
-        if event != self._shared:
-            self._shared = event
-            self._tell(event)
+        grant = QuotaGrant(share.share, share.rows, self.clock.to_node_ms(share.until_ms))
+        if grant != self._granted:
+            self._granted = grant
+            self._tell(grant)
 
     def _before_tick(self, now: float) -> None:
-        core, service = self.lease.core, self.lease.service_ms(now)
-        if service is not None and core.incarnation is not None:
-            self.probe_transport.core.set_standing(now, core.standing(now), max(0.0, service[0]))
+        """Set what the next probes state of this node, and use what siblings stated of themselves."""
+        core, detector = self.lease.core, self.probe_transport.core
+        service_ms = self.lease.service_ms(now)
+        if service_ms is not None and core.incarnation is not None:
+            detector.set_standing(now, core.standing(now), max(0.0, service_ms[0]))
         if not core.attached(now):
-            core.heard(now, self._words(now))
-            self._on_share()
-        self.probe_transport.core.set_view(self.freshness.report(now))
-
-    def _words(self, now: float) -> dict[int, Word]:
-        """What siblings said of themselves, each no later than it may have been said by this node's clock."""
-        words = {}
-        for incarnation, (standing, said) in self.probe_transport.core.standings().items():
-            span = self.clock_offsets.to_local(lease_shell.REGISTRY_PEER, now, said)
-            if span is not None:
-                words[incarnation] = Word(standing, span[0])
-        return words
-
-    def _on_view(self, viewed: Viewed) -> None:
+            core.heard(now, self._sibling_statements(now))
+            self._on_quota_change()
+        detector.set_view(self.freshness.report(now))
+
+    def _sibling_statements(self, now: float) -> dict[int, Word]:
+        """What siblings stated of themselves, each at the earliest time it may have been by this clock."""
+        statements = {}
+        for incarnation, (standing, stated_at) in self.probe_transport.core.standings().items():
+            local = self.clock_offsets.to_local(REGISTRY_PEER, now, stated_at)
+            if local is not None:
+                statements[incarnation] = Word(standing, local[0])
+        return statements
+
+    def _on_report(self, viewed: Viewed) -> None:
+        """A sibling's report: its call's times sample the sibling's clock, before the report is used."""
         if viewed.sent is not None:
             self.clock_offsets.add_sample(viewed.incarnation, viewed.sent, viewed.at, viewed.at, viewed.now)
         self.freshness.receive_report(viewed)
 
-    def _on_change(self, changed: Changed) -> None:
+    def _on_reachability_change(self, changed: Changed) -> None:
         log.info(
             "members: incarnation %d is %s, was %s", changed.incarnation, changed.new.value, changed.old.value
         )
 
-    def _on_marks(self, marks: dict[str, Confidence]) -> None:
-        self._tell(ConfidenceUpdate(marks))
+    def _on_levels(self, levels: dict[str, Confidence]) -> None:
+        """Notify the balancer of confidence levels that changed, and the participant of servers to avoid."""
+        self._tell(ConfidenceUpdate(levels))
         now = self.clock.now_ms()
-        known = self.freshness.confidence()
-        # As in the module: where no route is better than weak, marks tell nothing of one against another.
-        told = any(mark in (Confidence.HIGH, Confidence.MEDIUM) for mark in known.values())
-        blind = [name for name, mark in known.items() if told and mark is Confidence.NONE]
         listed = tuple(server for server, _ in self._servers.listed.values())
-        self.route_activation.carry_out(self.route_activation.core.seen(now, listed, blind))
+        unconfirmed = _unconfirmed(self.freshness.confidence())
+        self.route_activation.carry_out(self.route_activation.core.seen(now, listed, unconfirmed))
 
-    # -------------------------------------------------------------------------- for operators
+    # --------------------------------------------------------------- for operators
 
     def connectivity(self, now: float) -> Connectivity:
+        """What this node reaches: the list service, only siblings, or neither."""
         core = self.lease.core
-        renewed = now if core.attached(now) else None
-        return connectivity(now, core.ttl_ms, renewed, self.probe_transport.core.last_ack_at, SIBLING_MS)
+        renewed_at = now if core.attached(now) else None
+        acked_at = self.probe_transport.core.last_ack_at
+        return connectivity(now, core.ttl_ms, renewed_at, acked_at, SIBLING_ACK_TIMEOUT_MS)
 
     def verdicts(self, now: float) -> dict[int, Verdict]:
+        """The verdict on each sibling, by incarnation."""
         core = self.lease.core
         attached, reachability = core.attached(now), self.probe_transport.core.reachability()
-        found = {}
-        for member in core.members:
-            if member.incarnation in reachability:
-                lease = LeaseStatus.LAPSED if member.state == "lapsed" else LeaseStatus.LIVE
-                leaving = member.state in ("leaving", "left")
-                known = lease if attached else LeaseStatus.UNKNOWN
-                found[member.incarnation] = verdict(known, reachability[member.incarnation], leaving)
-        return found
-
-    def status(self) -> dict[str, Any]:
-        """The body of GET /status/members."""
-        now, core = self.clock.now_ms(), self.lease.core
-        share, service = core.share(now), self.lease.service_ms(now)
-        reachability, verdicts = self.probe_transport.core.reachability(), self.verdicts(now)
-        siblings = [
-            {
-                "name": member.name,
-                "incarnation": member.incarnation,
-                "address": member.address,
-                "state": member.state,
-                "hearing": reachability[member.incarnation].value,
-                "verdict": verdicts[member.incarnation].value,
-            }
-            for member in core.members
-            if member.incarnation in verdicts
-        ]
         return {
-            "name": self._name,
-            "service": self.settings.service,
-            "incarnation": core.incarnation,
-            "stand": self.connectivity(now).value,
-            "standing": core.standing(now).name.lower(),
-            "share": core.taking(now),
-            "rows": share.rows,
-            "elector": core.elector,
-            "lease_ms": max(0.0, core.lease_end - now) if core.incarnation is not None else 0.0,
-            "now_ms": now,
-            "service_ms": service,
-            "routes": self.route_activation.core.status(now),
-            "health": self.probe_transport.core.health,
-            "ignored": dict(self.probe_transport.core.ignored),
-            "siblings": siblings,
+            member.incarnation: verdict(
+                _lease_status(member) if attached else LeaseStatus.UNKNOWN,
+                reachability[member.incarnation],
+                member.state in ("leaving", "left"),
+            )
+            for member in core.members
+            if member.incarnation in reachability
         }
 
-    def routes_status(self) -> dict[str, Any]:
+    def status(self) -> MembersStatus:
+        """The body of GET /status/members."""
+        now, core, detector = self.clock.now_ms(), self.lease.core, self.probe_transport.core
+        share, service_ms = core.share(now), self.lease.service_ms(now)
+        siblings = self._sibling_statuses(now)
+        return MembersStatus(
+            name=self._name,
+            service=self.settings.service,
+            incarnation=core.incarnation,
+            connectivity=self.connectivity(now),
+            standing=core.standing(now).name.lower(),
+            quota=core.taking(now),
+            member_count=share.rows,
+            elector=core.elector,
+            lease_ms=max(0.0, core.lease_end - now) if core.incarnation is not None else 0.0,
+            now_ms=now,
+            service_ms=service_ms,
+            routes=self.route_activation.core.status(now),
+            health=detector.health,
+            ignored=dict(detector.ignored),
+            siblings=siblings,
+        )
+
+    def routes_status(self) -> RoutesStatus:
         """The body of GET /status/routes."""
         now = self.clock.now_ms()
-        return {
-            "stand": self.connectivity(now).value,
-            "edges": msgspec.to_builtins(self.freshness.edges(now)),
-        }
+        return RoutesStatus(connectivity=self.connectivity(now), edges=self.freshness.edges(now))
+
+    def _sibling_statuses(self, now: float) -> list[SiblingStatus]:
+        reachability, verdicts = self.probe_transport.core.reachability(), self.verdicts(now)
+        return [
+            SiblingStatus(
+                name=member.name,
+                incarnation=member.incarnation,
+                address=member.address,
+                state=member.state,
+                reachability=reachability[member.incarnation],
+                verdict=verdicts[member.incarnation],
+            )
+            for member in self.lease.core.members
+            if member.incarnation in verdicts
+        ]
+
+
+def _lease_status(member: Member) -> LeaseStatus:
+    return LeaseStatus.LAPSED if member.state == "lapsed" else LeaseStatus.LIVE
 
-    def admin_calls(self) -> Calls:
-        """The door's calls on the fleet."""
-        return {
-            (b"GET", b"/status/members"): lambda _: Answer(200, _json(self.status())),
-            (b"GET", b"/status/routes"): lambda _: Answer(200, _json(self.routes_status())),
-            (b"PUT", b"/routes/halt"): lambda body: self._order("routes/halt", body),
-            (b"PUT", b"/routes/rollback"): lambda body: self._order("routes/rollback", body),
-        }
 
-    async def _order(self, path: str, body: bytes) -> Answer:
-        """Pass an operator's word on to the list service: its yes is this call's."""
-        text = body.decode("ascii", "replace").strip()
-        if text and not (text.isdigit() and len(text) < 16):
-            return Answer(400, b"a version's number")
-        try:
-            reply = await self._agent.post(path, {"number": int(text)} if text else {}, ORDER_MS)
-        except (OSError, TimeoutError) as error:
-            return Answer(503, f"list service not reached: {error}".encode())
-        return Answer(reply.status, reply.body)
+def _unconfirmed(levels: Mapping[str, Confidence]) -> list[str]:
+    """The servers without evidence, where others have better: as in the balancer, a table of low levels alone
+    distinguishes no server from another."""
+    if not any(level in (Confidence.HIGH, Confidence.MEDIUM) for level in levels.values()):
+        return []
+    return [server for server, level in levels.items() if level is Confidence.NONE]
 
 
-def _json(row: dict[str, Any]) -> bytes:
-    return orjson.dumps(row, option=orjson.OPT_NON_STR_KEYS)  # versions are numbers
+def _ok(status: MembersStatus | RoutesStatus) -> Answer:
+    return Answer(HTTPStatus.OK, member_status.encode(status))
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -1,16 +1,21 @@
-"""The view, carried out: own facts go in as they happen, marks come out on a period, facts go to siblings
-and back."""
+"""Feeds the freshness table and derives confidence levels from it.
+
+This node's observations go in as they happen, confidence levels come out periodically, and reports go to
+siblings and come from them on the probes' payloads.
+"""
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable, Collection
+from typing import Final, NamedTuple
 
 from loadbalancer.balancing.events import AttemptOutcome
 from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import Viewed
 from loadbalancer.node.balancer_driver import Driver
-from loadbalancer.node.control.timers import MembershipClock, RestartableTimer
+from loadbalancer.node.control.clock import MembershipClock
+from loadbalancer.node.control.rejection_log import RejectionLog
+from loadbalancer.node.control.timers import RestartableTimer
 from loadbalancer.node.endpoint_list import ServerList
 from loadbalancer.node.membership_settings import MembershipSettings
 from loadbalancer.staleness import (
@@ -21,48 +26,63 @@
     FreshnessTable,
 )
 
-log = logging.getLogger("loadbalancer")
+MAX_UPDATE_PERIODS: Final = 4.0  # control periods between two updates of the confidence levels, at most,
+MIN_UPDATE_MS: Final = 50.0  # but no less time than this, which bounds the CPU time of updates
+
 
-PERIODS = 4.0  # between two updates of the marks, at most
-LEAST_MS = 50.0  # but no less, for what an update costs
+class _ListVersion(NamedTuple):
+    """The endpoint list as last passed to the table: discovery's revision and its last confirmation."""
+
+    revision: int
+    confirmed_ms: float
 
 
 class FreshnessTracker:
-    """`on_marks` hears of the marks that have changed."""
+    """Keeps the freshness table current; `on_levels` is called with the confidence levels that changed."""
 
     def __init__(
         self,
         settings: MembershipSettings,
         clock: MembershipClock,
-        offsets: ClockOffsets,
+        clock_offsets: ClockOffsets,
         servers: ServerList,
         driver: Driver,
-        on_marks: Callable[[dict[str, Confidence]], None],
+        on_levels: Callable[[dict[str, Confidence]], None],
     ) -> None:
         self.connectivity: Callable[[], ConnectivityState] = lambda: "alone"
-        self.table = FreshnessTable(offsets)
+        self.table = FreshnessTable(clock_offsets)
         self._settings, self._clock, self._servers = settings, clock, servers
-        self._driver, self._on_marks = driver, on_marks
+        self._driver, self._on_levels = driver, on_levels
         period_ms = driver.balancer.period_ms
-        # A mark has to hold until the next update, so that one late for the bounds would never be given.
-        self._every_ms = min(settings.confidence_period_ms, max(LEAST_MS, PERIODS * period_ms))
-        self._marks = ConfidenceTracker(self.table, period_ms, self._every_ms)
-        self._alarm = RestartableTimer(self._update)
-        self._listed: tuple[int, float] | None = None  # the revision and confirmation last taken over
-        self.rejected_reports = 0
-        self._shown = (-settings.probe_period_ms, b"")
+        # A level has to hold until the next update: updates too rare for the maximum ages would give none.
+        longest_ms = max(MIN_UPDATE_MS, MAX_UPDATE_PERIODS * period_ms)
+        self._update_every_ms = min(settings.confidence_period_ms, longest_ms)
+        self._confidence = ConfidenceTracker(self.table, period_ms, self._update_every_ms)
+        self._timer = RestartableTimer(self._update)
+        self._list_version: _ListVersion | None = None
+        self._rejections = RejectionLog("freshness: %d reports rejected, the last from %d: %s")
+        self._report = b""
+        self._reported_at = -settings.probe_period_ms
+
+    @property
+    def rejected_reports(self) -> int:
+        """Siblings' reports that were rejected since the start."""
+        return self._rejections.count
 
     def start(self) -> None:
+        """Update the confidence levels now and periodically."""
         self._update()
 
     def close(self) -> None:
-        self._alarm.cancel()
+        """Stop the updates."""
+        self._timer.cancel()
 
     def confidence(self) -> dict[str, Confidence]:
-        return self._marks.levels
+        """The current confidence level of every listed server."""
+        return self._confidence.levels
 
     def record_outcome(self, outcome: AttemptOutcome) -> None:
-        """An attempt has ended: on every call's path."""
+        """An attempt at a server ended. Runs on the path of every call."""
         now = self._clock.now_ms()
         self.table.record_outcome(now, outcome.server, outcome.result)
         if outcome.load_report:
@@ -71,43 +91,48 @@
                 self.table.record_load(now, outcome.server, load)
 
     def set_members(self, incarnations: Collection[int]) -> None:
+        """All members of the group but this node."""
         self.table.set_members(incarnations)
-        self._marks.round_ms = self._settings.probe_period_ms * max(1, len(incarnations))
+        self._confidence.round_ms = self._settings.probe_period_ms * max(1, len(incarnations))
 
     def receive_report(self, viewed: Viewed) -> None:
-        why = self.table.receive_report(viewed.now, viewed.incarnation, viewed.view)
-        if why is not None:
-            self.rejected_reports += 1
-            if self.rejected_reports % 100 == 1:  # one line for the first, then now and then
-                log.warning(
-                    "view: %d not taken, the last from %d: %s", self.rejected_reports, viewed.incarnation, why
-                )
+        """Use a sibling's report."""
+        rejection = self.table.receive_report(viewed.now, viewed.incarnation, viewed.view)
+        if rejection is not None:
+            self._rejections.add(viewed.incarnation, rejection)
 
     def report(self, now: float) -> bytes:
-        """What goes with the next calls; made anew once a period."""
-        if now - self._shown[0] >= self._settings.probe_period_ms:
+        """The encoded report for the next probes; made anew once a probe period."""
+        if now - self._reported_at >= self._settings.probe_period_ms:
             in_flight, cursor, threshold = self._driver.balancer.pool()
             self.table.record_pool(now, in_flight, cursor, threshold)
-            self._shown = now, self.table.make_report(now)
-        return self._shown[1]
+            self._reported_at, self._report = now, self.table.make_report(now)
+        return self._report
 
     def edges(self, now: float) -> list[EdgeStatus]:
-        return self._marks.edge_statuses(now)
+        """The status of every edge, for operators."""
+        return self._confidence.edge_statuses(now)
+
+    # ------------------------------------------------------------- internals
 
     def _update(self) -> None:
         now = self._clock.now_ms()
         self._follow_list()
-        changed = self._marks.update(now, self.connectivity())
+        changed = self._confidence.update(now, self.connectivity())
         if changed:
-            self._on_marks(changed)
-        self._alarm.schedule(self._clock.loop_time(now + self._every_ms))
+            self._on_levels(changed)
+        self._timer.schedule(self._clock.loop_time(now + self._update_every_ms))
 
     def _follow_list(self) -> None:
+        """Pass the endpoint list to the table where it was changed or confirmed."""
         servers = self._servers
-        heard = servers.listed_rev, servers.confirmed_ms
-        if heard == self._listed:
+        version = _ListVersion(servers.listed_rev, servers.confirmed_ms)
+        if version == self._list_version:
             return
-        same = self._listed is not None and heard[0] == self._listed[0]
-        self._listed = heard
-        at = self._clock.now_ms() if heard[1] < 0.0 else self._clock.from_node_ms(heard[1])
-        self.table.confirm_list(at, servers.origin_rev, None if same else list(servers.listed))
+        unchanged = self._list_version is not None and version.revision == self._list_version.revision
+        self._list_version = version
+        if version.confirmed_ms < 0.0:  # not confirmed by discovery yet
+            confirmed_at = self._clock.now_ms()
+        else:
+            confirmed_at = self._clock.from_node_ms(version.confirmed_ms)
+        self.table.confirm_list(confirmed_at, servers.origin_rev, None if unchanged else list(servers.listed))
--- /dev/null
+++ b/loadbalancer/node/control/lease_client.py
@@ -0,0 +1,170 @@
+"""The node's lease: sends the calls that the lease's core asks for, and uses their answers."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Final
+
+from loadbalancer.membership import Call, Enrolment
+from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.node.control.background_tasks import BackgroundTasks
+from loadbalancer.node.control.clock import MembershipClock
+from loadbalancer.node.control.registry_client import RegistryClient, decode_lease_answer
+from loadbalancer.node.control.registry_watch import RegistryWatch, Revisions
+from loadbalancer.node.control.timers import RestartableTimer
+from loadbalancer.node.http import service_http as web
+from loadbalancer.staleness import ClockOffsets
+from loadbalancer.staleness.clock_offsets import Interval
+
+log = logging.getLogger("loadbalancer")
+
+REGISTRY_PEER: Final = "service"  # the list service among the peers of the clock offsets
+LEAVE_TIMEOUT_S: Final = 0.5  # how long a process that ends waits for its leave to be acknowledged
+MAX_LOGGED_CHARS: Final = 200  # of an error's text or an answer's body
+
+
+class LeaseClient:
+    """Enrols this process at the list service and renews its lease.
+
+    `on_answer(now, answer)` is called with every answer that was used, `on_lease_lost(now)` when the service
+    does not know this process any more, `on_quota_change()` when the quota has changed or may have.
+    """
+
+    def __init__(
+        self, core: Enrolment, client: RegistryClient, clock: MembershipClock, clock_offsets: ClockOffsets
+    ) -> None:
+        """`clock_offsets`: into which the calls' times are sampled, under REGISTRY_PEER."""
+        self.core = core
+        self.on_answer: Callable[[float, LeaseAnswer], None] = lambda now, answer: None
+        self.on_lease_lost: Callable[[float], None] = lambda now: None
+        self.on_quota_change: Callable[[], None] = lambda: None
+        self.failures = 0
+        self._failing = False
+        self._client, self._clock, self._clock_offsets = client, clock, clock_offsets
+        self._timer = RestartableTimer(self._tick)
+        self._tasks = BackgroundTasks()
+        self._watch = RegistryWatch(client, lambda: core.incarnation, self._on_registry_change)
+        self._left = asyncio.Event()
+        self._term = 0  # of the leader that answered last
+
+    def start(self) -> None:
+        """Enrol, and watch the list service for changes."""
+        self._tick()
+        self._tasks.spawn(self._watch.run())
+
+    def close(self) -> None:
+        """Stop all calls and timers at once."""
+        self._timer.cancel()
+        self._tasks.close()
+
+    def service_ms(self, now: float) -> Interval | None:
+        """The current service time in ms, as an interval; None until the service has answered."""
+        return self._clock_offsets.to_peer(REGISTRY_PEER, now, now)
+
+    def set_revisions(self, members: int, routes: int) -> None:
+        """The revisions that the last answer stated; the watch waits for later ones."""
+        self._watch.revisions = Revisions(members, routes)
+
+    def begin_drain(self) -> None:
+        """Announce that this node drains; it keeps its quota until `leave`."""
+        self.core.leaving(self._clock.now_ms())
+        self._tick()
+
+    async def leave(self) -> None:
+        """Give the quota up, after the last request has been answered, and tell the service."""
+        if self.core.incarnation is None:
+            return
+        self.core.leave(self._clock.now_ms())
+        self.on_quota_change()
+        self._tick()
+        try:
+            async with asyncio.timeout(LEAVE_TIMEOUT_S):
+                await self._left.wait()
+        except TimeoutError:
+            log.warning(
+                "lease: the list service has not acknowledged that this node leaves; the lease will expire"
+            )
+
+    # ------------------------------------------------------------- internals
+
+    def _tick(self) -> None:
+        now = self._clock.now_ms()
+        service = self.service_ms(now)
+        call = self.core.tick(now, None if service is None else sum(service) / 2)
+        if call is not None:
+            self._tasks.spawn(self._send(call))
+        due = self.core.due()
+        if due < math.inf:
+            self._timer.schedule(self._clock.loop_time(max(due, now)))
+
+    def _on_registry_change(self) -> None:
+        """Members or routes have changed: renew soon, as the answer states the changes."""
+        self.core.news(self._clock.now_ms())
+        self._tick()
+
+    async def _send(self, call: Call) -> None:
+        sent_at = self._clock.now_ms()
+        try:
+            reply = await self._client.post(call.path, call.body, call.timeout_ms)
+            self._on_reply(sent_at, call, reply)
+        except (OSError, TimeoutError, ValueError) as error:
+            self._on_failure(self._clock.now_ms(), call, f"{type(error).__name__}: {error}")
+        self._tick()
+
+    def _on_reply(self, sent_at: float, call: Call, reply: web.Reply) -> None:
+        """ValueError for a malformed body."""
+        now = self._clock.now_ms()
+        if reply.status == HTTPStatus.NOT_FOUND and call.path == "renew":
+            self._on_unknown(now, call)
+        elif reply.status == HTTPStatus.CONFLICT and call.path == "enrol":
+            self._on_rejection(now, call, reply.body)
+        elif reply.status != HTTPStatus.OK:
+            self._on_failure(now, call, f"answered {reply.status}")
+        elif call.path in ("enrol", "renew"):
+            self._use(sent_at, now, call, decode_lease_answer(reply.body))
+        else:
+            self.core.acknowledged(now, call.number)
+            if call.path == "leave":
+                self._left.set()
+
+    def _use(self, sent_at: float, now: float, call: Call, answer: LeaseAnswer) -> None:
+        if answer.term != self._term:  # service time is by the new leader's clock from here on
+            self._clock_offsets.forget(REGISTRY_PEER)
+            self._term = answer.term
+        self._clock_offsets.add_sample(REGISTRY_PEER, sent_at, answer.t2, answer.t3, now)
+        if not self.core.granted(now, call.number, answer, answer.ttl_ms):
+            self.failures += 1
+            return
+        if self._failing:
+            log.info("lease: the list service answers again, incarnation %d", answer.incarnation)
+        self._failing = False
+        self.on_answer(now, answer)
+        self.on_quota_change()
+
+    def _on_unknown(self, now: float, call: Call) -> None:
+        log.warning("lease: this process is not known to the list service; it enrols again")
+        self.core.failed(now, call.number, unknown=True)
+        self.on_lease_lost(now)
+        self.on_quota_change()
+
+    def _on_failure(self, now: float, call: Call, problem: str) -> None:
+        self._count_failure(
+            f"{call.path} failed, the last grant holds until the lease expires: {problem[:MAX_LOGGED_CHARS]}"
+        )
+        self.core.failed(now, call.number)
+        self.on_quota_change()
+
+    def _on_rejection(self, now: float, call: Call, body: bytes) -> None:
+        self._count_failure(f"enrolment rejected, the group is full: {body[:MAX_LOGGED_CHARS]!r}")
+        self.core.refused(now, call.number)
+
+    def _count_failure(self, message: str) -> None:
+        """Count a failure; the first of a series is logged."""
+        self.failures += 1
+        if not self._failing:
+            log.warning("lease: %s", message)
+        self._failing = True
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -5,76 +5,81 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from http import HTTPStatus
 from itertools import count
+from typing import Final
 
 import tenacity
 
 from loadbalancer.membership import Ack, Action, Changed, FailureDetector, IndirectProbe, Probe, Viewed
 from loadbalancer.node.address import Address, parse_address
-from loadbalancer.node.control.timers import BackgroundTasks, MembershipClock, RestartableTimer
+from loadbalancer.node.control.background_tasks import BackgroundTasks
+from loadbalancer.node.control.clock import MembershipClock
+from loadbalancer.node.control.rejection_log import RejectionLog
+from loadbalancer.node.control.timers import RestartableTimer
 from loadbalancer.node.http import service_http as web
 
 log = logging.getLogger("loadbalancer")
 
-PROBE_PATH, INDIRECT_PROBE_PATH = "/members/ask", "/members/ask-through"
-INDIRECT_TIMEOUT_S = 3.0  # an indirect probe that has no result by then is refused
-LISTEN_PAUSE_S = 0.2
-MAX_BODY = 64 * 1024  # any peer may come here
-MAX_INDIRECT = 128  # indirect probes of other members at once; a further one is refused
+PROBE_PATH: Final = "/members/ask"
+INDIRECT_PROBE_PATH: Final = "/members/ask-through"
+INDIRECT_TIMEOUT_S: Final = 3.0  # an indirect probe without a result by then is rejected
+LISTEN_RETRY_PAUSE_S: Final = 0.2
+MAX_BODY_BYTES: Final = 64 * 1024
+MAX_INDIRECT_PROBES: Final = 128  # on behalf of other members at once; a further one is rejected
+MAX_CONNECTIONS: Final = 128
+MIN_TICK_MS: Final = 1.0  # between two ticks
+MAX_LOGGED_METHOD_CHARS: Final = 20
+MAX_LOGGED_PATH_CHARS: Final = 60
+_MS_PER_S: Final = 1000.0
 
 
 class ProbeTransport:
     """Carries out the actions of a failure detector.
 
-    `before_tick(now)` sets what goes out with the next probes; `on_view` and `on_change` receive what comes.
+    `before_tick(now)` sets what goes out with the next probes; `on_report` and `on_change` receive what comes
+    in. Malformed input raises nothing: it is counted, and logged now and then.
     """
 
-    def __init__(self, core: FailureDetector, clock: MembershipClock, connections: int = 128) -> None:
-        """`connections`: accepted at most, whoever the peers are, and as many kept open to members."""
+    def __init__(
+        self, core: FailureDetector, clock: MembershipClock, max_connections: int = MAX_CONNECTIONS
+    ) -> None:
+        """`max_connections`: accepted from any peers, and as many again kept open to members."""
         self.core = core
         self.before_tick: Callable[[float], None] = lambda now: None
         self.on_report: Callable[[Viewed], None] = lambda viewed: None
         self.on_change: Callable[[Changed], None] = lambda changed: None
         self.probes_sent = self.probes_received = 0
         self._clock = clock
-        self._alarm = RestartableTimer(self._tick)
+        self._timer = RestartableTimer(self._tick)
         self._tasks = BackgroundTasks()
         self._server: asyncio.Server | None = None
-        self._numbers = count(1)
-        self._waiting: dict[int, asyncio.Future[bytes | None]] = {}
-        self._refused = 0
-        self._client = web.Client(connections)
-        self._limits = web.Limits(body=MAX_BODY, connections=connections)
+        self._call_numbers = count(1)
+        self._waiting: dict[int, asyncio.Future[bytes | None]] = {}  # indirect probes by their call's number
+        self._rejections = RejectionLog("members: call rejected (%d so far): %s")
+        self._client = web.Client(max_connections)
+        self._limits = web.Limits(body=MAX_BODY_BYTES, connections=max_connections)
 
-    def listen(self, address: Address, then: Callable[[], None]) -> None:
-        """Listen there as soon as it can be: in an upgrade the old process of this node has to end first."""
-        self._tasks.spawn(self._listen(address, then))
-
-    async def _listen(self, address: Address, then: Callable[[], None]) -> None:
-        retrying = tenacity.AsyncRetrying(
-            wait=tenacity.wait_fixed(LISTEN_PAUSE_S),
-            retry=tenacity.retry_if_exception_type(OSError),
-            before_sleep=self._not_yet,
-        )
-        async for attempt in retrying:
-            with attempt:
-                self._server = await web.serve(address, self._handle, self._limits)
-        self._tick()
-        then()
+    @property
+    def rejected_calls(self) -> int:
+        """Calls to this node that were rejected since the start."""
+        return self._rejections.count
 
-    def _not_yet(self, state: tenacity.RetryCallState) -> None:
-        if state.attempt_number == 1 and state.outcome is not None:
-            log.warning("members: not enrolled until this can be listened at: %s", state.outcome.exception())
+    def listen(self, address: Address, on_listening: Callable[[], None]) -> None:
+        """Listen as soon as the address is free: in an upgrade the old process of this node ends first."""
+        self._tasks.spawn(self._listen(address, on_listening))
 
     def close(self) -> None:
-        self._alarm.cancel()
+        """Close the listener and all connections at once."""
+        self._timer.cancel()
         self._tasks.close()
         self._client.close()
         if self._server is not None:
             self._server.close()
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def carry_out(self, actions: Sequence[Action]) -> None:
+        """Carry out the failure detector's actions, in their order."""
         for action in actions:
             match action:
                 case Probe():
@@ -90,62 +95,85 @@
                 case Changed():
                     self.on_change(action)
 
+    # --------------------------------------------------------------- probing
+
     def _tick(self) -> None:
         now = self._clock.now_ms()
         self.before_tick(now)
         self.carry_out(self.core.tick(now))
-        self._alarm.schedule(self._clock.loop_time(max(now + 1.0, self.core.due or now)))
+        self._timer.schedule(self._clock.loop_time(max(now + MIN_TICK_MS, self.core.due or now)))
 
     async def _probe(self, action: Probe | IndirectProbe, path: str) -> None:
         self.probes_sent += 1
         try:
             address = parse_address(action.address)
-            reply = await self._client.call(address, "POST", path, action.payload, action.timeout_ms / 1000.0)
+            timeout_s = action.timeout_ms / _MS_PER_S
+            reply = await self._client.call(address, "POST", path, action.payload, timeout_s)
         except (OSError, TimeoutError, ValueError) as error:
             refused = isinstance(error, ConnectionRefusedError)
             self.carry_out(self.core.on_failure(self._clock.now_ms(), action.id, refused))
             return
-        if reply.status == 200:
+        if reply.status == HTTPStatus.OK:
             self.carry_out(self.core.on_ack(self._clock.now_ms(), action.id, reply.body))
         else:
             self.carry_out(self.core.on_failure(self._clock.now_ms(), action.id, refused=False))
 
-    # ------------------------------------------------------------------- being probed
+    # ---------------------------------------------------------- being probed
+
+    async def _listen(self, address: Address, on_listening: Callable[[], None]) -> None:
+        retrying = tenacity.AsyncRetrying(
+            wait=tenacity.wait_fixed(LISTEN_RETRY_PAUSE_S),
+            retry=tenacity.retry_if_exception_type(OSError),
+            before_sleep=self._log_first_failure,
+        )
+        async for attempt in retrying:
+            with attempt:
+                self._server = await web.serve(address, self._handle, self._limits)
+        self._tick()
+        on_listening()
+
+    def _log_first_failure(self, state: tenacity.RetryCallState) -> None:
+        if state.attempt_number == 1 and state.outcome is not None:
+            log.warning(
+                "members: not enrolled until the listen address is free: %s", state.outcome.exception()
+            )
 
     async def _handle(self, call: web.Call) -> web.Answer:
-        """Nothing that comes in here raises or is held for long; what is refused is counted, with a line
-        now and then."""
+        """Answer a peer's call; raises nothing, and ends within `INDIRECT_TIMEOUT_S`."""
         self.probes_received += 1
         if call.method != "POST" or call.path not in (PROBE_PATH, INDIRECT_PROBE_PATH):
-            return self._refuse(404, f"no {call.method[:20]} {call.path[:60]}")
+            return self._reject(
+                HTTPStatus.NOT_FOUND,
+                f"unknown call {call.method[:MAX_LOGGED_METHOD_CHARS]} {call.path[:MAX_LOGGED_PATH_CHARS]}",
+            )
         now = self._clock.now_ms()
         if call.path == PROBE_PATH:
             payload, actions = self.core.on_probe(now, call.body)
             self.carry_out(actions)
-            return self._refuse(400, "unreadable probe") if payload is None else web.Answer(200, payload)
-        if len(self._waiting) >= MAX_INDIRECT:
-            return self._refuse(503, "too many indirect probes")
+            return self._answer(payload)
+        if len(self._waiting) >= MAX_INDIRECT_PROBES:
+            return self._reject(HTTPStatus.SERVICE_UNAVAILABLE, "too many indirect probes")
         return await self._handle_indirect_probe(now, call.body)
 
     async def _handle_indirect_probe(self, now: float, body: bytes) -> web.Answer:
-        number = next(self._numbers)
+        number = next(self._call_numbers)
         waiting = self._waiting[number] = asyncio.get_running_loop().create_future()
         try:
             self.carry_out(self.core.on_indirect_probe(now, number, body))
             async with asyncio.timeout(INDIRECT_TIMEOUT_S):
                 payload = await waiting
         except TimeoutError:
-            return self._refuse(503, "an indirect probe took too long")
+            return self._reject(HTTPStatus.SERVICE_UNAVAILABLE, "indirect probe timed out")
         finally:
             self._waiting.pop(number, None)
-        return self._refuse(400, "unreadable probe") if payload is None else web.Answer(200, payload)
+        return self._answer(payload)
 
-    def _refuse(self, status: int, why: str) -> web.Answer:
-        self._refused += 1
-        if self._refused % 100 == 1:  # one line for the first, then now and then
-            log.warning("members: a call refused (%d so far): %s", self._refused, why)
-        return web.Answer(status, b"")
+    def _answer(self, payload: bytes | None) -> web.Answer:
+        """The ack, or a rejection where the failure detector could not decode the probe."""
+        if payload is None:
+            return self._reject(HTTPStatus.BAD_REQUEST, "malformed probe")
+        return web.Answer(HTTPStatus.OK, payload)
 
-    @property
-    def rejected_calls(self) -> int:
-        return self._refused
+    def _reject(self, status: HTTPStatus, reason: str) -> web.Answer:
+        self._rejections.add(reason)
+        return web.Answer(status, b"")
--- a/loadbalancer/node/control/registry_client.py
+++ b/loadbalancer/node/control/registry_client.py
@@ -1,48 +1,57 @@
-"""The list service as this node reaches it: the fleet's calls, through the agent beside it."""
+"""Calls to the list service, through the agent beside this node."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
+from typing import Final
 
 import msgspec
 import orjson
 
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.address import Address
+from loadbalancer.node.control.errors import LeaseAnswerError
 from loadbalancer.node.http import service_http as web
 
-KEPT_CONNECTIONS = 2  # idle at once: the watch has one of its own while it is open
+MAX_IDLE_CONNECTIONS: Final = 2  # the watch has one of its own while it is open
+_MS_PER_S: Final = 1000.0
 
 _lease_answer = msgspec.json.Decoder(LeaseAnswer)
 
 
 def decode_lease_answer(body: bytes) -> LeaseAnswer:
-    """ValueError on anything that is not such an answer."""
+    """The answer to an enrolment or a renewal; LeaseAnswerError for a malformed one."""
     try:
         return _lease_answer.decode(body)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise ValueError(f"answer: {error}") from error
+        raise LeaseAnswerError(str(error)) from error
 
 
 class RegistryClient:
-    """Calls of the fleet; each raises OSError or TimeoutError where there is no answer in time.
+    """The list service's calls under /fleet/.
 
-    Connections are kept from one call to the next: dialling anew for each took four fifths of what a renewal
-    costs. One that proves closed is dialled anew for the same call, which may so be said twice.
+    Each raises OSError or TimeoutError where no answer comes in time. Connections are reused; a call whose
+    connection proves closed is sent again on a new one, so that the service may receive it twice.
     """
 
     def __init__(self, address: Callable[[], Address]) -> None:
-        self._address = address  # discovery may move
-        self._client = web.Client(KEPT_CONNECTIONS)
+        """`address`: of the agent; asked at each call, since discovery may move."""
+        self._address = address
+        self._client = web.Client(MAX_IDLE_CONNECTIONS)
 
-    async def post(self, path: str, body: dict[str, Any], timeout_ms: float) -> web.Reply:
-        data = orjson.dumps(body)
-        return await self._client.call(self._address(), "POST", f"/fleet/{path}", data, timeout_ms / 1000.0)
+    async def post(self, path: str, body: Mapping[str, object], timeout_ms: float) -> web.Reply:
+        """POST a JSON object to /fleet/`path`."""
+        return await self._call("POST", path, orjson.dumps(body), timeout_ms)
 
     async def get(self, target: str, timeout_ms: float) -> web.Reply:
-        return await self._client.call(self._address(), "GET", f"/fleet/{target}", b"", timeout_ms / 1000.0)
+        """GET /fleet/`target`, a path with its query."""
+        return await self._call("GET", target, b"", timeout_ms)
 
     def close(self) -> None:
-        """Close the connections that are kept; a call that follows opens one of its own."""
+        """Close the idle connections; a later call opens one of its own."""
         self._client.close()
+
+    async def _call(self, method: str, target: str, body: bytes, timeout_ms: float) -> web.Reply:
+        return await self._client.call(
+            self._address(), method, f"/fleet/{target}", body, timeout_ms / _MS_PER_S
+        )
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -1,4 +1,4 @@
-"""Two-phase activation, carried out: texts fetched and stored, votes cast, the switch made at its moment."""
+"""Two-phase route activation: fetches and stores versions, votes, and switches at the decided moment."""
 
 from __future__ import annotations
 
@@ -6,119 +6,146 @@
 import logging
 import math
 from collections.abc import Callable, Sequence
+from http import HTTPStatus
+from typing import Final
 
 from loadbalancer.balancing.events import Event
 from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.node.control.background_tasks import BackgroundTasks
+from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.registry_client import RegistryClient
 from loadbalancer.node.control.route_store import RouteStore
-from loadbalancer.node.control.timers import BackgroundTasks, MembershipClock, RestartableTimer
+from loadbalancer.node.control.timers import RestartableTimer
 from loadbalancer.routing import Action, Apply, Fetch, Follower, Forget, Store, Vote
+from loadbalancer.staleness.clock_offsets import Interval
 
 log = logging.getLogger("loadbalancer")
 
-CALL_MS = 2_000.0
-LATE_MS = 50.0  # a switch so much after its moment is worth a line
+CALL_TIMEOUT_MS: Final = 2_000.0
+LATE_SWITCH_MS: Final = 50.0  # a switch so much after its moment is logged as a warning
+MAX_LOGGED_CHARS: Final = 200  # of an error's text
 
 
 class RouteActivator:
+    """Carries out the actions of the activation's participant."""
+
     def __init__(
         self,
         core: Follower,
-        agent: RegistryClient,
+        client: RegistryClient,
         clock: MembershipClock,
         store: RouteStore | None,
         tell: Callable[[Event], None],
     ) -> None:
+        """`store` is None where the node prepares no versions; `tell` passes events to the balancer."""
         self.core = core
         self.switches = 0
-        self.last_delay_ms = 0.0  # how long after its moment the last switch was made
-        self._agent, self._clock, self._store, self._tell = agent, clock, store, tell
-        self._alarm = RestartableTimer(self._tick)
-        self._due = math.inf  # when a switch, or the end of the lease, is due by this clock
+        self.last_delay_ms = 0.0  # between the last switch and its moment
+        self._client, self._clock, self._store, self._tell = client, clock, store, tell
+        self._timer = RestartableTimer(self._tick)
+        self._due_ms = math.inf  # when a switch, or the end of the lease, is due
         self._tasks = BackgroundTasks()
 
     def start(self) -> None:
+        """Take over the versions on disk."""
         if self._store is not None:
             self.carry_out(self.core.restored(self._store.load_all()))
 
     def close(self) -> None:
-        self._alarm.cancel()
+        """Stop calls and timers at once, and wait for a write to disk under way."""
+        self._timer.cancel()
         self._tasks.close()
         if self._store is not None:
             self._store.close()
 
     def on_lease_answer(
-        self, now: float, lease_end: float, service: tuple[float, float], answer: LeaseAnswer
+        self, now: float, lease_end: float, service_ms: Interval, answer: LeaseAnswer
     ) -> None:
-        """What a renewal's answer says of routes; one that is malformed changes nothing and says so."""
+        """Use what a renewal's answer states of routes; a malformed one is logged and changes nothing."""
         try:
-            self.carry_out(self.core.answer(now, answer.incarnation, lease_end, service, answer.routes))
+            actions = self.core.answer(now, answer.incarnation, lease_end, service_ms, answer.routes)
+            self.carry_out(actions)
         except ValueError as error:
-            log.warning("routes: an answer is not used: %s", error)
+            log.warning("routes: malformed answer ignored: %s", error)
 
     def carry_out(self, actions: Sequence[Action]) -> None:
+        """Carry out the participant's actions, in their order."""
         for action in actions:
-            match action:
-                case Fetch():
-                    self._tasks.spawn(self._fetch(action.number))
-                case Store():
-                    self._tasks.spawn(self._write(action))
-                case Vote():
-                    self._tasks.spawn(self._vote(action))
-                case Forget():
-                    if self._store is not None:
-                        self._store.remove(action.number)
-                case Apply():
-                    self._apply(action)
-        due = self.core.next_due(self._clock.now_ms())
-        if due is None:
-            self._due = math.inf
-            self._alarm.cancel()
-        else:
-            self._due = due
-            self._alarm.schedule(self._clock.loop_time(due))
+            self._carry_out_one(action)
+        self._reschedule()
 
     def run_if_due(self) -> None:
-        """Before each event of the module: after a stop of the process the loop hands on what has come in
-        before it looks at its timers, and a request must not be admitted under a version that has ended."""
-        if self._due <= self._clock.now_ms():
-            self._due = math.inf  # what is told of it here asks again
+        """Make a switch that is due. Runs before each event of the balancer.
+
+        After the process was stopped the event loop handles input before timers, and no request may be
+        admitted under a version that has ended.
+        """
+        if self._due_ms <= self._clock.now_ms():
+            self._due_ms = math.inf  # the events that the switch passes to the balancer call this again
             self._tick()
 
+    # ------------------------------------------------------------- internals
+
     def _tick(self) -> None:
         self.carry_out(self.core.tick(self._clock.now_ms()))
 
+    def _carry_out_one(self, action: Action) -> None:
+        match action:
+            case Fetch():
+                self._tasks.spawn(self._fetch(action.number))
+            case Store():
+                self._tasks.spawn(self._write(action))
+            case Vote():
+                self._tasks.spawn(self._vote(action))
+            case Forget():
+                if self._store is not None:
+                    self._store.remove(action.number)
+            case Apply():
+                self._apply(action)
+
+    def _reschedule(self) -> None:
+        due_ms = self.core.next_due(self._clock.now_ms())
+        if due_ms is None:
+            self._due_ms = math.inf
+            self._timer.cancel()
+        else:
+            self._due_ms = due_ms
+            self._timer.schedule(self._clock.loop_time(due_ms))
+
     def _apply(self, action: Apply) -> None:
         self._tell(action.event)
         self.switches += 1
         self.last_delay_ms = max(0.0, self._clock.now_ms() - action.due)
-        said = log.warning if self.last_delay_ms > LATE_MS else log.info
-        said(
-            "routes: version %d from now on, %.1f ms after its moment",
-            action.event.number,
-            self.last_delay_ms,
+        write_line = log.warning if self.last_delay_ms > LATE_SWITCH_MS else log.info
+        write_line(
+            "routes: version %d in force, %.1f ms after its moment", action.event.number, self.last_delay_ms
         )
 
     async def _fetch(self, number: int) -> None:
         text = None
         try:
-            reply = await self._agent.get(f"routes/{number}", CALL_MS)
-            if reply.status == 200:
+            reply = await self._client.get(f"routes/{number}", CALL_TIMEOUT_MS)
+            if reply.status == HTTPStatus.OK:
                 text = reply.body.decode()
         except (OSError, TimeoutError, ValueError) as error:
-            log.warning("routes: version %d not fetched: %s", number, str(error)[:200])
+            log.warning("routes: version %d not fetched: %s", number, str(error)[:MAX_LOGGED_CHARS])
         self.carry_out(self.core.fetched(self._clock.now_ms(), number, text))
 
     async def _write(self, action: Store) -> None:
-        why = ""
+        problem = await self._try_write(action)
+        if problem:
+            log.error("routes: version %d not stored: %s", action.number, problem)
+        self.carry_out(self.core.stored(self._clock.now_ms(), action.number, not problem, problem))
+
+    async def _try_write(self, action: Store) -> str:
+        """Returns why the version could not be stored, in one line; "" once it is on disk."""
+        if self._store is None:
+            return "the configuration names no folder for routes"
         try:
-            if self._store is None:
-                raise OSError("the configuration names no folder for routes")
             await asyncio.wrap_future(self._store.write(action.number, action.text))
         except OSError as error:
-            why = " ".join(str(error).split())[:200]
-            log.error("routes: version %d not stored: %s", action.number, why)
-        self.carry_out(self.core.stored(self._clock.now_ms(), action.number, not why, why))
+            return " ".join(str(error).split())[:MAX_LOGGED_CHARS]
+        return ""
 
     async def _vote(self, action: Vote) -> None:
         body = {
@@ -130,8 +157,8 @@
         if not action.yes:
             log.warning("routes: version %d: this node votes no: %s", action.number, action.why)
         try:
-            reply = await self._agent.post("routes/vote", body, CALL_MS)
+            reply = await self._client.post("routes/vote", body, CALL_TIMEOUT_MS)
         except (OSError, TimeoutError):
-            return  # asked for again at a later renewal's answer
-        if reply.status == 200:
+            return  # a later renewal's answer asks for the vote again
+        if reply.status == HTTPStatus.OK:
             self.core.voted(action.incarnation, action.number)
--- a/loadbalancer/node/control/route_store.py
+++ b/loadbalancer/node/control/route_store.py
@@ -1,5 +1,4 @@
-"""The route versions of this node on disk: a file each, in the state file's frame, written whole and
-synced."""
+"""The prepared route versions of this node on disk: a file for each, framed as the state file, synced."""
 
 from __future__ import annotations
 
@@ -8,6 +7,7 @@
 import os
 from concurrent.futures import Future, ThreadPoolExecutor
 from pathlib import Path
+from typing import Final, NamedTuple
 
 import msgpack
 
@@ -15,45 +15,58 @@
 
 log = logging.getLogger("loadbalancer")
 
+SUFFIX: Final = ".route"
+MAX_LOGGED_CHARS: Final = 200  # of an error's text
+
+
+class StoredRoute(NamedTuple):
+    """A route version on disk: its number and its TOML text."""
+
+    number: int
+    text: str
+
 
 class RouteStore:
-    """Writes and removals in the order they are asked for, in one worker thread."""
+    """Writes and removes versions in the order of the calls, in one worker thread."""
 
     def __init__(self, folder: Path) -> None:
+        """`folder`: made at the first write."""
         self._folder = folder
         self._worker = ThreadPoolExecutor(1, thread_name_prefix="routes")
 
-    def load_all(self) -> list[tuple[int, str]]:
-        """What is there; a file that can't be read says so in one line and is left as it is."""
-        found = []
+    def load_all(self) -> list[StoredRoute]:
+        """Every version on disk; a file that can't be decoded is logged and left in place."""
+        stored = []
         with contextlib.suppress(FileNotFoundError):
-            for path in sorted(self._folder.glob("*.route")):
+            for path in sorted(self._folder.glob(f"*{SUFFIX}")):
                 try:
                     row = decode(path.read_bytes())
-                    found.append((int(row["number"]), str(row["text"])))
+                    stored.append(StoredRoute(int(row["number"]), str(row["text"])))
                 except (OSError, ValueError, KeyError, TypeError) as error:
-                    log.warning("routes: %s is not used: %s", path, " ".join(str(error).split())[:200])
-        return found
+                    problem = " ".join(str(error).split())[:MAX_LOGGED_CHARS]
+                    log.warning("routes: %s is not used: %s", path, problem)
+        return stored
 
     def write(self, number: int, text: str) -> Future[None]:
-        """Done once the version is on disk, synced; OSError if it can't be."""
+        """Done once the version is on disk and synced; OSError if it can't be written."""
         return self._worker.submit(self._write, number, text)
 
     def remove(self, number: int) -> Future[None]:
-        return self._worker.submit(self._forget, number)
+        """Done once the version is gone from the disk."""
+        return self._worker.submit(self._remove, number)
 
     def close(self) -> None:
         """Wait for a write under way: the next process of an upgrade uses the same folder."""
         self._worker.shutdown(wait=True, cancel_futures=True)
 
     def _path(self, number: int) -> Path:
-        return self._folder / f"{number}.route"
+        return self._folder / f"{number}{SUFFIX}"
 
     def _write(self, number: int, text: str) -> None:
         self._folder.mkdir(parents=True, exist_ok=True)
         put(self._path(number), frame(msgpack.packb({"format": FORMAT, "number": number, "text": text})))
 
-    def _forget(self, number: int) -> None:
+    def _remove(self, number: int) -> None:
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self._path(number))
             sync_folder(self._folder)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -281,4 +281,4 @@
 
 
 def said(fleet: Fleet) -> int:
-    return len(fleet.nodes[0].lines("members: a call refused"))
+    return len(fleet.nodes[0].lines("members: call rejected"))
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -20,9 +20,9 @@
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.address import Address
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.control.lease import LeaseClient
+from loadbalancer.node.control.clock import MembershipClock
+from loadbalancer.node.control.lease_client import LeaseClient
 from loadbalancer.node.control.registry_client import RegistryClient
-from loadbalancer.node.control.timers import MembershipClock
 from loadbalancer.node.http.service_http import Reply
 from loadbalancer.staleness import ClockOffsets
 from tests.support.faults import LoopThread
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -169,12 +169,12 @@
     def worker(self) -> None:
         self._step("write", lambda: self.store._write(1, "aborted"))
         if not self.wrong:
-            self._step("forget", lambda: self.store._forget(1))
+            self._step("forget", lambda: self.store._remove(1))
         self._step("write", lambda: self.store._write(2, "proposed next"))
 
     def beside(self) -> None:
         if self.wrong:  # removals by a thread of their own, out of the order they were asked for in
-            self._step("forget", lambda: self.store._forget(1))
+            self._step("forget", lambda: self.store._remove(1))
 
     def reader(self) -> None:
         self._step("read", lambda: self.seen.extend(RouteStore(self.folder).load_all()))
