--- a/loadbalancer/balancing/fleet_control.py
+++ b/loadbalancer/balancing/fleet_control.py
@@ -1,8 +1,8 @@
-"""What siblings and the list service settle for this balancer: its share, how sure its routes are, the
-route version.
+"""What the control plane decides for this balancer: its quota, its confidence in endpoints, the route
+version.
 
-Each is an event, and without it the balancer acts by its settings alone. A mark is advice: no call is
-refused for it.
+Each arrives as an event; without it the balancer acts by its settings alone. Confidence only changes the
+order in which endpoints are chosen: no request is rejected for it.
 """
 
 from __future__ import annotations
@@ -10,71 +10,73 @@
 import math
 
 from loadbalancer.balancing.events import ConfidenceUpdate, QuotaGrant
-from loadbalancer.balancing.state import Job, Peer, Shared, State
-from loadbalancer.endpoints import Confidence, RouteVersion, TrafficSplit
+from loadbalancer.balancing.state import BalancerState, EndpointState, PendingRequest, Quota
+from loadbalancer.endpoints import Confidence, RouteVersion
 
-# How much of a server's measured latency counts by its route's mark; the rest is the others' mean, as for
-# one unheard.
-KNOWN = {Confidence.LOW: 0.5, Confidence.NONE: 0.0}
-DIM = (Confidence.LOW, Confidence.NONE)
+# How much of an endpoint's latency ratio counts; the rest is the mean of the others.
+CONFIDENCE_RATIOS = {Confidence.LOW: 0.5, Confidence.NONE: 0.0}
+LOW_CONFIDENCE = (Confidence.LOW, Confidence.NONE)
 
 
-def shared(state: State, event: QuotaGrant) -> None:
-    parts = 1.0 / event.quota if event.quota > 0.0 else math.inf
-    state.shared = Shared(parts, max(1, event.holders), event.expires_ms)
+def apply_quota_grant(state: BalancerState, event: QuotaGrant) -> None:
+    """Replace the quota that the settings' `siblings` gives."""
+    divisor = 1.0 / event.quota if event.quota > 0.0 else math.inf
+    state.quota = Quota(divisor, max(1, event.holders), event.expires_ms)
 
 
-def marked(state: State, event: ConfidenceUpdate) -> None:
-    """Take marks that have changed; those of servers that are not listed are dropped."""
-    state.marks = {
-        name: mark for name, mark in (state.marks | event.confidence).items() if name in state.peers
-    }
+def apply_confidence_update(state: BalancerState, event: ConfidenceUpdate) -> None:
+    """Take over changed ratings; those of endpoints that aren't listed are dropped."""
+    merged = state.confidence | event.confidence
+    state.confidence = {name: rating for name, rating in merged.items() if name in state.endpoints}
 
 
-def switched(state: State, event: RouteVersion) -> None:
-    """Admit under this version from now on. One that requests were admitted under stays until their end."""
-    kept = {job.version for job in state.jobs.values()} | {event.number}
+def apply_route_version(state: BalancerState, event: RouteVersion) -> None:
+    """Admit requests under this version from now on; earlier versions stay while requests use them."""
+    in_use = {pending.route_version for pending in state.pending.values()} | {event.number}
     if event.number:
-        state.versions[event.number] = event.classes
-    state.versions = {number: classes for number, classes in state.versions.items() if number in kept}
-    state.version = event.number
+        state.route_versions[event.number] = event.classes
+    state.route_versions = {
+        number: classes for number, classes in state.route_versions.items() if number in in_use
+    }
+    state.route_version = event.number
 
 
-def known(state: State, peer: Peer) -> float:
-    """The share of a server's measured latency that counts."""
-    return KNOWN.get(state.marks[peer.info.address], 1.0) if peer.info.address in state.marks else 1.0
+def confidence_ratio(state: BalancerState, endpoint: EndpointState) -> float:
+    """How much of the endpoint's latency ratio counts, from 0 to 1."""
+    rating = state.confidence.get(endpoint.listed.name)
+    return 1.0 if rating is None else CONFIDENCE_RATIOS.get(rating, 1.0)
 
 
-def lit(state: State, peers: list[Peer]) -> list[Peer]:
-    """Without the blind routes that a call from here is already finding out about; all of them where none is
-    better than weak, as the marks then tell nothing of one against another."""
-    marks = [state.marks.get(peer.info.address) for peer in peers]
-    if all(mark in DIM for mark in marks):
-        return peers
+def usable_endpoints(state: BalancerState, endpoints: list[EndpointState]) -> list[EndpointState]:
+    """Leave out those without confidence that already have a call in flight from here, as it will show
+    whether they answer. All of them where none has more than low confidence."""
+    ratings = [state.confidence.get(endpoint.listed.name) for endpoint in endpoints]
+    if all(rating in LOW_CONFIDENCE for rating in ratings):
+        return endpoints
     return [
-        peer
-        for peer, mark in zip(peers, marks, strict=True)
-        if mark is not Confidence.NONE or peer.held < 1.0
+        endpoint
+        for endpoint, rating in zip(endpoints, ratings, strict=True)
+        if rating is not Confidence.NONE or endpoint.total_in_flight < 1.0
     ]
 
 
-def groups(state: State, job: Job, peers: list[Peer]) -> list[list[Peer]]:
-    """These servers by the groups of the request's version, in the order in which they are tried: a
-    weighted draw without return (Efraimidis, Spirakis 2006). A server belongs to the first group of the
-    table that takes it; under version 0 there is one group of all."""
-    table = state.versions.get(job.version, {}).get(job.kind.name)
-    if table is None:
-        return [peers]
-    drawn: list[tuple[float, list[Peer]]] = []
-    left = peers
-    for group in table:
-        inside = [peer for peer in left if _in(group, peer)]
-        left = [peer for peer in left if not _in(group, peer)]
-        if inside and group.weight > 0.0:
-            drawn.append((state.rng.random() ** (1.0 / group.weight), inside))
-    return [inside for _, inside in sorted(drawn, key=lambda item: -item[0])]
-
-
-def _in(group: TrafficSplit, peer: Peer) -> bool:
-    info = peer.info
-    return group.model in (None, info.model) and group.zone in (None, info.zone)
+def split_by_route(
+    state: BalancerState, pending: PendingRequest, endpoints: list[EndpointState]
+) -> list[list[EndpointState]]:
+    """These endpoints by the traffic splits of the request's route version, in the order in which to try
+    them.
+
+    The order is a weighted draw without replacement (Efraimidis, Spirakis 2006). An endpoint belongs to the
+    first split that matches it. Under the neutral version there is one split of all.
+    """
+    splits = state.route_versions.get(pending.route_version, {}).get(pending.service_class.name)
+    if splits is None:
+        return [endpoints]
+    drawn: list[tuple[float, list[EndpointState]]] = []
+    remaining = endpoints
+    for split in splits:
+        matching = [endpoint for endpoint in remaining if split.matches(endpoint.listed)]
+        remaining = [endpoint for endpoint in remaining if not split.matches(endpoint.listed)]
+        if matching and split.weight > 0.0:
+            drawn.append((state.rng.random() ** (1.0 / split.weight), matching))
+    return [matching for _, matching in sorted(drawn, key=lambda draw: -draw[0])]
