--- a/loadbalancer/registry/errors.py
+++ b/loadbalancer/registry/errors.py
@@ -2,25 +2,24 @@
 
 from __future__ import annotations
 
-MAX_SHOWN_VALUE_CHARACTERS = 60
-
 
 class RegistryError(Exception):
     """Base class of this package's errors."""
 
 
 class InvalidFieldError(RegistryError, ValueError):
-    """A field of a request, or of an answer, has a value that is not allowed.
+    """A field of a request has a value that is not allowed; callers read the message in an answer 400."""
+
+    def __init__(self, field: str, value: object, problem: str) -> None:
+        super().__init__(f"{field}: {problem}")
+        self.field, self.value, self.problem = field, value, problem
 
-    `expected` completes the sentence "field: value is not ...".
-    """
 
-    def __init__(self, field: str, value: object, expected: str) -> None:
-        shown = repr(value)
-        if len(shown) > MAX_SHOWN_VALUE_CHARACTERS:
-            shown = shown[:MAX_SHOWN_VALUE_CHARACTERS] + "..."
-        super().__init__(f"{field}: {shown} is not {expected}")
-        self.field, self.value, self.expected = field, value, expected
+class InvalidTargetError(RegistryError, ValueError):
+    """A body is not the JSON object of a target."""
+
+    def __init__(self) -> None:
+        super().__init__("a target is not an object")
 
 
 class InvalidBodyError(RegistryError, ValueError):
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -193,7 +193,7 @@
         try:
             uids = orjson.loads(call.body)["uids"]
             if not isinstance(uids, list) or not all(isinstance(uid, str) for uid in uids):
-                raise InvalidFieldError("uids", uids, "a list of texts")
+                raise InvalidFieldError("uids", uids, "not a list of texts")
         except (ValueError, KeyError, TypeError) as failure:
             reason = f"renew wants {{'uids': [...]}}: {failure}"
             return error_answer(400, reason[:MAX_ERROR_CHARACTERS])
@@ -207,7 +207,7 @@
         row.setdefault("uid", uid)
     target = validate_target(row)
     if target["uid"] != uid:
-        raise InvalidFieldError("uid", target["uid"], f"that of the path, {uid!r}")
+        raise InvalidFieldError("uid", target["uid"], "not the one in the path")
     return target
 
 
--- a/loadbalancer/registry/target.py
+++ b/loadbalancer/registry/target.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from loadbalancer.registry.errors import InvalidFieldError
+from loadbalancer.registry.errors import InvalidFieldError, InvalidTargetError
 
 # One entry as PROTOCOL ("Discovery") shows it. Targets are part of Raft's log and of snapshots, so they are
 # plain maps with the keys of the protocol: uid, endpoint, az, model, pod_group, state, capacity_hint and
@@ -17,47 +17,27 @@
 
 
 def validate_target(row: object) -> Target:
-    """The target to store for a decoded body; InvalidFieldError names the field that is wrong."""
+    """The target to store for a decoded body; InvalidTargetError or InvalidFieldError."""
     if not isinstance(row, dict):
-        raise InvalidFieldError("target", row, "an object")
+        raise InvalidTargetError
+    uid, endpoint, state = row.get("uid"), row.get("endpoint"), row.get("state", READY)
+    if not isinstance(uid, str) or not 0 < len(uid) <= MAX_UID_CHARACTERS:
+        raise InvalidFieldError("uid", uid, f"not a text of 1 to {MAX_UID_CHARACTERS} characters")
+    if not isinstance(endpoint, str) or ":" not in endpoint:
+        raise InvalidFieldError("endpoint", endpoint, "not host:port")
+    if state not in REGISTERED_STATES:
+        raise InvalidFieldError("state", state, f"{state!r} is not one of {', '.join(REGISTERED_STATES)}")
+    hint, boot_ms, group = row.get("capacity_hint", 1.0), row.get("boot_ms", 0), row.get("pod_group", 0)
+    if not isinstance(hint, int | float) or not isinstance(boot_ms, int) or not isinstance(group, int):
+        fields = "capacity_hint, boot_ms or pod_group"
+        raise InvalidFieldError(fields, (hint, boot_ms, group), "not a number")
     return {
-        "uid": _uid(row.get("uid")),
-        "endpoint": _endpoint(row.get("endpoint")),
+        "uid": uid,
+        "endpoint": endpoint,
         "az": str(row.get("az", "")),
         "model": str(row.get("model", "")),
-        "pod_group": _integer(row, "pod_group"),
-        "state": _state(row.get("state", READY)),
-        "capacity_hint": _capacity_hint(row.get("capacity_hint", 1.0)),
-        "boot_ms": _integer(row, "boot_ms"),
+        "pod_group": group,
+        "state": state,
+        "capacity_hint": float(hint),
+        "boot_ms": boot_ms,
     }
-
-
-def _uid(value: object) -> str:
-    if not isinstance(value, str) or not 0 < len(value) <= MAX_UID_CHARACTERS:
-        raise InvalidFieldError("uid", value, f"a text of 1 to {MAX_UID_CHARACTERS} characters")
-    return value
-
-
-def _endpoint(value: object) -> str:
-    if not isinstance(value, str) or ":" not in value:
-        raise InvalidFieldError("endpoint", value, "host:port")
-    return value
-
-
-def _state(value: object) -> object:
-    if value not in REGISTERED_STATES:
-        raise InvalidFieldError("state", value, f"one of {', '.join(REGISTERED_STATES)}")
-    return value
-
-
-def _capacity_hint(value: object) -> float:
-    if not isinstance(value, int | float):
-        raise InvalidFieldError("capacity_hint", value, "a number")
-    return float(value)
-
-
-def _integer(row: dict[str, Any], field: str) -> int:
-    value = row.get(field, 0)
-    if not isinstance(value, int):
-        raise InvalidFieldError(field, value, "an integer")
-    return value
--- a/loadbalancer/registry/watch.py
+++ b/loadbalancer/registry/watch.py
@@ -31,7 +31,7 @@
     try:
         return int(text)
     except ValueError as failure:
-        raise InvalidFieldError(name, text, "an integer") from failure
+        raise InvalidFieldError(name, text, "not a whole number") from failure
 
 
 def parse_query(call: Call, max_wait_ms: int = MAX_WAIT_MS) -> WatchQuery:
