--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -97,7 +97,7 @@
     def service_ms(self) -> float:
         """Service time now; NotLeadingError on an instance that does not lead."""
         if self._term is None:
-            raise NotLeadingError("not the leader")  # the error has several short reasons
+            raise NotLeadingError
         return self._clock.service_ms(self._clocks.monotonic_ms())
 
     def out_of_range_by_ms(self, sent_ms: float) -> float | None:
@@ -124,10 +124,10 @@
         """
         term = self._term
         if term is None or self._fleet.leader_term != term:
-            raise NotLeadingError("not the leader")
+            raise NotLeadingError
         result = await self._commit(command, self.service_ms(), term, *args)
         if result is None:
-            raise NotLeadingError("replaced as leader")
+            raise LeaderReplacedError
         return result
 
     async def renew(self, renewal: Renewal, takes_delta: bool) -> MemberGrant | None:
@@ -247,7 +247,7 @@
         if not continues:
             await self._wait_for_leases_to_end(begun)
             if self._fleet.leader_term != term:
-                raise NotLeadingError("replaced as leader")
+                raise LeaderReplacedError
         now_ms, unix_ms = self._clocks.monotonic_ms(), self._clocks.unix_ms()
         self._fleet.read(lambda state: self._clock.start_leading(now_ms, unix_ms, begun.log_ms, begun.epoch))
         self._leases = LeaseClock(begun.ttl_ms)
@@ -265,7 +265,7 @@
             self._fleet.lead, 0.0, term, self.address, epoch, *settings
         )
         if begun is None:
-            raise NotLeadingError("replaced as leader")
+            raise LeaderReplacedError
         return begun
 
     async def _wait_for_leases_to_end(self, begun: TermStart) -> None:
--- a/loadbalancer/registry/local.py
+++ b/loadbalancer/registry/local.py
@@ -1,9 +1,8 @@
 """`python -m loadbalancer.registry local`: a node with its own list service, all on loopback.
 
-It starts three instances, an agent and a node (`python -m loadbalancer`) as processes in a
-folder of its own, and serves a few stand-in servers from this process that register and
-renew their leases as real ones would. It is a way to see the parts work together, and the
-operators' first try of them: Ctrl-C ends every process it started, by its id.
+It starts three instances, an agent and a node (`python -m loadbalancer`) as processes in a folder, and serves
+a few stand-in servers from this process that register and renew their leases as real ones would. It is a
+quick way to see the parts work together: Ctrl-C ends every process it started, by its id.
 """
 
 from __future__ import annotations
@@ -15,16 +14,27 @@
 import socket
 import subprocess
 import sys
+from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 import orjson
 import structlog
 
-from loadbalancer.node.http.service_http import Answer, Call, call, serve
+from loadbalancer.node.http.service_http import Answer, Call, Reply, call, serve
 from loadbalancer.registry.signals import wait_for_stop
 
-# The node's settings: three classes of worth, as a small shop has; see BRIEF for the keys.
+LOOPBACK = "127.0.0.1"
+INSTANCE_COUNT = 3
+LEASE_MS = 6_000
+RENEWALS_PER_LEASE = 3
+FAILURES_PER_LOG_LINE = 10
+FIRST_LOGGED_FAILURE = 3  # the instances elect their first leader meanwhile
+STOP_TIMEOUT_S = 10.0
+MS_PER_S = 1000.0
+
+# The node's settings: two request classes, as a small service has; see BRIEF for the keys.
 NODE_SETTINGS: dict[str, Any] = {
     "bounds": {
         "cancel": True,
@@ -43,125 +53,169 @@
 }
 
 
-def _reserved_port(held: contextlib.ExitStack) -> int:
-    """A port for a child to bind, kept for it until `held` closes.
+@dataclass(slots=True, frozen=True)
+class LocalPorts:
+    """The loopback ports of the programs."""
 
-    The socket stays bound, not listening: the system gives its number to nobody else meanwhile, and the
-    child, which sets SO_REUSEADDR as this does, can bind it and listen.
-    """
-    holder = held.enter_context(socket.socket())
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.bind(("127.0.0.1", 0))
-    return int(holder.getsockname()[1])
-
-
-def _instance_files(folder: Path, http: list[int], raft: list[int], ttl_ms: int) -> list[Path]:
-    paths = []
-    for index, (listen, own) in enumerate(zip(http, raft, strict=True)):
-        peers = ", ".join(f'"127.0.0.1:{port}"' for port in raft if port != own)
-        path = folder / f"registry-{index}.toml"
-        path.write_text(
-            f'[instance]\nname = "r{index}"\nlisten = "127.0.0.1:{listen}"\nraft = "127.0.0.1:{own}"\n'
-            f'peers = [{peers}]\ndata = "data-r{index}"\n\n[lease]\nttl_ms = {ttl_ms}\n'
-        )
-        paths.append(path)
-    return paths
+    http: Sequence[int]  # of the instances, in order
+    raft: Sequence[int]
+    agent: int
+    node: int
 
 
 class StandInServer:
-    """A server of this process: answers 200, registers itself and renews its lease."""
+    """A server of this process: it answers 200, registers itself and renews its lease."""
 
-    def __init__(self, uid: str, registries: list[int], ttl_ms: int) -> None:
-        self.uid, self.registries, self.ttl_ms = uid, registries, ttl_ms
-        self.port = 0
+    def __init__(self, uid: str, registry_ports: Sequence[int], ttl_ms: int) -> None:
+        self.uid, self._registry_ports, self._ttl_ms = uid, registry_ports, ttl_ms
+        self._port = 0
+        self._registered = False
 
     async def start(self) -> None:
+        """Listen on a free port."""
+
         async def answer(request: Call) -> Answer:
             return Answer(200, b'{"done":true}', {"depth": "0"})
 
-        server = await serve(("127.0.0.1", 0), answer)
-        self.port = server.sockets[0].getsockname()[1]
+        server = await serve((LOOPBACK, 0), answer)
+        self._port = server.sockets[0].getsockname()[1]
 
     async def keep_lease(self, log: structlog.stdlib.BoundLogger) -> None:
-        body = orjson.dumps({"uid": self.uid, "endpoint": f"127.0.0.1:{self.port}", "az": "a"})
-        registered, failures = False, 0
+        """Register, and renew the lease until cancelled."""
+        failures = 0
         while True:
-            for port in self.registries:
-                with contextlib.suppress(OSError, TimeoutError):
-                    if not registered:
-                        reply = await call(("127.0.0.1", port), "PUT", f"/registry/targets/{self.uid}", body)
-                        registered = reply.status == 200
-                    else:
-                        renew = orjson.dumps({"uids": [self.uid]})
-                        reply = await call(("127.0.0.1", port), "POST", "/registry/renew", renew)
-                        registered = reply.status == 200 and not orjson.loads(reply.body)["unknown"]
-                    if reply.status == 200:
-                        failures = 0
-                        break
+            if await self._renew_at_any():
+                failures = 0
             else:
                 failures += 1
-                if failures % 10 == 3:  # not while the instances elect their first leader
+                if failures % FAILURES_PER_LOG_LINE == FIRST_LOGGED_FAILURE:
                     log.warning("lease_not_renewed", uid=self.uid, failures=failures)
-            await asyncio.sleep(self.ttl_ms / 3000.0)
+            await asyncio.sleep(self._ttl_ms / MS_PER_S / RENEWALS_PER_LEASE)
+
+    async def _renew_at_any(self) -> bool:
+        """Whether an instance has accepted a registration or renewal; each is asked in turn."""
+        for port in self._registry_ports:
+            with contextlib.suppress(OSError, TimeoutError):
+                if (await self._renew_at(port)).status == 200:
+                    return True
+        return False
+
+    async def _renew_at(self, port: int) -> Reply:
+        if self._registered:
+            body = orjson.dumps({"uids": [self.uid]})
+            reply = await call((LOOPBACK, port), "POST", "/registry/renew", body)
+            self._registered = reply.status == 200 and not orjson.loads(reply.body)["unknown"]
+        else:
+            body = orjson.dumps({"uid": self.uid, "endpoint": f"{LOOPBACK}:{self._port}", "az": "a"})
+            reply = await call((LOOPBACK, port), "PUT", f"/registry/targets/{self.uid}", body)
+            self._registered = reply.status == 200
+        return reply
 
 
 async def run_local(folder: Path, servers: int, node_port: int, log: structlog.stdlib.BoundLogger) -> None:
-    """Start it all and keep it until SIGTERM or SIGINT."""
-    with contextlib.ExitStack() as held:
-        ports = [_reserved_port(held) for _ in range(7)]
-        await _run(folder, servers, node_port, ports, log)
-
-
-async def _run(
-    folder: Path, servers: int, node_port: int, ports: list[int], log: structlog.stdlib.BoundLogger
-) -> None:
-    folder.mkdir(parents=True, exist_ok=True)
-    http, raft, agent_port, ttl_ms = ports[:3], ports[3:6], ports[6], 6000
-    me = [sys.executable, "-m", "loadbalancer.registry"]
-    commands = [[*me, "serve", "--config", str(path)] for path in _instance_files(folder, http, raft, ttl_ms)]
-    registries = ", ".join(f'"127.0.0.1:{port}"' for port in http)
-    (folder / "agent.toml").write_text(
-        f'[agent]\nlisten = "127.0.0.1:{agent_port}"\nregistries = [{registries}]\n'
+    """Start all programs and keep them until SIGTERM or SIGINT.
+
+    `folder` gets their configurations, data and logs; `servers` is the number of stand-in servers.
+    """
+    with contextlib.ExitStack() as reservations:
+        http = [_reserve_port(reservations) for _ in range(INSTANCE_COUNT)]
+        raft = [_reserve_port(reservations) for _ in range(INSTANCE_COUNT)]
+        ports = LocalPorts(http, raft, _reserve_port(reservations), node_port)
+        folder.mkdir(parents=True, exist_ok=True)
+        children = _start_programs(folder, ports)
+        stand_ins = [StandInServer(f"local-{number}", http, LEASE_MS) for number in range(servers)]
+        for stand_in in stand_ins:
+            await stand_in.start()
+        leases = [asyncio.create_task(stand_in.keep_lease(log)) for stand_in in stand_ins]
+        log.info(
+            "local_started",
+            node=f"{LOOPBACK}:{ports.node}",
+            agent=f"{LOOPBACK}:{ports.agent}",
+            registries=[f"{LOOPBACK}:{port}" for port in http],
+            folder=str(folder),
+            pids=[child.pid for child in children],
+            hint=f"curl -H 'Req-Id: r1' http://{LOOPBACK}:{ports.node}/read/1",
+        )
+        await wait_for_stop()
+        for lease in leases:
+            lease.cancel()
+        _stop(children)
+        log.info("local_stopped")
+
+
+def _reserve_port(reservations: contextlib.ExitStack) -> int:
+    """A port for a child process to bind, reserved for it until `reservations` closes.
+
+    The socket stays bound without listening: the system gives its number to nobody else meanwhile, and the
+    child, which sets SO_REUSEADDR as this does, can bind it and listen.
+    """
+    reserved = reservations.enter_context(socket.socket())
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind((LOOPBACK, 0))
+    return int(reserved.getsockname()[1])
+
+
+def _start_programs(folder: Path, ports: LocalPorts) -> list[subprocess.Popen[bytes]]:
+    registry = [sys.executable, "-m", "loadbalancer.registry"]
+    commands = [
+        [*registry, "serve", "--config", str(_write_instance_file(folder, ports, index))]
+        for index in range(INSTANCE_COUNT)
+    ]
+    commands.append([*registry, "agent", "--config", str(_write_agent_file(folder, ports))])
+    commands.append([sys.executable, "-m", "loadbalancer"])
+    environment = _environment(_write_node_file(folder, ports))
+    children = []
+    for number, command in enumerate(commands):
+        with (folder / f"process-{number}.log").open("ab") as out:
+            children.append(subprocess.Popen(command, stdout=out, stderr=out, env=environment, cwd=folder))
+    return children
+
+
+def _write_instance_file(folder: Path, ports: LocalPorts, index: int) -> Path:
+    raft = ports.raft[index]
+    peers = ", ".join(f'"{LOOPBACK}:{port}"' for port in ports.raft if port != raft)
+    path = folder / f"registry-{index}.toml"
+    path.write_text(
+        f'[instance]\nname = "r{index}"\nlisten = "{LOOPBACK}:{ports.http[index]}"\n'
+        f'raft = "{LOOPBACK}:{raft}"\npeers = [{peers}]\ndata = "data-r{index}"\n\n'
+        f"[lease]\nttl_ms = {LEASE_MS}\n"
     )
-    commands.append([*me, "agent", "--config", str(folder / "agent.toml")])
+    return path
+
+
+def _write_agent_file(folder: Path, ports: LocalPorts) -> Path:
+    registries = ", ".join(f'"{LOOPBACK}:{port}"' for port in ports.http)
+    path = folder / "agent.toml"
+    path.write_text(f'[agent]\nlisten = "{LOOPBACK}:{ports.agent}"\nregistries = [{registries}]\n')
+    return path
+
+
+def _write_node_file(folder: Path, ports: LocalPorts) -> Path:
     node = {
         "name": "local",
-        "listen": f"127.0.0.1:{node_port}",
-        "discovery": f"127.0.0.1:{agent_port}",
+        "listen": f"{LOOPBACK}:{ports.node}",
+        "discovery": f"{LOOPBACK}:{ports.agent}",
         "seed": "5eed5eed5eed5eed",
         "known": {"rev": 0, "all": True, "targets": []},
         "settings": NODE_SETTINGS,
     }
-    (folder / "node.json").write_bytes(orjson.dumps(node, option=orjson.OPT_INDENT_2))
-    root = str(Path(__file__).resolve().parents[2])  # the processes run in the folder, not the checkout
+    path = folder / "node.json"
+    path.write_bytes(orjson.dumps(node, option=orjson.OPT_INDENT_2))
+    return path
+
+
+def _environment(node_file: Path) -> dict[str, str]:
+    """The programs run in their folder, so they need the path of this package."""
+    root = str(Path(__file__).resolve().parents[2])
     path = os.pathsep.join(part for part in (root, os.environ.get("PYTHONPATH")) if part)
-    environment = {**os.environ, "PROXY_CONFIG": str(folder / "node.json"), "PYTHONPATH": path}
-    commands.append([sys.executable, "-m", "loadbalancer"])
-    children = []
-    for number, command in enumerate(commands):
-        with (folder / f"process-{number}.log").open("ab") as out:
-            children.append(subprocess.Popen(command, stdout=out, stderr=out, env=environment, cwd=folder))
-    stand_ins = [StandInServer(f"local-{number}", http, ttl_ms) for number in range(servers)]
-    for stand_in in stand_ins:
-        await stand_in.start()
-    leases = [asyncio.create_task(stand_in.keep_lease(log)) for stand_in in stand_ins]
-    log.info(
-        "local_started",
-        node=f"127.0.0.1:{node_port}",
-        agent=f"127.0.0.1:{agent_port}",
-        registries=[f"127.0.0.1:{port}" for port in http],
-        folder=str(folder),
-        pids=[child.pid for child in children],
-        hint=f"curl -H 'Req-Id: r1' http://127.0.0.1:{node_port}/read/1",
-    )
-    await wait_for_stop()
-    for lease in leases:
-        lease.cancel()
+    return {**os.environ, "PROXY_CONFIG": str(node_file), "PYTHONPATH": path}
+
+
+def _stop(children: list[subprocess.Popen[bytes]]) -> None:
     for child in children:
         child.send_signal(signal.SIGTERM)
     for child in children:
         try:
-            child.wait(10)
+            child.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             child.kill()
-    log.info("local_stopped")
--- /dev/null
+++ b/tests/registry/test_fleet_leader.py
@@ -0,0 +1,86 @@
+"""What an instance says that its callers wait for, while it does not lead the fleet."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+from typing import Any
+
+import pytest
+import structlog
+
+from loadbalancer.registry.clock_file import ClockFile, ProcessClocks
+from loadbalancer.registry.errors import LeaderReplacedError
+from loadbalancer.registry.fleet_catalog import FleetCatalog
+from loadbalancer.registry.fleet_leader import FleetLeader
+from loadbalancer.registry.service_clock import ServiceClock
+from loadbalancer.registry.settings import MemberSettings
+
+TTL_MS = 60_000
+
+
+class Raft:
+    """As much of pysyncobj as the fleet's state asks."""
+
+    raftCurrentTerm = 1  # noqa: N815
+    leader: str | None = None
+    hasQuorum = True  # noqa: N815
+
+    def isReady(self) -> bool:  # noqa: N802
+        return True
+
+    def _getLeader(self) -> str | None:  # noqa: N802
+        return self.leader
+
+
+def parts(folder: Path) -> tuple[Raft, FleetCatalog, FleetLeader]:
+    clocks, clock, raft = ProcessClocks(0.0), ServiceClock(), Raft()
+    fleet = FleetCatalog(clock, clocks.monotonic_ms, lambda groups: None)
+    fleet._syncObj = raft
+
+    async def commit(command: Any, *args: Any) -> Any:
+        return command(*args, _doApply=True)
+
+    file = ClockFile(folder, clocks)
+    settings = MemberSettings(ttl_ms=TTL_MS)
+    log = structlog.stdlib.get_logger()
+    return raft, fleet, FleetLeader(settings, "127.0.0.1:1", fleet, clock, file, commit, log)
+
+
+def test_an_instance_that_follows_tells_a_missing_leader_from_one_that_has_not_begun(tmp_path: Path) -> None:
+    raft, _, leader = parts(tmp_path)
+    assert leader.unavailable_reason() == "no leader in reach"
+    raft.leader = "127.0.0.1:2"
+    assert leader.unavailable_reason() == "the leader has not begun its term"
+
+
+def test_a_leader_tells_that_it_waits_for_a_quorum_or_for_service_time(tmp_path: Path) -> None:
+    raft, fleet, leader = parts(tmp_path)
+    fleet.leader_term = 1
+    raft.hasQuorum = False
+    assert leader.unavailable_reason() == "the leader has no quorum"
+    raft.hasQuorum = True
+    assert leader.unavailable_reason() == "the leader begins its term"
+    fleet.state.log_ms = 5.0  # the log has service time, of which this instance knows nothing
+
+    async def main() -> str:
+        starting = asyncio.create_task(leader._start_term(1))
+        await asyncio.sleep(0.01)
+        reason = leader.unavailable_reason()
+        starting.cancel()
+        await asyncio.wait([starting])
+        return reason
+
+    assert asyncio.run(main()).startswith(
+        "the leader waits for service time: leases given before it led end in "
+    )
+    assert leader.unavailable_reason() == "the leader begins its term"
+
+
+def test_a_leader_that_was_replaced_does_not_begin(tmp_path: Path) -> None:
+    _, fleet, leader = parts(tmp_path)
+    fleet.lead(0.0, 2, "127.0.0.1:2", None, 1_000.0, 50.0, _doApply=True)
+    fleet.leader_term = 1
+    with pytest.raises(LeaderReplacedError):
+        asyncio.run(leader._start_term(1))
+    assert not leader.is_leading
