--- a/bench/failure_detector.py
+++ b/bench/failure_detector.py
@@ -30,7 +30,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bench.figures import quantile
-from loadbalancer.membership import Reachability, Standing
+from loadbalancer.membership import QuotaStatus, Reachability
 from tests.support.detector_simulation import Gone, Node, World
 
 FAST, SLOW = (0.3, 1.0), (20.0, 200.0)
@@ -85,7 +85,7 @@
 def _attached(size: int, seed: int, delay: tuple[float, float] = FAST, loss: float = 0.0) -> World:
     world = World(size, seed, delay=delay, loss=loss)
     for node in world.nodes.values():
-        node.standing = Standing.ATTACHED
+        node.standing = QuotaStatus.ATTACHED
     world.run(3000)
     return world
 
--- a/loadbalancer/membership/__init__.py
+++ b/loadbalancer/membership/__init__.py
@@ -22,18 +22,18 @@
 from loadbalancer.membership.actions import (
     Ack,
     Action,
-    Changed,
     DetectorConfig,
     IndirectProbe,
     Probe,
+    ReachabilityChanged,
     Sibling,
-    Viewed,
+    ViewReceived,
 )
 from loadbalancer.membership.failure_detector import FailureDetector
 from loadbalancer.membership.lease_clock import LeaseClock
-from loadbalancer.membership.member_lease import Call, Enrolment, Share, Word
+from loadbalancer.membership.member_lease import MemberLease, QuotaLease, RegistryCall, SiblingReport
 from loadbalancer.membership.messages import LeaseGrant, Member
-from loadbalancer.membership.payload import Standing
+from loadbalancer.membership.payload import QuotaStatus
 from loadbalancer.membership.quota_ledger import Ledger, Row, State
 from loadbalancer.membership.verdict import (
     VERDICTS,
@@ -49,11 +49,8 @@
     "VERDICTS",
     "Ack",
     "Action",
-    "Call",
-    "Changed",
     "Connectivity",
     "DetectorConfig",
-    "Enrolment",
     "FailureDetector",
     "IndirectProbe",
     "LeaseClock",
@@ -61,16 +58,19 @@
     "LeaseStatus",
     "Ledger",
     "Member",
+    "MemberLease",
     "Probe",
+    "QuotaLease",
+    "QuotaStatus",
     "Reachability",
+    "ReachabilityChanged",
+    "RegistryCall",
     "Row",
-    "Share",
     "Sibling",
-    "Standing",
+    "SiblingReport",
     "State",
     "Verdict",
-    "Viewed",
-    "Word",
+    "ViewReceived",
     "connectivity",
     "verdict",
 ]
--- a/loadbalancer/membership/actions.py
+++ b/loadbalancer/membership/actions.py
@@ -24,7 +24,9 @@
     )
     suspicion_max_ms: float = 6000.0  # after timeouts: with a single accuser; grows alike
     accusers: int = 3  # further accusers that bring the suspicion timeout down to the minimum
-    refused_suspicion_ms: float = 300.0  # a refused connection: the machine answers, the process is gone
+    connection_refused_suspicion_ms: float = (
+        300.0  # a refused connection: the machine answers, the process is gone
+    )
     max_health: int = 4  # the local health multiplier lengthens own timeouts up to 1 + this
     indirect_after: int = 4  # direct probes in a row that failed while indirect ones were acked
     retransmit_multiplier: float = 3.0  # an update is sent this many times log2 of the group
@@ -40,7 +42,7 @@
             self.tick_ms,
             self.idle_tick_ms,
             self.late_ms,
-            self.refused_suspicion_ms,
+            self.connection_refused_suspicion_ms,
             self.suspicion_min_ms,
         )
         if not all(0 < value < 1e9 for value in times):
@@ -98,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class ReachabilityChanged:
     """A member's reachability has changed."""
 
     incarnation: int
@@ -107,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Viewed:
+class ViewReceived:
     """A member's view entry, as it gave it, and the times of the call it came on.
 
     `at` is the sender's own clock when it wrote it. From an ack, `sent` is when this node sent the probe, so
@@ -116,9 +118,9 @@
 
     incarnation: int
     view: bytes
-    at: float
-    sent: float | None
-    now: float
+    sent_at_ms: float
+    probe_sent_ms: float | None
+    received_ms: float
 
 
-Action = Probe | IndirectProbe | Ack | Changed | Viewed
+Action = Probe | IndirectProbe | Ack | ReachabilityChanged | ViewReceived
--- a/loadbalancer/membership/change_log.py
+++ b/loadbalancer/membership/change_log.py
@@ -9,19 +9,19 @@
 
 from collections import deque
 
-KEPT_CHANGES = 512  # a process that is further behind is told the whole list
+MAX_CHANGES = 512  # a process that is further behind is told the whole list
 
 
 class ChangeLog:
     """The changes of one member list. Grows with the changes kept, not with the members."""
 
-    def __init__(self, revision: int, kept: int = KEPT_CHANGES) -> None:
+    def __init__(self, revision: int, kept: int = MAX_CHANGES) -> None:
         self._floor = revision  # changes after this revision are known in full
         self._last = revision
         self._kept = kept
         self._changes: deque[tuple[int, int]] = deque()  # revision, incarnation; rising
 
-    def note(self, revision: int, incarnations: tuple[int, ...]) -> None:
+    def record(self, revision: int, incarnations: tuple[int, ...]) -> None:
         """These members were added, changed or removed at this revision, the next after the last noted."""
         self._last = revision
         self._changes.extend((revision, incarnation) for incarnation in incarnations)
--- a/loadbalancer/membership/failure_detector.py
+++ b/loadbalancer/membership/failure_detector.py
@@ -16,7 +16,7 @@
 from loadbalancer.membership.gossip import Gossip
 from loadbalancer.membership.local_state import LocalState
 from loadbalancer.membership.member_list import MemberList
-from loadbalancer.membership.payload import Standing, read
+from loadbalancer.membership.payload import QuotaStatus, decode
 from loadbalancer.membership.probing import Probing
 from loadbalancer.membership.verdict import Reachability
 
@@ -36,7 +36,7 @@
         self._members = MemberList(self._local)
         self._gossip = Gossip(self._local, self._members, rng)
         self._probing = Probing(self._local, self._members, self._gossip, rng)
-        self._standing = Standing.ATTACHED
+        self._quota_status = QuotaStatus.ATTACHED
         self._probed_at: float | None = None  # None: a probe is due at once
         self.last_ack_at: float | None = None  # when any member last acked a probe
 
@@ -46,26 +46,26 @@
         """This process was given a new incarnation; a lower or equal one is ignored."""
         if incarnation > self._local.incarnation:
             self._local.incarnation, self._local.count = incarnation, 0
-            self._gossip.standings.clear_own()
+            self._gossip.quota_reports.clear_own()
             self._members.set_members([peer.sibling for peer in self._members.peers.values()])
 
     def set_members(self, now: float, siblings: Iterable[Sibling]) -> list[Action]:
         """The whole list of members; this node's own row is left out, and those not in it are forgotten."""
         self._record_wakeup(now)
         self._probing.order.add(self._members.set_members(siblings))
-        self._gossip.standings.retain(self._members.peers)
+        self._gossip.quota_reports.retain(self._members.peers)
         return [*self._members.take_changes()]
 
-    def set_standing(self, now: float, standing: Standing, s_ms: float) -> None:
+    def set_quota_status(self, now: float, standing: QuotaStatus, s_ms: float) -> None:
         """What this node states of its own share, at this service time.
 
         A node that is no longer attached has to tell the others, and to hear from them, before its lease
         ends: its next probe is due at once, and further ones at the urgent pace.
         """
-        self._gossip.standings.set_own(now, standing, s_ms)
-        if standing is not self._standing and standing is not Standing.ATTACHED:
+        self._gossip.quota_reports.set_own(now, standing, s_ms)
+        if standing is not self._quota_status and standing is not QuotaStatus.ATTACHED:
             self._probed_at = None
-        self._standing = standing
+        self._quota_status = standing
 
     def set_view(self, view: bytes) -> None:
         """The opaque entry that goes with every payload from now on; one over 16 KiB is not sent."""
@@ -92,7 +92,7 @@
         request = self._probing.end(probe_id)
         if request is None:
             return []
-        message = read(payload)
+        message = decode(payload)
         if message is None:
             self.ignored["malformed answer"] += 1
             actions = self._probing.on_failure(now, request, refused=False)
@@ -120,7 +120,7 @@
     def on_probe(self, now: float, payload: bytes) -> tuple[bytes | None, list[Action]]:
         """A direct probe by another member: the ack's payload, or None to refuse a malformed probe."""
         self._record_wakeup(now)
-        message = read(payload)
+        message = decode(payload)
         if message is None:
             self.ignored["malformed ask"] += 1
             return None, []
@@ -131,7 +131,7 @@
         """Another member asks this node to probe a third; one Ack to `call` comes, now or when that probe
         has ended."""
         self._record_wakeup(now)
-        message = read(payload)
+        message = decode(payload)
         if message is None:
             self.ignored["malformed ask"] += 1
             return [Ack(call, None)]
@@ -152,7 +152,7 @@
 
     def _is_urgent(self) -> bool:
         """Whether statements or suspicions have to spread."""
-        return self._standing is not Standing.ATTACHED or self._members.has_suspects
+        return self._quota_status is not QuotaStatus.ATTACHED or self._members.has_suspects
 
     def _period_ms(self) -> float:
         """The protocol period now: urgent or steady."""
@@ -192,9 +192,9 @@
         peer = self._members.peers.get(incarnation)
         return None if peer is None else peer.last_ack_at
 
-    def standings(self) -> dict[int, tuple[Standing, float]]:
+    def quota_reports(self) -> dict[int, tuple[QuotaStatus, float]]:
         """The newest known statement of each node, this one included: (standing, its service time)."""
-        return self._gossip.standings.table()
+        return self._gossip.quota_reports.latest()
 
     def _record_wakeup(self, now: float) -> None:
         late = self._local.record_wakeup(now)
--- a/loadbalancer/membership/gossip.py
+++ b/loadbalancer/membership/gossip.py
@@ -4,7 +4,7 @@
 
 import random
 
-from loadbalancer.membership.actions import Viewed
+from loadbalancer.membership.actions import ViewReceived
 from loadbalancer.membership.local_state import LocalState
 from loadbalancer.membership.member_list import MemberList
 from loadbalancer.membership.payload import (
@@ -13,16 +13,16 @@
     MemberUpdate,
     Message,
     ProbeResult,
-    write,
+    encode,
 )
-from loadbalancer.membership.quota_reports import Standings
+from loadbalancer.membership.quota_reports import QuotaReports
 
 
 class Gossip:
     """Encodes outgoing messages from, and merges incoming ones into, the member list and the standings."""
 
     def __init__(self, local: LocalState, members: MemberList, rng: random.Random) -> None:
-        self.standings = Standings(local)
+        self.quota_reports = QuotaReports(local)
         self._local = local
         self._members = members
         self._rng = rng
@@ -48,12 +48,12 @@
             target,
             result,
             self._members.updates_for(target or to),
-            self.standings.to_send(self._rng),
+            self.quota_reports.to_send(self._rng),
             self._view,
         )
-        return write(message)
+        return encode(message)
 
-    def receive(self, now: float, message: Message, sent: float | None = None) -> list[Viewed]:
+    def receive(self, now: float, message: Message, sent: float | None = None) -> list[ViewReceived]:
         """Merge a message; nothing is accepted from a sender that the list service has not named.
 
         `sent` is when this node sent the probe if the message is an ack, which shows where it came from.
@@ -68,5 +68,9 @@
                 self._local.refute(update)
             else:
                 self._members.merge(now, update)
-        self.standings.merge(now, message.statements, self._members.peers)
-        return [Viewed(message.sender, message.view, message.at, sent, now)] if message.view else []
+        self.quota_reports.merge(now, message.quota_reports, self._members.peers)
+        return (
+            [ViewReceived(message.sender, message.view, message.sent_at_ms, sent, now)]
+            if message.view
+            else []
+        )
--- a/loadbalancer/membership/lease_clock.py
+++ b/loadbalancer/membership/lease_clock.py
@@ -16,18 +16,20 @@
 from collections.abc import Container, Iterable
 from dataclasses import dataclass, field
 
-SUPPORT = 0.55  # of the term: how long an answer shows its process to be attached
-LATE = 0.25  # of the term: a renewal that took longer to come is refused, an answer that did is not used
-KEPT = 8  # renewals of a row whose moment is kept
+ATTACHED_TERM_FRACTION = 0.55  # of the term: how long an answer shows its process to be attached
+MAX_DELAY_TERM_FRACTION = (
+    0.25  # of the term: a renewal that took longer to come is refused, an answer that did is not used
+)
+MAX_RENEWALS_KEPT = 8  # renewals of a row whose moment is kept
 
 
 @dataclass(slots=True)
 class _Lease:
-    last: float  # when the last renewal was applied
+    last_renewal_ms: float  # when the last renewal was applied
     seq: int
-    applied: dict[int, float] = field(default_factory=dict)  # seq -> when, the latest KEPT
-    since: float | None = None  # surely attached without a gap from here
-    until: float = 0.0  # to here
+    applied_at_ms: dict[int, float] = field(default_factory=dict)  # seq -> when, the latest KEPT
+    attached_since_ms: float | None = None  # surely attached without a gap from here
+    attached_until_ms: float = 0.0  # to here
 
 
 class LeaseClock:
@@ -37,40 +39,44 @@
         self.ttl_ms = ttl_ms
         self._leases: dict[int, _Lease] = {}
 
-    def lead(self, now: float, rows: Iterable[tuple[int, int]]) -> None:
+    def begin_term(self, now: float, rows: Iterable[tuple[int, int]]) -> None:
         """A new term: every row (incarnation, seq) is granted a whole one."""
         self._leases = {incarnation: _Lease(now, seq) for incarnation, seq in rows}
 
-    def renewed(self, now: float, incarnation: int, seq: int, answered: int) -> None:
+    def record_renewal(self, now: float, incarnation: int, seq: int, answered: int) -> None:
         """A renewal has been applied; `answered` is the last one before it whose answer its process has
         used."""
         lease = self._leases.setdefault(incarnation, _Lease(now, seq))
         if seq < lease.seq:
             return  # overtaken on its way
-        lease.last, lease.seq = now, seq
-        heard = lease.applied.get(answered)
-        lease.applied.setdefault(seq, now)
-        while len(lease.applied) > KEPT:
-            del lease.applied[next(iter(lease.applied))]
-        if heard is None or now >= heard + SUPPORT * self.ttl_ms:
+        lease.last_renewal_ms, lease.seq = now, seq
+        heard = lease.applied_at_ms.get(answered)
+        lease.applied_at_ms.setdefault(seq, now)
+        while len(lease.applied_at_ms) > MAX_RENEWALS_KEPT:
+            del lease.applied_at_ms[next(iter(lease.applied_at_ms))]
+        if heard is None or now >= heard + ATTACHED_TERM_FRACTION * self.ttl_ms:
             return
-        if lease.since is None or now >= lease.until:
-            lease.since = now
-        lease.until = max(lease.until, heard + SUPPORT * self.ttl_ms)
+        if lease.attached_since_ms is None or now >= lease.attached_until_ms:
+            lease.attached_since_ms = now
+        lease.attached_until_ms = max(lease.attached_until_ms, heard + ATTACHED_TERM_FRACTION * self.ttl_ms)
 
-    def keep(self, incarnations: Container[int]) -> None:
+    def retain(self, incarnations: Container[int]) -> None:
         """Forget the rows that are no more."""
         self._leases = {number: lease for number, lease in self._leases.items() if number in incarnations}
 
-    def due(self, now: float) -> tuple[list[tuple[int, int]], list[int]]:
+    def expired_and_attached(self, now: float) -> tuple[list[tuple[int, int]], list[int]]:
         """The leases that have run out, each with the seq of its last renewal, and the rows surely
         attached."""
         lapsed = [
-            (number, lease.seq) for number, lease in self._leases.items() if now > lease.last + self.ttl_ms
+            (number, lease.seq)
+            for number, lease in self._leases.items()
+            if now > lease.last_renewal_ms + self.ttl_ms
         ]
         attached = [
             number
             for number, lease in self._leases.items()
-            if lease.since is not None and now < lease.until and now >= lease.since + self.ttl_ms
+            if lease.attached_since_ms is not None
+            and now < lease.attached_until_ms
+            and now >= lease.attached_since_ms + self.ttl_ms
         ]
         return lapsed, attached
--- a/loadbalancer/membership/member_lease.py
+++ b/loadbalancer/membership/member_lease.py
@@ -30,28 +30,28 @@
 
 from msgspec import UNSET
 
-from loadbalancer.membership.lease_clock import LATE, SUPPORT
+from loadbalancer.membership.lease_clock import ATTACHED_TERM_FRACTION, MAX_DELAY_TERM_FRACTION
 from loadbalancer.membership.messages import LeaseGrant, Member
-from loadbalancer.membership.payload import Standing
+from loadbalancer.membership.payload import QuotaStatus
 from loadbalancer.membership.quota_ledger import is_majority
 
-RENEW = 0.2  # of the term: from one renewal to the next
-RETRY = 0.1  # after a failure, drawn from half of it up
-CATCH_UP = 0.05  # while the share granted is under the row's aim, or a share has to be given up
-NEWS_MS = (
+RENEWAL_TERM_FRACTION = 0.2  # of the term: from one renewal to the next
+RETRY_TERM_FRACTION = 0.1  # after a failure, drawn from half of it up
+CATCH_UP_TERM_FRACTION = 0.05  # while the share granted is under the row's aim, or a share has to be given up
+MAX_WATCH_JITTER_MS = (
     20.0  # a renewal that news of a change calls for is put off by up to this, so that a fleet is not in step
 )
-DRIFT = 0.001  # clocks' rates differ by less: the node's term is shorter by this share of it
-HOLD = 0.9  # of the term: how long a sibling's word that it holds is rested on
-BACKOFF_MOST = 2.0  # of the term: the longest pause after enrolments that were refused again and again
-MOST_DOUBLINGS = 10  # of that pause: past BACKOFF_MOST
-WHOLE_LIST = -1  # acknowledged where the list has to be told whole
+MAX_CLOCK_DRIFT_RATIO = 0.001  # clocks' rates differ by less: the node's term is shorter by this share of it
+HOLD_TERM_FRACTION = 0.9  # of the term: how long a sibling's word that it holds is rested on
+MAX_BACKOFF_TERMS = 2.0  # of the term: the longest pause after enrolments that were refused again and again
+MAX_BACKOFF_DOUBLINGS = 10  # of that pause: past BACKOFF_MOST
+FULL_LIST_REVISION = -1  # acknowledged where the list has to be told whole
 FIRST_TTL_MS = 5_000.0  # until the service has told its term
-LEAST = 1e-9  # shares nearer than this are the same
+QUOTA_TOLERANCE = 1e-9  # shares nearer than this are the same
 
 
 @dataclass(slots=True, frozen=True)
-class Call:
+class RegistryCall:
     """A call to the list service, which `answered` or `failed` has to follow with the same number."""
 
     number: int
@@ -61,191 +61,195 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Share:
+class QuotaLease:
     """What the node may take of what all siblings share: `share` before `until_ms` of its clock, 0 from
     then on."""
 
-    share: float
-    rows: int
+    quota: float
+    members: int
     until_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class SiblingReport:
     """A sibling's last word on itself, made no earlier than `at_ms` of this node's clock."""
 
-    standing: Standing
-    at_ms: float
+    status: QuotaStatus
+    made_at_ms: float
 
 
-class Enrolment:
+class MemberLease:
     def __init__(
         self, name: str, address: str, zone: str, start: str, rng: Random, service: str = ""
     ) -> None:
         """`service`: the one that this node balances to, whose nodes are its group."""
-        self._about = {"name": name, "address": address, "zone": zone, "start": start}
+        self._identity = {"name": name, "address": address, "zone": zone, "start": start}
         if service:
-            self._about["service"] = service
+            self._identity["service"] = service
         self._rng = rng
         self.ttl_ms = FIRST_TTL_MS
         self.incarnation: int | None = None
         self.members: tuple[Member, ...] = ()
         self.revision = 0  # that `members` shows
         self._by_incarnation: dict[int, Member] = {}
-        self._whole_list_wanted = False
-        self._refusals = 0  # enrolments refused in a row
+        self._needs_full_list = False
+        self._rejections = 0  # enrolments refused in a row
         self.elector = False
-        self.lease_end = -math.inf
-        self._share = 0.0
-        self._until = -math.inf  # the share is 0 from here on
-        self._answer_at = -math.inf  # when the last answer used came
-        self._answered = -1  # and which call it answered
-        self._numbers = 0
-        self._out: tuple[Call, float] | None = None  # the latest call and when it was sent
-        self._due = self._sent_at = -math.inf
-        self._drained = False  # whether `leaving` has been told
-        self._leave: str | None = None  # what the service is to be told of this process's end
+        self.lease_end_ms = -math.inf
+        self._quota = 0.0
+        self._quota_end_ms = -math.inf  # the share is 0 from here on
+        self._last_answer_ms = -math.inf  # when the last answer used came
+        self._last_answered = -1  # and which call it answered
+        self._last_number = 0
+        self._in_flight: tuple[RegistryCall, float] | None = None  # the latest call and when it was sent
+        self._next_call_ms = self._last_sent_ms = -math.inf
+        self._drain_announced = False  # whether `leaving` has been told
+        self._departure_path: str | None = None  # what the service is to be told of this process's end
 
     # ------------------------------------------------------------------- the state
 
-    def share(self, now: float) -> Share:
-        self._settle(now)
-        return Share(self._share, max(1, len(self.members)), self._until)
+    def quota(self, now: float) -> QuotaLease:
+        self._expire_quota(now)
+        return QuotaLease(self._quota, max(1, len(self.members)), self._quota_end_ms)
 
-    def taking(self, now: float) -> float:
+    def quota_in_force(self, now: float) -> float:
         """The share in force now."""
-        self._settle(now)
-        return self._share if now < self._until else 0.0
+        self._expire_quota(now)
+        return self._quota if now < self._quota_end_ms else 0.0
 
-    def attached(self, now: float) -> bool:
+    def is_attached(self, now: float) -> bool:
         """Whether an answer of the list service is fresh enough that this node counts as attached."""
-        return now < self._answer_at + SUPPORT * self.ttl_ms
+        return now < self._last_answer_ms + ATTACHED_TERM_FRACTION * self.ttl_ms
 
-    def standing(self, now: float) -> Standing:
-        if self.attached(now):
-            return Standing.ATTACHED
-        return Standing.HOLDING if self.elector and self.taking(now) > 0.0 else Standing.YIELDED
+    def quota_status(self, now: float) -> QuotaStatus:
+        if self.is_attached(now):
+            return QuotaStatus.ATTACHED
+        return QuotaStatus.HOLDING if self.elector and self.quota_in_force(now) > 0.0 else QuotaStatus.YIELDED
 
     # ------------------------------------------------------------------------ calls
 
-    def due(self) -> float:
+    def next_call_at(self) -> float:
         """When `tick` has something to say next: inf while a call is out."""
-        return math.inf if self._out is not None else self._due
+        return math.inf if self._in_flight is not None else self._next_call_ms
 
-    def tick(self, now: float, service_ms: float | None) -> Call | None:
+    def tick(self, now: float, service_ms: float | None) -> RegistryCall | None:
         """The next call, if one is due; `service_ms` is the estimate of the service's clock, where there is
         one."""
-        self._settle(now)
-        if self._out is not None or now < self._due:
+        self._expire_quota(now)
+        if self._in_flight is not None or now < self._next_call_ms:
             return None
-        self._numbers += 1
+        self._last_number += 1
         path: str
         body: dict[str, Any]
-        if self._leave is not None:
-            path, body = self._leave, {"incarnation": self.incarnation}
+        if self._departure_path is not None:
+            path, body = self._departure_path, {"incarnation": self.incarnation}
         elif self.incarnation is None:
-            path, body = "enrol", dict(self._about)
+            path, body = "enrol", dict(self._identity)
         else:
             path = "renew"
             body = {
                 "incarnation": self.incarnation,
-                "seq": self._numbers,
-                "answered": self._answered,
-                "acked": WHOLE_LIST if self._whole_list_wanted else self.revision,
+                "seq": self._last_number,
+                "answered": self._last_answered,
+                "acked": FULL_LIST_REVISION if self._needs_full_list else self.revision,
                 "delta": True,
-                "using": self.taking(now),
+                "using": self.quota_in_force(now),
                 "sent": service_ms,
             }
-        call = Call(self._numbers, path, body, self.ttl_ms * LATE)
-        self._out, self._sent_at = (call, now), now
+        call = RegistryCall(self._last_number, path, body, self.ttl_ms * MAX_DELAY_TERM_FRACTION)
+        self._in_flight, self._last_sent_ms = (call, now), now
         return call
 
-    def acknowledged(self, now: float, number: int) -> bool:
+    def on_departure_acknowledged(self, now: float, number: int) -> bool:
         """The service has noted that this process leaves; whether that was still waited for."""
-        if self._out is None or self._out[0].number != number:
+        if self._in_flight is None or self._in_flight[0].number != number:
             return False
-        (call, _), self._out = self._out, None
-        self._leave = None
-        self._due = now + RENEW * self.ttl_ms if call.path == "leaving" else math.inf
+        (call, _), self._in_flight = self._in_flight, None
+        self._departure_path = None
+        self._next_call_ms = now + RENEWAL_TERM_FRACTION * self.ttl_ms if call.path == "leaving" else math.inf
         return True
 
-    def granted(self, now: float, number: int, grant: LeaseGrant, ttl_ms: float) -> bool:
+    def on_grant(self, now: float, number: int, grant: LeaseGrant, ttl_ms: float) -> bool:
         """The answer to an enrolment or a renewal, already checked in form; whether it was used."""
-        if self._out is None or self._out[0].number != number:
+        if self._in_flight is None or self._in_flight[0].number != number:
             return False  # of a call that was given up
-        (call, sent), self._out = self._out, None
+        (call, sent), self._in_flight = self._in_flight, None
         self.ttl_ms = ttl_ms
-        if now - sent > self.ttl_ms * LATE:
+        if now - sent > self.ttl_ms * MAX_DELAY_TERM_FRACTION:
             self._retry(now)
             return False
         if grant.incarnation != self.incarnation:
-            self._answered = 0  # the enrolment itself is what this row was answered last
+            self._last_answered = 0  # the enrolment itself is what this row was answered last
         if call.path == "renew":
-            self._answered = number
-        self._refusals = 0
-        self._use(now, sent, grant)
+            self._last_answered = number
+        self._rejections = 0
+        self._apply_grant(now, sent, grant)
         return True
 
-    def refused(self, now: float, number: int) -> None:
+    def on_enrolment_rejected(self, now: float, number: int) -> None:
         """The service takes no further member into this group: said again, ever less often."""
-        if self._out is None or self._out[0].number != number:
+        if self._in_flight is None or self._in_flight[0].number != number:
             return
-        self._out = None
-        pause_ms = self.ttl_ms * min(BACKOFF_MOST, RETRY * 2.0**self._refusals)
-        self._refusals = min(self._refusals + 1, MOST_DOUBLINGS)  # Guard: for days on end no float overflows
-        self._due = now + pause_ms * self._rng.uniform(0.5, 1.0)
-
-    def failed(self, now: float, number: int, unknown: bool = False) -> None:
+        self._in_flight = None
+        pause_ms = self.ttl_ms * min(MAX_BACKOFF_TERMS, RETRY_TERM_FRACTION * 2.0**self._rejections)
+        self._rejections = min(
+            self._rejections + 1, MAX_BACKOFF_DOUBLINGS
+        )  # Guard: for days on end no float overflows
+        self._next_call_ms = now + pause_ms * self._rng.uniform(0.5, 1.0)
+
+    def on_failure(self, now: float, number: int, unknown: bool = False) -> None:
         """A call has failed; `unknown`: the service has no such row, and the process has to enrol anew."""
-        if self._out is None or self._out[0].number != number:
+        if self._in_flight is None or self._in_flight[0].number != number:
             return
-        self._out = None
-        if unknown and self._leave is None:
+        self._in_flight = None
+        if unknown and self._departure_path is None:
             self.incarnation, self.elector = None, False
-            self._share, self._until, self.lease_end = 0.0, now, -math.inf
-            self._due = now
+            self._quota, self._quota_end_ms, self.lease_end_ms = 0.0, now, -math.inf
+            self._next_call_ms = now
         else:
             self._retry(now)
 
-    def news(self, now: float) -> None:
+    def on_watch_event(self, now: float) -> None:
         """Something has changed at the service: renew soon, to hear of it and to say what this node takes."""
-        soon = max(now, self._sent_at + CATCH_UP * self.ttl_ms) + self._rng.uniform(0.0, NEWS_MS)
-        self._due = min(self._due, soon)
+        soon = max(now, self._last_sent_ms + CATCH_UP_TERM_FRACTION * self.ttl_ms) + self._rng.uniform(
+            0.0, MAX_WATCH_JITTER_MS
+        )
+        self._next_call_ms = min(self._next_call_ms, soon)
 
-    def leaving(self, now: float) -> None:
+    def begin_draining(self, now: float) -> None:
         """The node drains: siblings are told; it takes its share until it has left."""
-        if not self._drained and self.incarnation is not None:
-            self._drained, self._leave, self._due = True, "leaving", now
+        if not self._drain_announced and self.incarnation is not None:
+            self._drain_announced, self._departure_path, self._next_call_ms = True, "leaving", now
 
     def leave(self, now: float) -> None:
         """The process has ended its last request: it takes nothing from here on."""
         if self.incarnation is not None:
-            self._share, self._until, self.lease_end = 0.0, now, -math.inf
-            self._leave, self._due = "leave", now
+            self._quota, self._quota_end_ms, self.lease_end_ms = 0.0, now, -math.inf
+            self._departure_path, self._next_call_ms = "leave", now
 
     # ----------------------------------------------------------------------- siblings
 
-    def heard(self, now: float, words: Mapping[int, Word]) -> None:
+    def on_sibling_reports(self, now: float, reports: Mapping[int, SiblingReport]) -> None:
         """What siblings last said of themselves, by incarnation."""
-        self._settle(now)
-        if now < self._until:
-            self._until = max(self.lease_end, self._held_until(words))
-            self._settle(now)
+        self._expire_quota(now)
+        if now < self._quota_end_ms:
+            self._quota_end_ms = max(self.lease_end_ms, self._majority_holds_until(reports))
+            self._expire_quota(now)
 
-    def _held_until(self, words: Mapping[int, Word]) -> float:
+    def _majority_holds_until(self, reports: Mapping[int, SiblingReport]) -> float:
         """Until when a majority of the rows last known, this one included, rests on words that they hold."""
         if not self.elector:
             return -math.inf
         known = {member.rank for member in self.members}
         ends = [(math.inf, member.rank) for member in self.members if member.incarnation == self.incarnation]
         for member in self.members:
-            word = words.get(member.incarnation)
+            word = reports.get(member.incarnation)
             if (
                 member.incarnation != self.incarnation
                 and word is not None
-                and word.standing is Standing.HOLDING
+                and word.status is QuotaStatus.HOLDING
             ):
-                ends.append((word.at_ms + HOLD * self.ttl_ms, member.rank))
+                ends.append((word.made_at_ms + HOLD_TERM_FRACTION * self.ttl_ms, member.rank))
         ranks: set[int] = set()
         for end, rank in sorted(ends, reverse=True):
             ranks.add(rank)
@@ -255,42 +259,49 @@
 
     # --------------------------------------------------------------------------- parts
 
-    def _use(self, now: float, sent: float, grant: LeaseGrant) -> None:
-        asked = self.taking(now)
+    def _apply_grant(self, now: float, sent: float, grant: LeaseGrant) -> None:
+        asked = self.quota_in_force(now)
         self.incarnation, self.elector = grant.incarnation, grant.elector
-        self._take_members(grant)
-        self.lease_end = sent + self.ttl_ms * (1.0 - DRIFT)
-        self._share, self._until, self._answer_at = grant.share, self.lease_end, now
-        settled = self._share > self._aim(grant) - LEAST and asked <= self._share + LEAST
-        self._due = now + (RENEW if settled else CATCH_UP) * self.ttl_ms
-        if asked > self._share + LEAST:  # what it gives up is free for others only once it has said so
-            self._due = now
-
-    def _take_members(self, grant: LeaseGrant) -> None:
-        if grant.since is not UNSET and grant.since != self.revision:
-            self._whole_list_wanted = True  # Guard: changes that begin elsewhere leave a gap
+        self._merge_members(grant)
+        self.lease_end_ms = sent + self.ttl_ms * (1.0 - MAX_CLOCK_DRIFT_RATIO)
+        self._quota, self._quota_end_ms, self._last_answer_ms = grant.quota, self.lease_end_ms, now
+        settled = (
+            self._quota > self._target_quota(grant) - QUOTA_TOLERANCE
+            and asked <= self._quota + QUOTA_TOLERANCE
+        )
+        self._next_call_ms = (
+            now + (RENEWAL_TERM_FRACTION if settled else CATCH_UP_TERM_FRACTION) * self.ttl_ms
+        )
+        if (
+            asked > self._quota + QUOTA_TOLERANCE
+        ):  # what it gives up is free for others only once it has said so
+            self._next_call_ms = now
+
+    def _merge_members(self, grant: LeaseGrant) -> None:
+        if grant.since_revision is not UNSET and grant.since_revision != self.revision:
+            self._needs_full_list = True  # Guard: changes that begin elsewhere leave a gap
             return
-        if grant.since is UNSET and grant.members is UNSET and grant.rev != self.revision:
-            self._whole_list_wanted = True
+        if grant.since_revision is UNSET and grant.members is UNSET and grant.revision != self.revision:
+            self._needs_full_list = True
             return
-        self.revision, self._whole_list_wanted = grant.rev, False
+        self.revision, self._needs_full_list = grant.revision, False
         if grant.members is UNSET:
             return
-        known = {} if grant.since is UNSET else self._by_incarnation
+        known = {} if grant.since_revision is UNSET else self._by_incarnation
         told = {member.incarnation: member for member in grant.members}
         gone = set(grant.removed)
         self._by_incarnation = {number: row for number, row in known.items() if number not in gone} | told
         self.members = tuple(self._by_incarnation.values())
 
-    def _aim(self, grant: LeaseGrant) -> float:
-        if grant.aim is not UNSET:
-            return grant.aim
+    def _target_quota(self, grant: LeaseGrant) -> float:
+        if grant.target_quota is not UNSET:
+            return grant.target_quota
         return 1.0 / max(1, sum(member.state != "left" for member in self.members))
 
     def _retry(self, now: float) -> None:
-        self._due = now + RETRY * self.ttl_ms * self._rng.uniform(0.5, 1.0)
+        self._next_call_ms = now + RETRY_TERM_FRACTION * self.ttl_ms * self._rng.uniform(0.5, 1.0)
 
-    def _settle(self, now: float) -> None:
+    def _expire_quota(self, now: float) -> None:
         """A node that has yielded stays so: what siblings say later brings nothing back."""
-        if now >= self._until:
-            self._share, self._until = 0.0, -math.inf
+        if now >= self._quota_end_ms:
+            self._quota, self._quota_end_ms = 0.0, -math.inf
--- a/loadbalancer/membership/member_list.py
+++ b/loadbalancer/membership/member_list.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from loadbalancer.membership.actions import Changed, DetectorConfig, Sibling
+from loadbalancer.membership.actions import DetectorConfig, ReachabilityChanged, Sibling
 from loadbalancer.membership.local_state import MAX_COUNT_JUMP, LocalState
 from loadbalancer.membership.payload import MemberStatus, MemberUpdate
 from loadbalancer.membership.verdict import Reachability
@@ -99,7 +99,9 @@
             self._suspects.discard(update.incarnation)
         self._transmissions[update.incarnation] = 0
         if update.status is MemberStatus.REFUSED:
-            peer.suspicion_ends = min(peer.suspicion_ends, now + self.local.config.refused_suspicion_ms)
+            peer.suspicion_ends = min(
+                peer.suspicion_ends, now + self.local.config.connection_refused_suspicion_ms
+            )
         elif update.status is MemberStatus.SUSPECT:
             self._set_suspicion_end(peer)
 
@@ -186,12 +188,12 @@
         before = peer.reachability(self.local.config.indirect_after)
         self._before.setdefault(peer.sibling.incarnation, before)
 
-    def take_changes(self) -> list[Changed]:
+    def take_changes(self) -> list[ReachabilityChanged]:
         """What has changed since the last call."""
         changes = []
         for incarnation, old in self._before.items():
             new = self.peers[incarnation].reachability(self.local.config.indirect_after)
             if new is not old:
-                changes.append(Changed(incarnation, old, new))
+                changes.append(ReachabilityChanged(incarnation, old, new))
         self._before.clear()
         return changes
--- a/loadbalancer/membership/messages.py
+++ b/loadbalancer/membership/messages.py
@@ -9,12 +9,12 @@
 
 from typing import Annotated, Any
 
-from msgspec import UNSET, Meta, Struct, UnsetType
+from msgspec import UNSET, Meta, Struct, UnsetType, field
 
 Incarnation = Annotated[int, Meta(ge=1)]
 Revision = Annotated[int, Meta(ge=0)]
-Moment = Annotated[float, Meta(ge=0.0, le=1e15)]  # ms of service time
-ShareOfWhole = Annotated[float, Meta(ge=0.0, le=1.0)]
+ServiceTimeMs = Annotated[float, Meta(ge=0.0, le=1e15)]  # ms of service time
+QuotaFraction = Annotated[float, Meta(ge=0.0, le=1.0)]
 
 
 class Member(Struct, frozen=True):
@@ -36,14 +36,14 @@
     """
 
     incarnation: Incarnation
-    rev: Revision
-    share: ShareOfWhole
+    revision: Revision = field(name="rev")
+    quota: QuotaFraction = field(name="share")
     elector: bool
     state: str = ""
     service: str = ""  # the group in which the row stands; "": members that name no service
-    aim: Annotated[float, Meta(gt=0.0, le=1.0)] | UnsetType = UNSET  # the share once all have renewed
+    target_quota: Annotated[float, Meta(gt=0.0, le=1.0)] | UnsetType = field(default=UNSET, name="aim")
     members: tuple[Member, ...] | UnsetType = UNSET
-    since: Revision | UnsetType = UNSET
+    since_revision: Revision | UnsetType = field(default=UNSET, name="since")
     removed: tuple[int, ...] = ()
 
 
@@ -52,6 +52,6 @@
 
     ttl_ms: Annotated[float, Meta(ge=100.0, le=600_000.0)]
     routes: dict[str, Any]  # read by routing/participant.py
-    t2: Moment  # when the service had the call, and
-    t3: Moment  # when it answered
+    received_ms: ServiceTimeMs = field(name="t2")  # when the service received the call
+    answered_ms: ServiceTimeMs = field(name="t3")  # when it sent this answer
     term: int = 0  # of the leader whose clock t2 and t3 are by
--- a/loadbalancer/membership/payload.py
+++ b/loadbalancer/membership/payload.py
@@ -15,7 +15,7 @@
 MAX_VIEW_BYTES = 16384
 MAX_UPDATES = 64
 MAX_ACCUSERS = 8
-MAX_STATEMENTS = 512  # in one payload; a larger group sends a sample
+MAX_QUOTA_REPORTS = 512  # in one payload; a larger group sends a sample
 MAX_COUNT = 1 << 40
 MAX_TIME_MS = 1e15
 
@@ -42,7 +42,7 @@
     REFUSED = 3
 
 
-class Standing(IntEnum):
+class QuotaStatus(IntEnum):
     """What a node says of its own share: in force by its lease, held without one, or given up."""
 
     ATTACHED = 0
@@ -59,12 +59,12 @@
     accusers: Annotated[tuple[Incarnation, ...], Meta(max_length=MAX_ACCUSERS)] = ()
 
 
-class Statement(Struct, array_like=True, frozen=True, gc=False):
+class QuotaReport(Struct, array_like=True, frozen=True, gc=False):
     """A member's statement of its standing, at a service time."""
 
     incarnation: Incarnation
-    standing: Standing
-    s_ms: Time  # service time
+    status: QuotaStatus
+    service_ms: Time  # service time
 
 
 class Message(Struct, array_like=True, frozen=True):
@@ -72,19 +72,19 @@
 
     sender: Incarnation
     count: Count  # the sender's own refutation count
-    at: Annotated[float, Meta(ge=-MAX_TIME_MS, le=MAX_TIME_MS)]  # the sender's clock, ms
+    sent_at_ms: Annotated[float, Meta(ge=-MAX_TIME_MS, le=MAX_TIME_MS)]  # the sender's clock, ms
     target: Incarnation = 0  # of an indirect probe
     result: ProbeResult = ProbeResult.INCONCLUSIVE  # in the ack of an indirect probe
     updates: Annotated[tuple[MemberUpdate, ...], Meta(max_length=MAX_UPDATES)] = ()
-    statements: Annotated[tuple[Statement, ...], Meta(max_length=MAX_STATEMENTS)] = ()
+    quota_reports: Annotated[tuple[QuotaReport, ...], Meta(max_length=MAX_QUOTA_REPORTS)] = ()
     view: Annotated[bytes, Meta(max_length=MAX_VIEW_BYTES)] = b""
 
 
 _decoder = msgspec.msgpack.Decoder(Message)
-write = msgspec.msgpack.Encoder().encode
+encode = msgspec.msgpack.Encoder().encode
 
 
-def read(payload: bytes) -> Message | None:
+def decode(payload: bytes) -> Message | None:
     """The message, or None for anything that is not one."""
     if len(payload) > MAX_PAYLOAD_BYTES:
         return None
--- a/loadbalancer/membership/quota_ledger.py
+++ b/loadbalancer/membership/quota_ledger.py
@@ -26,8 +26,8 @@
 
 class State(StrEnum):
     LIVE = "live"
-    LAPSED = "lapsed"  # its lease has run out; its share is kept for it until a majority gives it away
-    LEAVING = "leaving"  # drains; takes its share until it has left
+    EXPIRED = "lapsed"  # its lease has run out; its share is kept for it until a majority gives it away
+    DRAINING = "leaving"  # drains; takes its share until it has left
     LEFT = "left"  # takes no share; an elector for one more term, while others may rest on its last word
 
 
@@ -52,11 +52,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Beside:
+class ExternalQuota:
     """What members outside of the group may be taking of the same whole, and how many they are."""
 
-    share: float = 0.0
-    rows: int = 0
+    quota: float = 0.0
+    members: int = 0
 
 
 class Ledger:
@@ -69,7 +69,7 @@
         self.revision = 0  # rises with each change that the group's processes have to know of
         self.incarnations = 0
         self.by_incarnation: dict[int, Row] = {}
-        self.beside = Beside()
+        self.external = ExternalQuota()
         self._changes = ChangeLog(0)
 
     def __getstate__(self) -> dict[str, Any]:
@@ -82,7 +82,7 @@
 
     def __setstate__(self, state: dict[str, Any]) -> None:
         self.__dict__.update(state)
-        self.beside = Beside()
+        self.external = ExternalQuota()
         self._changes = ChangeLog(self.revision)
 
     # ------------------------------------------------------------------ commands
@@ -100,7 +100,7 @@
                 before = row
         self.incarnations += 1
         number = self.incarnations
-        self._changed(number, *(() if before is None else (before.incarnation,)))
+        self._record_change(number, *(() if before is None else (before.incarnation,)))
         new = Row(name, address, zone, start, number, number, self.revision)
         if before is not None:  # it listened where this one listens now, so one of the two has ended
             del self.by_incarnation[before.incarnation]
@@ -108,8 +108,8 @@
             # share, so it is free only once a process says that it takes less.
             new.rank, new.elector, new.share = before.rank, before.elector, before.share
         self.by_incarnation[number] = new
-        self._promote()
-        self._grant(new)
+        self._promote_electors()
+        self._allocate(new)
         return new
 
     def renew(self, incarnation: int, seq: int, acked: int, using: float) -> Row | None:
@@ -124,21 +124,21 @@
             row.seq = seq
             row.acked = max(row.acked, min(acked, self.revision))
             row.share = min(row.share, max(0.0, using))
-            if row.state is State.LAPSED:
+            if row.state is State.EXPIRED:
                 row.state = State.LIVE
-                self._changed(incarnation)
+                self._record_change(incarnation)
             if before != (row.acked, row.state):
-                self._promote()
-        self._grant(row)
+                self._promote_electors()
+        self._allocate(row)
         return row
 
-    def leaving(self, incarnation: int) -> bool:
+    def begin_draining(self, incarnation: int) -> bool:
         row = self.by_incarnation.get(incarnation)
         if row is None or row.state is State.LEFT:
             return False
-        if row.state is not State.LEAVING:
-            row.state = State.LEAVING
-            self._changed(incarnation)
+        if row.state is not State.DRAINING:
+            row.state = State.DRAINING
+            self._record_change(incarnation)
         return True
 
     def leave(self, incarnation: int) -> bool:
@@ -146,7 +146,7 @@
         row = self.by_incarnation.get(incarnation)
         if row is None or row.state is State.LEFT:
             return False
-        self._end(row)
+        self._end_membership(row)
         return True
 
     def remove(self, name: str) -> list[int]:
@@ -155,39 +155,39 @@
             row for row in self.by_incarnation.values() if row.name == name and row.state is not State.LEFT
         ]
         for row in ended:
-            self._end(row)
+            self._end_membership(row)
         return [row.incarnation for row in ended]
 
-    def expire(self, lapsed: list[tuple[int, int]], support: list[int]) -> tuple[list[int], list[int]]:
+    def expire(self, lapsed: list[tuple[int, int]], attached: list[int]) -> tuple[list[int], list[int]]:
         """Leases that ran out, each with the seq of the renewal it ran out after, and the rows that the
         leader knows to be attached for a whole term (membership/lease_clock.py). Returns those that lapsed
         now and those removed."""
-        out = [self.by_incarnation[number] for number, seq in lapsed if self._still(number, seq)]
-        newly = [row for row in out if row.state in (State.LIVE, State.LEAVING)]
+        out = [self.by_incarnation[number] for number, seq in lapsed if self._is_last_renewal(number, seq)]
+        newly = [row for row in out if row.state in (State.LIVE, State.DRAINING)]
         for row in newly:
-            row.state = State.LAPSED
-        given = self.majority(support)
+            row.state = State.EXPIRED
+        given = self.is_majority_attached(attached)
         removed = [row for row in out if row.state is State.LEFT or not row.elector or given]
         for row in removed:
             del self.by_incarnation[row.incarnation]
         if newly or removed:
-            self._changed(*(row.incarnation for row in (*newly, *removed)))
-            self._promote()
+            self._record_change(*(row.incarnation for row in (*newly, *removed)))
+            self._promote_electors()
         return [row.incarnation for row in newly], [row.incarnation for row in removed]
 
     # --------------------------------------------------------------------- reads
 
-    def would_expire(self, lapsed: list[tuple[int, int]], support: list[int]) -> bool:
+    def would_expire(self, lapsed: list[tuple[int, int]], attached: list[int]) -> bool:
         """Whether `expire` would change anything, so that an idle fleet adds nothing to the log."""
-        given = self.majority(support)
-        out = [self.by_incarnation[number] for number, seq in lapsed if self._still(number, seq)]
-        return any(given or not row.elector or row.state is not State.LAPSED for row in out)
+        given = self.is_majority_attached(attached)
+        out = [self.by_incarnation[number] for number, seq in lapsed if self._is_last_renewal(number, seq)]
+        return any(given or not row.elector or row.state is not State.EXPIRED for row in out)
 
-    def majority(self, support: list[int]) -> bool:
+    def is_majority_attached(self, attached: list[int]) -> bool:
         """Whether these rows are a majority of all electors; a tie is won with the lowest rank."""
         electors = {row.incarnation: row.rank for row in self.by_incarnation.values() if row.elector}
         return is_majority(
-            {rank for number, rank in electors.items() if number in support}, electors.values()
+            {rank for number, rank in electors.items() if number in attached}, electors.values()
         )
 
     def grant(self, row: Row, acked: int, delta: bool = False) -> LeaseGrant:
@@ -196,14 +196,14 @@
         The members only where that is not the present one; only what has changed since where the process
         takes that (`delta`) and it is still known.
         """
-        aim = self.aim()
+        aim = self.target_quota()
         grant = LeaseGrant(
             incarnation=row.incarnation,
-            rev=self.revision,
-            share=min(row.share, aim),
+            revision=self.revision,
+            quota=min(row.share, aim),
             elector=row.elector,
             state=row.state.value,
-            aim=aim,
+            target_quota=aim,
         )
         if acked == self.revision:
             return grant
@@ -213,7 +213,7 @@
         there = sorted(changed & self.by_incarnation.keys())
         return replace(
             grant,
-            since=acked,
+            since_revision=acked,
             members=tuple(self.by_incarnation[incarnation].member() for incarnation in there),
             removed=tuple(sorted(changed - self.by_incarnation.keys())),
         )
@@ -222,57 +222,57 @@
         """The whole member list."""
         return tuple(row.member() for row in self.by_incarnation.values())
 
-    def has_start(self, start: str) -> bool:
+    def has_process(self, start: str) -> bool:
         """Whether this very process has a row."""
         return any(row.start == start for row in self.by_incarnation.values())
 
-    def replaces(self, address: str, start: str) -> bool:
+    def reuses_record(self, address: str, start: str) -> bool:
         """Whether an enrolment of this process would add no row: it has one, or takes its predecessor's."""
         return any(
             row.state is not State.LEFT and (row.start == start or row.address == address)
             for row in self.by_incarnation.values()
         )
 
-    def rows(self) -> list[Row]:
+    def records(self) -> list[Row]:
         return list(self.by_incarnation.values())
 
-    def aim(self) -> float:
+    def target_quota(self) -> float:
         """The share that each row comes to once all have renewed."""
-        return 1.0 / max(1, self.sharing() + self.beside.rows)
+        return 1.0 / max(1, self.sharing_count() + self.external.members)
 
-    def sharing(self) -> int:
+    def sharing_count(self) -> int:
         """The rows that take part in the whole."""
         return sum(row.state is not State.LEFT for row in self.by_incarnation.values())
 
-    def total(self) -> float:
+    def granted_quota(self) -> float:
         """The sum of the shares that all processes may be taking."""
         return sum(row.share for row in self.by_incarnation.values())
 
     # -------------------------------------------------------------------- parts
 
-    def _changed(self, *incarnations: int) -> None:
+    def _record_change(self, *incarnations: int) -> None:
         self.revision += 1
-        self._changes.note(self.revision, incarnations)
+        self._changes.record(self.revision, incarnations)
 
-    def _still(self, incarnation: int, seq: int) -> bool:
+    def _is_last_renewal(self, incarnation: int, seq: int) -> bool:
         row = self.by_incarnation.get(incarnation)
         return row is not None and row.seq == seq
 
-    def _end(self, row: Row) -> None:
+    def _end_membership(self, row: Row) -> None:
         row.state, row.share = State.LEFT, 0.0
-        self._changed(row.incarnation)
-        self._promote()
+        self._record_change(row.incarnation)
+        self._promote_electors()
 
-    def _grant(self, row: Row) -> None:
+    def _allocate(self, row: Row) -> None:
         """Give the row what is free, up to its aim. What it has over that stays its own until it gives it
         up."""
-        if row.state in (State.LIVE, State.LEAVING):
-            lacking = self.aim() - row.share
+        if row.state in (State.LIVE, State.DRAINING):
+            lacking = self.target_quota() - row.share
             if lacking > 0.0:
-                free = 1.0 - self.total() - self.beside.share
+                free = 1.0 - self.granted_quota() - self.external.quota
                 row.share += min(max(0.0, free), lacking)
 
-    def _promote(self) -> None:
+    def _promote_electors(self) -> None:
         electors = (
             row for row in self.by_incarnation.values() if row.elector and row.state is not State.LEFT
         )
@@ -280,7 +280,7 @@
             (row.acked for row in electors), default=self.revision
         )  # every elector knows what came up to it
         for row in self.by_incarnation.values():
-            if not row.elector and row.state in (State.LIVE, State.LEAVING) and row.enrolled <= known:
+            if not row.elector and row.state in (State.LIVE, State.DRAINING) and row.enrolled <= known:
                 row.elector = True
                 known = min(known, row.acked)
 
--- a/loadbalancer/membership/verdict.py
+++ b/loadbalancer/membership/verdict.py
@@ -12,7 +12,7 @@
     """What the list service last told of a member's lease; `UNKNOWN` where this node's view is stale."""
 
     LIVE = "live"
-    LAPSED = "lapsed"
+    EXPIRED = "lapsed"
     UNKNOWN = "unknown"
 
 
@@ -48,10 +48,10 @@
     (LeaseStatus.LIVE, Reachability.SUSPECT): Verdict.SUSPECT,
     (LeaseStatus.LIVE, Reachability.UNREACHABLE): Verdict.FAILED,
     (LeaseStatus.LIVE, Reachability.INDIRECT): Verdict.LINK_FAULT,
-    (LeaseStatus.LAPSED, Reachability.ALIVE): Verdict.PRESENT,  # detached, still serving
-    (LeaseStatus.LAPSED, Reachability.SUSPECT): Verdict.FAILED,
-    (LeaseStatus.LAPSED, Reachability.UNREACHABLE): Verdict.FAILED,
-    (LeaseStatus.LAPSED, Reachability.INDIRECT): Verdict.SUSPECT,
+    (LeaseStatus.EXPIRED, Reachability.ALIVE): Verdict.PRESENT,  # detached, still serving
+    (LeaseStatus.EXPIRED, Reachability.SUSPECT): Verdict.FAILED,
+    (LeaseStatus.EXPIRED, Reachability.UNREACHABLE): Verdict.FAILED,
+    (LeaseStatus.EXPIRED, Reachability.INDIRECT): Verdict.SUSPECT,
     (LeaseStatus.UNKNOWN, Reachability.ALIVE): Verdict.PRESENT,
     (LeaseStatus.UNKNOWN, Reachability.SUSPECT): Verdict.SUSPECT,
     (LeaseStatus.UNKNOWN, Reachability.UNREACHABLE): Verdict.FAILED,
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -13,16 +13,16 @@
 from loadbalancer.balancing.events import ConfidenceUpdate, QuotaGrant
 from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import (
-    Changed,
     Connectivity,
     DetectorConfig,
-    Enrolment,
     FailureDetector,
     LeaseStatus,
+    MemberLease,
+    ReachabilityChanged,
     Sibling,
+    SiblingReport,
     Verdict,
-    Viewed,
-    Word,
+    ViewReceived,
     connectivity,
     verdict,
 )
@@ -40,7 +40,7 @@
 from loadbalancer.node.control.timers import FleetClock
 from loadbalancer.node.discovery.watcher import Watcher
 from loadbalancer.node.endpoint_list import ServerList
-from loadbalancer.routing import Follower
+from loadbalancer.routing import RouteParticipant
 from loadbalancer.staleness import Offsets
 
 ORDER_MS = 3_000.0  # an operator's word that the list service has not answered by then is a no
@@ -71,7 +71,7 @@
         random = Random(int.from_bytes(os.urandom(8), "big"))  # apart from the module's, which stays as it is
         start = secrets.token_hex(8)
         self.lease = lease_shell.Lease(
-            Enrolment(name, settings.listen, settings.zone, start, random, settings.service),
+            MemberLease(name, settings.listen, settings.zone, start, random, settings.service),
             agent,
             self.clock,
             self.offsets,
@@ -85,7 +85,7 @@
         self.probing = ProbeTransport(detector, self.clock, config.member_sockets // 2)
         folder = settings.folder
         store = RouteStore(folder) if folder is not None else None
-        follower = Follower(classes, settings.clock_bound_ms)
+        follower = RouteParticipant(classes, settings.clock_bound_ms)
         self.routing = Routing(follower, agent, self.clock, store, tell)
         self.sight = Sight(settings, self.clock, self.offsets, servers, driver, self._on_marks)
         self.sight.stand = lambda: self.stand(self.clock.ms()).value
@@ -133,8 +133,8 @@
             "members_ignored": self.probing.core.ignored.total(),
             "view_refused": self.sight.refused,
             "lease_failures": self.lease.failures,
-            "share": round(self.lease.core.taking(now), 6),
-            "route_version": self.routing.core.running,
+            "share": round(self.lease.core.quota_in_force(now), 6),
+            "route_version": self.routing.core.running_version,
             "route_switches": self.routing.switches,
             "route_late_ms": round(self.routing.latest_ms, 3),
         }
@@ -155,17 +155,17 @@
         self.sight.members(others)
         service = self.lease.service_ms(now)
         if service is not None:
-            self.routing.answered(now, core.lease_end, service, answer)
-        self.lease.told(answer.rev, int(answer.routes.get("rev", 0)))
+            self.routing.answered(now, core.lease_end_ms, service, answer)
+        self.lease.told(answer.revision, int(answer.routes.get("rev", 0)))
 
     def _on_gone(self, now: float) -> None:
-        self.routing.carry_out(self.routing.core.gone(now))
+        self.routing.carry_out(self.routing.core.on_unregistered(now))
 
     def _on_share(self) -> None:
         """The module is told of the share with its end, so that no timer of this shell has to end it in
         time."""
-        share = self.lease.core.share(self.clock.ms())
-        event = QuotaGrant(share.share, share.rows, self.clock.of_module(share.until_ms))
+        share = self.lease.core.quota(self.clock.ms())
+        event = QuotaGrant(share.quota, share.members, self.clock.of_module(share.until_ms))
         if event != self._shared:
             self._shared = event
             self._tell(event)
@@ -173,27 +173,33 @@
     def _before_tick(self, now: float) -> None:
         core, service = self.lease.core, self.lease.service_ms(now)
         if service is not None and core.incarnation is not None:
-            self.probing.core.set_standing(now, core.standing(now), max(0.0, service[0]))
-        if not core.attached(now):
-            core.heard(now, self._words(now))
+            self.probing.core.set_quota_status(now, core.quota_status(now), max(0.0, service[0]))
+        if not core.is_attached(now):
+            core.on_sibling_reports(now, self._words(now))
             self._on_share()
         self.probing.core.set_view(self.sight.share(now))
 
-    def _words(self, now: float) -> dict[int, Word]:
+    def _words(self, now: float) -> dict[int, SiblingReport]:
         """What siblings said of themselves, each no later than it may have been said by this node's clock."""
         words = {}
-        for incarnation, (standing, said) in self.probing.core.standings().items():
+        for incarnation, (standing, said) in self.probing.core.quota_reports().items():
             span = self.offsets.to_own(lease_shell.SERVICE, now, said)
             if span is not None:
-                words[incarnation] = Word(standing, span[0])
+                words[incarnation] = SiblingReport(standing, span[0])
         return words
 
-    def _on_view(self, viewed: Viewed) -> None:
-        if viewed.sent is not None:
-            self.offsets.sample(viewed.incarnation, viewed.sent, viewed.at, viewed.at, viewed.now)
+    def _on_view(self, viewed: ViewReceived) -> None:
+        if viewed.probe_sent_ms is not None:
+            self.offsets.sample(
+                viewed.incarnation,
+                viewed.probe_sent_ms,
+                viewed.sent_at_ms,
+                viewed.sent_at_ms,
+                viewed.received_ms,
+            )
         self.sight.told(viewed)
 
-    def _on_change(self, changed: Changed) -> None:
+    def _on_change(self, changed: ReachabilityChanged) -> None:
         log.info(
             "members: incarnation %d is %s, was %s", changed.incarnation, changed.new.value, changed.old.value
         )
@@ -206,22 +212,22 @@
         told = any(mark in (Confidence.HIGH, Confidence.MEDIUM) for mark in known.values())
         blind = [name for name, mark in known.items() if told and mark is Confidence.NONE]
         listed = tuple(server for server, _ in self._servers.listed.values())
-        self.routing.carry_out(self.routing.core.seen(now, listed, blind))
+        self.routing.carry_out(self.routing.core.set_endpoints(now, listed, blind))
 
     # -------------------------------------------------------------------------- for operators
 
     def stand(self, now: float) -> Connectivity:
         core = self.lease.core
-        renewed = now if core.attached(now) else None
+        renewed = now if core.is_attached(now) else None
         return connectivity(now, core.ttl_ms, renewed, self.probing.core.last_ack_at, SIBLING_MS)
 
     def verdicts(self, now: float) -> dict[int, Verdict]:
         core = self.lease.core
-        attached, reachability = core.attached(now), self.probing.core.reachability()
+        attached, reachability = core.is_attached(now), self.probing.core.reachability()
         found = {}
         for member in core.members:
             if member.incarnation in reachability:
-                lease = LeaseStatus.LAPSED if member.state == "lapsed" else LeaseStatus.LIVE
+                lease = LeaseStatus.EXPIRED if member.state == "lapsed" else LeaseStatus.LIVE
                 leaving = member.state in ("leaving", "left")
                 known = lease if attached else LeaseStatus.UNKNOWN
                 found[member.incarnation] = verdict(known, reachability[member.incarnation], leaving)
@@ -230,7 +236,7 @@
     def status(self) -> dict[str, Any]:
         """The body of GET /status/members."""
         now, core = self.clock.ms(), self.lease.core
-        share, service = core.share(now), self.lease.service_ms(now)
+        share, service = core.quota(now), self.lease.service_ms(now)
         reachability, verdicts = self.probing.core.reachability(), self.verdicts(now)
         siblings = [
             {
@@ -249,11 +255,11 @@
             "service": self.settings.service,
             "incarnation": core.incarnation,
             "stand": self.stand(now).value,
-            "standing": core.standing(now).name.lower(),
-            "share": core.taking(now),
-            "rows": share.rows,
+            "standing": core.quota_status(now).name.lower(),
+            "share": core.quota_in_force(now),
+            "rows": share.members,
             "elector": core.elector,
-            "lease_ms": max(0.0, core.lease_end - now) if core.incarnation is not None else 0.0,
+            "lease_ms": max(0.0, core.lease_end_ms - now) if core.incarnation is not None else 0.0,
             "now_ms": now,
             "service_ms": service,
             "routes": self.routing.core.status(now),
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.balancing.events import AttemptOutcome
 from loadbalancer.endpoints import Confidence
-from loadbalancer.membership import Viewed
+from loadbalancer.membership import ViewReceived
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.control.timers import Alarm, FleetClock
 from loadbalancer.node.endpoint_list import ServerList
@@ -68,8 +68,8 @@
         self.view.members(incarnations)
         self._marks.round_ms = self._settings.ask_every_ms * max(1, len(incarnations))
 
-    def told(self, viewed: Viewed) -> None:
-        why = self.view.told(viewed.now, viewed.incarnation, viewed.view)
+    def told(self, viewed: ViewReceived) -> None:
+        why = self.view.told(viewed.received_ms, viewed.incarnation, viewed.view)
         if why is not None:
             self.refused += 1
             if self.refused % 100 == 1:  # one line for the first, then now and then
--- a/loadbalancer/node/control/lease.py
+++ b/loadbalancer/node/control/lease.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from loadbalancer.membership import Call, Enrolment
+from loadbalancer.membership import MemberLease, RegistryCall
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.control.registry_client import Agent, read_lease
 from loadbalancer.node.control.timers import Alarm, FleetClock, Tasks
@@ -32,7 +32,7 @@
     """`on_answer(now, answer)` hears every answer that was used, `on_gone(now)` that the service has no row
     of this process any more, `on_share()` that what the node may take has changed or may have."""
 
-    def __init__(self, core: Enrolment, agent: Agent, clock: FleetClock, offsets: Offsets) -> None:
+    def __init__(self, core: MemberLease, agent: Agent, clock: FleetClock, offsets: Offsets) -> None:
         self.core = core
         self.on_answer: Callable[[float, LeaseAnswer], None] = lambda now, answer: None
         self.on_gone: Callable[[float], None] = lambda now: None
@@ -60,7 +60,7 @@
 
     def leaving(self) -> None:
         """The node drains."""
-        self.core.leaving(self._clock.ms())
+        self.core.begin_draining(self._clock.ms())
         self._tick()
 
     async def leave(self) -> None:
@@ -82,11 +82,11 @@
         call = self.core.tick(now, None if service is None else sum(service) / 2)
         if call is not None:
             self._tasks.run(self._make(call))
-        due = self.core.due()
+        due = self.core.next_call_at()
         if due < math.inf:
             self._alarm.at(self._clock.loop_time(max(due, now)))
 
-    async def _make(self, call: Call) -> None:
+    async def _make(self, call: RegistryCall) -> None:
         sent = self._clock.ms()
         try:
             reply = await self._agent.post(call.path, call.body, call.timeout_ms)
@@ -100,19 +100,19 @@
             elif call.path in ("enrol", "renew"):
                 self._use(sent, now, call, read_lease(reply.body))
             else:
-                self.core.acknowledged(now, call.number)
+                self.core.on_departure_acknowledged(now, call.number)
                 if call.path == "leave":
                     self._left.set()
         except (OSError, TimeoutError, ValueError) as error:
             self._failed(self._clock.ms(), call, f"{type(error).__name__}: {error}")
         self._tick()
 
-    def _use(self, sent: float, now: float, call: Call, answer: LeaseAnswer) -> None:
+    def _use(self, sent: float, now: float, call: RegistryCall, answer: LeaseAnswer) -> None:
         if answer.term != self._term:  # service time goes on by another clock, some ms off the last one
             self._offsets.forget(SERVICE)
             self._term = answer.term
-        self._offsets.sample(SERVICE, sent, answer.t2, answer.t3, now)
-        if not self.core.granted(now, call.number, answer, answer.ttl_ms):
+        self._offsets.sample(SERVICE, sent, answer.received_ms, answer.answered_ms, now)
+        if not self.core.on_grant(now, call.number, answer, answer.ttl_ms):
             self.failures += 1
             return
         if self._failing:
@@ -121,20 +121,20 @@
         self.on_answer(now, answer)
         self.on_share()
 
-    def _gone(self, now: float, call: Call) -> None:
+    def _gone(self, now: float, call: RegistryCall) -> None:
         log.warning("fleet: the list service has no row of this process; it enrols anew")
-        self.core.failed(now, call.number, unknown=True)
+        self.core.on_failure(now, call.number, unknown=True)
         self.on_gone(now)
         self.on_share()
 
-    def _failed(self, now: float, call: Call, why: str) -> None:
+    def _failed(self, now: float, call: RegistryCall, why: str) -> None:
         self._note_failure(f"{call.path} failed, the last answer holds while its lease runs: {why[:200]}")
-        self.core.failed(now, call.number)
+        self.core.on_failure(now, call.number)
         self.on_share()
 
-    def _refused(self, now: float, call: Call, body: bytes) -> None:
+    def _refused(self, now: float, call: RegistryCall, body: bytes) -> None:
         self._note_failure(f"not enrolled, it takes no further member: {body[:200]!r}")
-        self.core.refused(now, call.number)
+        self.core.on_enrolment_rejected(now, call.number)
 
     def _note_failure(self, what: str) -> None:
         self.failures += 1
@@ -166,7 +166,7 @@
                 await asyncio.sleep(WATCH_PAUSE_S)
                 continue
             if (row.get("rev"), row.get("routes_rev")) != self._revisions:
-                self.core.news(self._clock.ms())
+                self.core.on_watch_event(self._clock.ms())
                 self._tick()
                 await self._renewed()
 
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -10,7 +10,15 @@
 
 import tenacity
 
-from loadbalancer.membership import Ack, Action, Changed, FailureDetector, IndirectProbe, Probe, Viewed
+from loadbalancer.membership import (
+    Ack,
+    Action,
+    FailureDetector,
+    IndirectProbe,
+    Probe,
+    ReachabilityChanged,
+    ViewReceived,
+)
 from loadbalancer.node.address import Address, parse_address
 from loadbalancer.node.control.timers import Alarm, FleetClock, Tasks
 from loadbalancer.node.http import service_http as web
@@ -34,8 +42,8 @@
         """`connections`: accepted at most, whoever the peers are, and as many kept open to members."""
         self.core = core
         self.before_tick: Callable[[float], None] = lambda now: None
-        self.on_view: Callable[[Viewed], None] = lambda viewed: None
-        self.on_change: Callable[[Changed], None] = lambda changed: None
+        self.on_view: Callable[[ViewReceived], None] = lambda viewed: None
+        self.on_change: Callable[[ReachabilityChanged], None] = lambda changed: None
         self.probes_sent = self.probes_received = 0
         self._clock = clock
         self._alarm = Alarm(self._tick)
@@ -85,9 +93,9 @@
                     waiting = self._waiting.pop(action.call, None)
                     if waiting is not None and not waiting.done():
                         waiting.set_result(action.payload)
-                case Viewed():
+                case ViewReceived():
                     self.on_view(action)
-                case Changed():
+                case ReachabilityChanged():
                     self.on_change(action)
 
     def _tick(self) -> None:
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -12,7 +12,7 @@
 from loadbalancer.node.control.registry_client import Agent
 from loadbalancer.node.control.route_store import RouteStore
 from loadbalancer.node.control.timers import Alarm, FleetClock, Tasks
-from loadbalancer.routing import Action, Apply, Fetch, Follower, Forget, Store, Vote
+from loadbalancer.routing import Action, Apply, CastVote, Delete, Fetch, RouteParticipant, Store
 
 log = logging.getLogger("loadbalancer")
 
@@ -23,7 +23,7 @@
 class Routing:
     def __init__(
         self,
-        core: Follower,
+        core: RouteParticipant,
         agent: Agent,
         clock: FleetClock,
         store: RouteStore | None,
@@ -39,7 +39,7 @@
 
     def start(self) -> None:
         if self._store is not None:
-            self.carry_out(self.core.restored(self._store.read()))
+            self.carry_out(self.core.on_restored(self._store.read()))
 
     def close(self) -> None:
         self._alarm.cancel()
@@ -52,7 +52,7 @@
     ) -> None:
         """What a renewal's answer says of routes; one that is malformed changes nothing and says so."""
         try:
-            self.carry_out(self.core.answer(now, answer.incarnation, lease_end, service, answer.routes))
+            self.carry_out(self.core.on_answer(now, answer.incarnation, lease_end, service, answer.routes))
         except ValueError as error:
             log.warning("routes: an answer is not used: %s", error)
 
@@ -63,14 +63,14 @@
                     self._tasks.run(self._fetch(action.number))
                 case Store():
                     self._tasks.run(self._write(action))
-                case Vote():
+                case CastVote():
                     self._tasks.run(self._vote(action))
-                case Forget():
+                case Delete():
                     if self._store is not None:
                         self._store.forget(action.number)
                 case Apply():
                     self._apply(action)
-        due = self.core.next_due(self._clock.ms())
+        due = self.core.next_tick_ms(self._clock.ms())
         if due is None:
             self._due = math.inf
             self._alarm.cancel()
@@ -91,7 +91,7 @@
     def _apply(self, action: Apply) -> None:
         self._tell(action.event)
         self.switches += 1
-        self.latest_ms = max(0.0, self._clock.ms() - action.due)
+        self.latest_ms = max(0.0, self._clock.ms() - action.due_ms)
         said = log.warning if self.latest_ms > LATE_MS else log.info
         said("routes: version %d from now on, %.1f ms after its moment", action.event.number, self.latest_ms)
 
@@ -103,7 +103,7 @@
                 text = reply.body.decode()
         except (OSError, TimeoutError, ValueError) as error:
             log.warning("routes: version %d not fetched: %s", number, str(error)[:200])
-        self.carry_out(self.core.fetched(self._clock.ms(), number, text))
+        self.carry_out(self.core.on_fetched(self._clock.ms(), number, text))
 
     async def _write(self, action: Store) -> None:
         why = ""
@@ -114,20 +114,20 @@
         except OSError as error:
             why = " ".join(str(error).split())[:200]
             log.error("routes: version %d not stored: %s", action.number, why)
-        self.carry_out(self.core.stored(self._clock.ms(), action.number, not why, why))
+        self.carry_out(self.core.on_stored(self._clock.ms(), action.number, not why, why))
 
-    async def _vote(self, action: Vote) -> None:
+    async def _vote(self, action: CastVote) -> None:
         body = {
             "incarnation": action.incarnation,
             "number": action.number,
             "yes": action.yes,
-            "why": action.why,
+            "why": action.reason,
         }
         if not action.yes:
-            log.warning("routes: version %d: this node votes no: %s", action.number, action.why)
+            log.warning("routes: version %d: this node votes no: %s", action.number, action.reason)
         try:
             reply = await self._agent.post("routes/vote", body, CALL_MS)
         except (OSError, TimeoutError):
             return  # asked for again at a later renewal's answer
         if reply.status == 200:
-            self.core.voted(action.incarnation, action.number)
+            self.core.on_vote_acknowledged(action.incarnation, action.number)
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -27,11 +27,11 @@
 from loadbalancer.registry.renewal_relay import HOP, PASS_S, RenewalRelay, answer_batch, read_batch
 from loadbalancer.registry.renewal_relay import MAX_BODY as MAX_BATCH_BODY
 from loadbalancer.registry.settings import address
-from loadbalancer.routing.coordinator import Ruling
-from loadbalancer.routing.route_table import MAX_TEXT, parse
+from loadbalancer.routing.coordinator import ActivationOutcome
+from loadbalancer.routing.route_table import MAX_TEXT_BYTES, parse_table
 
 MAX_BODY = 8 * 1024
-LIMITS = {("PUT", "routes"): MAX_TEXT, ("POST", "renew-many"): MAX_BATCH_BODY}  # of bodies, in bytes
+LIMITS = {("PUT", "routes"): MAX_TEXT_BYTES, ("POST", "renew-many"): MAX_BATCH_BODY}  # of bodies, in bytes
 LIMIT_LOGGED_EACH = 1_000  # enrolments refused at a limit: one line for the first, then for each so many
 
 B = TypeVar("B")
@@ -210,8 +210,8 @@
             routes=grant.routes,
             ttl_ms=leader.ttl_ms,
             term=leader.term or 0,
-            t2=t2,
-            t3=leader.service_ms(),
+            received_ms=t2,
+            answered_ms=leader.service_ms(),
         )
         return Answer(200, msgspec.json.encode(answer))
 
@@ -287,7 +287,7 @@
         return Answer(200, text.encode(), {"content-type": "application/toml"})
 
     async def _propose(self, call: Call) -> Answer:
-        parse(0, call.body)  # ValueError names the key and its line
+        parse_table(0, call.body)  # ValueError names the key and its line
         deadline = self._leader.service_ms() + self._leader.prepare_ms
         return self._begun(await self._leader.ask(self._fleet.propose, call.body.decode(), deadline))
 
@@ -296,20 +296,20 @@
         deadline = self._leader.service_ms() + self._leader.prepare_ms
         return self._begun(await self._leader.ask(self._fleet.rollback, body.number, deadline))
 
-    def _begun(self, ruling: Ruling) -> Answer:
-        if ruling.refused:
-            return error(409, ruling.why)
+    def _begun(self, ruling: ActivationOutcome) -> Answer:
+        if ruling.rejected:
+            return error(409, ruling.reason)
         self._log.info("route_version_proposed", number=ruling.number, phase=ruling.phase)
         return reply(200, {"number": ruling.number, "phase": ruling.phase})
 
     async def _vote(self, call: Call) -> Answer:
         body = _read(Vote, call.body)
         fields = (body.incarnation, body.number, body.yes, body.why)
-        ruling: Ruling = await self._leader.ask(self._fleet.vote, *fields)
+        ruling: ActivationOutcome = await self._leader.ask(self._fleet.vote, *fields)
         return reply(200, {"phase": ruling.phase})
 
     async def _halt(self, call: Call) -> Answer:
         body = _read(Halt, call.body)
-        ruling: Ruling = await self._leader.ask(self._fleet.halt, body.number)
+        ruling: ActivationOutcome = await self._leader.ask(self._fleet.halt, body.number)
         self._log.warning("routes_halted", number=ruling.number, phase=ruling.phase)
         return reply(200, {"number": ruling.number, "phase": ruling.phase})
--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -25,7 +25,7 @@
 from loadbalancer.registry.commands import EndService, EnrolMember, RemoveMembers, decode
 from loadbalancer.registry.fleet_state import Begun, FleetState, LimitReachedError, ServiceInUseError
 from loadbalancer.registry.service_clock import ServiceClock
-from loadbalancer.routing.coordinator import Ruling
+from loadbalancer.routing.coordinator import ActivationOutcome
 
 LEADER = 2  # pysyncobj's number of the state
 
@@ -175,22 +175,22 @@
         return self._run(stamp, term, lambda: self.state.expire(lapsed, support, repeats), _same)
 
     @replicated  # type: ignore[untyped-decorator]
-    def propose(self, stamp: float, term: int, text: str, deadline_ms: float) -> Ruling | None:
+    def propose(self, stamp: float, term: int, text: str, deadline_ms: float) -> ActivationOutcome | None:
         """Begin to prepare a table, already checked, until `deadline_ms` (S)."""
         return self._run(stamp, term, lambda: self.state.propose(text, deadline_ms), self.state.ruling)
 
     @replicated  # type: ignore[untyped-decorator]
-    def rollback(self, stamp: float, term: int, number: int, deadline_ms: float) -> Ruling | None:
+    def rollback(self, stamp: float, term: int, number: int, deadline_ms: float) -> ActivationOutcome | None:
         return self._run(stamp, term, lambda: self.state.rollback(number, deadline_ms), self.state.ruling)
 
     @replicated  # type: ignore[untyped-decorator]
-    def halt(self, stamp: float, term: int, number: int | None) -> Ruling | None:
+    def halt(self, stamp: float, term: int, number: int | None) -> ActivationOutcome | None:
         return self._run(stamp, term, lambda: self.state.halt(number), self.state.ruling)
 
     @replicated  # type: ignore[untyped-decorator]
     def vote(
         self, stamp: float, term: int, incarnation: int, number: int, yes: bool, why: str
-    ) -> Ruling | None:
+    ) -> ActivationOutcome | None:
         act = self.state.routes.vote
         return self._run(stamp, term, lambda: act(incarnation, number, yes, why), self.state.ruling)
 
@@ -307,13 +307,13 @@
         """What the processes are told; None where they have no row."""
         if self._serving != self.state.term:
             return None
-        routes = self.state.routes.answer()
+        routes = self.state.routes.announcement()
         return [None if each.row is None else self._grant(each.row, each, routes) for each in applied]
 
     def _outcomes(self, results: list[Row | Refused | Ended]) -> list[Outcome] | None:
         if self._serving != self.state.term:
             return None
-        routes = self.state.routes.answer()
+        routes = self.state.routes.announcement()
         return [
             self._grant(each, Applied(each), routes) if isinstance(each, Row) else each for each in results
         ]
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from loadbalancer.membership.lease_clock import LATE, LeaseClock
+from loadbalancer.membership.lease_clock import MAX_DELAY_TERM_FRACTION, LeaseClock
 from loadbalancer.registry.batch import Batch
 from loadbalancer.registry.clock_file import ClockFile
 from loadbalancer.registry.commands import Command, EndService, EnrolMember, RemoveMembers, encode
@@ -93,7 +93,7 @@
     def too_late(self, sent: float) -> float | None:
         """How many ms ago a renewal was sent, where that is more than it may be or lies ahead by as much."""
         ago = self.service_ms() - sent
-        return ago if abs(ago) > LATE * self.ttl_ms else None
+        return ago if abs(ago) > MAX_DELAY_TERM_FRACTION * self.ttl_ms else None
 
     async def ask(self, command: Callable[..., Any], *args: Any) -> Any:
         """Commit a command in the term that this instance leads in, and return its result; ConnectionError or
@@ -224,16 +224,16 @@
         unix = self._clocks.unix()
         self._fleet.read(lambda state: self._clock.lead(now, unix, begun.log_ms, begun.epoch))
         self._leases = LeaseClock(begun.ttl_ms)
-        self._leases.lead(now, begun.rows)
+        self._leases.begin_term(now, begun.rows)
         self._term = term
         self._log.info("fleet_leading", term=term, rows=len(begun.rows), service_ms=round(self.service_ms()))
         await self.ask(self._fleet.decide)  # a first stamp, by which all instances know service time
 
     async def _expire(self) -> None:
         for renewed in self._fleet.take_renewed():
-            self._leases.renewed(renewed.at, renewed.incarnation, renewed.seq, renewed.answered)
-        self._leases.keep(self._fleet.read(lambda state: {row.incarnation for row in state.rows()}))
-        lapsed, support = self._leases.due(self._clocks.mono())
+            self._leases.record_renewal(renewed.at, renewed.incarnation, renewed.seq, renewed.answered)
+        self._leases.retain(self._fleet.read(lambda state: {row.incarnation for row in state.rows()}))
+        lapsed, support = self._leases.expired_and_attached(self._clocks.mono())
         if not lapsed:
             return
         due = self._fleet.read(lambda state: state.due_expiry(lapsed, support))
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -28,8 +28,8 @@
 from msgspec.structs import replace
 
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import Beside, Ledger, Row, State
-from loadbalancer.routing.coordinator import Activations, Ruling
+from loadbalancer.membership.quota_ledger import ExternalQuota, Ledger, Row, State
+from loadbalancer.routing.coordinator import ActivationOutcome, Activations
 
 # Guards: enrolments that never end must not grow the log's state without bound.
 MAX_ROWS = 1_000  # of members that name no service
@@ -116,21 +116,21 @@
 
     def settle(self) -> None:
         """Decide, end or put in force what is due, once the command's own change is made."""
-        self.routes.settle(self.log_ms, self.ttl_ms, self.bound_ms)
+        self.routes.apply_due(self.log_ms, self.ttl_ms, self.bound_ms)
 
     # Changes.
 
     def enrol(self, name: str, address: str, zone: str, start: str) -> Row | None:
         """The row of a process that names no service; None where there are too many."""
         ledger = self.ledger
-        if len(ledger.by_incarnation) >= MAX_ROWS and not ledger.has_start(start):
+        if len(ledger.by_incarnation) >= MAX_ROWS and not ledger.has_process(start):
             return None
         return self._enrol(NO_SERVICE, ledger, name, address, zone, start)
 
     def enrol_in(self, service: str, name: str, address: str, zone: str, start: str) -> Row:
         """The row of a process in the group of this service; LimitReachedError where there are too many."""
         ledger = self._ledger_of(service)
-        if not ledger.replaces(address, start):
+        if not ledger.reuses_record(address, start):
             self._check_limits(service, ledger)
         if service != NO_SERVICE:
             self.services[service] = ledger
@@ -142,16 +142,16 @@
             self.leave(ended)
         row = self._prepared(self.service_of(incarnation)).renew(incarnation, seq, acked, using)
         if row is not None:
-            self.routes.attached(incarnation)
+            self.routes.on_attached(incarnation)
         return row
 
     def leaving(self, incarnation: int) -> bool:
-        return self._prepared(self.service_of(incarnation)).leaving(incarnation)
+        return self._prepared(self.service_of(incarnation)).begin_draining(incarnation)
 
     def leave(self, incarnation: int) -> bool:
         left = self._prepared(self.service_of(incarnation)).leave(incarnation)
         if left:
-            self.routes.left(incarnation)
+            self.routes.on_left(incarnation)
         return left
 
     def remove(self, name: str, service: str | None = None) -> list[int]:
@@ -160,7 +160,7 @@
         for group in [NO_SERVICE, *self.services] if service is None else [service]:
             ended += self._prepared(group).remove(name)
         for incarnation in ended:
-            self.routes.left(incarnation)
+            self.routes.on_left(incarnation)
         return ended
 
     def end_service(self, service: str) -> list[int]:
@@ -168,7 +168,7 @@
         ledger = self.services.get(service)
         if ledger is None:
             return []
-        live = [row.name for row in ledger.rows() if row.state in (State.LIVE, State.LEAVING)]
+        live = [row.name for row in ledger.records() if row.state in (State.LIVE, State.DRAINING)]
         if live:
             raise ServiceInUseError(f"{len(live)} members of {service!r} have live leases, {live[0]!r} one")
         ended = list(ledger.by_incarnation)
@@ -193,18 +193,18 @@
             if service != NO_SERVICE and not ledger.by_incarnation:
                 del self.services[service]
         for incarnation in newly:
-            self.routes.lapsed(incarnation)
+            self.routes.on_lease_expired(incarnation)
         for incarnation in removed:
             self._forget(incarnation)
         return newly, removed
 
-    def propose(self, text: str, deadline_ms: float) -> Ruling:
+    def propose(self, text: str, deadline_ms: float) -> ActivationOutcome:
         return self.routes.propose(self.log_ms, text, self._voters(), deadline_ms)
 
-    def rollback(self, number: int, deadline_ms: float) -> Ruling:
+    def rollback(self, number: int, deadline_ms: float) -> ActivationOutcome:
         return self.routes.rollback(self.log_ms, number, self._voters(), deadline_ms)
 
-    def halt(self, number: int | None) -> Ruling:
+    def halt(self, number: int | None) -> ActivationOutcome:
         return self.routes.halt(self.log_ms, number)
 
     # Reads.
@@ -221,7 +221,7 @@
     def rows(self) -> Iterator[Row]:
         """The rows of all groups."""
         for ledger in self._ledgers():
-            yield from ledger.rows()
+            yield from ledger.records()
 
     def due_expiry(self, lapsed: list[tuple[int, int]], support: list[int]) -> Expiry | None:
         """The part of these that `expire` would act on; None where that is nothing, so that an idle fleet
@@ -237,9 +237,9 @@
             return None
         return Expiry(due, [number for number in support if number in needed], self.repeats)
 
-    def ruling(self, given: Ruling) -> Ruling:
+    def ruling(self, given: ActivationOutcome) -> ActivationOutcome:
         """Where the version of a ruling stands now."""
-        return given if given.refused else self.routes.ruling(given.number)
+        return given if given.rejected else self.routes.outcome(given.number)
 
     def to_decide(self, service_ms: float) -> bool:
         """Whether a deadline or a moment of activation has come that `settle` has not seen."""
@@ -273,11 +273,11 @@
         """The ledger, knowing what members outside of its group may be taking of the same whole."""
         ledger = self._ledger_of(service)
         if service != NO_SERVICE:
-            ledger.beside = Beside(self.ledger.total(), self.ledger.sharing())
+            ledger.external = ExternalQuota(self.ledger.granted_quota(), self.ledger.sharing_count())
         else:
-            shares = max((other.total() for other in self.services.values()), default=0.0)
-            rows = max((other.sharing() for other in self.services.values()), default=0)
-            ledger.beside = Beside(shares, rows)
+            shares = max((other.granted_quota() for other in self.services.values()), default=0.0)
+            rows = max((other.sharing_count() for other in self.services.values()), default=0)
+            ledger.external = ExternalQuota(shares, rows)
         return ledger
 
     def _enrol(self, service: str, ledger: Ledger, name: str, address: str, zone: str, start: str) -> Row:
@@ -292,7 +292,7 @@
             self._forget(gone)
         if service != NO_SERVICE:
             self._service_of[row.incarnation] = service
-        self.routes.attached(row.incarnation)
+        self.routes.on_attached(row.incarnation)
         return row
 
     def _check_limits(self, service: str, ledger: Ledger) -> None:
@@ -312,10 +312,10 @@
 
     def _forget(self, incarnation: int) -> None:
         self._service_of.pop(incarnation, None)
-        self.routes.left(incarnation)
+        self.routes.on_left(incarnation)
 
     def _voters(self) -> list[int]:
-        live = (State.LIVE, State.LEAVING)
+        live = (State.LIVE, State.DRAINING)
         return [row.incarnation for row in self.rows() if row.state in live]
 
 
--- a/loadbalancer/routing/__init__.py
+++ b/loadbalancer/routing/__init__.py
@@ -17,22 +17,22 @@
 4. An outcome, once in the log, is final; a number stands for one activation of one text.
 """
 
-from loadbalancer.routing.coordinator import Activations, Ruling
-from loadbalancer.routing.participant import Action, Apply, Fetch, Follower, Forget, Store, Vote
-from loadbalancer.routing.route_table import NEUTRAL, RouteTable, check, parse
+from loadbalancer.routing.coordinator import ActivationOutcome, Activations
+from loadbalancer.routing.participant import Action, Apply, CastVote, Delete, Fetch, RouteParticipant, Store
+from loadbalancer.routing.route_table import NEUTRAL, RouteTable, find_objections, parse_table
 
 __all__ = [
     "NEUTRAL",
     "Action",
+    "ActivationOutcome",
     "Activations",
     "Apply",
+    "CastVote",
+    "Delete",
     "Fetch",
-    "Follower",
-    "Forget",
+    "RouteParticipant",
     "RouteTable",
-    "Ruling",
     "Store",
-    "Vote",
-    "check",
-    "parse",
+    "find_objections",
+    "parse_table",
 ]
--- a/loadbalancer/routing/coordinator.py
+++ b/loadbalancer/routing/coordinator.py
@@ -36,8 +36,8 @@
 
 from loadbalancer.routing.route_table import NEUTRAL
 
-HISTORY = 50
-MAX_WHY = 300
+MAX_VERSIONS = 50
+MAX_REASON_LENGTH = 300
 
 PREPARING, DECIDED, IN_FORCE, PAST, ABORTED = "preparing", "decided", "in force", "past", "aborted"
 UNKNOWN = "unknown"
@@ -74,13 +74,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ruling:
+class ActivationOutcome:
     """What a call came to. `refused`: it changed nothing and will not (409)."""
 
     number: int
     phase: str
-    why: str = ""
-    refused: bool = False
+    reason: str = ""
+    rejected: bool = False
 
 
 @dataclass(slots=True)
@@ -97,34 +97,38 @@
 
     # ------------------------------------------------------------ calls of operators
 
-    def propose(self, log_ms: float, text: str, voters: Iterable[int], deadline_ms: float) -> Ruling:
+    def propose(
+        self, log_ms: float, text: str, voters: Iterable[int], deadline_ms: float
+    ) -> ActivationOutcome:
         """Begin to prepare `text`, already parsed, with the live rows `voters`, until `deadline_ms` (S).
 
         The same text as the one pending or in force: its number, and nothing begins.
         """
         return self._begin(log_ms, text, voters, deadline_ms, None)
 
-    def rollback(self, log_ms: float, number: int, voters: Iterable[int], deadline_ms: float) -> Ruling:
+    def rollback(
+        self, log_ms: float, number: int, voters: Iterable[int], deadline_ms: float
+    ) -> ActivationOutcome:
         """Activate again the text of a version that has been in force (0: neutral), under a new number."""
-        version = self._version(number)
+        version = self._find(number)
         if version is None or version.phase not in (IN_FORCE, PAST):
             phase = UNKNOWN if version is None else version.phase
-            return Ruling(number, phase, f"version {number} has not been in force", refused=True)
+            return ActivationOutcome(number, phase, f"version {number} has not been in force", rejected=True)
         return self._begin(log_ms, version.text, voters, deadline_ms, number)
 
-    def halt(self, log_ms: float, number: int | None = None) -> Ruling:
+    def halt(self, log_ms: float, number: int | None = None) -> ActivationOutcome:
         """Abort the pending activation if it is not decided; None: whichever is pending."""
         self._elapse(log_ms)
         pending = self.pending
         if pending is None or number not in (None, pending.number):
-            return self.ruling(self.last if number is None else number)
+            return self.outcome(self.last if number is None else number)
         if pending.at_ms is None:
             self._abort("halted by an operator")
-        return self.ruling(pending.number)
+        return self.outcome(pending.number)
 
     # ------------------------------------------------------------ facts about rows
 
-    def vote(self, incarnation: int, number: int, yes: bool, why: str = "") -> Ruling:
+    def vote(self, incarnation: int, number: int, yes: bool, why: str = "") -> ActivationOutcome:
         """A row's vote; one on another number, of a row not asked, or after the decision changes nothing."""
         pending = self.pending
         if pending is not None and pending.at_ms is None and pending.number == number:
@@ -132,21 +136,21 @@
                 self.pending = replace(pending, yes=pending.yes | {incarnation})
             elif incarnation in pending.asked:
                 self._abort(f"{incarnation} said no: {why}")
-        return self.ruling(number)
+        return self.outcome(number)
 
-    def attached(self, incarnation: int) -> None:
+    def on_attached(self, incarnation: int) -> None:
         """The row has a live lease: to be called at every enrolment and every renewal."""
         pending = self.pending
         if pending is not None and pending.at_ms is None and incarnation not in pending.needed:
             new = frozenset((incarnation,))
             self.pending = replace(pending, asked=pending.asked | new, needed=pending.needed | new)
 
-    def lapsed(self, incarnation: int) -> None:
+    def on_lease_expired(self, incarnation: int) -> None:
         pending = self.pending
         if pending is not None and incarnation in pending.needed:
             self.pending = replace(pending, needed=pending.needed - {incarnation})
 
-    def left(self, incarnation: int) -> None:
+    def on_left(self, incarnation: int) -> None:
         """The row is gone: its process has ended, or must enrol anew."""
         pending = self.pending
         if pending is not None and incarnation in pending.asked:
@@ -155,7 +159,7 @@
                 pending, asked=pending.asked - gone, needed=pending.needed - gone, yes=pending.yes - gone
             )
 
-    def settle(self, log_ms: float, ttl_ms: float, bound_ms: float) -> None:
+    def apply_due(self, log_ms: float, ttl_ms: float, bound_ms: float) -> None:
         """Decide, abort or put in force what is due at log_ms. `ttl_ms`: the longest lease term given to
         any row."""
         self._elapse(log_ms)
@@ -165,13 +169,13 @@
         if pending.yes or not pending.asked:  # else all have lapsed, and nobody has checked it
             at_ms = log_ms + ttl_ms + bound_ms
             self.pending = replace(pending, at_ms=at_ms)
-            self._mark(pending.number, phase=DECIDED, at_ms=at_ms)
+            self._update(pending.number, phase=DECIDED, at_ms=at_ms)
 
     # ------------------------------------------------------------ what it tells
 
-    def answer(self) -> dict[str, Any]:
+    def announcement(self) -> dict[str, Any]:
         """The `routes` of a renewal's answer; the same for every row."""
-        force, pending, last = self._held(self.in_force), self.pending, None
+        force, pending, last = self._kept_version(self.in_force), self.pending, None
         ended = [version for version in self.versions[1:] if version.phase not in (PREPARING, DECIDED)]
         if ended:
             last = {"number": ended[-1].number, "outcome": ended[-1].phase, "why": ended[-1].why}
@@ -185,7 +189,7 @@
                 "phase": pending.phase,
                 "at": pending.at_ms,
                 "deadline": pending.deadline_ms,
-                "digest": self._held(pending.number).digest,
+                "digest": self._kept_version(pending.number).digest,
             },
             "last": last,
         }
@@ -193,7 +197,7 @@
     def status(self) -> dict[str, Any]:
         """For operators: the answer's fields, the pending one's votes, and the versions kept, without
         texts."""
-        said = self.answer()
+        said = self.announcement()
         if self.pending is not None:
             said["pending"]["yes"] = sorted(self.pending.yes)
             said["pending"]["waiting_for"] = sorted(self.pending.needed - self.pending.yes)
@@ -204,13 +208,17 @@
         return said
 
     def text(self, number: int) -> str | None:
-        version = self._version(number)
+        version = self._find(number)
         return None if version is None else version.text
 
-    def ruling(self, number: int) -> Ruling:
+    def outcome(self, number: int) -> ActivationOutcome:
         """Where the version stands now; phase `unknown` for one never given or no longer kept."""
-        version = self._version(number)
-        return Ruling(number, UNKNOWN) if version is None else Ruling(number, version.phase, version.why)
+        version = self._find(number)
+        return (
+            ActivationOutcome(number, UNKNOWN)
+            if version is None
+            else ActivationOutcome(number, version.phase, version.why)
+        )
 
     def copy(self) -> Activations:
         return replace(self)
@@ -222,19 +230,21 @@
 
     def _begin(
         self, log_ms: float, text: str, voters: Iterable[int], deadline_ms: float, of: int | None
-    ) -> Ruling:
+    ) -> ActivationOutcome:
         self._elapse(log_ms)
         pending = self.pending
-        current = self._held(self.in_force if pending is None else pending.number)
+        current = self._kept_version(self.in_force if pending is None else pending.number)
         if current.text == text:
-            return self.ruling(current.number)
+            return self.outcome(current.number)
         if pending is not None:
-            return Ruling(pending.number, pending.phase, f"version {pending.number} is pending", refused=True)
+            return ActivationOutcome(
+                pending.number, pending.phase, f"version {pending.number} is pending", rejected=True
+            )
         self.last += 1
         asked = frozenset(voters)
         self.pending = Pending(self.last, deadline_ms, asked, asked)
-        self._keep((*self.versions, Version(self.last, text, digest(text), PREPARING, of)))
-        return self.ruling(self.last)
+        self._store((*self.versions, Version(self.last, text, digest(text), PREPARING, of)))
+        return self.outcome(self.last)
 
     def _elapse(self, log_ms: float) -> None:
         pending = self.pending
@@ -245,34 +255,34 @@
                 late = sorted(pending.needed - pending.yes)
                 self._abort(f"not prepared by its deadline, waiting for {late[:10] or 'anyone'}")
         elif log_ms >= pending.at_ms:
-            self._mark(self.in_force, phase=PAST)
-            self._mark(pending.number, phase=IN_FORCE)
+            self._update(self.in_force, phase=PAST)
+            self._update(pending.number, phase=IN_FORCE)
             self.in_force, self.pending = pending.number, None
-            self._keep(self.versions)
+            self._store(self.versions)
 
     def _abort(self, why: str) -> None:
         if self.pending is not None:
-            self._mark(self.pending.number, phase=ABORTED, why=why[:MAX_WHY])
+            self._update(self.pending.number, phase=ABORTED, why=why[:MAX_REASON_LENGTH])
             self.pending = None
 
-    def _mark(self, number: int, **changes: Any) -> None:
-        self._keep(
+    def _update(self, number: int, **changes: Any) -> None:
+        self._store(
             tuple(replace(row, **changes) if row.number == number else row for row in self.versions),
         )
 
-    def _keep(self, versions: tuple[Version, ...]) -> None:
+    def _store(self, versions: tuple[Version, ...]) -> None:
         """Version 0, the one in force and the last HISTORY, in the order of their numbers."""
         self.revision += 1
-        oldest = versions[-HISTORY].number if len(versions) > HISTORY else 0
+        oldest = versions[-MAX_VERSIONS].number if len(versions) > MAX_VERSIONS else 0
         self.versions = tuple(
             row for row in versions if row.number in (0, self.in_force) or row.number >= oldest
         )
 
-    def _version(self, number: int) -> Version | None:
+    def _find(self, number: int) -> Version | None:
         return next((row for row in self.versions if row.number == number), None)
 
-    def _held(self, number: int) -> Version:
+    def _kept_version(self, number: int) -> Version:
         """One that is always kept: in force, or pending."""
-        version = self._version(number)
+        version = self._find(number)
         assert version is not None
         return version
--- a/loadbalancer/routing/route_table.py
+++ b/loadbalancer/routing/route_table.py
@@ -25,13 +25,13 @@
 
 DEFAULT = "default"
 NEUTRAL = "neutral = true\n"
-MAX_TEXT = 16 * 1024  # bytes: some 300 groups; a parse takes 20 ms at most
-MAX_LINE = 400  # Guard: tomllib is quadratic in the parts of a dotted key, 6 s for one of 32 KB
+MAX_TEXT_BYTES = 16 * 1024  # bytes: some 300 groups; a parse takes 20 ms at most
+MAX_LINE_CHARS = 400  # Guard: tomllib is quadratic in the parts of a dotted key, 6 s for one of 32 KB
 MAX_CLASSES = 64
 MAX_GROUPS = 64
 MAX_WEIGHT = 1e6
 MAX_PARSES = 40  # to find an error's line
-MAX_SAID = 300
+MAX_ERROR_CHARS = 300
 
 Path = tuple[str | int, ...]
 Name = Annotated[str, Field(min_length=1, max_length=128)]
@@ -65,17 +65,17 @@
     number: int
     classes: tuple[tuple[str, tuple[TrafficSplit, ...]], ...]
 
-    def groups(self, class_name: str) -> tuple[TrafficSplit, ...]:
+    def splits(self, class_name: str) -> tuple[TrafficSplit, ...]:
         """The class's groups, else those of `default`; () where it is ranked as under version 0."""
         named = dict(self.classes)
         return named.get(class_name, named.get(DEFAULT, ()))
 
-    def of(self, classes: Iterable[str]) -> dict[str, tuple[TrafficSplit, ...]]:
+    def splits_by_class(self, classes: Iterable[str]) -> dict[str, tuple[TrafficSplit, ...]]:
         """The groups of those of these classes that have any: what the event RouteVersion carries."""
-        return {name: groups for name in classes if (groups := self.groups(name))}
+        return {name: groups for name in classes if (groups := self.splits(name))}
 
 
-def parse(number: int, text: str | bytes) -> RouteTable:
+def parse_table(number: int, text: str | bytes) -> RouteTable:
     """The table of version `number`; ValueError, in one line, names the key and its line."""
     text = _bounded(text)
     try:
@@ -94,11 +94,11 @@
     return RouteTable(number, tuple((name, _groups(text, name, row)) for name, row in parsed.classes.items()))
 
 
-def check(
+def find_objections(
     table: RouteTable,
     classes: Collection[str],
-    servers: Iterable[Endpoint],
-    blind: Collection[str] = (),
+    endpoints: Iterable[Endpoint],
+    unconfident: Collection[str] = (),
 ) -> list[str]:
     """Why a node with these classes and servers can't take this version; [] when it can.
 
@@ -108,10 +108,10 @@
     kinds: dict[
         tuple[str, str], tuple[Endpoint, bool]
     ] = {}  # by model and zone: one of its ready servers, any seen
-    for server in servers:
+    for server in endpoints:
         if server.state is EndpointStatus.UP:
             kind = (server.model, server.zone)
-            seen = server.address not in blind or (kind in kinds and kinds[kind][1])
+            seen = server.address not in unconfident or (kind in kinds and kinds[kind][1])
             kinds[kind] = (server, seen)
     why = []
     for name, groups in table.classes:
@@ -137,11 +137,11 @@
         text = raw.decode()
     except UnicodeError as error:
         raise ValueError(_one_line(f"text: not UTF-8: {error}")) from error
-    if len(raw) > MAX_TEXT:
-        raise ValueError(f"text: {len(raw)} bytes, over {MAX_TEXT}")
+    if len(raw) > MAX_TEXT_BYTES:
+        raise ValueError(f"text: {len(raw)} bytes, over {MAX_TEXT_BYTES}")
     for at, line in enumerate(text.split("\n"), 1):
-        if len(line) > MAX_LINE:
-            raise ValueError(f"text (line {at}): {len(line)} characters, over {MAX_LINE}")
+        if len(line) > MAX_LINE_CHARS:
+            raise ValueError(f"text (line {at}): {len(line)} characters, over {MAX_LINE_CHARS}")
     return text
 
 
@@ -179,7 +179,7 @@
 
 
 def _one_line(said: str) -> str:
-    return "".join(char if char.isprintable() else " " for char in said)[:MAX_SAID]
+    return "".join(char if char.isprintable() else " " for char in said)[:MAX_ERROR_CHARS]
 
 
 def _line(text: str, path: Path) -> int:
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -19,9 +19,9 @@
     MemberStatus,
     MemberUpdate,
     Message,
-    Standing,
-    Statement,
-    write,
+    QuotaReport,
+    QuotaStatus,
+    encode,
 )
 from tests.support.invariant_sampler import GAP_S, Sample, Status, apart, overtaken
 from tests.support.node_fleet import LIMIT_S, TTL_MS, Fleet
@@ -221,12 +221,12 @@
         stranger = Message(10**9, 0, 1.0, updates=(MemberUpdate(sibling, 900, MemberStatus.FAILED, (own,)),))
         good = msgspec.structs.asdict(stranger)
         bad: list[bytes] = [rng.randbytes(rng.randrange(1, 3000)) for _ in range(200)]
-        bad += [write(stranger)[:cut] for cut in range(1, 20)]
+        bad += [encode(stranger)[:cut] for cut in range(1, 20)]
         bad += [
             msgspec.msgpack.encode(list((good | change).values()))
             for change in (
-                {"sender": -1}, {"count": MAX_COUNT + 1}, {"at": float("nan")}, {"at": 1e300},
-                {"result": 9}, {"updates": [[1, 0, 0, []]] * 65}, {"statements": [[1, 0, 1.0]] * 513},
+                {"sender": -1}, {"count": MAX_COUNT + 1}, {"sent_at_ms": float("nan")}, {"sent_at_ms": 1e300},
+                {"result": 9}, {"updates": [[1, 0, 0, []]] * 65}, {"quota_reports": [[1, 0, 1.0]] * 513},
                 {"view": b"x" * 16385},
             )
         ]  # fmt: skip
@@ -238,12 +238,18 @@
         forged = (
             Message(sibling, MAX_COUNT, 1.0, updates=(MemberUpdate(own, MAX_COUNT, MemberStatus.FAILED),)),
             Message(own, 5, 1.0),
-            Message(sibling, 0, 1.0, statements=(Statement(sibling, Standing.YIELDED, 1e15),), view=b"\xc1"),
+            Message(
+                sibling,
+                0,
+                1.0,
+                quota_reports=(QuotaReport(sibling, QuotaStatus.YIELDED, 1e15),),
+                view=b"\xc1",
+            ),
         )
         for message in (stranger, *forged):
-            assert post(port, "ask", write(message)) == 200
+            assert post(port, "ask", encode(message)) == 200
         for number in range(1500):
-            assert post(port, "ask", write(Message(10**9 + number, 0, 1.0, view=rng.randbytes(8192)))) == 200
+            assert post(port, "ask", encode(Message(10**9 + number, 0, 1.0, view=rng.randbytes(8192)))) == 200
         told = fleet.status(0)["ignored"]
         assert told["message of an unknown incarnation"] >= 1502
         assert told["absurd count"] >= 2
--- a/tests/membership/test_detector_paces.py
+++ b/tests/membership/test_detector_paces.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from loadbalancer.membership import DetectorConfig, Probe, Reachability, Standing
-from loadbalancer.membership.payload import MemberStatus, MemberUpdate, Message, write
+from loadbalancer.membership import DetectorConfig, Probe, QuotaStatus, Reachability
+from loadbalancer.membership.payload import MemberStatus, MemberUpdate, Message, encode
 from tests.membership.test_failure_detector import HOSTILE, MINUTE, all_have, answer, core
 from tests.support.detector_simulation import Gone, World
 
@@ -25,7 +25,7 @@
     for seed in range(runs):
         world = World(size, seed, config, **links)
         for node in world.nodes.values():
-            node.standing = Standing.ATTACHED
+            node.standing = QuotaStatus.ATTACHED
         world.run(3000.0)
         world.cut_from_service(term_ms)
         waits += world.majority_waits(2 * term_ms)
@@ -95,20 +95,20 @@
 def test_probes_come_at_the_steady_pace_and_at_the_urgent_one_while_not_attached() -> None:
     detector = core(siblings=3, period_ms=1000.0)
 
-    def probed(start: int, end: int, standing: Standing) -> list[int]:
+    def probed(start: int, end: int, standing: QuotaStatus) -> list[int]:
         """When probes went out; each is acked at once, and ticks come every 50 ms."""
         at = []
         for now in range(start, end, 50):
-            detector.set_standing(now, standing, 1000.0 + now)
+            detector.set_quota_status(now, standing, 1000.0 + now)
             for probe in [action for action in detector.tick(now) if isinstance(action, Probe)]:
-                detector.on_ack(now, probe.id, write(Message(probe.target, 0, 0.0)))
+                detector.on_ack(now, probe.id, encode(Message(probe.target, 0, 0.0)))
                 at.append(now)
         return at
 
-    assert probed(0, 3500, Standing.ATTACHED) == [0, 1000, 2000, 3000]
-    assert probed(3500, 3900, Standing.HOLDING) == [3500, 3600, 3700, 3800]
-    assert probed(3900, 4100, Standing.YIELDED) == [3900, 4000]
-    assert probed(4100, 6500, Standing.ATTACHED) == [5000, 6000]
+    assert probed(0, 3500, QuotaStatus.ATTACHED) == [0, 1000, 2000, 3000]
+    assert probed(3500, 3900, QuotaStatus.HOLDING) == [3500, 3600, 3700, 3800]
+    assert probed(3900, 4100, QuotaStatus.YIELDED) == [3900, 4000]
+    assert probed(4100, 6500, QuotaStatus.ATTACHED) == [5000, 6000]
 
 
 def test_probes_come_at_the_urgent_pace_while_a_member_is_suspected() -> None:
@@ -117,7 +117,7 @@
     sent = 0
     for now in range(0, 1000, 50):
         for probe in [action for action in detector.tick(now) if isinstance(action, Probe)]:
-            detector.on_ack(now, probe.id, write(Message(probe.target, 0, 0.0)))
+            detector.on_ack(now, probe.id, encode(Message(probe.target, 0, 0.0)))
             sent += 1
     assert sent == 10
     answer(detector, MemberUpdate(2, 1, MemberStatus.ALIVE), now=1000.0)
@@ -126,10 +126,10 @@
 
 def test_ticks_are_short_while_a_pause_could_mislead_and_longer_while_idle() -> None:
     detector = core(siblings=3, period_ms=1000.0)
-    detector.set_standing(0.0, Standing.ATTACHED, 1000.0)
+    detector.set_quota_status(0.0, QuotaStatus.ATTACHED, 1000.0)
     (probe,) = [action for action in detector.tick(0.0) if isinstance(action, Probe)]
     assert detector.due == 50.0
-    detector.on_ack(10.0, probe.id, write(Message(probe.target, 0, 0.0)))
+    detector.on_ack(10.0, probe.id, encode(Message(probe.target, 0, 0.0)))
     detector.tick(50.0)
     assert detector.due == 150.0
     answer(detector, MemberUpdate(2, 0, MemberStatus.SUSPECT, (3,)), now=100.0)
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -13,25 +13,25 @@
 
 from loadbalancer.membership import (
     Ack,
-    Changed,
     DetectorConfig,
     FailureDetector,
     IndirectProbe,
     Probe,
+    QuotaStatus,
     Reachability,
+    ReachabilityChanged,
     Sibling,
-    Standing,
 )
 from loadbalancer.membership.payload import (
     MAX_PAYLOAD_BYTES,
-    MAX_STATEMENTS,
+    MAX_QUOTA_REPORTS,
     MemberStatus,
     MemberUpdate,
     Message,
     ProbeResult,
-    Statement,
-    read,
-    write,
+    QuotaReport,
+    decode,
+    encode,
 )
 from tests.support.detector_simulation import Gone, World
 
@@ -157,16 +157,18 @@
 def test_standings_and_views_reach_the_whole_fleet() -> None:
     world = World(20, seed=6, config=EVERY_100_MS, **HOSTILE)
     for number, node in world.nodes.items():
-        node.detector.set_standing(world.clock(node), Standing.HOLDING, 5000.0 + number)
+        node.detector.set_quota_status(world.clock(node), QuotaStatus.HOLDING, 5000.0 + number)
         node.detector.set_view(bytes([number]))
     world.run(4000)
-    whole = {number: (Standing.HOLDING, 5000.0 + number) for number in world.nodes}
-    assert all(node.detector.standings() == whole for node in world.nodes.values())
+    whole = {number: (QuotaStatus.HOLDING, 5000.0 + number) for number in world.nodes}
+    assert all(node.detector.quota_reports() == whole for node in world.nodes.values())
     for node in world.nodes.values():
         assert {view.view[0] for view in node.viewed} == set(world.nodes) - {node.incarnation}
         for view in node.viewed:
-            real = view.at - world.nodes[view.incarnation].skew + node.skew
-            assert (view.sent if view.sent is not None else real) <= real <= view.now
+            real = view.sent_at_ms - world.nodes[view.incarnation].skew + node.skew
+            assert (
+                (view.probe_sent_ms if view.probe_sent_ms is not None else real) <= real <= view.received_ms
+            )
 
 
 def test_corrupt_payloads_raise_nothing_and_leave_nothing_behind() -> None:
@@ -187,8 +189,10 @@
 
 def _accusing_all(sender: int) -> bytes:
     updates = tuple(MemberUpdate(number, 0, MemberStatus.SUSPECT, (sender,)) for number in range(1, 9))
-    return write(
-        Message(sender, 0, 1.0, updates=updates, statements=(Statement(sender, Standing.HOLDING, 9.0),))
+    return encode(
+        Message(
+            sender, 0, 1.0, updates=updates, quota_reports=(QuotaReport(sender, QuotaStatus.HOLDING, 9.0),)
+        )
     )
 
 
@@ -196,14 +200,14 @@
 
 
 def answer(detector: FailureDetector, *updates: MemberUpdate, sender: int = 2, now: float = 0.0) -> Message:
-    return received(detector, write(Message(sender, 0, 0.0, updates=updates)), now)
+    return received(detector, encode(Message(sender, 0, 0.0, updates=updates)), now)
 
 
 def received(detector: FailureDetector, probe: bytes, now: float = 0.0) -> Message:
     """The ack of a probe."""
     payload, _ = detector.on_probe(now, probe)
     assert payload is not None
-    message = read(payload)
+    message = decode(payload)
     assert message is not None
     return message
 
@@ -224,7 +228,7 @@
     answer(detector, MemberUpdate(2, 5000, MemberStatus.FAILED))
     assert detector.reachability()[2] is Reachability.ALIVE
     probe = first_probe(detector)
-    detector.on_ack(1.0, probe.id, write(Message(2, 4999, 0.0)))
+    detector.on_ack(1.0, probe.id, encode(Message(2, 4999, 0.0)))
     answer(detector, MemberUpdate(2, 5000, MemberStatus.FAILED))
     assert detector.reachability()[2] is Reachability.UNREACHABLE
 
@@ -247,7 +251,7 @@
     for period in range(27):
         probe = first_probe(detector, 100.0 * period)
         asked.append(probe.target)
-        detector.on_ack(100.0 * period + 1, probe.id, write(Message(probe.target, 0, 0.0)))
+        detector.on_ack(100.0 * period + 1, probe.id, encode(Message(probe.target, 0, 0.0)))
         detector.tick(100.0 * period + 50)
     rounds = asked[:9], asked[9:18], asked[18:]
     assert [sorted(order) for order in rounds] == [list(range(2, 11))] * 3
@@ -272,9 +276,9 @@
         changes = []
         for action in through:
             assert isinstance(action, IndirectProbe)
-            reply = write(Message(action.helper, 0, 0.0, result=found))
+            reply = encode(Message(action.helper, 0, 0.0, result=found))
             changes += detector.on_ack(2.0, action.id, reply)
-        assert changes == [Changed(probe.target, Reachability.ALIVE, Reachability.SUSPECT)]
+        assert changes == [ReachabilityChanged(probe.target, Reachability.ALIVE, Reachability.SUSPECT)]
         ended = []
         for now in range(50, 1100, 50):
             detector.tick(float(now))
@@ -285,7 +289,7 @@
 def test_an_answer_by_another_process_at_the_address_is_a_refusal() -> None:
     detector = core(siblings=1)
     probe = first_probe(detector)
-    detector.on_ack(1.0, probe.id, write(Message(99, 0, 0.0)))
+    detector.on_ack(1.0, probe.id, encode(Message(99, 0, 0.0)))
     detector.tick(50.0)
     assert detector.reachability()[2] is Reachability.SUSPECT
     for now in range(100, 400, 50):
@@ -296,86 +300,91 @@
 def test_what_failed_while_this_node_did_not_run_is_no_evidence() -> None:
     detector = core()
     probe = first_probe(detector)
-    call = write(Message(2, 0, 0.0, target=3))
+    call = encode(Message(2, 0, 0.0, target=3))
     (relayed,) = detector.on_indirect_probe(10.0, 5, call)
     assert isinstance(relayed, Probe)
     assert detector.on_failure(400.0, probe.id, refused=False) == []  # no tick for 400 ms
     (reply,) = detector.on_failure(400.0, relayed.id, refused=False)
     assert isinstance(reply, Ack)
     assert reply.payload is not None
-    assert (read(reply.payload) or Message(0, 0, 0)).result is ProbeResult.INCONCLUSIVE
+    assert (decode(reply.payload) or Message(0, 0, 0)).result is ProbeResult.INCONCLUSIVE
     assert detector.health == 1
 
 
 def test_rows_that_are_gone_are_forgotten_and_an_own_incarnation_only_rises() -> None:
     detector = core()
-    detector.set_standing(0.0, Standing.ATTACHED, 1000.0)
-    said = tuple(Statement(number, Standing.HOLDING, 900.0) for number in (2, 3, 9))
-    detector.on_probe(0.0, write(Message(2, 0, 0.0, statements=said)))
-    assert sorted(detector.standings()) == [1, 2, 3]
+    detector.set_quota_status(0.0, QuotaStatus.ATTACHED, 1000.0)
+    said = tuple(QuotaReport(number, QuotaStatus.HOLDING, 900.0) for number in (2, 3, 9))
+    detector.on_probe(0.0, encode(Message(2, 0, 0.0, quota_reports=said)))
+    assert sorted(detector.quota_reports()) == [1, 2, 3]
     detector.set_members(1.0, [Sibling(1, "n1", "at-1"), Sibling(3, "n3", "at-3")])
-    assert sorted(detector.standings()) == [1, 3]
+    assert sorted(detector.quota_reports()) == [1, 3]
     detector.set_incarnation(8)
     detector.set_incarnation(4)
-    assert (detector.incarnation, sorted(detector.standings())) == (8, [3])
+    assert (detector.incarnation, sorted(detector.quota_reports())) == (8, [3])
 
 
 def test_only_statements_of_others_that_are_not_attached_are_passed_on() -> None:
     detector = core(siblings=4)
-    detector.set_standing(0.0, Standing.ATTACHED, 1000.0)
-    standings = {2: Standing.ATTACHED, 3: Standing.HOLDING, 4: Standing.YIELDED, 5: Standing.ATTACHED}
-    said = tuple(Statement(number, standing, 900.0) for number, standing in standings.items())
-    passed_on = received(detector, write(Message(2, 0, 0.0, statements=said))).statements
-    assert detector.standings() == {1: (Standing.ATTACHED, 1000.0)} | {
+    detector.set_quota_status(0.0, QuotaStatus.ATTACHED, 1000.0)
+    standings = {
+        2: QuotaStatus.ATTACHED,
+        3: QuotaStatus.HOLDING,
+        4: QuotaStatus.YIELDED,
+        5: QuotaStatus.ATTACHED,
+    }
+    said = tuple(QuotaReport(number, standing, 900.0) for number, standing in standings.items())
+    passed_on = received(detector, encode(Message(2, 0, 0.0, quota_reports=said))).quota_reports
+    assert detector.quota_reports() == {1: (QuotaStatus.ATTACHED, 1000.0)} | {
         number: (standing, 900.0) for number, standing in standings.items()
     }
-    assert {(told.incarnation, told.standing) for told in passed_on} == {
-        (1, Standing.ATTACHED),
-        (3, Standing.HOLDING),
-        (4, Standing.YIELDED),
+    assert {(told.incarnation, told.status) for told in passed_on} == {
+        (1, QuotaStatus.ATTACHED),
+        (3, QuotaStatus.HOLDING),
+        (4, QuotaStatus.YIELDED),
     }
-    overtaken = Message(3, 0, 0.0, statements=(Statement(3, Standing.ATTACHED, 950.0),))
-    again = received(detector, write(overtaken)).statements
+    overtaken = Message(3, 0, 0.0, quota_reports=(QuotaReport(3, QuotaStatus.ATTACHED, 950.0),))
+    again = received(detector, encode(overtaken)).quota_reports
     assert {told.incarnation for told in again} == {1, 4}
 
 
 def test_statements_from_the_future_of_this_node_or_before_its_time_is_known_are_not_taken() -> None:
     detector = core()
     said = (
-        Statement(1, Standing.YIELDED, 9e5),
-        Statement(2, Standing.HOLDING, 9e5),
-        Statement(3, Standing.HOLDING, 5e3),
+        QuotaReport(1, QuotaStatus.YIELDED, 9e5),
+        QuotaReport(2, QuotaStatus.HOLDING, 9e5),
+        QuotaReport(3, QuotaStatus.HOLDING, 5e3),
     )
-    detector.on_probe(0.0, write(Message(2, 0, 0.0, statements=said)))
-    assert detector.standings() == {}
-    detector.set_standing(0.0, Standing.ATTACHED, 5000.0)
-    detector.on_probe(1.0, write(Message(2, 0, 0.0, statements=said)))
-    assert detector.standings() == {1: (Standing.ATTACHED, 5000.0), 3: (Standing.HOLDING, 5000.0)}
+    detector.on_probe(0.0, encode(Message(2, 0, 0.0, quota_reports=said)))
+    assert detector.quota_reports() == {}
+    detector.set_quota_status(0.0, QuotaStatus.ATTACHED, 5000.0)
+    detector.on_probe(1.0, encode(Message(2, 0, 0.0, quota_reports=said)))
+    assert detector.quota_reports() == {1: (QuotaStatus.ATTACHED, 5000.0), 3: (QuotaStatus.HOLDING, 5000.0)}
 
 
 def test_a_payload_of_a_vast_fleet_is_bounded() -> None:
     detector = core(siblings=3000)
-    detector.set_standing(0.0, Standing.ATTACHED, 1.7e12)
+    detector.set_quota_status(0.0, QuotaStatus.ATTACHED, 1.7e12)
     detector.set_view(b"v" * 20_000)
     detector.set_view(b"v" * 16_000)
     for start in range(2, 3002, 500):
-        said = tuple(Statement(number, Standing.HOLDING, 1.7e12) for number in range(start, start + 500))
+        said = tuple(QuotaReport(number, QuotaStatus.HOLDING, 1.7e12) for number in range(start, start + 500))
         updates = tuple(
             MemberUpdate(number, 1, MemberStatus.SUSPECT, (2, 3, 4)) for number in range(start, start + 60)
         )
-        detector.on_probe(0.0, write(Message(2, 0, 0.0, statements=said, updates=updates)))
-    payload, _ = detector.on_probe(0.0, write(Message(2, 0, 0.0)))
+        detector.on_probe(0.0, encode(Message(2, 0, 0.0, quota_reports=said, updates=updates)))
+    payload, _ = detector.on_probe(0.0, encode(Message(2, 0, 0.0)))
     assert payload is not None
-    message = read(payload)
+    message = decode(payload)
     assert message is not None
-    assert len(message.statements) == MAX_STATEMENTS
+    assert len(message.quota_reports) == MAX_QUOTA_REPORTS
     assert len(payload) < MAX_PAYLOAD_BYTES / 2
     assert detector.ignored["own view too large"] == 1
 
 
 def test_calls_that_are_never_ended_or_come_too_many_take_no_more_room() -> None:
     detector = core(relayed_probes=4)
-    call = write(Message(2, 0, 0.0, target=3))
+    call = encode(Message(2, 0, 0.0, target=3))
     taken = [detector.on_indirect_probe(0.0, number, call)[0] for number in range(6)]
     assert [type(action) for action in taken] == [Probe] * 4 + [Ack] * 2
     for now in range(0, 60_000, 50):
@@ -422,29 +431,30 @@
         max_size=9,
     ),
     st.lists(
-        st.builds(Statement, st.integers(0, 9), st.sampled_from(Standing), st.floats(0, 1e15)), max_size=9
+        st.builds(QuotaReport, st.integers(0, 9), st.sampled_from(QuotaStatus), st.floats(0, 1e15)),
+        max_size=9,
     ),
     st.binary(max_size=9),
 )
 
 
 @settings(max_examples=100)
-@given(st.lists(st.binary(max_size=60) | _any.map(write) | _whole.map(write), min_size=1, max_size=6))
+@given(st.lists(st.binary(max_size=60) | _any.map(encode) | _whole.map(encode), min_size=1, max_size=6))
 def test_nothing_that_a_member_sends_raises_or_adds_rows(payloads: list[bytes]) -> None:
     detector = core()
-    detector.set_standing(0.0, Standing.ATTACHED, 1000.0)
+    detector.set_quota_status(0.0, QuotaStatus.ATTACHED, 1000.0)
     for now, payload in enumerate(payloads):
         reply, _ = detector.on_probe(float(now), payload)
-        assert (reply is None) == (read(payload) is None)
+        assert (reply is None) == (decode(payload) is None)
         detector.on_indirect_probe(float(now), now, payload)
         for action in detector.tick(float(now)):
             if isinstance(action, Probe):
                 detector.on_ack(float(now), action.id, payload)
-        own = read(detector.on_probe(float(now), write(Message(2, 0, 0.0)))[0] or b"")
+        own = decode(detector.on_probe(float(now), encode(Message(2, 0, 0.0)))[0] or b"")
         assert own is not None, "a node's own payload can't be read"
     assert set(detector.reachability()) == {2, 3, 4}
-    assert set(detector.standings()) <= {1, 2, 3, 4}
-    assert detector.standings()[1] == (Standing.ATTACHED, 1000.0)
+    assert set(detector.quota_reports()) <= {1, 2, 3, 4}
+    assert detector.quota_reports()[1] == (QuotaStatus.ATTACHED, 1000.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_lease_holding.py
+++ b/tests/membership/test_lease_holding.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loadbalancer.membership import Call, Enrolment, Standing, Word
+from loadbalancer.membership import MemberLease, QuotaStatus, RegistryCall, SiblingReport
 from loadbalancer.membership.lease_clock import LeaseClock
 from loadbalancer.membership.quota_ledger import Ledger
 from tests.support.detector_simulation import Node, World
@@ -34,7 +34,7 @@
         self.cut_off: set[int] = set()
         self.ledger, self.leases = Ledger(), LeaseClock(TTL_MS)
         self.enrolments = {
-            number: Enrolment(f"n{number}", f"at-{number}", "", str(number), Random(self.rng.random()))
+            number: MemberLease(f"n{number}", f"at-{number}", "", str(number), Random(self.rng.random()))
             for number in self.world.nodes
         }
         self.world.before_tick = self._before_tick
@@ -44,10 +44,12 @@
 
     def shares(self, *numbers: int) -> tuple[float, ...]:
         """What these nodes take now."""
-        return tuple(round(self.enrolments[number].taking(self.clock(number)), 6) for number in numbers)
+        return tuple(
+            round(self.enrolments[number].quota_in_force(self.clock(number)), 6) for number in numbers
+        )
 
     def attached(self, number: int) -> bool:
-        return self.enrolments[number].attached(self.clock(number))
+        return self.enrolments[number].is_attached(self.clock(number))
 
     def clock(self, number: int) -> float:
         return self.world.clock(self.world.nodes[number])
@@ -69,37 +71,37 @@
             )
         self.world.after(STEP_MS, lambda: self._renew(number))
 
-    def _serve(self, node: Node, call: Call) -> None:
+    def _serve(self, node: Node, call: RegistryCall) -> None:
         number = node.incarnation
         if number in self.cut_off:
             return
         if call.path == "enrol":
             row = self.ledger.enrol(**call.body)
             assert row.incarnation == number
-            self.leases.renewed(self.world.now, number, row.seq, -1)
+            self.leases.record_renewal(self.world.now, number, row.seq, -1)
         else:
             seq, acked, using = call.body["seq"], call.body["acked"], call.body["using"]
             renewed = self.ledger.renew(number, seq, acked, using)
             assert renewed is not None
             row = renewed
-            self.leases.renewed(self.world.now, number, seq, call.body["answered"])
+            self.leases.record_renewal(self.world.now, number, seq, call.body["answered"])
         grant = self.ledger.grant(row, call.body.get("acked", -1), call.body.get("delta", False))
 
         def arrive() -> None:
             if number not in self.cut_off:
-                self.enrolments[number].granted(self.clock(number), call.number, grant, TTL_MS)
+                self.enrolments[number].on_grant(self.clock(number), call.number, grant, TTL_MS)
 
         self.world.after(ANSWER_MS / 2, lambda: self.world.in_turn(node, arrive))
 
-    def _fail(self, node: Node, call: Call) -> None:
+    def _fail(self, node: Node, call: RegistryCall) -> None:
         """Changes nothing where the call was answered."""
-        self.enrolments[node.incarnation].failed(self.world.clock(node), call.number)
+        self.enrolments[node.incarnation].on_failure(self.world.clock(node), call.number)
 
     def _expire(self) -> None:
-        lapsed, support = self.leases.due(self.world.now)
+        lapsed, support = self.leases.expired_and_attached(self.world.now)
         if self.ledger.would_expire(lapsed, support):
             self.ledger.expire(lapsed, support)
-            self.leases.keep(self.ledger.by_incarnation)
+            self.leases.retain(self.ledger.by_incarnation)
         self.world.after(EXPIRE_MS, self._expire)
 
     # ------------------------------------------------------------------------- siblings
@@ -110,13 +112,14 @@
         if enrolment.incarnation is None:
             return
         service_ms = self.world.now + SERVICE_MS
-        node.detector.set_standing(now, enrolment.standing(now), service_ms)
-        if not enrolment.attached(now):
-            told = node.detector.standings()
+        node.detector.set_quota_status(now, enrolment.quota_status(now), service_ms)
+        if not enrolment.is_attached(now):
+            told = node.detector.quota_reports()
             words = {
-                number: Word(standing, now + said - service_ms) for number, (standing, said) in told.items()
+                number: SiblingReport(standing, now + said - service_ms)
+                for number, (standing, said) in told.items()
             }
-            enrolment.heard(now, words)
+            enrolment.on_sibling_reports(now, words)
 
 
 def settled(seed: int) -> LeasedWorld:
@@ -152,5 +155,5 @@
     assert leased.shares(*LARGE, *SMALL) == tuple(
         round(share, 6) for share in (*(large,) * len(LARGE), *(small,) * len(SMALL))
     )
-    expected = Standing.HOLDING if LARGE[0] in cut_off else Standing.ATTACHED
-    assert {leased.enrolments[number].standing(leased.clock(number)) for number in LARGE} == {expected}
+    expected = QuotaStatus.HOLDING if LARGE[0] in cut_off else QuotaStatus.ATTACHED
+    assert {leased.enrolments[number].quota_status(leased.clock(number)) for number in LARGE} == {expected}
--- a/tests/membership/test_orders.py
+++ b/tests/membership/test_orders.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from loadbalancer.routing import participant as follower
+from loadbalancer.routing import participant
 from tests.support.orders import mistakes
 from tests.support.orders.explore import Found, explore, walk
 from tests.support.orders.parts import Bounds
@@ -39,7 +39,9 @@
 
 @pytest.fixture(autouse=True)
 def _texts_parsed_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(follower, "parse", lru_cache(follower.parse))  # a pure function of its arguments
+    monkeypatch.setattr(
+        participant, "parse_table", lru_cache(participant.parse_table)
+    )  # a pure function of its arguments
 
 
 def cold(nodes: int, faults: int, kinds: frozenset[str] = ALL, **more: Any) -> Shares:
--- a/tests/membership/test_shares.py
+++ b/tests/membership/test_shares.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from loadbalancer.membership.lease_clock import LATE, LeaseClock
-from loadbalancer.membership.member_lease import Enrolment, Word
-from loadbalancer.membership.payload import Standing
+from loadbalancer.membership.lease_clock import MAX_DELAY_TERM_FRACTION, LeaseClock
+from loadbalancer.membership.member_lease import MemberLease, SiblingReport
+from loadbalancer.membership.payload import QuotaStatus
 from loadbalancer.membership.quota_ledger import Ledger, Row, State, is_majority
 
 TTL = 1000.0
@@ -27,8 +27,8 @@
 @dataclass
 class Node:
     name: str
-    core: Enrolment
-    said: dict[int, Word] = field(default_factory=dict)
+    core: MemberLease
+    said: dict[int, SiblingReport] = field(default_factory=dict)
     alive: bool = True
 
 
@@ -47,7 +47,7 @@
 
     def start(self, name: str) -> Node:
         self.starts += 1
-        return Node(name, Enrolment(name, f"a-{name}", "", f"t{self.starts}", Random(self.rng.random())))
+        return Node(name, MemberLease(name, f"a-{name}", "", f"t{self.starts}", Random(self.rng.random())))
 
     def post(self, sender: str, to: str, act: Any) -> None:
         if (sender, to) not in self.cut:
@@ -61,17 +61,17 @@
         sent = self.now
 
         def lost() -> None:
-            node.core.failed(self.now, call.number)
+            node.core.on_failure(self.now, call.number)
 
         def arrive() -> None:
-            if not self.leads or self.now - sent > TTL * LATE:
+            if not self.leads or self.now - sent > TTL * MAX_DELAY_TERM_FRACTION:
                 return
             row = self.run(call.path, call.body)
             if row is None:
-                self.post("", node.name, lambda: node.core.failed(self.now, call.number, unknown=True))
+                self.post("", node.name, lambda: node.core.on_failure(self.now, call.number, unknown=True))
                 return
             grant = self.ledger.grant(row, call.body.get("acked", -1), call.body.get("delta", False))
-            self.post("", node.name, lambda: node.core.granted(self.now, call.number, grant, TTL))
+            self.post("", node.name, lambda: node.core.on_grant(self.now, call.number, grant, TTL))
 
         self.post(node.name, "", arrive)
         self.mail.append((self.now + call.timeout_ms, len(self.mail), lost))
@@ -79,11 +79,11 @@
     def run(self, path: str, body: dict[str, Any]) -> Row | None:
         if path == "enrol":
             row = self.ledger.enrol(**body)
-            self.clock.renewed(self.now, row.incarnation, row.seq, -1)
+            self.clock.record_renewal(self.now, row.incarnation, row.seq, -1)
             return row
         found = self.ledger.renew(body["incarnation"], body["seq"], body["acked"], body["using"])
         if found is not None:
-            self.clock.renewed(self.now, found.incarnation, body["seq"], body["answered"])
+            self.clock.record_renewal(self.now, found.incarnation, body["seq"], body["answered"])
         return found
 
     def gossip(self, node: Node) -> None:
@@ -92,14 +92,14 @@
         if node.core.incarnation is None or other is node:
             return
         words = dict(node.said)
-        words[node.core.incarnation] = Word(node.core.standing(self.now), self.now)
+        words[node.core.incarnation] = SiblingReport(node.core.quota_status(self.now), self.now)
 
         def arrive() -> None:
             for number, word in words.items():
-                if number not in other.said or other.said[number].at_ms < word.at_ms:
+                if number not in other.said or other.said[number].made_at_ms < word.made_at_ms:
                     other.said[number] = word
             if other.alive:
-                other.core.heard(self.now, other.said)
+                other.core.on_sibling_reports(self.now, other.said)
 
         self.post(node.name, other.name, arrive)
 
@@ -110,18 +110,18 @@
         for _, _, act in sorted(ready, key=lambda item: item[:2]):
             act()
         if self.leads:
-            lapsed, support = self.clock.due(self.now)
+            lapsed, support = self.clock.expired_and_attached(self.now)
             if self.ledger.would_expire(lapsed, support):
                 self.ledger.expire(lapsed, support)
-                self.clock.keep(self.ledger.by_incarnation)
+                self.clock.retain(self.ledger.by_incarnation)
         for node in self.nodes:
             if node.alive:
                 self.ask_service(node)
                 if self.rng.random() < 0.3:
                     self.gossip(node)
-        self.sums.append(math.fsum(node.core.taking(self.now) for node in self.nodes if node.alive))
+        self.sums.append(math.fsum(node.core.quota_in_force(self.now) for node in self.nodes if node.alive))
         assert self.sums[-1] <= BOUND, f"shares sum to {self.sums[-1]} at {self.now}"
-        assert self.ledger.total() <= BOUND
+        assert self.ledger.granted_quota() <= BOUND
 
     def run_for(self, ms: float) -> None:
         for _ in range(int(ms / STEP)):
@@ -160,7 +160,7 @@
             world.cut, world.slow = set(), {}
         if not world.leads:
             world.leads = True
-            world.clock.lead(world.now, [(row.incarnation, row.seq) for row in world.ledger.rows()])
+            world.clock.begin_term(world.now, [(row.incarnation, row.seq) for row in world.ledger.records()])
     world.cut, world.slow = set(), {}
     world.nodes = [node if node.alive else world.start(node.name) for node in world.nodes]
     world.run_for(4 * TTL)
@@ -170,12 +170,12 @@
 def test_a_minority_cut_off_yields_before_the_others_grow_and_takes_its_part_again() -> None:
     world = World(1, 6)
     world.run_for(2 * TTL)
-    assert all(node.core.taking(world.now) == pytest.approx(1 / 6) for node in world.nodes)
+    assert all(node.core.quota_in_force(world.now) == pytest.approx(1 / 6) for node in world.nodes)
     away = {"n0", "n1"}
     names = [node.name for node in world.nodes] + [""]
     world.cut = {(a, b) for a in names for b in names if (a in away) != (b in away)}
     world.run_for(2.5 * TTL)
-    taking = {node.name: node.core.taking(world.now) for node in world.nodes}
+    taking = {node.name: node.core.quota_in_force(world.now) for node in world.nodes}
     assert [taking[name] for name in ("n0", "n1")] == [0.0, 0.0]
     assert taking["n2"] == pytest.approx(1 / 4)
     world.cut = set()
@@ -189,7 +189,7 @@
     world.leads = False
     world.run_for(6 * TTL)
     assert world.sums[-1] == pytest.approx(1.0)
-    assert all(node.core.standing(world.now) is Standing.HOLDING for node in world.nodes)
+    assert all(node.core.quota_status(world.now) is QuotaStatus.HOLDING for node in world.nodes)
 
 
 def test_a_restarted_process_takes_its_rows_place_at_once() -> None:
@@ -207,10 +207,10 @@
     rows = [ledger.enrol(f"n{at}", f"a-{at}", "", f"t{at}") for at in range(3)]
     for turn in (1, 2):
         for row in rows:
-            ledger.renew(row.incarnation, turn, ledger.revision, min(row.share, ledger.aim()))
+            ledger.renew(row.incarnation, turn, ledger.revision, min(row.share, ledger.target_quota()))
     assert all(row.elector and row.share == pytest.approx(1 / 3) for row in rows)
     assert ledger.expire([(1, 2)], [2]) == ([1], [])  # one of three electors is attached
-    assert ledger.by_incarnation[1].state is State.LAPSED
+    assert ledger.by_incarnation[1].state is State.EXPIRED
     assert ledger.expire([(1, 2)], [2, 3]) == ([], [1])
     # type: ignore[union-attr]
     assert ledger.renew(2, 3, ledger.revision, 1 / 3).share == pytest.approx(1 / 2)
--- a/tests/membership/test_verdict.py
+++ b/tests/membership/test_verdict.py
@@ -27,8 +27,8 @@
     assert [pair for pair, found in VERDICTS.items() if found is Verdict.LINK_FAULT] == [
         (LeaseStatus.LIVE, Reachability.INDIRECT)
     ]
-    assert verdict(LeaseStatus.LAPSED, Reachability.SUSPECT) is Verdict.FAILED
-    assert verdict(LeaseStatus.LAPSED, Reachability.SUSPECT, leaving=True) is Verdict.LEAVING
+    assert verdict(LeaseStatus.EXPIRED, Reachability.SUSPECT) is Verdict.FAILED
+    assert verdict(LeaseStatus.EXPIRED, Reachability.SUSPECT, leaving=True) is Verdict.LEAVING
     assert verdict(LeaseStatus.LIVE, Reachability.UNREACHABLE, leaving=True) is Verdict.FAILED
 
 
--- a/tests/registry/test_fleet_catalog.py
+++ b/tests/registry/test_fleet_catalog.py
@@ -41,13 +41,18 @@
     log = Log()
     assert log("enrol", 9.0, 0, *ABOUT) is None  # before any leader has begun
     log.lead(1)
-    assert log("enrol", 10.0, 1, *ABOUT)[0].lease.share == 1.0
+    assert log("enrol", 10.0, 1, *ABOUT)[0].lease.quota == 1.0
     log.lead(3)
     late = [("renew_many", [(1, 9, 0, 1, 1.0)]), ("leave", 1), ("remove", "n1"), ("expire", [(1, 0)], [], 0)]
     assert [log(command, 99.0, 1, *args) for command, *args in late] == [None] * 4
     assert log("lead", 0.0, 2, "127.0.0.1:2", 1, 1_000.0, 50.0) is None
     state = log.catalog.state
-    assert (state.log_ms, state.term, state.http, state.ledger.total()) == (10.0, 3, "127.0.0.1:3", 1.0)
+    assert (state.log_ms, state.term, state.http, state.ledger.granted_quota()) == (
+        10.0,
+        3,
+        "127.0.0.1:3",
+        1.0,
+    )
     assert log("renew_many", 11.0, 3, [(1, 9, 0, 1, 1.0), (8, 1, 0, 0, 0.0)])[1] is None
     assert [row.seq for row in log.catalog.take_renewed()] == [9]
 
@@ -98,7 +103,7 @@
     assert Dump([fresh, new.catalog]).read(path) == (("e", 1, 1), ("e", 2, 1), set())
     assert fresh.count() == (1, 1, 0)
     state = new.catalog.state
-    assert (state.term, len(state.ledger.rows())) == ((4, 1) if parts == 2 else (-1, 0))
+    assert (state.term, len(state.ledger.records())) == ((4, 1) if parts == 2 else (-1, 0))
     assert new.changes == parts - 1
     with gzip.open(path) as file:  # pysyncobj's own layout: its part, then one for each consumer
         assert len(pickle.load(file)[0]) == 1 + parts
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from loadbalancer.membership.change_log import ChangeLog
-from loadbalancer.membership.member_lease import Enrolment
+from loadbalancer.membership.member_lease import MemberLease
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Ledger, Row, State
 from loadbalancer.registry import fleet_state
@@ -37,12 +37,12 @@
     for _ in range(turns):
         for row in list(state.rows()):
             grant = state.grant(row, -1, delta=False)
-            state.renew(row.incarnation, row.seq + 1, grant.rev, min(row.share, grant.share))
+            state.renew(row.incarnation, row.seq + 1, grant.revision, min(row.share, grant.quota))
 
 
 def totals(state: FleetState) -> dict[str, float]:
-    return {NO_SERVICE: state.ledger.total()} | {
-        service: ledger.total() for service, ledger in state.services.items()
+    return {NO_SERVICE: state.ledger.granted_quota()} | {
+        service: ledger.granted_quota() for service, ledger in state.services.items()
     }
 
 
@@ -52,9 +52,9 @@
     enrol(state, "find", "n3")
     renew_all(state)
     assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0), "find": pytest.approx(1.0)}
-    grant = state.grant(next(state.services["pay"].rows().__iter__()), -1, delta=False)
+    grant = state.grant(next(state.services["pay"].records().__iter__()), -1, delta=False)
     assert [member.name for member in grant.members] == ["n1", "n2"]
-    assert (grant.service, grant.share) == ("pay", pytest.approx(0.5))
+    assert (grant.service, grant.quota) == ("pay", pytest.approx(0.5))
 
 
 def test_a_change_in_one_group_is_no_change_in_another() -> None:
@@ -105,7 +105,7 @@
     assert due is not None
     newly, removed = state.expire(due.lapsed, due.support, due.repeats)
     assert (newly, removed) == ([1, 4], [1])  # of `find` nobody is attached: its row only lapses
-    assert state.services["find"].by_incarnation[4].state is State.LAPSED
+    assert state.services["find"].by_incarnation[4].state is State.EXPIRED
     assert state.due_expiry([(4, seqs[4])], [2, 3]) is None  # others' majority says nothing here
 
 
@@ -119,7 +119,7 @@
     assert state.services["pay"].by_incarnation[1].state is State.LEFT
     assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(2 / 3), "find": pytest.approx(1.0)}
     renew_all(state)
-    assert [row.share for row in state.services["pay"].rows()] == [0.0, *[pytest.approx(0.5)] * 2]
+    assert [row.share for row in state.services["pay"].records()] == [0.0, *[pytest.approx(0.5)] * 2]
     state.expire([(1, state.services["pay"].by_incarnation[1].seq)], [], state.repeats)
     assert list(state.services["pay"].by_incarnation) == [2, 3]
 
@@ -134,7 +134,7 @@
     assert (renewed.state, renewed.share) == (State.LIVE, pytest.approx(1 / 3))
     state.expire([(1, 9)], [2, 3], state.repeats)
     renew_all(state)
-    assert [row.share for row in state.services["pay"].rows()] == [pytest.approx(0.5)] * 2
+    assert [row.share for row in state.services["pay"].records()] == [pytest.approx(0.5)] * 2
 
 
 def test_the_last_members_that_name_no_service_leave_their_shares_once_restarted_to_name_one() -> None:
@@ -144,7 +144,7 @@
     for name in ("n1", "n2", "n3"):
         state.enrol_in("pay", name, f"a-{name}", "z", f"again-{name}")
     for _ in range(3):
-        for row in list(state.services["pay"].rows()):
+        for row in list(state.services["pay"].records()):
             state.renew(row.incarnation, row.seq + 1, state.services["pay"].revision, row.share)
     assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0)}
 
@@ -220,9 +220,9 @@
     assert [row for row in copy.rows()] == [row for row in state.rows()]
     assert copy.service_of(3) == "pay"
     row = copy.services["pay"].by_incarnation[3]
-    assert copy.grant(row, 1, delta=True).since is UNSET  # what changed before it is not known
+    assert copy.grant(row, 1, delta=True).since_revision is UNSET  # what changed before it is not known
     enrol(copy, "pay", "n4")
-    assert copy.grant(row, 2, delta=True).since == 2
+    assert copy.grant(row, 2, delta=True).since_revision == 2
 
 
 # ------------------------------------------------------------------ member lists as changes
@@ -232,11 +232,11 @@
     ledger = Ledger()
     rows = [ledger.enrol(f"n{at}", f"a{at}", "z", f"s{at}") for at in range(4)]
     known = ledger.revision
-    ledger.leaving(rows[1].incarnation)
+    ledger.begin_draining(rows[1].incarnation)
     ledger.leave(rows[2].incarnation)
     ledger.expire([(3, 0)], [])
     grant = ledger.grant(rows[0], known, delta=True)
-    assert (grant.since, grant.removed) == (known, (3,))
+    assert (grant.since_revision, grant.removed) == (known, (3,))
     assert [(member.incarnation, member.state) for member in grant.members] == [(2, "leaving")]
     assert len(ledger.grant(rows[0], known, delta=False).members) == 3
     assert ledger.grant(rows[0], ledger.revision, delta=True).members is UNSET
@@ -245,29 +245,29 @@
 def test_a_change_log_that_has_dropped_changes_knows_only_those_after() -> None:
     log = ChangeLog(5, kept=2)
     for revision in (6, 7, 8):
-        log.note(revision, (revision,))
+        log.record(revision, (revision,))
     assert log.since(5) is None
     assert log.since(6) == {7, 8}
     assert log.since(8) == frozenset()
     assert log.since(9) is None
 
 
-def node_with(*names: str) -> tuple[Enrolment, Ledger, Row]:
+def node_with(*names: str) -> tuple[MemberLease, Ledger, Row]:
     """A process that was told the whole list of a group, itself the first."""
     ledger = Ledger()
     rows = [ledger.enrol(name, f"a-{name}", "z", f"s-{name}") for name in names]
-    core = Enrolment(names[0], f"a-{names[0]}", "z", f"s-{names[0]}", Random(1))
+    core = MemberLease(names[0], f"a-{names[0]}", "z", f"s-{names[0]}", Random(1))
     call = core.tick(0.0, None)
     assert call is not None
-    assert core.granted(1.0, call.number, ledger.grant(rows[0], -1), TTL)
+    assert core.on_grant(1.0, call.number, ledger.grant(rows[0], -1), TTL)
     return core, ledger, rows[0]
 
 
-def renewed(core: Enrolment, now: float, grant: LeaseGrant) -> int:
+def renewed(core: MemberLease, now: float, grant: LeaseGrant) -> int:
     """Renew with this answer; the revision that the call acknowledged."""
     call = core.tick(now, None)
     assert call is not None
-    assert core.granted(now + 1.0, call.number, grant, TTL)
+    assert core.on_grant(now + 1.0, call.number, grant, TTL)
     return int(call.body["acked"])
 
 
@@ -288,7 +288,7 @@
     core, ledger, row = node_with("n1", "n2")
     known, members = core.revision, core.members
     ledger.enrol("n3", "a-n3", "z", "s-n3")
-    gap = replace(ledger.grant(row, known, delta=True), since=known + begins)
+    gap = replace(ledger.grant(row, known, delta=True), since_revision=known + begins)
     renewed(core, 1_000.0, gap)
     assert (core.revision, core.members) == (known, members)
     assert renewed(core, 2_000.0, ledger.grant(row, -1, delta=True)) == -1
@@ -306,23 +306,23 @@
 
 def test_an_enrolment_may_be_refused_for_days() -> None:
     """Guard: after 1,024 refusals the pause overflowed, and the node never enrolled again."""
-    core, now = Enrolment("n1", "a", "z", "s", Random(3)), 0.0
+    core, now = MemberLease("n1", "a", "z", "s", Random(3)), 0.0
     for _ in range(1_100):
         call = core.tick(now, None)
         assert call is not None
-        core.refused(now, call.number)
-        now = core.due()
+        core.on_enrolment_rejected(now, call.number)
+        now = core.next_call_at()
     assert now < math.inf
 
 
 def test_a_refused_enrolment_is_said_again_with_a_jittered_pause_that_grows_to_a_bound() -> None:
-    core, now, pauses = Enrolment("n1", "a", "z", "s", Random(3)), 0.0, []
+    core, now, pauses = MemberLease("n1", "a", "z", "s", Random(3)), 0.0, []
     for _ in range(12):
         call = core.tick(now, None)
         assert call is not None
-        core.refused(now, call.number)
-        pauses.append(core.due() - now)
-        now = core.due()
+        core.on_enrolment_rejected(now, call.number)
+        pauses.append(core.next_call_at() - now)
+        now = core.next_call_at()
     assert all(pause <= 2.0 * core.ttl_ms for pause in pauses)
     assert pauses[0] <= 0.1 * core.ttl_ms
     assert min(pauses[-3:]) >= core.ttl_ms
@@ -330,5 +330,5 @@
     call = core.tick(now, None)
     assert call is not None
     ledger = Ledger()
-    core.granted(now + 1.0, call.number, ledger.grant(ledger.enrol("n1", "a", "z", "s"), -1), TTL)
-    assert core.taking(now + 2.0) == 1.0
+    core.on_grant(now + 1.0, call.number, ledger.grant(ledger.enrol("n1", "a", "z", "s"), -1), TTL)
+    assert core.quota_in_force(now + 2.0) == 1.0
--- a/tests/registry/test_groups_faults.py
+++ b/tests/registry/test_groups_faults.py
@@ -138,7 +138,7 @@
     hollows.until(
         "leases of the west at an end",
         lambda now: all(
-            one.core.lease_end < now - TTL_MS and one.taking(now) == (0.25 if one in adrift else 0.0)
+            one.core.lease_end_ms < now - TTL_MS and one.taking(now) == (0.25 if one in adrift else 0.0)
             for one in west
         ),
     )
--- a/tests/registry/test_groups_upgrade.py
+++ b/tests/registry/test_groups_upgrade.py
@@ -13,7 +13,7 @@
 import pytest
 from msgspec import UNSET
 
-from loadbalancer.membership import Enrolment
+from loadbalancer.membership import MemberLease
 from loadbalancer.node.control.registry_client import read_lease
 from loadbalancer.node.http.service_http import Reply
 from tests.registry.test_registry_fleet import Member
@@ -204,9 +204,9 @@
 def test_a_node_that_names_a_service_goes_by_the_answers_of_the_first_release() -> None:
     """It acknowledges, shares and knows its siblings by whole lists, with no aim, group or changes told."""
     calls = orjson.loads((DATA / "answers-of-first-release.json").read_bytes())
-    core, now = Enrolment("h0", "127.0.0.1:10000", "z", "h0-1", Random(1), "pay"), 0.0
+    core, now = MemberLease("h0", "127.0.0.1:10000", "z", "h0-1", Random(1), "pay"), 0.0
     for made in calls:
-        now = max(now, core.due())
+        now = max(now, core.next_call_at())
         call = core.tick(now, made["body"].get("sent"))
         assert call is not None
         assert (call.path, call.body | {"sent": None}) == (
@@ -214,12 +214,12 @@
             {"sent": None} | made["body"] | {"sent": None},
         )
         if made["status"] != 200:
-            core.failed(now, call.number)
+            core.on_failure(now, call.number)
             continue
         answer = read_lease(orjson.dumps(made["answer"]))
-        assert (answer.aim, answer.since, answer.service) == (UNSET, UNSET, "")
-        assert core.granted(now + 1.0, call.number, answer, answer.ttl_ms)
+        assert (answer.target_quota, answer.since_revision, answer.service) == (UNSET, UNSET, "")
+        assert core.on_grant(now + 1.0, call.number, answer, answer.ttl_ms)
     assert (core.incarnation, core.revision, core.elector) == (1, 3, True)
     assert [member.name for member in core.members] == ["h0", "h1", "h2"]
-    assert core.taking(now + 2.0) == pytest.approx(1 / 3)
-    assert core.due() == pytest.approx(now + 1.0 + 0.2 * core.ttl_ms)  # it is settled: no hurry
+    assert core.quota_in_force(now + 2.0) == pytest.approx(1 / 3)
+    assert core.next_call_at() == pytest.approx(now + 1.0 + 0.2 * core.ttl_ms)  # it is settled: no hurry
--- a/tests/support/detector_simulation.py
+++ b/tests/support/detector_simulation.py
@@ -17,15 +17,15 @@
 from loadbalancer.membership import (
     Ack,
     Action,
-    Changed,
     DetectorConfig,
     FailureDetector,
     IndirectProbe,
     Probe,
+    QuotaStatus,
     Reachability,
+    ReachabilityChanged,
     Sibling,
-    Standing,
-    Viewed,
+    ViewReceived,
 )
 
 SERVICE_OFFSET_MS = 1e6  # service time less the simulation's
@@ -54,8 +54,8 @@
     sent: int = 0
     sent_bytes: int = 0
     ack_bytes_received: int = 0
-    viewed: list[Viewed] = field(default_factory=list)
-    standing: Standing | None = None  # stated anew before each tick
+    viewed: list[ViewReceived] = field(default_factory=list)
+    standing: QuotaStatus | None = None  # stated anew before each tick
     held_at: float | None = None  # when it began to hold
 
 
@@ -74,7 +74,7 @@
         self.rng = random.Random(seed)
         self.delay, self.loss = delay, loss
         self.cut: set[tuple[int, int]] = set()  # (from, to): messages on it vanish
-        self.changes: list[tuple[float, int, Changed]] = []  # when, observer, change
+        self.changes: list[tuple[float, int, ReachabilityChanged]] = []  # when, observer, change
         self.before_tick: Callable[[Node], None] = lambda node: None
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._ids = itertools.count(1)
@@ -117,7 +117,7 @@
             self.after(self.rng.uniform(0.0, RENEWAL * ttl_ms), lambda node=node: self._hold(node))  # type: ignore[misc]
 
     def _hold(self, node: Node) -> None:
-        node.standing, node.held_at = Standing.HOLDING, self.now
+        node.standing, node.held_at = QuotaStatus.HOLDING, self.now
 
     def cut_between(self, left: Iterable[int], right: Iterable[int]) -> None:
         for one, other in itertools.product(list(left), list(right)):
@@ -177,7 +177,7 @@
         return [waits.get(number, float("inf")) for number in self.nodes]
 
     def _knows_majority(self, node: Node) -> bool:
-        holding = [said for said, _ in node.detector.standings().values() if said is Standing.HOLDING]
+        holding = [said for said, _ in node.detector.quota_reports().values() if said is QuotaStatus.HOLDING]
         return 2 * len(holding) > len(self.nodes)
 
     # -------------------------------------------------------------- nodes
@@ -194,7 +194,7 @@
             self.before_tick(node)
             if node.standing is not None:
                 service_ms = self.now + SERVICE_OFFSET_MS
-                node.detector.set_standing(self.clock(node), node.standing, service_ms)
+                node.detector.set_quota_status(self.clock(node), node.standing, service_ms)
             self._do(node, node.detector.tick(self.clock(node)))
             assert node.detector.due is not None
             self.after(max(0.1, node.detector.due - self.clock(node)), lambda: self._tick(node))
@@ -208,9 +208,9 @@
                     self._call(node, action)
                 case Ack():
                     node.replies.pop(action.call)(action.payload)
-                case Changed():
+                case ReachabilityChanged():
                     self.changes.append((self.now, node.incarnation, action))
-                case Viewed():
+                case ViewReceived():
                     node.viewed.append(action)
 
     # -------------------------------------------------------------- calls
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -16,7 +16,7 @@
 from random import Random
 from typing import Any
 
-from loadbalancer.membership import Enrolment, Word
+from loadbalancer.membership import MemberLease, SiblingReport
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.address import Address
 from loadbalancer.node.clock import Clock
@@ -76,13 +76,13 @@
         self.incarnations: list[int] = []  # in the order that they were given
         self.gone = 0  # how often the service had no row of it
         self.renewals = 0  # answered and used
-        self.words: dict[int, Word] = {}
+        self.words: dict[int, SiblingReport] = {}
         self.line, self._clock = Line(instances), clock
         self._starts = count(1)
         self.lease: Lease | None = None
 
     @property
-    def core(self) -> Enrolment:
+    def core(self) -> MemberLease:
         assert self.lease is not None
         return self.lease.core
 
@@ -94,7 +94,7 @@
     def start(self, watches: bool = False) -> None:
         """Begin a process at this address; `watches`: with a watch for changes, else with renewals alone."""
         start = f"{self.name}-{next(self._starts)}"
-        core = Enrolment(self.name, self.address, self.zone, start, Random(start), self.service)
+        core = MemberLease(self.name, self.address, self.zone, start, Random(start), self.service)
         self.words = {}
         self.lease = Lease(core, self.line, self._clock, Offsets())
         self.lease.on_answer, self.lease.on_gone = self._on_answer, self._on_gone
@@ -123,11 +123,11 @@
             await asyncio.sleep(WORDS_S)
 
     def taking(self, now: float) -> float:
-        return 0.0 if self.lease is None else self.core.taking(now)
+        return 0.0 if self.lease is None else self.core.quota_in_force(now)
 
     def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
         assert self.lease is not None
-        self.lease.told(answer.rev, int(answer.routes.get("rev", 0)))
+        self.lease.told(answer.revision, int(answer.routes.get("rev", 0)))
         self.renewals += 1
         if answer.incarnation not in self.incarnations[-1:]:
             self.incarnations.append(answer.incarnation)
@@ -239,7 +239,7 @@
                     groups.setdefault(member.service, []).append(member)
             for siblings in groups.values():
                 for member in siblings:
-                    if not member.core.attached(now):
+                    if not member.core.is_attached(now):
                         self._hear(member, siblings, now)
             await asyncio.sleep(WORDS_S)
 
@@ -247,8 +247,8 @@
         for other in siblings:
             if other is not member and not self.parted(member, other):
                 assert other.core.incarnation is not None
-                member.words[other.core.incarnation] = Word(other.core.standing(now), now)
-        member.core.heard(now, member.words)
+                member.words[other.core.incarnation] = SiblingReport(other.core.quota_status(now), now)
+        member.core.on_sibling_reports(now, member.words)
 
     # ------------------------------------------------------------------ the end
 
--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -7,8 +7,8 @@
 
 from msgspec import UNSET
 
-from loadbalancer.membership.lease_clock import SUPPORT
-from loadbalancer.membership.member_lease import WHOLE_LIST, Call
+from loadbalancer.membership.lease_clock import ATTACHED_TERM_FRACTION
+from loadbalancer.membership.member_lease import FULL_LIST_REVISION, RegistryCall
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Ledger, Row
 from loadbalancer.registry.fleet_state import NO_SERVICE, Expiry
@@ -33,9 +33,9 @@
         usable: dict[int | None, int] = {}  # no renewal names an answer before this one
         for node in self.nodes:
             if node.core is not None:
-                numbers[node.core.incarnation] = node.core._numbers
+                numbers[node.core.incarnation] = node.core._last_number
                 if not node.calls:
-                    usable[node.core.incarnation] = node.core._answered
+                    usable[node.core.incarnation] = node.core._last_answered
         plan = None
         if self.plan is not None:
             lapsed, support, repeats = self.plan.lapsed, self.plan.support, self.plan.repeats
@@ -57,7 +57,7 @@
                             numbers.get(row.incarnation, 0),
                             usable.get(row.incarnation, -1),
                         )
-                        for row in ledger.rows()
+                        for row in ledger.records()
                     ),
                 )
                 for service, ledger in groups
@@ -79,7 +79,7 @@
                 for sent in node.calls
                 if sent.service == service and sent.call.body.get("incarnation") in ledger.by_incarnation
             ]
-        since = max(ledger._changes._floor, min(at for at in named if at != WHOLE_LIST))
+        since = max(ledger._changes._floor, min(at for at in named if at != FULL_LIST_REVISION))
         changed = {number: at for at, number in ledger._changes._changes if at > since}
         return (
             ledger.revision - since,
@@ -95,7 +95,7 @@
     def _made_key(self, node: Node, revisions: dict[str, int]) -> tuple[Any, ...]:
         core, own = node.core, self.now + node.skew
         revision = revisions.get(node.service, 0)
-        base = 0 if core is None else core._numbers
+        base = 0 if core is None else core._last_number
         calls = tuple(
             (
                 sent.call.path,
@@ -112,35 +112,35 @@
             (base - number, None if told is None else self._told_key(told, revision))
             for number, told in node.answers
         )
-        out = core._out
+        out = core._in_flight
         return (
             node.starts,
             calls,
             words,
             answers,
-            tuple(sorted((number, own - word.at_ms, word.standing) for number, word in node.said.items())),
+            tuple(sorted((number, own - word.made_at_ms, word.status) for number, word in node.said.items())),
             core.incarnation,
             revision - core.revision,
             core.elector,
-            round(core._share, 6),
-            past(core.lease_end - own),
-            past(core._until - own),
-            past(core._answer_at + SUPPORT * TTL - own),
-            base - core._answered,
+            round(core._quota, 6),
+            past(core.lease_end_ms - own),
+            past(core._quota_end_ms - own),
+            past(core._last_answer_ms + ATTACHED_TERM_FRACTION * TTL - own),
+            base - core._last_answered,
             None if out is None else (out[0].path, base - out[0].number, own - out[1]),
-            max(0.0, core._due - own),
-            core._whole_list_wanted,
+            max(0.0, core._next_call_ms - own),
+            core._needs_full_list,
             members_key(core.members),
         )
 
-    def _body_key(self, call: Call, base: int, revision: int) -> tuple[Any, ...]:
+    def _body_key(self, call: RegistryCall, base: int, revision: int) -> tuple[Any, ...]:
         body = call.body
         if call.path != "renew":
             return (call.path, body.get("start"), body.get("incarnation"))
         return (
             body["incarnation"],
             base - body["answered"],
-            None if body["acked"] == WHOLE_LIST else revision - body["acked"],
+            None if body["acked"] == FULL_LIST_REVISION else revision - body["acked"],
             body["delta"],
             round(body["using"], 6),
             body["sent"] is None,
@@ -149,11 +149,11 @@
     def _told_key(self, told: LeaseGrant, revision: int) -> tuple[Any, ...]:
         rows = () if told.members is UNSET else told.members
         members = tuple(sorted((row.incarnation, row.rank, row.state) for row in rows))
-        since = None if told.since is UNSET else revision - told.since
+        since = None if told.since_revision is UNSET else revision - told.since_revision
         return (
             told.incarnation,
-            revision - told.rev,
-            round(told.share, 6),
+            revision - told.revision,
+            round(told.quota, 6),
             told.elector,
             members,
             since,
@@ -164,16 +164,18 @@
         lease = self.service.clock._leases.get(row.incarnation)
         told = None
         if lease is not None:
-            attached = lease.since is not None and self.now < lease.until
+            attached = lease.attached_since_ms is not None and self.now < lease.attached_until_ms
             applied = tuple(
                 (base - seq, self.now - at)
-                for seq, at in lease.applied.items()
-                if seq >= usable and self.now < at + SUPPORT * TTL
+                for seq, at in lease.applied_at_ms.items()
+                if seq >= usable and self.now < at + ATTACHED_TERM_FRACTION * TTL
             )
             told = (
-                min(self.now - lease.last, TTL + self.bounds.step),
+                min(self.now - lease.last_renewal_ms, TTL + self.bounds.step),
                 base - lease.seq,
-                (min(self.now - lease.since, TTL), lease.until - self.now) if attached else None,
+                (min(self.now - lease.attached_since_ms, TTL), lease.attached_until_ms - self.now)
+                if attached
+                else None,
                 applied,
             )
         return (
--- a/tests/support/orders/mistakes.py
+++ b/tests/support/orders/mistakes.py
@@ -10,39 +10,39 @@
 from msgspec import UNSET
 from msgspec.structs import replace as replace_fields
 
-from loadbalancer.membership.member_lease import WHOLE_LIST, Enrolment, Standing, Word
+from loadbalancer.membership.member_lease import FULL_LIST_REVISION, MemberLease, QuotaStatus, SiblingReport
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import Beside, Ledger, Row
+from loadbalancer.membership.quota_ledger import ExternalQuota, Ledger, Row
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, ended_before
 from loadbalancer.routing.coordinator import PREPARING, Activations
-from loadbalancer.routing.participant import Action, Follower, Stage, Store
+from loadbalancer.routing.participant import Action, CopyStage, RouteParticipant, Store
 
 Mistake = Callable[[pytest.MonkeyPatch], None]
 
 
 def vote_before_fsync(patch: pytest.MonkeyPatch) -> None:
-    right = Follower._bring
+    right = RouteParticipant._advance_copy
 
-    def bring(self: Follower, now: float, number: int, its_digest: str) -> list[Action]:
+    def bring(self: RouteParticipant, now: float, number: int, its_digest: str) -> list[Action]:
         actions = right(self, now, number, its_digest)
-        if self._asked(number) and any(isinstance(action, Store) for action in actions):
+        if self._is_being_prepared(number) and any(isinstance(action, Store) for action in actions):
             actions = [*self._vote(number, self.copies[number]), *actions]
         return actions
 
-    patch.setattr(Follower, "_bring", bring)
+    patch.setattr(RouteParticipant, "_advance_copy", bring)
 
 
 def moment_without_the_term(patch: pytest.MonkeyPatch) -> None:
-    right = Activations.settle
+    right = Activations.apply_due
 
     def settle(self: Activations, log_ms: float, ttl_ms: float, bound_ms: float) -> None:
         right(self, log_ms, 0.0, bound_ms)
 
-    patch.setattr(Activations, "settle", settle)
+    patch.setattr(Activations, "apply_due", settle)
 
 
 def answer_omits_the_decision(patch: pytest.MonkeyPatch) -> None:
-    right = Activations.answer
+    right = Activations.announcement
 
     def answer(self: Activations) -> dict[str, Any]:
         told = right(self)
@@ -50,17 +50,17 @@
             told["pending"] |= {"phase": PREPARING, "at": None}
         return told
 
-    patch.setattr(Activations, "answer", answer)
+    patch.setattr(Activations, "announcement", answer)
 
 
 def share_grows_by_hearing(patch: pytest.MonkeyPatch) -> None:
-    right = Enrolment.heard
+    right = MemberLease.on_sibling_reports
 
-    def heard(self: Enrolment, now: float, words: Mapping[int, Word]) -> None:
+    def heard(self: MemberLease, now: float, words: Mapping[int, SiblingReport]) -> None:
         right(self, now, words)
-        self._share = 1.0 / (1 + len(words)) if self._share else 0.0
+        self._quota = 1.0 / (1 + len(words)) if self._quota else 0.0
 
-    patch.setattr(Enrolment, "heard", heard)
+    patch.setattr(MemberLease, "on_sibling_reports", heard)
 
 
 def incarnation_does_not_rise(patch: pytest.MonkeyPatch) -> None:
@@ -76,18 +76,18 @@
 
 
 def hold_rests_on_any_word(patch: pytest.MonkeyPatch) -> None:
-    right = Enrolment._held_until
+    right = MemberLease._majority_holds_until
 
-    def held_until(self: Enrolment, words: Mapping[int, Word]) -> float:
+    def held_until(self: MemberLease, words: Mapping[int, SiblingReport]) -> float:
         return right(
-            self, {number: replace(word, standing=Standing.HOLDING) for number, word in words.items()}
+            self, {number: replace(word, status=QuotaStatus.HOLDING) for number, word in words.items()}
         )
 
-    patch.setattr(Enrolment, "_held_until", held_until)
+    patch.setattr(MemberLease, "_majority_holds_until", held_until)
 
 
 def row_given_away_without_a_majority(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Ledger, "majority", lambda self, support: True)
+    patch.setattr(Ledger, "is_majority_attached", lambda self, support: True)
 
 
 def late_enrolment_frees_a_share(patch: pytest.MonkeyPatch) -> None:
@@ -99,7 +99,7 @@
         row = right(self, name, address, zone, start)
         if not known:
             row.share = 0.0
-            self._grant(row)
+            self._allocate(row)
         return row
 
     patch.setattr(Ledger, "enrol", enrol)
@@ -109,11 +109,11 @@
     """As the follower was until a search found it: one that came after the decision switched whatever it knew
     of service time."""
 
-    def ready(self: Follower, number: int, its_digest: str) -> bool:
+    def ready(self: RouteParticipant, number: int, its_digest: str) -> bool:
         copy = self.copies.get(number)
-        return copy is not None and copy.stage is Stage.STORED and copy.digest == its_digest
+        return copy is not None and copy.stage is CopyStage.STORED and copy.digest == its_digest
 
-    patch.setattr(Follower, "_ready", ready)
+    patch.setattr(RouteParticipant, "_is_ready", ready)
 
 
 def share_beside_the_group_ignored(patch: pytest.MonkeyPatch) -> None:
@@ -122,7 +122,7 @@
 
     def prepared(self: FleetState, service: str) -> Ledger:
         ledger = right(self, service)
-        ledger.beside = Beside(0.0, ledger.beside.rows)
+        ledger.external = ExternalQuota(0.0, ledger.external.members)
         return ledger
 
     patch.setattr(FleetState, "_prepared", prepared)
@@ -136,7 +136,9 @@
         ledger = right(self, service)
         other = next((group for name, group in self.services.items() if name != service), None)
         if service != NO_SERVICE and other is not None:
-            ledger.beside = Beside(other.total() - ledger.total(), ledger.beside.rows)
+            ledger.external = ExternalQuota(
+                other.granted_quota() - ledger.granted_quota(), ledger.external.members
+            )
         return ledger
 
     patch.setattr(FleetState, "_prepared", prepared)
@@ -162,10 +164,14 @@
 
     def grant(self: Ledger, row: Row, acked: int, delta: bool = False) -> LeaseGrant:
         floor = self._changes._floor
-        if not delta or acked == WHOLE_LIST or acked >= floor:
+        if not delta or acked == FULL_LIST_REVISION or acked >= floor:
             return right(self, row, acked, delta)
         told = right(self, row, floor, delta)
-        return told if told.since is not UNSET else replace_fields(told, since=floor, members=())
+        return (
+            told
+            if told.since_revision is not UNSET
+            else replace_fields(told, since_revision=floor, members=())
+        )
 
     patch.setattr(Ledger, "grant", grant)
 
@@ -173,11 +179,11 @@
 def changes_taken_over_a_gap(patch: pytest.MonkeyPatch) -> None:
     """A node takes changes that begin at another revision than its own, and acknowledges the new one."""
     changes_told_from_where_the_log_begins(patch)
-    right = Enrolment._take_members
+    right = MemberLease._merge_members
 
-    def take_members(self: Enrolment, grant: LeaseGrant) -> None:
-        if grant.since is not UNSET:
-            self.revision = grant.since
+    def take_members(self: MemberLease, grant: LeaseGrant) -> None:
+        if grant.since_revision is not UNSET:
+            self.revision = grant.since_revision
         right(self, grant)
 
-    patch.setattr(Enrolment, "_take_members", take_members)
+    patch.setattr(MemberLease, "_merge_members", take_members)
--- a/tests/support/orders/parts.py
+++ b/tests/support/orders/parts.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from loadbalancer.membership.lease_clock import LeaseClock
-from loadbalancer.membership.member_lease import Call, Enrolment, Word
+from loadbalancer.membership.member_lease import MemberLease, RegistryCall, SiblingReport
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Ledger, Row, State
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState
@@ -45,7 +45,7 @@
 
 
 class Sent(NamedTuple):
-    call: Call
+    call: RegistryCall
     at: float  # true time
     service: str  # that its process balances to
 
@@ -72,9 +72,9 @@
 
     name: str
     skew: float
-    core: Enrolment | None = None
+    core: MemberLease | None = None
     starts: int = 0
-    said: dict[int, Word] = field(default_factory=dict)  # siblings' latest words, by incarnation
+    said: dict[int, SiblingReport] = field(default_factory=dict)  # siblings' latest words, by incarnation
     calls: tuple[Sent, ...] = ()
     answers: tuple[tuple[int, LeaseGrant | None], ...] = ()  # by call; None: no such row
     words: tuple[LateWord, ...] = ()
@@ -96,9 +96,9 @@
     clock: LeaseClock
 
 
-def twin(core: Enrolment) -> Enrolment:
+def twin(core: MemberLease) -> MemberLease:
     """All values in a core's fields are immutable, so a shallow copy does."""
-    new: Enrolment = object.__new__(type(core))
+    new: MemberLease = object.__new__(type(core))
     new.__dict__.update(core.__dict__)
     return new
 
@@ -127,7 +127,11 @@
 
 
 def waits(node: Node, number: int) -> bool:
-    return node.core is not None and node.core._out is not None and node.core._out[0].number == number
+    return (
+        node.core is not None
+        and node.core._in_flight is not None
+        and node.core._in_flight[0].number == number
+    )
 
 
 def past(left: float) -> float | None:
--- a/tests/support/orders/rounds.py
+++ b/tests/support/orders/rounds.py
@@ -67,7 +67,7 @@
         for _ in range(2):
             for at, node in enumerate(self.nodes):
                 self._calls(at, node)
-            lapsed, support = self.service.clock.due(self.now)
+            lapsed, support = self.service.clock.expired_and_attached(self.now)
             plan = self.service.state.due_expiry(lapsed, support)
             if plan is not None:
                 self._expire(plan)
@@ -77,9 +77,9 @@
         own, core = self.now + node.skew, node.core
         if core is None:
             return
-        if core._out is not None and own >= core._out[1] + core._out[0].timeout_ms:
+        if core._in_flight is not None and own >= core._in_flight[1] + core._in_flight[0].timeout_ms:
             self._timeout(at)
-        elif core.due() <= own:
+        elif core.next_call_at() <= own:
             if {"down", f"cut {node.name}"} & self.cuts:
                 self._call(self._own(at))
             elif f"mute {node.name}" in self.cuts:
--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -24,11 +24,11 @@
 from msgspec.structs import asdict
 
 from loadbalancer.endpoints import Endpoint, EndpointStatus
-from loadbalancer.membership.member_lease import Call
+from loadbalancer.membership.member_lease import RegistryCall
 from loadbalancer.membership.messages import LeaseAnswer, LeaseGrant
 from loadbalancer.membership.quota_ledger import Row
 from loadbalancer.registry.fleet_state import FleetState
-from loadbalancer.routing.participant import Action, Apply, Fetch, Follower, Forget, Store, Vote
+from loadbalancer.routing.participant import Action, Apply, CastVote, Delete, Fetch, RouteParticipant, Store
 from tests.support.orders.parts import NEVER, TTL, Bounds, Node
 from tests.support.orders.routes_check import BOUND, PREPARE, routes_check
 from tests.support.orders.shares import Shares
@@ -51,11 +51,11 @@
 class Edge(NamedTuple):
     """What a node has beside its enrolment: never changed in place."""
 
-    follower: Follower
+    follower: RouteParticipant
     disk: tuple[tuple[int, str], ...] = ()
     writing: tuple[tuple[int, str], ...] = ()
-    votes: tuple[Vote, ...] = ()  # to be sent
-    ballots: tuple[Vote, ...] = ()  # on their way, this process's and those of the ones before it
+    votes: tuple[CastVote, ...] = ()  # to be sent
+    ballots: tuple[CastVote, ...] = ()  # on their way, this process's and those of the ones before it
     followed: float = NEVER  # it follows while its lease goes on: until then at least
 
 
@@ -129,11 +129,11 @@
     # ------------------------------------------------------------------ the follower
 
     def _process(self, disk: tuple[tuple[int, str], ...]) -> Edge:
-        follower = Follower(("read",), BOUND)
+        follower = RouteParticipant(("read",), BOUND)
         edge = Edge(follower, disk)
-        for action in follower.restored(disk):
-            assert isinstance(action, Forget)
-        follower.servers = SERVERS
+        for action in follower.on_restored(disk):
+            assert isinstance(action, Delete)
+        follower.endpoints = SERVERS
         return edge
 
     def _act(self, at: int, actions: list[Action]) -> None:
@@ -144,13 +144,13 @@
                 case Fetch():
                     text = self.service.state.routes.text(action.number)
                     self._put(at, edge)
-                    self._act(at, edge.follower.fetched(own, action.number, text))
+                    self._act(at, edge.follower.on_fetched(own, action.number, text))
                     edge = self.edges[at]
                 case Store():
                     edge = edge._replace(writing=(*edge.writing, (action.number, action.text)))
-                case Vote():
+                case CastVote():
                     edge = edge._replace(votes=(*edge.votes, action))
-                case Forget():
+                case Delete():
                     kept = tuple(one for one in edge.disk if one[0] != action.number)
                     edge = edge._replace(disk=kept)
                 case Apply():
@@ -161,7 +161,7 @@
     def _note(self, at: int) -> None:
         """A process that follows goes on to while its lease does."""
         edge, own = self.edges[at], self.now + self.nodes[at].skew
-        stand, until = edge.follower.stand(own), edge.follower.live_until
+        stand, until = edge.follower.participation(own), edge.follower.lease_end_ms
         if stand == "waiting" and own < edge.followed:
             self.broken = f"{self.nodes[at].name} has ceased to follow while its lease went on"
         follows = stand == "following" and until is not None
@@ -176,10 +176,12 @@
         self._put(at, edge)
         return edge
 
-    def _grant(self, state: FleetState, row: Row, call: Call) -> LeaseAnswer:
+    def _grant(self, state: FleetState, row: Row, call: RegistryCall) -> LeaseAnswer:
         fields = asdict(super()._grant(state, row, call))
         now = self._s()
-        return LeaseAnswer(**fields, routes=state.routes.answer(), ttl_ms=TTL, t2=now, t3=now)
+        return LeaseAnswer(
+            **fields, routes=state.routes.announcement(), ttl_ms=TTL, received_ms=now, answered_ms=now
+        )
 
     def _used(self, node: Node, sent: float, told: LeaseGrant) -> None:
         assert isinstance(told, LeaseAnswer)
@@ -188,19 +190,19 @@
         assert core.incarnation is not None
         at = next(number for number, other in enumerate(self.nodes) if other.name == node.name)
         follower = self._touch(at).follower
-        s = closest(own, sent, told.t3, follower)
-        self._act(at, follower.answer(own, core.incarnation, core.lease_end, s, told.routes))
+        s = closest(own, sent, told.answered_ms, follower)
+        self._act(at, follower.on_answer(own, core.incarnation, core.lease_end_ms, s, told.routes))
 
     def _unknown(self, node: Node, own: float) -> None:
         at = next(number for number, other in enumerate(self.nodes) if other.name == node.name)
-        self._act(at, self._touch(at).follower.gone(own))
+        self._act(at, self._touch(at).follower.on_unregistered(own))
 
     def _stored(self, at: int, write: tuple[int, str], ok: bool) -> None:
         edge = self._touch(at)
         disk = (*(one for one in edge.disk if one[0] != write[0]), write) if ok else edge.disk
         self._put(at, edge._replace(writing=edge.writing[1:], disk=disk))
         own = self.now + self.nodes[at].skew
-        self._act(at, edge.follower.stored(own, write[0], ok, "" if ok else "full"))
+        self._act(at, edge.follower.on_stored(own, write[0], ok, "" if ok else "full"))
 
     def _crash(self, at: int) -> None:
         super()._crash(at)
@@ -219,26 +221,26 @@
 
     # ------------------------------------------------------------------------ votes
 
-    def _cast(self, at: int, vote: Vote) -> None:
+    def _cast(self, at: int, vote: CastVote) -> None:
         edge = self._touch(at)
         self._put(at, edge._replace(votes=tuple(other for other in edge.votes if other is not vote)))
         self._count(at, vote)
-        edge.follower.voted(vote.incarnation, vote.number)
+        edge.follower.on_vote_acknowledged(vote.incarnation, vote.number)
 
-    def _ballot(self, at: int, vote: Vote) -> None:
+    def _ballot(self, at: int, vote: CastVote) -> None:
         edge = self.edges[at]
         votes = tuple(other for other in edge.votes if other is not vote)
         self._put(at, edge._replace(votes=votes, ballots=(*edge.ballots, vote)))
 
-    def _late_ballot(self, at: int, vote: Vote) -> None:
+    def _late_ballot(self, at: int, vote: CastVote) -> None:
         edge = self.edges[at]
         ballots = tuple(other for other in edge.ballots if other is not vote)
         self._put(at, edge._replace(ballots=ballots))
         self._count(at, vote)
 
-    def _count(self, at: int, vote: Vote) -> None:
+    def _count(self, at: int, vote: CastVote) -> None:
         state, core = self._log(), self.nodes[at].core
-        state.routes.vote(vote.incarnation, vote.number, vote.yes, vote.why)
+        state.routes.vote(vote.incarnation, vote.number, vote.yes, vote.reason)
         pending = state.routes.pending
         counted = pending is not None and pending.number == vote.number and vote.incarnation in pending.yes
         stored = any(number == vote.number for number, _ in self.edges[at].disk)
@@ -279,7 +281,7 @@
 
     def _wake(self, at: int) -> float:
         node = self.nodes[at]
-        due = None if node.core is None else self.edges[at].follower.next_due(self.now + node.skew)
+        due = None if node.core is None else self.edges[at].follower.next_tick_ms(self.now + node.skew)
         return math.inf if due is None else due - node.skew
 
     def _decide(self) -> None:
@@ -307,32 +309,32 @@
         if node.core is None:
             return ballots
         follower, own = edge.follower, self.now + node.skew
-        told = follower.told
+        told = follower.announced
         known = None
         if told is not None:
-            at = None if told.at is None else max(told.at - self._s(), -2 * BOUND)
-            known = (self.service.state.routes.revision - told.rev, told.in_force[0], told.pending, at)
+            at = None if told.activates_at_ms is None else max(told.activates_at_ms - self._s(), -2 * BOUND)
+            known = (self.service.state.routes.revision - told.revision, told.in_force[0], told.pending, at)
         copies = tuple(
             (
                 number,
                 copy.stage.value,
                 copy.objection,
-                copy.failure,
-                copy.sent,
-                copy.heard,
-                copy.timed,
-                max(0.0, copy.again_at - own),
+                copy.store_error,
+                copy.vote_sent,
+                copy.vote_acknowledged,
+                copy.clock_confirmed,
+                max(0.0, copy.retry_at_ms - own),
             )
             for number, copy in sorted(follower.copies.items(), key=lambda one: one[0])
         )
-        live = None if follower.live_until is None else max(0.0, follower.live_until - own)
-        offset = tuple(round(edge + node.skew + self.lag, 3) for edge in follower.offset)
+        live = None if follower.lease_end_ms is None else max(0.0, follower.lease_end_ms - own)
+        offset = tuple(round(edge + node.skew + self.lag, 3) for edge in follower.service_offset_ms)
         return (
             *ballots,
             edge.writing,
             edge.votes,
             edge.followed,
-            follower.running,
+            follower.running_version,
             live,
             offset,
             known,
@@ -350,11 +352,11 @@
                 self._cast(at, self.edges[at].votes[0])
 
 
-def closest(own: float, sent: float, told_s: float, follower: Follower) -> tuple[float, float]:
+def closest(own: float, sent: float, told_s: float, follower: RouteParticipant) -> tuple[float, float]:
     """S now. By this answer it is what it was at answering or later, by at most the time that the call took;
     where this process knows it more closely from an earlier one, and the two agree, it keeps to that."""
     new = (told_s, told_s + own - sent)
-    known = (follower.offset[0] + own, follower.offset[1] + own)
+    known = (follower.service_offset_ms[0] + own, follower.service_offset_ms[1] + own)
     apart = known[1] < new[0] or new[1] < known[0]
     wider = known[1] - known[0] >= new[1] - new[0]
-    return new if follower.told is None or apart or wider else known
+    return new if follower.announced is None or apart or wider else known
--- a/tests/support/orders/routes_check.py
+++ b/tests/support/orders/routes_check.py
@@ -39,7 +39,7 @@
     for node, edge in zip(world.nodes, world.edges, strict=True):
         if node.core is None:
             continue
-        running, stand = edge.follower.running, edge.follower.stand(world.now + node.skew)
+        running, stand = edge.follower.running_version, edge.follower.participation(world.now + node.skew)
         if stand == "following" and running not in right:
             return f"{node.name} follows and runs version {running} where {sorted(right)} is in force"
         if stand != "following" and running:
@@ -55,7 +55,7 @@
         return f"in the fair run: {broken}"
     if after.service.state.routes.pending is not None:
         return "a pending activation has not ended"
-    running = [edge.follower.running for edge in after.edges]
+    running = [edge.follower.running_version for edge in after.edges]
     if set(running) != {after.service.state.routes.in_force}:
         return f"nodes run {running}, in force is {after.service.state.routes.in_force}"
     return None
