--- a/tests/support/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -38,8 +38,14 @@
 from typing import Any
 
 from loadbalancer.membership.change_log import ChangeLog
-from loadbalancer.membership.lease_clock import LATE, LeaseClock, _Lease
-from loadbalancer.membership.member_lease import HOLD, Call, Enrolment, Standing, Word
+from loadbalancer.membership.lease_clock import MAX_DELAY_TERM_FRACTION, LeaseClock, _Lease
+from loadbalancer.membership.member_lease import (
+    HOLD_TERM_FRACTION,
+    MemberLease,
+    QuotaStatus,
+    RegistryCall,
+    SiblingReport,
+)
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import Row
 from loadbalancer.registry.fleet_state import NO_SERVICE, Expiry, FleetState
@@ -75,13 +81,13 @@
         yield from self._leader_moves()
         yield self._move("tick", 0, lambda w: w._tick())
 
-    def _own_moves(self, at: int, node: Node, core: Enrolment) -> Iterator[tuple[str, Shares]]:
+    def _own_moves(self, at: int, node: Node, core: MemberLease) -> Iterator[tuple[str, Shares]]:
         own = self.now + node.skew
-        if core.due() <= own:
+        if core.next_call_at() <= own:
             yield self._move(f"renew {node.name}", 0, lambda w: w._renew(at))
             if self._may("send", node) and len(node.calls) < self.bounds.on_way:
                 yield self._move(f"send {node.name}", 1, lambda w: w._send(at))
-        elif core._out is not None and own >= core._out[1] + core._out[0].timeout_ms:
+        elif core._in_flight is not None and own >= core._in_flight[1] + core._in_flight[0].timeout_ms:
             yield self._move(f"timeout {node.name}", 0, lambda w: w._timeout(at))
         if self._may("crash", node):
             yield self._move(f"crash {node.name}", 1, lambda w: w._crash(at))
@@ -94,9 +100,9 @@
                 name = f"hear {node.name} {other.name}"
                 yield self._move(name, 0, lambda w, i=incarnation, x=word: w._hear(at, i, x))
             for incarnation, word in self._late_words(node, other):
-                name = f"hear {node.name} {other.name} of {own - word.at_ms:g} ms ago"
+                name = f"hear {node.name} {other.name} of {own - word.made_at_ms:g} ms ago"
                 yield self._move(name, 0, lambda w, i=incarnation, x=word: w._hear(at, i, x))
-        if self._may("late", node) and core.incarnation and core.standing(own) is Standing.HOLDING:
+        if self._may("late", node) and core.incarnation and core.quota_status(own) is QuotaStatus.HOLDING:
             word = LateWord(core.incarnation, self.now, node.service)
             if word not in node.words:
                 yield self._move(f"late {node.name}", 1, lambda w: w._keep_word(at, word))
@@ -111,7 +117,7 @@
             yield self._move(f"answer {node.name} {answer[0]}", 0, lambda w, a=answer: w._answer(at, a))
 
     def _leader_moves(self) -> Iterator[tuple[str, Shares]]:
-        lapsed, support = self.service.clock.due(self.now)
+        lapsed, support = self.service.clock.expired_and_attached(self.now)
         plan = self.service.state.due_expiry(lapsed, support)
         if plan is not None:
             yield self._move("expire", 0, lambda w: w._expire(plan))
@@ -156,7 +162,13 @@
         state, clock = self.service
         leases = LeaseClock(TTL)
         leases._leases = {
-            number: _Lease(lease.last, lease.seq, dict(lease.applied), lease.since, lease.until)
+            number: _Lease(
+                lease.last_renewal_ms,
+                lease.seq,
+                dict(lease.applied_at_ms),
+                lease.attached_since_ms,
+                lease.attached_until_ms,
+            )
             for number, lease in clock._leases.items()
         }
         self.service = Service(copied(state), leases)
@@ -168,7 +180,7 @@
     def _start(self, at: int, node: Node) -> Node:
         starts = node.starts + 1
         service = self.bounds.service(at, starts)
-        core = Enrolment(node.name, f"a-{node.name}", "", f"{node.name}.{starts}", RNG, service)
+        core = MemberLease(node.name, f"a-{node.name}", "", f"{node.name}.{starts}", RNG, service)
         return Node(
             node.name, node.skew, core, starts, calls=node.calls, words=node.words, service=service
         )  # fmt: skip
@@ -182,7 +194,7 @@
 
     def _call(self, node: Node) -> Sent:
         assert node.core is not None
-        service_ms = None if node.core._answer_at == NEVER else self._s()
+        service_ms = None if node.core._last_answer_ms == NEVER else self._s()
         call = node.core.tick(self.now + node.skew, service_ms)
         assert call is not None
         return Sent(call, self.now, node.service)
@@ -204,19 +216,19 @@
         if waits(node, sent.call.number):
             node.answers = (*node.answers, answer)
 
-    def _serve(self, node: Node, call: Call) -> LeaseGrant | None:
+    def _serve(self, node: Node, call: RegistryCall) -> LeaseGrant | None:
         """The list service's part: apply the call and count the lease from now."""
         state, body = self._log(), call.body
         if call.path == "enrol":
             row = self._enrol(state, body)
             self._give(row)
-            self.service.clock.renewed(self.now, row.incarnation, row.seq, -1)
+            self.service.clock.record_renewal(self.now, row.incarnation, row.seq, -1)
         else:
             row = state.renew(body["incarnation"], body["seq"], body["acked"], body["using"])
             if row is not None:
-                self.service.clock.renewed(self.now, row.incarnation, body["seq"], body["answered"])
+                self.service.clock.record_renewal(self.now, row.incarnation, body["seq"], body["answered"])
         state.settle()
-        self.service.clock.keep({row.incarnation for row in state.rows()})
+        self.service.clock.retain({row.incarnation for row in state.rows()})
         return None if row is None else self._grant(state, row, call)
 
     def _enrol(self, state: FleetState, body: dict[str, Any]) -> Row:
@@ -226,7 +238,7 @@
         assert row is not None
         return row
 
-    def _grant(self, state: FleetState, row: Row, call: Call) -> LeaseGrant:
+    def _grant(self, state: FleetState, row: Row, call: RegistryCall) -> LeaseGrant:
         return state.grant(row, call.body.get("acked", -1), call.body.get("delta", False))
 
     def _give(self, row: Row) -> None:
@@ -242,12 +254,12 @@
 
     def _take(self, node: Node, number: int, told: LeaseGrant | None) -> None:
         assert node.core is not None
-        assert node.core._out is not None
-        own, sent = self.now + node.skew, node.core._out[1]
+        assert node.core._in_flight is not None
+        own, sent = self.now + node.skew, node.core._in_flight[1]
         if told is None:
-            node.core.failed(own, number, unknown=True)
+            node.core.on_failure(own, number, unknown=True)
             self._unknown(node, own)
-        elif node.core.granted(own, number, told, TTL):
+        elif node.core.on_grant(own, number, told, TTL):
             self._used(node, sent, told)
         node.answers = tuple(answer for answer in node.answers if waits(node, answer[0]))
 
@@ -260,41 +272,41 @@
     def _timeout(self, at: int) -> None:
         node = self._own(at)
         assert node.core is not None
-        assert node.core._out is not None
-        node.core.failed(self.now + node.skew, node.core._out[0].number)
+        assert node.core._in_flight is not None
+        node.core.on_failure(self.now + node.skew, node.core._in_flight[0].number)
         node.answers = ()
 
     # ----------------------------------------------------------------- siblings
 
-    def _word(self, node: Node, other: Node) -> list[tuple[int, Word]]:
+    def _word(self, node: Node, other: Node) -> list[tuple[int, SiblingReport]]:
         """What the other says now, in this node's time, if it may change what this node rests on."""
         core = other.core
         if core is None or core.incarnation is None or other.service != node.service:
             return []
-        word = Word(core.standing(self.now + other.skew), self.now + node.skew)
+        word = SiblingReport(core.quota_status(self.now + other.skew), self.now + node.skew)
         known = node.said.get(core.incarnation)
         if known is not None:
-            news = known.at_ms < word.at_ms or known.standing is not word.standing
+            news = known.made_at_ms < word.made_at_ms or known.status is not word.status
         else:
-            news = self.bounds.all_words or word.standing is Standing.HOLDING
+            news = self.bounds.all_words or word.status is QuotaStatus.HOLDING
         return [(core.incarnation, word)] if news else []
 
-    def _late_words(self, node: Node, other: Node) -> list[tuple[int, Word]]:
+    def _late_words(self, node: Node, other: Node) -> list[tuple[int, SiblingReport]]:
         late = []
         for number, at, service in other.words:
             known = node.said.get(number)
             if service != node.service:
                 continue
-            if at < self.now and (known is None or known.at_ms < at + node.skew):
-                late.append((number, Word(Standing.HOLDING, at + node.skew)))
+            if at < self.now and (known is None or known.made_at_ms < at + node.skew):
+                late.append((number, SiblingReport(QuotaStatus.HOLDING, at + node.skew)))
         return late
 
-    def _hear(self, at: int, incarnation: int, word: Word) -> None:
+    def _hear(self, at: int, incarnation: int, word: SiblingReport) -> None:
         node = self._own(at)
         assert node.core is not None
         node.said = {**node.said, incarnation: word}
-        node.core.heard(self.now + node.skew, node.said)
-        if word.standing is not Standing.HOLDING and not self.bounds.all_words:
+        node.core.on_sibling_reports(self.now + node.skew, node.said)
+        if word.status is not QuotaStatus.HOLDING and not self.bounds.all_words:
             del node.said[incarnation]  # from here on as if it had never been heard
 
     def _keep_word(self, at: int, word: LateWord) -> None:
@@ -307,7 +319,7 @@
         state = self._log()
         state.expire(plan.lapsed, plan.support, plan.repeats)
         state.settle()
-        self.service.clock.keep({row.incarnation for row in state.rows()})
+        self.service.clock.retain({row.incarnation for row in state.rows()})
 
     def _apply(self) -> None:
         assert self.plan is not None
@@ -316,7 +328,7 @@
 
     def _lead(self) -> None:
         state = self._log()
-        self.service.clock.lead(self.now, [(row.incarnation, row.seq) for row in state.rows()])
+        self.service.clock.begin_term(self.now, [(row.incarnation, row.seq) for row in state.rows()])
         self.plan = None  # the log refuses what the one before proposed
 
     def _snapshot(self) -> None:
@@ -329,19 +341,26 @@
         for at in range(len(self.nodes)):
             node = self._own(at)
             own = self.now + node.skew
-            late = self.now - LATE * TTL
+            late = self.now - MAX_DELAY_TERM_FRACTION * TTL
             node.calls = tuple(
                 sent for sent in node.calls if sent.call.body.get("sent") is None or sent.at >= late
             )
-            node.said = {number: word for number, word in node.said.items() if own < word.at_ms + HOLD * TTL}
-            node.words = tuple(word for word in node.words if self.now < word.at + HOLD * TTL)
+            node.said = {
+                number: word
+                for number, word in node.said.items()
+                if own < word.made_at_ms + HOLD_TERM_FRACTION * TTL
+            }
+            node.words = tuple(word for word in node.words if self.now < word.at + HOLD_TERM_FRACTION * TTL)
             if node.core is not None:
-                node.core.taking(own)
+                node.core.quota_in_force(own)
 
     # --------------------------------------------------------------------- states
 
     def takes(self) -> list[float]:
-        return [0.0 if node.core is None else node.core.taking(self.now + node.skew) for node in self.nodes]
+        return [
+            0.0 if node.core is None else node.core.quota_in_force(self.now + node.skew)
+            for node in self.nodes
+        ]
 
     # -------------------------------------------------------------------- fair runs
 
@@ -358,12 +377,12 @@
         for at, node in enumerate(self.nodes):
             if node.core is None:
                 self._restart(at)
-            elif node.core._out is not None:
+            elif node.core._in_flight is not None:
                 self._timeout(at)
         for _ in range(3):
             for at, node in enumerate(self.nodes):
-                if node.core is not None and node.core.due() <= self.now + node.skew:
+                if node.core is not None and node.core.next_call_at() <= self.now + node.skew:
                     self._renew(at)
-        lapsed, support = self.service.clock.due(self.now)
+        lapsed, support = self.service.clock.expired_and_attached(self.now)
         if lapsed:
             self._expire(Expiry(lapsed, support, self.service.state.repeats))
--- a/tests/support/orders/shares_check.py
+++ b/tests/support/orders/shares_check.py
@@ -32,8 +32,8 @@
 def granted(world: Shares) -> dict[str, float]:
     """As `taken`, by the ledgers."""
     state = world.service.state
-    beside = state.ledger.total()
-    of_services = {service: ledger.total() + beside for service, ledger in state.services.items()}
+    beside = state.ledger.granted_quota()
+    of_services = {service: ledger.granted_quota() + beside for service, ledger in state.services.items()}
     return {NO_SERVICE: beside} | of_services
 
 
