--- a/loadbalancer/registry/snapshot_file.py
+++ b/loadbalancer/registry/snapshot_file.py
@@ -14,14 +14,15 @@
 from typing import Any
 
 from pysyncobj import SyncObjConsumer
-from pysyncobj import pickle as wire
 
-from loadbalancer.registry import stored_form
+from loadbalancer.registry.stored_form import STORED_FORM
 
-LEVEL = 1  # of gzip: files are written in Raft's thread, and the default level takes several times as long
+GZIP_LEVEL = (
+    1  # of gzip: files are written in Raft's thread, and the default level takes several times as long
+)
 
 
-class Dump:
+class SnapshotFile:
     """Writes and reads snapshots of these consumers, for `SyncObjConf(serializer=, deserializer=)`."""
 
     def __init__(self, consumers: Sequence[SyncObjConsumer]) -> None:
@@ -30,13 +31,13 @@
     def write(self, path: str, raft: Sequence[Any]) -> None:
         """`raft`: pysyncobj's own part, the last two log entries and the cluster."""
         parts = [{}, *(consumer._serialize() for consumer in self._consumers)]
-        with gzip.open(path, "wb", compresslevel=LEVEL) as file:
-            wire.dump((parts, *raft), file)
+        with gzip.open(path, "wb", compresslevel=GZIP_LEVEL) as file:
+            STORED_FORM.dump((parts, *raft), file)
 
     def read(self, path: str) -> tuple[Any, ...]:
         """Give each consumer its part and return pysyncobj's; any error is pysyncobj's to log."""
         with gzip.open(Path(path), "rb") as file:
-            parts, *raft = stored_form.load(file)
+            parts, *raft = STORED_FORM.load(file)
         for consumer, part in zip(self._consumers, parts[1:], strict=False):
             consumer._deserialize(part)
         return tuple(raft)
--- a/loadbalancer/routing/route_table.py
+++ b/loadbalancer/routing/route_table.py
@@ -111,7 +111,7 @@
     for server in endpoints:
         if server.state is EndpointStatus.UP:
             kind = (server.model, server.zone)
-            seen = server.address not in unconfident or (kind in kinds and kinds[kind][1])
+            seen = server.name not in unconfident or (kind in kinds and kinds[kind][1])
             kinds[kind] = (server, seen)
     why = []
     for name, groups in table.classes:
