--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -13,16 +13,16 @@
 from loadbalancer.balancing.events import ConfidenceUpdate, QuotaGrant
 from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import (
-    Changed,
     Connectivity,
     DetectorConfig,
-    Enrolment,
     FailureDetector,
     LeaseStatus,
+    MemberLease,
+    ReachabilityChanged,
     Sibling,
+    SiblingReport,
     Verdict,
-    Viewed,
-    Word,
+    ViewReceived,
     connectivity,
     verdict,
 )
@@ -43,7 +43,7 @@
 from loadbalancer.node.control.route_store import RouteStore
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from loadbalancer.node.endpoint_list import EndpointList
-from loadbalancer.routing import Follower
+from loadbalancer.routing import RouteParticipant
 from loadbalancer.staleness import ClockOffsets
 
 log = logging.getLogger("loadbalancer")
@@ -90,7 +90,7 @@
 
     def _make_lease(self, rng: Random) -> LeaseClient:
         settings, start = self.settings, secrets.token_hex(NONCE_BYTES)
-        core = Enrolment(self._name, settings.listen, settings.zone, start, rng, settings.service)
+        core = MemberLease(self._name, settings.listen, settings.zone, start, rng, settings.service)
         lease = LeaseClient(core, self._client, self.clock, self.clock_offsets)
         lease.on_answer = self._on_answer
         lease.on_lease_lost = self._on_lease_lost
@@ -111,7 +111,7 @@
 
     def _make_route_activation(self, config: NodeConfig) -> RouteActivator:
         class_names = tuple(kind.name for kind in config.settings.classes)
-        core = Follower(class_names, self.settings.max_clock_uncertainty_ms)
+        core = RouteParticipant(class_names, self.settings.max_clock_uncertainty_ms)
         folder = self.settings.routes_path
         store = RouteStore(folder) if folder is not None else None
         return RouteActivator(core, self._client, self.clock, store, self._tell)
@@ -155,8 +155,8 @@
             "members_ignored": self.probe_transport.core.ignored.total(),
             "view_refused": self.freshness.rejected_reports,
             "lease_failures": self.lease.failures,
-            "share": round(self.lease.core.taking(now), QUOTA_DECIMALS),
-            "route_version": self.route_activation.core.running,
+            "share": round(self.lease.core.quota_in_force(now), QUOTA_DECIMALS),
+            "route_version": self.route_activation.core.running_version,
             "route_switches": self.route_activation.switches,
             "route_late_ms": round(self.route_activation.last_delay_ms, DELAY_DECIMALS),
         }
@@ -192,16 +192,16 @@
         )
         service_ms = self.lease.service_ms(now)
         if service_ms is not None:
-            self.route_activation.on_lease_answer(now, core.lease_end, service_ms, answer)
-        self.lease.set_revisions(answer.rev, int(answer.routes.get("rev", 0)))
+            self.route_activation.on_lease_answer(now, core.lease_end_ms, service_ms, answer)
+        self.lease.set_revisions(answer.revision, int(answer.routes.get("rev", 0)))
 
     def _on_lease_lost(self, now: float) -> None:
-        self.route_activation.carry_out(self.route_activation.core.gone(now))
+        self.route_activation.carry_out(self.route_activation.core.on_unregistered(now))
 
     def _on_quota_change(self) -> None:
         """Notify the balancer of the quota and its end, so that no timer here has to end it in time."""
-        share = self.lease.core.share(self.clock.now_ms())
-        grant = QuotaGrant(share.share, share.rows, self.clock.to_node_ms(share.until_ms))
+        share = self.lease.core.quota(self.clock.now_ms())
+        grant = QuotaGrant(share.quota, share.members, self.clock.to_node_ms(share.until_ms))
         if grant != self._granted:
             self._granted = grant
             self._tell(grant)
@@ -211,28 +211,34 @@
         core, detector = self.lease.core, self.probe_transport.core
         service_ms = self.lease.service_ms(now)
         if service_ms is not None and core.incarnation is not None:
-            detector.set_standing(now, core.standing(now), max(0.0, service_ms[0]))
-        if not core.attached(now):
-            core.heard(now, self._sibling_statements(now))
+            detector.set_quota_status(now, core.quota_status(now), max(0.0, service_ms[0]))
+        if not core.is_attached(now):
+            core.on_sibling_reports(now, self._sibling_statements(now))
             self._on_quota_change()
         detector.set_view(self.freshness.report(now))
 
-    def _sibling_statements(self, now: float) -> dict[int, Word]:
+    def _sibling_statements(self, now: float) -> dict[int, SiblingReport]:
         """What siblings stated of themselves, each at the earliest time it may have been by this clock."""
         statements = {}
-        for incarnation, (standing, stated_at) in self.probe_transport.core.standings().items():
+        for incarnation, (standing, stated_at) in self.probe_transport.core.quota_reports().items():
             local = self.clock_offsets.to_local(REGISTRY_PEER, now, stated_at)
             if local is not None:
-                statements[incarnation] = Word(standing, local[0])
+                statements[incarnation] = SiblingReport(standing, local[0])
         return statements
 
-    def _on_report(self, viewed: Viewed) -> None:
+    def _on_report(self, viewed: ViewReceived) -> None:
         """A sibling's report: its call's times sample the sibling's clock, before the report is used."""
-        if viewed.sent is not None:
-            self.clock_offsets.add_sample(viewed.incarnation, viewed.sent, viewed.at, viewed.at, viewed.now)
+        if viewed.probe_sent_ms is not None:
+            self.clock_offsets.add_sample(
+                viewed.incarnation,
+                viewed.probe_sent_ms,
+                viewed.sent_at_ms,
+                viewed.sent_at_ms,
+                viewed.received_ms,
+            )
         self.freshness.receive_report(viewed)
 
-    def _on_reachability_change(self, changed: Changed) -> None:
+    def _on_reachability_change(self, changed: ReachabilityChanged) -> None:
         log.info(
             "members: incarnation %d is %s, was %s", changed.incarnation, changed.new.value, changed.old.value
         )
@@ -243,21 +249,21 @@
         now = self.clock.now_ms()
         listed = tuple(server for server, _ in self._servers.endpoints.values())
         unconfirmed = _unconfirmed(self.freshness.confidence())
-        self.route_activation.carry_out(self.route_activation.core.seen(now, listed, unconfirmed))
+        self.route_activation.carry_out(self.route_activation.core.set_endpoints(now, listed, unconfirmed))
 
     # --------------------------------------------------------------- for operators
 
     def connectivity(self, now: float) -> Connectivity:
         """What this node reaches: the list service, only siblings, or neither."""
         core = self.lease.core
-        renewed_at = now if core.attached(now) else None
+        renewed_at = now if core.is_attached(now) else None
         acked_at = self.probe_transport.core.last_ack_at
         return connectivity(now, core.ttl_ms, renewed_at, acked_at, SIBLING_ACK_TIMEOUT_MS)
 
     def verdicts(self, now: float) -> dict[int, Verdict]:
         """The verdict on each sibling, by incarnation."""
         core = self.lease.core
-        attached, reachability = core.attached(now), self.probe_transport.core.reachability()
+        attached, reachability = core.is_attached(now), self.probe_transport.core.reachability()
         return {
             member.incarnation: verdict(
                 _lease_status(member) if attached else LeaseStatus.UNKNOWN,
@@ -271,18 +277,18 @@
     def status(self) -> MembersStatus:
         """The body of GET /status/members."""
         now, core, detector = self.clock.now_ms(), self.lease.core, self.probe_transport.core
-        share, service_ms = core.share(now), self.lease.service_ms(now)
+        share, service_ms = core.quota(now), self.lease.service_ms(now)
         siblings = self._sibling_statuses(now)
         return MembersStatus(
             name=self._name,
             service=self.settings.service,
             incarnation=core.incarnation,
             connectivity=self.connectivity(now),
-            standing=core.standing(now).name.lower(),
-            quota=core.taking(now),
-            member_count=share.rows,
+            standing=core.quota_status(now).name.lower(),
+            quota=core.quota_in_force(now),
+            member_count=share.members,
             elector=core.elector,
-            lease_ms=max(0.0, core.lease_end - now) if core.incarnation is not None else 0.0,
+            lease_ms=max(0.0, core.lease_end_ms - now) if core.incarnation is not None else 0.0,
             now_ms=now,
             service_ms=service_ms,
             routes=self.route_activation.core.status(now),
@@ -313,7 +319,7 @@
 
 
 def _lease_status(member: Member) -> LeaseStatus:
-    return LeaseStatus.LAPSED if member.state == "lapsed" else LeaseStatus.LIVE
+    return LeaseStatus.EXPIRED if member.state == "lapsed" else LeaseStatus.LIVE
 
 
 def _unconfirmed(levels: Mapping[str, Confidence]) -> list[str]:
