--- a/tests/support/golden_node.py
+++ b/tests/support/golden_node.py
@@ -151,8 +151,8 @@
     def between_members(self) -> Row:
         """The node's first probe, and its ack to one while it suspects nobody.
 
-        On a busy machine a probe may time out; the suspicion that follows is gossiped, and refuted by the ack of
-        a later probe.
+        On a busy machine a probe may time out; the suspicion that follows is gossiped, and refuted by the
+        ack of a later probe.
         """
         acks: list[bytes] = []
 
