--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -41,8 +41,9 @@
     TimerFired,
 )
 from loadbalancer.endpoints import AttemptResult, EndpointListKind
-from loadbalancer.node.discovery.watcher import DiscoveryResponse
+from loadbalancer.node.discovery.response import DiscoveryResponse
 from loadbalancer.node.state import snapshot
+from loadbalancer.node.state.atomic_file import write_atomically
 from tests.support.builders import servers, settings
 from tests.support.load import Load
 from tests.support.node_processes import Node
@@ -61,7 +62,7 @@
             began = time.perf_counter()
             data = snapshot.encode_state("n0", time.time() * 1000.0, learned, {}, listing)
             encoded = time.perf_counter()
-            snapshot.write_atomically(path, data)
+            write_atomically(path, data)
             encodes.append(encoded - began)
             puts.append(time.perf_counter() - encoded)
         began = time.perf_counter()
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -17,7 +17,7 @@
 
 from loadbalancer.node.config import NodeConfig, parse_config
 from loadbalancer.node.node import Node
-from loadbalancer.node.state.snapshot import describe_state
+from loadbalancer.node.state.inspection import describe_state
 
 LONGEST_SAID = 400  # characters of what is wrong: a value that it quotes may be of any length
 
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -11,7 +11,7 @@
 import orjson
 
 from loadbalancer.node.address import Address, parse_address
-from loadbalancer.node.discovery.watcher import DiscoveryResponse, decode_response
+from loadbalancer.node.discovery.response import DiscoveryResponse, decode_response
 from loadbalancer.node.state import ejections as maintenance
 from loadbalancer.node.state import handover
 from loadbalancer.service_settings import Settings, check_within
--- a/loadbalancer/node/control/route_store.py
+++ b/loadbalancer/node/control/route_store.py
@@ -11,13 +11,8 @@
 
 import msgpack
 
-from loadbalancer.node.state.snapshot import (
-    FORMAT_VERSION,
-    decode_frame,
-    encode_frame,
-    sync_directory,
-    write_atomically,
-)
+from loadbalancer.node.state.atomic_file import sync_directory, write_atomically
+from loadbalancer.node.state.frame import FORMAT_VERSION, decode_frame, encode_frame
 
 log = logging.getLogger("loadbalancer")
 
--- /dev/null
+++ b/loadbalancer/node/discovery/client.py
@@ -0,0 +1,83 @@
+"""A client of discovery: one kept connection, one poll at a time."""
+
+from __future__ import annotations
+
+import asyncio
+
+import orjson
+
+from loadbalancer.node.address import Address
+from loadbalancer.node.discovery.errors import DiscoveryConnectionError, DiscoveryStatusError
+from loadbalancer.node.discovery.poll_policy import CONNECT_TIMEOUT_S
+from loadbalancer.node.discovery.response import DiscoveryResponse, decode_response
+from loadbalancer.node.http.client_connection import ClientConnection, Response
+
+MAX_LIST_BYTES = 16 * 1024 * 1024
+HTTP_OK = 200
+LIST_PATH = "/discovery/hosts"
+
+
+class _PollExchange:
+    """One poll on a connection: a future for its answer."""
+
+    def __init__(self) -> None:
+        self.response: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
+
+    def sent(self) -> None:
+        """Ignored: a poll has no effect that it could have had."""
+
+    def begun(self, response: Response) -> None:
+        """Never called: lists are received in full."""
+
+    def answered(self, response: Response) -> None:
+        if not self.response.done():
+            self.response.set_result(response)
+
+    def lost(self, written: bool) -> None:
+        if not self.response.done():
+            self.response.set_exception(DiscoveryConnectionError())
+
+
+class DiscoveryClient:
+    """Polls discovery at one address."""
+
+    def __init__(self, address: Address) -> None:
+        self.address = address
+        self._connection: ClientConnection | None = None
+
+    async def full_list(self) -> DiscoveryResponse:
+        """Return the complete list; raises as `poll` does."""
+        return await self._get(LIST_PATH)
+
+    async def poll(self, since: int, wait_ms: int) -> DiscoveryResponse:
+        """Return the changes after revision `since`, or the complete list, after `wait_ms` at the latest.
+
+        Raise OSError where discovery can't be reached, TimeoutError where no connection comes up in time and
+        DiscoveryError where the answer can't be used. The caller bounds the time of the answer.
+        """
+        return await self._get(f"{LIST_PATH}?since={since}&timeout_ms={wait_ms}")
+
+    def disconnect(self) -> None:
+        """Drop the connection; the next poll opens another."""
+        if self._connection is not None:
+            self._connection.abort()
+            self._connection = None
+
+    async def _get(self, target: str) -> DiscoveryResponse:
+        connection = await self._connected()
+        exchange = _PollExchange()
+        host, port = self.address
+        connection.start(f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode(), exchange)
+        response = await exchange.response
+        if response.status != HTTP_OK:
+            raise DiscoveryStatusError(response.status)
+        return decode_response(orjson.loads(response.body))
+
+    async def _connected(self) -> ClientConnection:
+        if self._connection is None or not self._connection.usable:
+            self.disconnect()
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                _, self._connection = await asyncio.get_running_loop().create_connection(
+                    lambda: ClientConnection(lambda _: None, MAX_LIST_BYTES), *self.address
+                )
+        return self._connection
--- /dev/null
+++ b/loadbalancer/node/discovery/response.py
@@ -0,0 +1,107 @@
+"""The endpoint list on the wire: `{"rev": ..., "all": ..., "targets": [...]}` (PROTOCOL, "Discovery")."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from loadbalancer.endpoints import Endpoint, EndpointStatus
+from loadbalancer.node.address import Address, parse_address
+from loadbalancer.node.discovery.errors import ListFieldError, MalformedListError, NotAListError
+
+STATUSES = {
+    "Ready": EndpointStatus.UP,
+    "Terminating": EndpointStatus.DRAINING,
+    "Gone": EndpointStatus.REMOVED,
+}
+STATUS_NAMES = {status: name for name, status in STATUSES.items()}
+
+
+@dataclass(slots=True, frozen=True)
+class DiscoveryResponse:
+    """An endpoint list or the changes of one.
+
+    An endpoint's name is its `uid`, which is the same at every node and over restarts.
+    """
+
+    revision: int
+    complete: bool  # the complete list, in contrast to the entries that have changed
+    endpoints: tuple[Endpoint, ...]
+    addresses: dict[str, Address]  # by the endpoint's name
+    service_revision: int = 0  # the list service's revision, the same at all nodes; 0: the agent gives none
+
+
+def decode_response(row: object) -> DiscoveryResponse:
+    """Return the list in a decoded JSON body; raise MalformedListError on any other form."""
+    if not isinstance(row, dict):
+        raise NotAListError
+    try:
+        revision, complete, targets = _revision_of(row), row["all"], row["targets"]
+        if type(complete) is not bool:
+            raise ListFieldError("all", complete, "true or false")
+        if not isinstance(targets, list):
+            raise ListFieldError("targets", targets, "a list")
+        endpoints = tuple(_endpoint_of(target) for target in targets)
+        addresses = {target["uid"]: parse_address(target["endpoint"]) for target in targets}
+    except (KeyError, TypeError, AttributeError) as error:
+        message = f"malformed list: {type(error).__name__}: {error}"
+        raise MalformedListError(message) from error
+    service_revision = row.get("origin_rev")
+    return DiscoveryResponse(
+        revision,
+        complete,
+        endpoints,
+        addresses,
+        service_revision if isinstance(service_revision, int) else 0,
+    )
+
+
+def encode_response(response: DiscoveryResponse) -> dict[str, object]:
+    """Return the wire form of a list; endpoints that it removes are left out."""
+    targets = [
+        _target_of(endpoint, response.addresses[endpoint.name])
+        for endpoint in response.endpoints
+        if endpoint.state is not EndpointStatus.REMOVED
+    ]
+    return {"rev": response.revision, "all": response.complete, "targets": targets}
+
+
+def _revision_of(row: Mapping[str, Any]) -> int:
+    revision = row["rev"]
+    if type(revision) is not int or revision < 0:  # `isinstance` would accept a bool
+        raise ListFieldError("rev", revision, "a whole number from 0")
+    return revision
+
+
+def _endpoint_of(target: Mapping[str, Any]) -> Endpoint:
+    state = STATUSES.get(target["state"])
+    if state is None:
+        raise ListFieldError("state", target["state"], f"one of {', '.join(STATUSES)}")
+    name, zone = target["uid"], target.get("az") or ""
+    if not isinstance(name, str):
+        raise ListFieldError("uid", name, "a text")
+    if not isinstance(zone, str):
+        raise ListFieldError("az", zone, "a text")
+    launched_ms = target.get("boot_ms") or 0
+    model = target.get("model")
+    return Endpoint(
+        name=name,
+        zone=zone,
+        cell=int(target.get("pod_group") or 0),
+        state=state,
+        launched_ms=float(launched_ms) if launched_ms > 0 else None,  # 0: long ago
+        model=model if isinstance(model, str) else "",  # of any other kind, it is ignored
+    )
+
+
+def _target_of(endpoint: Endpoint, address: Address) -> dict[str, object]:
+    host, port = address
+    return {
+        "uid": endpoint.name,
+        "endpoint": f"{host}:{port}",
+        "az": endpoint.zone,
+        "pod_group": endpoint.cell,
+        "state": STATUS_NAMES[endpoint.state],
+        "boot_ms": endpoint.launched_ms or 0,
+    }
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -20,10 +20,12 @@
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.component import Part
 from loadbalancer.node.config import NodeConfig
-from loadbalancer.node.discovery.watcher import INITIAL_BACKOFF_S, EndpointListWatcher, PollPolicy
+from loadbalancer.node.discovery.poll_policy import INITIAL_BACKOFF_S, PollPolicy
+from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from loadbalancer.node.endpoint_list import EndpointList
 from loadbalancer.node.listener.call import Call
 from loadbalancer.node.listener.server import Server
+from loadbalancer.node.operator_ejections import OperatorEjections
 from loadbalancer.node.periodic_tasks import PeriodicTasks
 from loadbalancer.node.request_registry import Jobs
 from loadbalancer.node.sibling_process import SiblingProcess
@@ -81,10 +83,11 @@
             self.event_counts,
             self.handle_event,
         )
-        bans = EjectionStore(config.ejections_folder)
+        ejection_store = EjectionStore(config.ejections_folder)
         self.endpoint_list = EndpointList(
-            bans, self.clock, self.pool, self.server, self.event_counts, self.handle_event
+            ejection_store, self.clock, self.pool, self.server, self.event_counts, self.handle_event
         )
+        self.ejections = OperatorEjections(ejection_store, self.endpoint_list, self.clock)
         self.watcher = _watcher(config, self.endpoint_list)
         balancer = Balancer(config.settings, config.seed, self.clock.ms())
         self.driver = Driver(
@@ -106,7 +109,7 @@
             self.driver,
         )
         fleet = {} if self.control_plane is None else self.control_plane.calls()
-        self.admin_server = AdminServer({**self._calls(), **self.endpoint_list.admin_routes(), **fleet})
+        self.admin_server = AdminServer({**self._calls(), **self.ejections.admin_routes(), **fleet})
 
     def _sharing(self) -> SiblingProcess | None:
         folder = self.config.handover_folder
@@ -118,7 +121,9 @@
         path = self.config.state_path
         if path is None:
             return None
-        return StateWriter(path, self.config, self.clock, self.endpoint_list, self.watcher, self.driver)
+        return StateWriter(
+            path, self.config, self.clock, self.endpoint_list, self.ejections, self.watcher, self.driver
+        )
 
     def _fleet(self) -> FleetPart | None:
         if self.config.membership is None:
@@ -133,7 +138,7 @@
     def _each_beat(self) -> list[Callable[[], None]]:
         acts: list[Callable[[], None]] = []
         if self.config.admin_address is not None:  # another process of this node may have changed them
-            acts.append(self.endpoint_list.sync_ejections)
+            acts.append(self.ejections.sync)
         if self.sibling_process is not None:
             acts.append(self.sibling_process.exchange)
         return acts
@@ -161,13 +166,13 @@
 
     async def start(self) -> None:
         """Tell the module what is known and begin to serve."""
-        self.endpoint_list.sync_ejections()  # first, so that a server that is out is never sent anything
+        self.ejections.sync()  # first, so that a server that is out is never sent anything
         self.endpoint_list.apply_update(EndpointListKind.CACHED, self.config.initial_list)
         if self.state_writer is not None:
             self.state_writer.restore()
         if self.sibling_process is not None:
             self.sibling_process.exchange(
-                starts=True
+                at_start=True
             )  # what a process beside this one tells is newer than any file
         if self.config.admin_address is not None:
             await self.admin_server.open(self.config.admin_address)
--- a/loadbalancer/node/sibling_process.py
+++ b/loadbalancer/node/sibling_process.py
@@ -1,4 +1,4 @@
-"""Hand-over between two processes of one node: what they tell each other, and what the module hears of it."""
+"""The exchange between two processes of one node during an upgrade, for the balancer of this one."""
 
 from __future__ import annotations
 
@@ -9,22 +9,29 @@
 
 
 class SiblingProcess:
+    """Reports this process's state to the node's other process, and that one's state to the balancer."""
+
     def __init__(self, handover: HandoverFiles, clock: Clock, driver: Driver) -> None:
         self.handover = handover
         self._clock = clock
         self._driver = driver
-        self._beside = False  # another process of this node holds calls
-
-    def exchange(self, starts: bool = False) -> None:
-        """Tell another process of this node what is held and known here, and the module what is there."""
-        learned, held = self.handover.read_siblings(self._clock.ms())
-        if starts and learned is not None:
-            self._driver.tell(learned)
-        if held or self._beside:
-            self._driver.tell(SiblingProcessLoad(held))
-        self._beside = bool(held)
+        self._has_load = False  # whether the other process had requests in flight when last read
+
+    def exchange(self, at_start: bool = False) -> None:
+        """Read the other process's files, then write this one's.
+
+        The balancer starts from what the other process has learned only `at_start`; it gets that one's load
+        every time, and once more, empty, when there is none left.
+        """
+        sibling = self.handover.read_siblings(self._clock.ms())
+        if at_start and sibling.learned is not None:
+            self._driver.tell(sibling.learned)
+        if sibling.in_flight or self._has_load:
+            self._driver.tell(SiblingProcessLoad(sibling.in_flight))
+        self._has_load = bool(sibling.in_flight)
         balancer = self._driver.balancer
         self.handover.write(self._clock.ms(), balancer.learned_state(), balancer.in_flight())
 
     def close(self) -> None:
+        """Remove this process's file."""
         self.handover.close()
--- a/loadbalancer/node/state/ejections.py
+++ b/loadbalancer/node/state/ejections.py
@@ -1,4 +1,4 @@
-"""Servers out by hand: one small file for each in a folder that two processes of a node share."""
+"""Ejections by an operator: a small file of each in a directory that two processes of a node share."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 
 import orjson
 
+from loadbalancer.node.failure_log import FailureLog, one_line
+from loadbalancer.node.state.atomic_file import share_file
+
 log = logging.getLogger("loadbalancer")
 
 FOLDER_NAME = "orchidledge-maintenance"
-FILE_PREFIX = "server-"  # of a ban's file; what else lies in the folder is not ours
-RETENTION_MS = 600_000.0  # how long a server's return is remembered: far longer than any server is cold
+FILE_PREFIX = "server-"  # of an ejection's file; other files in the directory are left alone
+RETENTION_MS = 600_000.0  # how long a restored endpoint is remembered: longer than any slow start
 MAX_FILE_BYTES = 1024
 # The field of `Ejection` for each key of an ejection's file.
 EJECTION_FIELDS = {"out_ms": "ejected_ms", "back_ms": "restored_ms"}
@@ -23,115 +26,134 @@
 
 @dataclass(slots=True, frozen=True)
 class Ejection:
-    """A server's time out, by the Unix clock in ms; `back_ms` is None while it lasts."""
+    """When an operator ejected an endpoint and when it was restored, in Unix ms."""
 
     ejected_ms: float
-    restored_ms: float | None = None
+    restored_ms: float | None = None  # None while the ejection is in force
+
+    @property
+    def in_force(self) -> bool:
+        """Whether the endpoint has yet to be restored."""
+        return self.restored_ms is None
 
 
 class EjectionStore:
-    """The bans of this node: those said here, and those that another process of it has written."""
+    """The ejections of this node: those ordered in this process, and those that another process has written.
+
+    Without a folder they are kept in memory alone.
+    """
 
     def __init__(self, folder: Path | None) -> None:
         self._folder = folder
-        self._ejections: dict[str, Ejection] = {}
-        self._last_read: dict[str, tuple[int, int]] = {}  # file names, and inode and time as last read
-        self._failing = False
+        self._ejections: dict[str, Ejection] = {}  # by the endpoint's name
+        self._last_read: dict[str, tuple[int, int]] = {}  # inode and modification time (ns), by file name
+        self._failures = FailureLog()
 
     def get(self, name: str) -> Ejection | None:
+        """Return the last ejection of an endpoint, in force or ended; None where none is remembered."""
         return self._ejections.get(name)
 
     def is_ejected(self, name: str) -> bool:
-        ban = self._ejections.get(name)
-        return ban is not None and ban.restored_ms is None
+        """Return whether an ejection of this endpoint is in force."""
+        ejection = self._ejections.get(name)
+        return ejection is not None and ejection.in_force
 
     def eject(self, name: str, now_ms: float) -> bool:
-        """Put a server out, in this process at once; whether that is written for the others."""
-        ban = self._ejections[name] if self.is_ejected(name) else Ejection(now_ms)
-        self._ejections[name] = ban
-        return self._write(name, ban)
+        """Eject an endpoint in this process at once; return whether that is stored for the others.
+
+        An endpoint that is ejected already keeps the time of its first ejection.
+        """
+        ejection = self._ejections[name] if self.is_ejected(name) else Ejection(now_ms)
+        self._ejections[name] = ejection
+        return self._write(name, ejection)
 
     def restore(self, name: str, now_ms: float) -> bool:
-        """End a server's ban, however often it was put out; it lasts if that can't be written."""
+        """End an endpoint's ejection; return false, with it still in force, if that can't be stored."""
         if not self.is_ejected(name):
             return True
-        ban = Ejection(self._ejections[name].ejected_ms, now_ms)
-        if not self._write(name, ban):
+        ended = Ejection(self._ejections[name].ejected_ms, now_ms)
+        if not self._write(name, ended):
             return False
-        self._ejections[name] = ban
+        self._ejections[name] = ended
         return True
 
     def read_changes(self, now_ms: float) -> list[str]:
-        """The servers whose ban another process has changed since last looked at."""
+        """Read what other processes have written; return the endpoints whose ejection has changed."""
         if self._folder is None:
             return []
         try:
             with os.scandir(self._folder) as entries:
                 found = {entry.name: entry.stat() for entry in entries if entry.name.startswith(FILE_PREFIX)}
         except FileNotFoundError:
-            return []  # nothing was ever out
+            return []  # nothing has been ejected yet
         except OSError as error:
-            self._complain("bans not read, those known hold: %s", error)
+            self._failures.failure("ejections not read, those known remain in force: %s", one_line(error))
             return []
-        self._failing = False
-        changed = []
-        for file, stat in found.items():
-            if self._last_read.get(file) == (stat.st_ino, stat.st_mtime_ns):
-                continue
-            self._last_read[file] = stat.st_ino, stat.st_mtime_ns
-            name, ban = unquote(file.removeprefix(FILE_PREFIX)), self._ban_in(file, stat.st_mtime * 1000.0)
-            if ban is not None and ban != self._ejections.get(name):
-                self._ejections[name] = ban
-                changed.append(name)
-        self._forget(now_ms)
-        return changed
-
-    # -------------------------------------------------------------------- inside
-
-    def _write(self, name: str, ban: Ejection) -> bool:
+        self._failures.success()
+        names = [self._read_changed(file, stat) for file, stat in found.items()]
+        self._forget_expired(now_ms)
+        return [name for name in names if name is not None]
+
+    def _read_changed(self, file: str, stat: os.stat_result) -> str | None:
+        """The endpoint that a file names, if its ejection differs from the one known here."""
+        version = stat.st_ino, stat.st_mtime_ns
+        if self._last_read.get(file) == version:
+            return None
+        self._last_read[file] = version
+        name, ejection = unquote(file.removeprefix(FILE_PREFIX)), self._read(file, stat.st_mtime * 1000.0)
+        if ejection is None or ejection == self._ejections.get(name):
+            return None
+        self._ejections[name] = ejection
+        return name
+
+    def _write(self, name: str, ejection: Ejection) -> bool:
         if self._folder is None:
-            return True  # nothing outlives this process, and no other shares its bans
-        file = FILE_PREFIX + quote(name, safe="")
-        draft = self._folder / f"draft-{os.getpid()}"
+            return True  # nothing outlives this process, and no other process shares its ejections
+        data = orjson.dumps({key: getattr(ejection, field) for key, field in EJECTION_FIELDS.items()})
         try:
-            self._folder.mkdir(parents=True, exist_ok=True)
-            draft.write_bytes(
-                orjson.dumps({key: getattr(ban, field) for key, field in EJECTION_FIELDS.items()})
-            )
-            os.replace(draft, self._folder / file)  # whole or not at all, as the other process may look now
+            share_file(self._folder / _file_of(name), self._folder / f"draft-{os.getpid()}", data)
         except OSError as error:
-            self._complain(f"ban of {name} not written: %s", error)
+            self._failures.failure("ejection of %s not written: %s", name, one_line(error))
             return False
         return True
 
-    def _ban_in(self, file: str, written_ms: float) -> Ejection | None:
-        """The ban in a file, None if it has just been replaced or removed."""
+    def _read(self, file: str, written_ms: float) -> Ejection | None:
+        """The ejection in a file; None if the file has just been replaced or removed.
+
+        A file that can't be read counts as an ejection in force: an operator has drained the endpoint, and
+        requests sent to it could be lost.
+        """
         assert self._folder is not None
         try:
             with (self._folder / file).open("rb") as opened:
-                row = orjson.loads(opened.read(MAX_FILE_BYTES))
-            out, back = float(row["out_ms"]), row["back_ms"]
-            return Ejection(out, None if back is None else float(back))
+                return _decode(opened.read(MAX_FILE_BYTES))
         except FileNotFoundError:
             return None
         except (OSError, ValueError, KeyError, TypeError) as error:
-            # Guard: somebody wanted this server out; used against that it could break a drain.
-            said = " ".join(str(error).split())
-            log.error("ban %s can't be read, its server is out until brought back: %s", file, said)
+            log.error(
+                "ejection file %s can't be read, its endpoint stays ejected until restored: %s",
+                file,
+                one_line(error),
+            )
             return Ejection(written_ms)
 
-    def _forget(self, now_ms: float) -> None:
-        """Leave out returns from long ago; their files go too."""
+    def _forget_expired(self, now_ms: float) -> None:
+        """Forget endpoints that were restored more than RETENTION_MS ago, and remove their files."""
         assert self._folder is not None
-        for name, ban in list(self._ejections.items()):
-            if ban.restored_ms is not None and ban.restored_ms < now_ms - RETENTION_MS:
+        for name, ejection in list(self._ejections.items()):
+            if ejection.restored_ms is not None and ejection.restored_ms < now_ms - RETENTION_MS:
                 del self._ejections[name]
-                file = FILE_PREFIX + quote(name, safe="")
+                file = _file_of(name)
                 self._last_read.pop(file, None)
-                with contextlib.suppress(OSError):  # read again, and forgotten again, if it stays
+                with contextlib.suppress(OSError):  # a file that stays is read and forgotten again
                     (self._folder / file).unlink()
 
-    def _complain(self, text: str, error: OSError) -> None:
-        if not self._failing:  # once for each stretch of failures
-            log.error(text, error)
-        self._failing = True
+
+def _file_of(name: str) -> str:
+    return FILE_PREFIX + quote(name, safe="")
+
+
+def _decode(data: bytes) -> Ejection:
+    row = orjson.loads(data)
+    ejected, restored = float(row["out_ms"]), row["back_ms"]
+    return Ejection(ejected, None if restored is None else float(restored))
--- a/loadbalancer/node/state/handover.py
+++ b/loadbalancer/node/state/handover.py
@@ -1,130 +1,116 @@
-"""What two processes of a node tell each other during an upgrade: a file for each in a folder they share."""
+"""State that two processes of a node exchange during an upgrade: a file of each in a directory they share."""
 
 from __future__ import annotations
 
 import contextlib
-import logging
 import math
 import os
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 import orjson
 
 from loadbalancer.balancing.events import LearnedState
-
-log = logging.getLogger("loadbalancer")
+from loadbalancer.node.failure_log import FailureLog, one_line
+from loadbalancer.node.state.atomic_file import share_file
+from loadbalancer.node.state.learned_codec import (
+    decode_learned,
+    encode_learned,
+    mapping_of,
+    number_in,
+    numbers_in,
+)
 
 FOLDER_NAME = "orchidledge-handover"
 FILE_PREFIX = "process-"
-FRESHNESS_MS = 1000.0  # a process that has not written for so long has ended or hangs
-RETENTION_MS = 60_000.0  # then its file goes
+FRESHNESS_MS = 1000.0  # a process whose file is older has ended or hangs
+RETENTION_MS = 60_000.0  # a file older than this is removed
 MAX_FILE_BYTES = 256 * 1024
-# The key of each field of `LearnedState` in handover files and in the state file.
-LEARNED_FIELDS = {
-    "base": "baseline_ratio",
-    "level": "latency_ratio",
-    "cursor": "cursor",
-    "rate": "completion_rate",
-    "peak": "peak_completion_rate",
-    "sends": "send_rate",
-    "mean_aim": "mean_latency_objective_ms",
-    "class_ms": "class_latency_ms",
-    "slow": "endpoint_latency_ratios",
-}
+
+
+class SiblingReport(NamedTuple):
+    """What the other live processes of this node report."""
+
+    learned: LearnedState | None  # by the process that wrote last; None without another process
+    in_flight: dict[str, float]  # load at each endpoint, summed over the processes
+
+
+class _HandoverRecord(NamedTuple):
+    """The contents of one process's file."""
+
+    written_ms: float  # Unix time
+    in_flight: dict[str, float]
+    learned: LearnedState
 
 
 class HandoverFiles:
-    """This process's file and those of the others."""
+    """Writes this process's file and reads those of the others."""
 
     def __init__(self, folder: Path, process: int) -> None:
         self._folder = folder
         self._name = f"{FILE_PREFIX}{process}"
-        self._failing = False
+        self._failures = FailureLog()
 
-    def write(self, now_ms: float, learned: LearnedState, held: dict[str, float]) -> None:
-        row = {"at_ms": now_ms, "learned": encode_learned(learned), "held": held}
-        draft = self._folder / f"draft-{self._name}"
+    def write(self, now_ms: float, learned: LearnedState, in_flight: dict[str, float]) -> None:
+        """Replace this process's file; the first failure to do so is logged."""
+        row = {"at_ms": now_ms, "learned": encode_learned(learned), "held": in_flight}
         try:
-            self._folder.mkdir(parents=True, exist_ok=True)
-            draft.write_bytes(orjson.dumps(row))
-            os.replace(draft, self._folder / self._name)  # whole or not at all, as the other may look now
+            share_file(self._folder / self._name, self._folder / f"draft-{self._name}", orjson.dumps(row))
         except OSError as error:
-            self._complain("nothing handed over: %s", error)
-
-    def read_siblings(self, now_ms: float) -> tuple[LearnedState | None, dict[str, float]]:
-        """What the newest of the other processes has learned, and what all of them hold at each server."""
-        newest, newest_ms, held = None, -math.inf, dict[str, float]()
-        for path in self._others():
-            try:
-                with path.open("rb") as opened:
-                    row = orjson.loads(opened.read(MAX_FILE_BYTES))
-                at_ms, theirs, learned = (
-                    _number(row["at_ms"]),
-                    _numbers(row["held"]),
-                    decode_learned(row["learned"]),
-                )
-            except FileNotFoundError:
-                continue  # it has just ended
-            except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
-                self._complain(f"{path.name} is passed over: %s", error)
+            self._failures.failure("handover file not written: %s", one_line(error))
+
+    def read_siblings(self, now_ms: float) -> SiblingReport:
+        """Return what the other processes that still write report; files of long ended ones are removed."""
+        newest: LearnedState | None = None
+        newest_ms = -math.inf
+        in_flight: dict[str, float] = {}
+        for path in self._sibling_files():
+            record = self._read(path)
+            if record is None:
                 continue
-            if at_ms < now_ms - RETENTION_MS:
+            if record.written_ms < now_ms - RETENTION_MS:
                 with contextlib.suppress(OSError):
                     path.unlink()
-            if not now_ms - FRESHNESS_MS <= at_ms <= now_ms + FRESHNESS_MS:
+            if not now_ms - FRESHNESS_MS <= record.written_ms <= now_ms + FRESHNESS_MS:
                 continue
-            for server, load in theirs.items():
-                held[server] = held.get(server, 0.0) + load
-            if at_ms > newest_ms:
-                newest, newest_ms = learned, at_ms
-        return newest, held
+            for endpoint, load in record.in_flight.items():
+                in_flight[endpoint] = in_flight.get(endpoint, 0.0) + load
+            if record.written_ms > newest_ms:
+                newest, newest_ms = record.learned, record.written_ms
+        return SiblingReport(newest, in_flight)
 
     def close(self) -> None:
+        """Remove this process's file."""
         with contextlib.suppress(OSError):
             (self._folder / self._name).unlink()
 
-    def _others(self) -> list[Path]:
+    def _sibling_files(self) -> list[Path]:
         try:
             names = os.listdir(self._folder)
         except FileNotFoundError:
-            return []  # the first process
+            return []  # this is the first process
         except OSError as error:
-            self._complain("other processes not looked for: %s", error)
+            self._failures.failure("handover folder not read: %s", one_line(error))
             return []
         return [self._folder / name for name in names if name.startswith(FILE_PREFIX) and name != self._name]
 
-    def _complain(self, text: str, error: Exception) -> None:
-        if not self._failing:  # once: it is looked at several times a second
-            log.error(text, " ".join(str(error).split()))
-        self._failing = True
-
-
-def _number(value: Any) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise ValueError(f"{value!r} is not a number")
-    return float(value)
-
-
-def _numbers(row: dict[str, Any]) -> dict[str, float]:
-    return {name: max(0.0, _number(value)) for name, value in row.items()}
-
-
-def encode_learned(learned: LearnedState) -> dict[str, Any]:
-    """The stored form of what a process has learned."""
-    return {stored: getattr(learned, name) for stored, name in LEARNED_FIELDS.items()}
-
-
-def decode_learned(row: dict[str, Any]) -> LearnedState:
-    """What a process had learned, from its stored form; ValueError or KeyError where that is malformed."""
-    return LearnedState(
-        baseline_ratio=None if row["base"] is None else _number(row["base"]),
-        latency_ratio=_number(row["level"]),
-        cursor=int(_number(row["cursor"])),
-        completion_rate=_number(row["rate"]),
-        send_rate=_number(row["sends"]),
-        peak_completion_rate=_number(row["peak"]),
-        mean_latency_objective_ms=_number(row["mean_aim"]),
-        class_latency_ms=_numbers(row["class_ms"]),
-        endpoint_latency_ratios=_numbers(row["slow"]),
+    def _read(self, path: Path) -> _HandoverRecord | None:
+        """One file's contents; None if it is malformed, or gone because its process has just ended."""
+        try:
+            with path.open("rb") as opened:
+                return _decode_record(opened.read(MAX_FILE_BYTES))
+        except FileNotFoundError:
+            return None
+        except (OSError, ValueError) as error:
+            self._failures.failure("handover file %s ignored: %s", path.name, one_line(error))
+            return None
+
+
+def _decode_record(data: bytes) -> _HandoverRecord:
+    """Raises ValueError on any file that is malformed."""
+    row = mapping_of(orjson.loads(data), "handover")
+    return _HandoverRecord(
+        written_ms=number_in(row, "at_ms"),
+        in_flight=numbers_in(row, "held"),
+        learned=decode_learned(row.get("learned")),
     )
--- /dev/null
+++ b/loadbalancer/node/state/state_file.py
@@ -0,0 +1,114 @@
+"""The writer of a node's state file: one process at a time, off the event loop."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import fcntl
+import logging
+import os
+import threading
+from collections.abc import Callable
+from pathlib import Path
+
+from loadbalancer.node.failure_log import FailureLog, one_line
+from loadbalancer.node.state.atomic_file import write_atomically
+from loadbalancer.node.state.errors import StateFileClosedError
+
+log = logging.getLogger("loadbalancer")
+
+LOCK_FILE_MODE = 0o600
+
+
+class StateFile:
+    """One node's state file. Only the process that holds `FILE.lock` writes it."""
+
+    def __init__(self, path: Path) -> None:
+        self.path = path
+        self.writes = 0  # since the start, as are failures
+        self.failures = 0
+        self.last_write_bytes = 0
+        self.last_write_s = 0.0  # how long the last write took
+        self._lock: int | None = None  # descriptor of the lock file while this process holds the lock
+        self._write_lock = threading.Lock()  # held by the worker thread that writes
+        self._write_in_progress = False
+        self._failure_log = FailureLog()
+        self._lock_denied = False
+
+    def acquire_lock(self) -> bool:
+        """Return whether this process may write.
+
+        The lock is tried for at each call, as the process that holds it may have ended.
+        """
+        if self._lock is not None:
+            return True
+        try:
+            self.path.parent.mkdir(parents=True, exist_ok=True)
+            lock_path = self.path.with_name(f"{self.path.name}.lock")
+            descriptor = os.open(lock_path, os.O_RDWR | os.O_CREAT, LOCK_FILE_MODE)
+        except OSError as error:
+            self._record_failure(error)
+            return False
+        try:
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError:
+            os.close(descriptor)
+            self._record_denial()
+            return False
+        self._lock = descriptor
+        if self._lock_denied:
+            log.info("state %s: this process writes it from now on", self.path)
+        return True
+
+    async def write(self, encode: Callable[[], bytes]) -> None:
+        """Encode and write the file in a worker thread; a failure is counted and logged.
+
+        While another write is in progress, nothing is written. `encode` runs in the thread, so it must read
+        only what the event loop no longer changes.
+        """
+        if self._write_in_progress or not self.acquire_lock():
+            return
+        self._write_in_progress = True
+        loop = asyncio.get_running_loop()
+        began = loop.time()
+        try:
+            size = await asyncio.to_thread(self._encode_and_write, encode)
+        except OSError as error:
+            self._record_failure(error)
+        else:
+            self.writes += 1
+            self.last_write_bytes, self.last_write_s = size, loop.time() - began
+            if self._failure_log.success():
+                log.info("state %s: written again", self.path)
+        finally:
+            self._write_in_progress = False
+
+    def close(self) -> None:
+        """Release the lock, after a write in progress.
+
+        A write may outlive the task that asked for it. Without the lock it could replace the newer file of
+        the next process.
+        """
+        with self._write_lock:
+            if self._lock is not None:
+                with contextlib.suppress(OSError):
+                    os.close(self._lock)  # which releases the lock
+                self._lock = None
+
+    def _encode_and_write(self, encode: Callable[[], bytes]) -> int:
+        """Return the number of bytes written."""
+        with self._write_lock:
+            if self._lock is None:
+                raise StateFileClosedError(self.path)
+            data = encode()
+            write_atomically(self.path, data)
+            return len(data)
+
+    def _record_failure(self, error: OSError) -> None:
+        self.failures += 1
+        self._failure_log.failure("state %s not written, service goes on: %s", self.path, one_line(error))
+
+    def _record_denial(self) -> None:
+        if not self._lock_denied:
+            log.warning("state %s: another process writes it; this one only reads it", self.path)
+        self._lock_denied = True
--- a/loadbalancer/node/state_writer.py
+++ b/loadbalancer/node/state_writer.py
@@ -1,4 +1,4 @@
-"""Keeping the state file: what it gives back at a start, and its writing while the node runs."""
+"""Restoring the node's state from its state file at the start, and writing that file while the node runs."""
 
 from __future__ import annotations
 
@@ -12,78 +12,88 @@
 from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from loadbalancer.node.endpoint_list import EndpointList
-from loadbalancer.node.state.snapshot import StateFile, complete_list, encode_state, read_state
+from loadbalancer.node.operator_ejections import OperatorEjections
+from loadbalancer.node.state.restore import read_state
+from loadbalancer.node.state.snapshot import encode_state
+from loadbalancer.node.state.state_file import StateFile
 
 
 class StateWriter:
-    """A part of the node (node/component.py) where the configuration names a state file."""
+    """A component of the node (node/component.py) where the configuration names a state file."""
 
     def __init__(
         self,
         path: Path,
         config: NodeConfig,
         clock: Clock,
-        servers: EndpointList,
+        endpoint_list: EndpointList,
+        ejections: OperatorEjections,
         watcher: EndpointListWatcher,
         driver: Driver,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._file = StateFile(path)
-        self._name = config.name
-        self._known_rev = config.initial_list.revision
-        self._every_s = config.state_write_interval_ms / 1000.0
+        self._node_name = config.name
+        self._given_revision = config.initial_list.revision
+        self._interval_s = config.state_write_interval_ms / 1000.0
         self._clock = clock
-        self._servers = servers
+        self._endpoint_list = endpoint_list
+        self._ejections = ejections
         self._watcher = watcher
         self._driver = driver
-        self._writing: set[asyncio.Task[None]] = set()
+        self._writes: set[asyncio.Task[None]] = set()  # keeps the tasks alive until they end
         self._timer: asyncio.TimerHandle | None = None
 
     def restore(self) -> None:
-        """Take from the state file what its rules let through: bans, then the list, then the figures."""
-        found = read_state(self._file.path, self._name, self._clock.ms(), self._known_rev)
-        self._servers.restore_ejections(found.ejected_since_ms)
+        """Take over what the rules accept of the state file: ejections, then the list, then learned state."""
+        found = read_state(self._file.path, self._node_name, self._clock.ms(), self._given_revision)
+        self._ejections.restore_from_state(found.ejected_since_ms)
         if found.endpoint_list is not None:
-            self._servers.apply_update(EndpointListKind.CACHED, found.endpoint_list)
+            self._endpoint_list.apply_update(EndpointListKind.CACHED, found.endpoint_list)
             self._watcher.resume_from(found.endpoint_list.revision)
         if found.learned is not None:
             self._driver.tell(StateRestored(found.learned, found.age_ms))
 
     async def start(self) -> None:
-        self._keep()
+        """Write the file now and in each interval from now on."""
+        self._write_periodically()
 
     async def stop(self) -> None:
+        """Write the file a last time."""
         await self._write()
 
     def close(self) -> None:
+        """Release the file and end the periodic writes."""
         self._file.close()
         if self._timer is not None:
             self._timer.cancel()
 
     def metrics(self) -> str:
-        kept = self._file
+        """Return the lines of GET /status/metrics on the state file."""
+        file = self._file
         return (
-            f"proxy.state_writes={kept.writes}\nproxy.state_failures={kept.failures}\n"
-            f"proxy.state_bytes={kept.last_write_bytes}\n"
-            f"proxy.state_write_ms={kept.last_write_s * 1000.0:.3f}\n"
+            f"proxy.state_writes={file.writes}\nproxy.state_failures={file.failures}\n"
+            f"proxy.state_bytes={file.last_write_bytes}\n"
+            f"proxy.state_write_ms={file.last_write_s * 1000.0:.3f}\n"
         )
 
     def write_soon(self) -> None:
-        """Write now, beside the period; never on a request's path."""
+        """Begin a write in a task of its own, apart from the periodic ones."""
         task = asyncio.create_task(self._write())
-        self._writing.add(task)
-        task.add_done_callback(self._writing.discard)
+        self._writes.add(task)
+        task.add_done_callback(self._writes.discard)
 
-    def _keep(self) -> None:
+    def _write_periodically(self) -> None:
         self.write_soon()
-        self._timer = self._loop.call_later(self._every_s, self._keep)
+        self._timer = self._loop.call_later(self._interval_s, self._write_periodically)
 
     async def _write(self) -> None:
-        servers, out = self._servers, self._servers.ejected_since_ms()
-        # What the thread reads is made here and never changed after: copies of the figures and the list.
-        learned, listing = (
-            self._driver.balancer.learned_state(),
-            complete_list(servers.endpoints, servers.revision),
+        # Copies, as the worker thread that encodes them must read nothing that the event loop changes.
+        ejected_since_ms = self._ejections.ejected_since_ms()
+        learned = self._driver.balancer.learned_state()
+        learned.class_latency_ms = dict(learned.class_latency_ms)
+        endpoint_list = self._endpoint_list.complete_list()
+        now_ms = self._clock.ms()
+        await self._file.write(
+            lambda: encode_state(self._node_name, now_ms, learned, ejected_since_ms, endpoint_list)
         )
-        learned.class_latency_ms, name, now = dict(learned.class_latency_ms), self._name, self._clock.ms()
-        await self._file.write(lambda: encode_state(name, now, learned, out, listing))
--- a/tests/node/discovery/test_discovery_lists.py
+++ b/tests/node/discovery/test_discovery_lists.py
@@ -10,7 +10,7 @@
 import pytest
 
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.discovery.watcher import decode_response
+from loadbalancer.node.discovery.response import decode_response
 from tests.support.clocks import run
 from tests.support.discoveries import MODES, TOLD_S, Source, now, row, watching
 
--- a/tests/node/discovery/test_discovery_silence.py
+++ b/tests/node/discovery/test_discovery_silence.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.discovery.watcher import PollPolicy
+from loadbalancer.node.discovery.poll_policy import PollPolicy
 from tests.support.clocks import run
 from tests.support.discoveries import MODES, MOVED_S, PUSH_S, TOLD_S, Luck, Source, now, watching
 
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -13,6 +13,7 @@
 from loadbalancer.balancing.events import EndpointEjected, EndpointListUpdate, EndpointRestored
 from loadbalancer.endpoints import Endpoint, EndpointListKind
 from loadbalancer.node.node import Node
+from loadbalancer.node.operator_ejections import EjectionResult
 from loadbalancer.node.state.ejections import FILE_PREFIX, FOLDER_NAME, RETENTION_MS, Ejection, EjectionStore
 from tests.node.admin.test_admin_server import DOOR, status
 from tests.support.builders import Bed, sent, servers
@@ -195,7 +196,7 @@
     async def main():
         async with running(Peer(), tmpdir=str(tmp_path), **DOOR) as node:
             EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
-            assert node.endpoint_list.restore("s0")
+            assert node.ejections.restore("s0") is EjectionResult.DONE
             assert not EjectionStore(tmp_path / FOLDER_NAME).is_ejected("s0")
             assert node.endpoint_list.available == {"s0"}
 
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -178,7 +178,7 @@
             new.sibling_process.handover = HandoverFiles(tmp_path / FOLDER_NAME, os.getpid() + 1)
             old.sibling_process.exchange()
             new.endpoint_list.apply_update(EndpointListKind.CACHED, new.config.initial_list)
-            new.sibling_process.exchange(starts=True)
+            new.sibling_process.exchange(at_start=True)
             assert new.driver.balancer.endpoints["s0"].sibling_in_flight == 1.0
             assert old.driver.balancer.endpoints["s0"].sibling_in_flight == 0.0
             server.release.set()
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -22,8 +22,8 @@
 from loadbalancer.balancing.events import EndpointListUpdate, LearnedState, StateRestored
 from loadbalancer.balancing.learned_state import RATES_TRUSTED_MS
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.discovery.watcher import DiscoveryResponse
-from loadbalancer.node.state import snapshot
+from loadbalancer.node.discovery.response import DiscoveryResponse
+from loadbalancer.node.state import frame, snapshot
 from tests.support.builders import servers, settings
 from tests.support.load import Load
 from tests.support.loopback import Discovery, listing, targets
@@ -91,9 +91,9 @@
 ) -> None:
     data = snapshot.encode_state(node, time.time() * 1000.0 if at_ms is None else at_ms, LEARNED, {}, listing)
     if body:  # a body of another shape, digested as it should be
-        row = msgpack.unpackb(data[snapshot.FRAME_HEADER.size :]) | body
+        row = msgpack.unpackb(data[frame.FRAME_HEADER.size :]) | body
         raw = msgpack.packb(row)
-        data = snapshot.encode_frame(raw)
+        data = frame.encode_frame(raw)
     path.write_bytes(data)
 
 
@@ -114,7 +114,7 @@
         # A call the node sent just before its kill may reach the server later: ids differ in every round.
         assert upstream.most() <= 1, "a request reached its server twice"
         if state.exists():  # the rename leaves the old file or the new one, never a part
-            snapshot.decode_frame(state.read_bytes())
+            frame.decode_frame(state.read_bytes())
         assert len(node.lines("state ")) >= kill + 1, "a start that did not say what it made of the file"
     node.start()
     served(node.port)
@@ -123,7 +123,7 @@
     said = Counter(line.split(f"{state}: ")[1].split(",")[0].split(";")[0] for line in starts)
     assert set(said) <= {"missing", "list behind"}, said  # the list given at each start is as new as its own
     assert said["missing"] <= 1, said
-    assert sum("figures yes" in line for line in starts) >= 40, said
+    assert sum("learned state yes" in line for line in starts) >= 40, said
 
 
 def _torn(data: bytes, rng: Random) -> bytes:
@@ -160,7 +160,7 @@
         [line] = node.lines(f"state {state}:")
         assert f": {rule}, " in line
         if rule not in ("future", "list old"):
-            assert "figures no" in line
+            assert "learned state no" in line
     finally:
         node.stop()
 
@@ -198,7 +198,7 @@
         first.kill()
         until(lambda: second.metric("proxy.state_writes") > 0, what="the second taking over")
         assert second.lines("this process writes it from now on")
-        snapshot.decode_frame(state.read_bytes())
+        frame.decode_frame(state.read_bytes())
     finally:
         second.stop()
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -25,7 +25,8 @@
 from loadbalancer.node import balancer_driver as driver_module
 from loadbalancer.node.address import parse_address
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.discovery.watcher import DiscoveryResponse, PollPolicy
+from loadbalancer.node.discovery.poll_policy import PollPolicy
+from loadbalancer.node.discovery.response import DiscoveryResponse
 from loadbalancer.node.listener.request_parser import BODY_S, HEAD_S, PACE, Receiving
 from loadbalancer.node.listener.server import SWEEP_S
 from tests.support.loopback import (
@@ -587,7 +588,7 @@
             await until(lambda: scripted.of(EndpointListUpdate))
             assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.FAILED]
             assert (set(node.pool._servers), node.server.ready) == ({"s0"}, True)
-            assert "the old list holds" in caplog.text
+            assert "the last list stays in use" in caplog.text
             await until(lambda: len(discovery.seen) == 2)  # whatever the module does
 
     asyncio.run(main())
@@ -595,21 +596,21 @@
 
 def test_a_list_larger_than_any_may_be_is_a_failure_and_keeps_the_list(monkeypatch, caplog):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.MAX_LIST_BYTES", 400)
+        monkeypatch.setattr("loadbalancer.node.discovery.client.MAX_LIST_BYTES", 400)
         huge = listing(2, True, **{f"s{n}": (f"127.0.0.1:{1000 + n}", "Ready") for n in range(20)})
         async with running(Peer(), discovery=Discovery(huge)) as node:
             node.driver.balancer = scripted = Scripted()
             await until(lambda: scripted.of(EndpointListUpdate))
             assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.FAILED]
             assert set(node.pool._servers) == {"s0"}
-            assert "the old list holds" in caplog.text
+            assert "the last list stays in use" in caplog.text
 
     asyncio.run(main())
 
 
 def test_a_hung_discovery_call_fails_and_the_module_asks_again(monkeypatch):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.RESPONSE_TIMEOUT_S", 0.05)
+        monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.RESPONSE_TIMEOUT_S", 0.05)
         discovery = Discovery()
         async with running(
             Peer(), discovery=discovery, settings={"invariants": {"askWithinMs": 100.0}}
@@ -623,7 +624,7 @@
 
 def test_a_pushed_list_is_followed_unasked_and_through_failures(monkeypatch):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.INITIAL_BACKOFF_S", 0.01)
+        monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
         discovery = Discovery(reply(503), listing(5, True, s9=("127.0.0.1:9", "Ready")))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: set(node.pool._servers) == {"s9"})
@@ -647,8 +648,8 @@
 
 def test_a_pushed_list_that_is_silent_from_the_start_is_asked_again_at_once(monkeypatch):
     """Guard: what an agent has counts as told from a process's first moment; its silence showed after 6 s."""
-    monkeypatch.setattr("loadbalancer.node.discovery.watcher.RESPONSE_TIMEOUT_S", 0.05)
-    monkeypatch.setattr("loadbalancer.node.discovery.watcher.INITIAL_BACKOFF_S", 0.01)
+    monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.RESPONSE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
 
     async def main():
         discovery = Deaf(listing(5, True, s9=("127.0.0.1:9", "Ready")), reply(503))
@@ -680,7 +681,7 @@
 
 def test_a_stale_list_is_a_failure_and_the_newer_one_holds(monkeypatch, caplog):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.INITIAL_BACKOFF_S", 0.01)
+        monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
         discovery = Discovery(
             listing(5, True, s5=("127.0.0.1:5", "Ready")),
             listing(3, True, s3=("127.0.0.1:3", "Ready")),
@@ -691,16 +692,16 @@
             await until(lambda: "s6" in node.pool._servers)
             assert set(node.pool._servers) == set(node.driver.balancer.endpoints) == {"s5", "s6"}
             assert node.event_counts["list failed"] == 2
-            assert caplog.text.count("stale list, version 3 after 5") == 1
-            assert caplog.text.count("the old list holds") == 1  # once for the stretch
+            assert caplog.text.count("stale list, revision 3 after 5") == 1
+            assert caplog.text.count("the last list stays in use") == 1  # once for the stretch
 
     asyncio.run(main())
 
 
 def test_a_rebuilt_discovery_counting_again_is_taken_once_it_has_said_so_long_enough(monkeypatch, caplog):
     async def main():
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.INITIAL_BACKOFF_S", 0.01)
-        monkeypatch.setattr("loadbalancer.node.discovery.watcher.REBUILD_HOLD_S", 0.0)
+        monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
+        monkeypatch.setattr("loadbalancer.node.discovery.revision_guard.REBUILD_HOLD_S", 0.0)
         discovery = Discovery(
             listing(50, True, s5=("127.0.0.1:5", "Ready")),
             listing(2, True, s2=("127.0.0.1:2", "Ready")),
@@ -711,7 +712,7 @@
             await until(lambda: "s4" in node.pool._servers)
             assert set(node.pool._servers) == {"s2", "s3", "s4"}
             assert node.event_counts["list failed"] == 1
-            assert caplog.text.count("counts versions again (3 after 50)") == 1
+            assert caplog.text.count("restarted its revisions (3 after 50)") == 1
 
     asyncio.run(main())
 
--- a/tests/support/discoveries.py
+++ b/tests/support/discoveries.py
@@ -13,7 +13,9 @@
 import pytest
 
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.discovery.watcher import DiscoveryResponse, EndpointListWatcher, PollPolicy
+from loadbalancer.node.discovery.poll_policy import PollPolicy
+from loadbalancer.node.discovery.response import DiscoveryResponse
+from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from tests.support.loopback import read_message, reply
 
 TOLD_S = 6.0  # by the operators' terms, not by the program's own constant
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -18,8 +18,8 @@
 import orjson
 
 from loadbalancer.node.control.route_store import RouteStore
-from loadbalancer.node.state import snapshot
-from loadbalancer.node.state.snapshot import StateFile
+from loadbalancer.node.state import frame
+from loadbalancer.node.state.state_file import StateFile
 from loadbalancer.registry.catalog import Catalog, Page
 from loadbalancer.registry.fleet_catalog import FleetCatalog, Renewed
 from loadbalancer.registry.service_clock import ServiceClock
@@ -110,11 +110,11 @@
         self.wrote = self.old.acquire_lock()
         self.refused = False
         if wrong:
-            self.old._writing = nullcontext()
+            self.old._write_lock = nullcontext()
 
     def write(self) -> None:
         try:
-            self.old._make_and_put(lambda: snapshot.encode_frame(b"old"))
+            self.old._encode_and_write(lambda: frame.encode_frame(b"old"))
         except OSError:
             self.refused = True
 
@@ -122,11 +122,11 @@
         self.old.close()
         self.wrote = self.next.acquire_lock()
         if self.wrote:
-            self.next._make_and_put(lambda: snapshot.encode_frame(b"new"))
+            self.next._encode_and_write(lambda: frame.encode_frame(b"new"))
         self.next.close()
 
     def holds(self) -> bool:
-        return self.wrote and self.old.path.read_bytes() == snapshot.encode_frame(b"new")
+        return self.wrote and self.old.path.read_bytes() == frame.encode_frame(b"new")
 
 
 class Twice:
@@ -137,7 +137,7 @@
         self.failed: list[OSError] = []
         self.wrote = self.file.acquire_lock()
         if wrong:
-            self.file._writing = nullcontext()
+            self.file._write_lock = nullcontext()
 
     def first(self) -> None:
         self._write(b"first")
@@ -147,12 +147,12 @@
 
     def _write(self, body: bytes) -> None:
         try:
-            self.file._make_and_put(lambda: snapshot.encode_frame(body))
+            self.file._encode_and_write(lambda: frame.encode_frame(body))
         except OSError as error:
             self.failed.append(error)
 
     def holds(self) -> bool:
-        whole = [snapshot.encode_frame(body) for body in (b"first", b"second, longer")]
+        whole = [frame.encode_frame(body) for body in (b"first", b"second, longer")]
         return self.wrote and not self.failed and self.file.path.read_bytes() in whole
 
 
