--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -18,7 +18,7 @@
 from loadbalancer.node.attempts import Attempts
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.component import Part
+from loadbalancer.node.component import Component
 from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.discovery.poll_policy import INITIAL_BACKOFF_S, PollPolicy
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
@@ -35,7 +35,7 @@
 from loadbalancer.node.upstream.pool import Pool
 
 if TYPE_CHECKING:
-    from loadbalancer.node.control import FleetPart
+    from loadbalancer.node.control import ControlPlane
 
 log = logging.getLogger("loadbalancer")
 
@@ -96,7 +96,7 @@
         self.sibling_process = self._sharing()
         self.state_writer = self._keeper()
         self.control_plane = self._fleet()
-        self.components: list[Part] = [
+        self.components: list[Component] = [
             part for part in (self.state_writer, self.control_plane) if part is not None
         ]
         self.periodic_tasks = PeriodicTasks(
@@ -108,7 +108,7 @@
             self.pool,
             self.driver,
         )
-        fleet = {} if self.control_plane is None else self.control_plane.calls()
+        fleet = {} if self.control_plane is None else self.control_plane.admin_calls()
         self.admin_server = AdminServer({**self._calls(), **self.ejections.admin_routes(), **fleet})
 
     def _sharing(self) -> SiblingProcess | None:
@@ -125,14 +125,14 @@
             path, self.config, self.clock, self.endpoint_list, self.ejections, self.watcher, self.driver
         )
 
-    def _fleet(self) -> FleetPart | None:
+    def _fleet(self) -> ControlPlane | None:
         if self.config.membership is None:
             return None
         # Only a node that is told of members pays for the libraries that it needs for them.
-        from loadbalancer.node.control import FleetPart
+        from loadbalancer.node.control import ControlPlane
 
-        part = FleetPart(self.config, self.clock, self.endpoint_list, self.watcher, self.driver)
-        self.attempts.on_outcome.append(part.sight.saw)
+        part = ControlPlane(self.config, self.clock, self.endpoint_list, self.watcher, self.driver)
+        self.attempts.on_outcome.append(part.freshness.record_outcome)
         return part
 
     def _each_beat(self) -> list[Callable[[], None]]:
@@ -187,7 +187,7 @@
         began = self.loop.time()
         self.stopping = True
         if self.control_plane is not None:
-            self.control_plane.drains()
+            self.control_plane.begin_drain()
         self.server.resume()  # a standby before it has other times
         if self.server.shares_socket:
             self.server.stop_accepting()
