--- a/loadbalancer/node/address.py
+++ b/loadbalancer/node/address.py
@@ -1,13 +1,17 @@
-"""Network addresses as the node's parts exchange them."""
+"""Network addresses, as the node's components exchange them."""
 
 from __future__ import annotations
 
+from loadbalancer.node.errors import AddressError
+
 Address = tuple[str, int]  # IPv4 host and TCP port
 
+MAX_PORT = 65535
+
 
 def parse_address(text: object) -> Address:
-    """The address that `host:port` names; ValueError quotes a text of another form."""
+    """Return the address that `host:port` names; raise AddressError on a text of another form."""
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise ValueError(f"{text!r} is not an address and a port")
+    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
+        raise AddressError(text)
     return host, int(port)
--- /dev/null
+++ b/loadbalancer/node/admin/connection.py
@@ -0,0 +1,141 @@
+"""One connection to the admin server, which carries one request."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable
+from http import HTTPStatus
+from typing import Protocol
+
+import httptools
+
+from loadbalancer.node.admin.messages import AdminResponse
+
+MAX_REQUEST_BYTES = 16 * 1024  # of head and body
+REQUEST_TIMEOUT_S = 5.0  # within which a request has to arrive
+LINGER_S = 1.0  # how long what a client still sends after the response is read and dropped
+
+
+class ConnectionOwner(Protocol):
+    """The server that a connection belongs to."""
+
+    loop: asyncio.AbstractEventLoop
+
+    def connection_opened(self, connection: AdminConnection) -> None:
+        """The connection has been accepted."""
+
+    def connection_closed(self, connection: AdminConnection) -> None:
+        """The connection has ended."""
+
+    def dispatch(self, method: bytes, target: bytes, body: bytes) -> AdminResponse | Awaitable[AdminResponse]:
+        """Return the response to a request, now or later."""
+        ...
+
+
+class AdminConnection(asyncio.Protocol):
+    """Parses a request, has it answered and ends the connection."""
+
+    def __init__(self, owner: ConnectionOwner) -> None:
+        self._owner = owner
+        self._transport: asyncio.Transport
+        self._parser = httptools.HttpRequestParser(self)
+        self._target = bytearray()
+        self._body = bytearray()
+        self._received_bytes = 0
+        self._request_complete = False
+        self._ignores_input = False  # from the request's end, or its rejection, on
+        self._responded = False
+        self._pending: asyncio.Future[AdminResponse] | None = None  # a response that takes time
+        self._timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin to wait for a request, for REQUEST_TIMEOUT_S at most."""
+        assert isinstance(transport, asyncio.Transport)
+        self._transport = transport
+        timeout = AdminResponse(HTTPStatus.REQUEST_TIMEOUT)
+        self._timer = self._owner.loop.call_later(REQUEST_TIMEOUT_S, self._respond, timeout)
+        self._owner.connection_opened(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what has come; once the request is complete, or can't be, it is answered.
+
+        Later input is read and dropped, as unread input would turn the connection's end into a reset, to
+        which the response could be lost.
+        """
+        if self._ignores_input:
+            return
+        self._received_bytes += len(data)
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            if not self._request_complete:
+                self._respond(AdminResponse(HTTPStatus.BAD_REQUEST))
+                return
+        if self._received_bytes > MAX_REQUEST_BYTES:
+            self._respond(AdminResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE))
+        elif self._request_complete:
+            self._dispatch()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
+        self._ignores_input = True
+        if self._timer is not None:
+            self._timer.cancel()
+        self._owner.connection_closed(self)
+
+    def abort(self) -> None:
+        """End the connection at once."""
+        self._transport.abort()
+
+    def _dispatch(self) -> None:
+        method = self._parser.get_method()
+        response = self._owner.dispatch(method, bytes(self._target), bytes(self._body))
+        if isinstance(response, AdminResponse):
+            self._respond(response)
+        else:
+            self._ignores_input = True
+            self._pending = asyncio.ensure_future(response)
+            self._pending.add_done_callback(lambda done: self._respond(done.result()))
+
+    def _respond(self, response: AdminResponse) -> None:
+        if self._responded or self._transport.is_closing():
+            return
+        self._ignores_input = self._responded = True
+        self._transport.write(_head_of(response) + response.body)
+        if self._timer is not None:
+            self._timer.cancel()
+        try:
+            self._transport.write_eof()
+        except OSError:  # the client has left and reset the connection
+            self._transport.abort()
+        else:
+            self._timer = self._owner.loop.call_later(LINGER_S, self._transport.abort)
+
+    # --------------------------------------------------------- httptools callbacks
+
+    def on_url(self, url: bytes) -> None:
+        """Collect a part of the target."""
+        self._target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Let a client go on that waits before it sends its body."""
+        if name.lower() == b"expect" and value.lower() == b"100-continue":
+            self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def on_body(self, body: bytes) -> None:
+        """Collect a part of the body; a second request on the connection is ignored."""
+        if not self._request_complete:
+            self._body += body
+
+    def on_message_complete(self) -> None:
+        """The request has been received in full."""
+        self._request_complete = True
+
+
+def _head_of(response: AdminResponse) -> bytes:
+    status = HTTPStatus(response.status)
+    return (
+        f"HTTP/1.1 {status.value} {status.phrase}\r\n"
+        f"Content-Type: text/plain; charset=utf-8\r\nContent-Length: {len(response.body)}\r\n"
+        "Connection: close\r\n\r\n"
+    ).encode()
--- a/loadbalancer/node/admin/metrics.py
+++ b/loadbalancer/node/admin/metrics.py
@@ -1,34 +1,39 @@
-"""Counters that run from the start of the process, and their text form."""
+"""The node's counters, which run from the start of the process, and their text form."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from http import HTTPStatus
 
-OVERLOAD = (429, 503)
+OVERLOAD_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 class NodeMetrics:
-    """What the node reports of itself."""
+    """Responses by class and kind, reloads of the configuration, and attempts sent."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self._replies = {name: {"success": 0, "overload": 0, "error": 0} for name in classes}
-        self.reloads = {"success": 0, "failure": 0}  # of the configuration
-        self.attempts_sent = 0  # attempts written whole to servers
+        self._responses = {name: {"success": 0, "overload": 0, "error": 0} for name in classes}
+        self.reloads = {"success": 0, "failure": 0}
+        self.attempts_sent = 0  # whose last byte has been written to an endpoint
 
-    def count_response(self, name: str, status: int) -> None:
-        """Count a final answer to a request of this class."""
-        kind = "success" if status == 200 else "overload" if status in OVERLOAD else "error"
-        self._replies[name][kind] += 1
+    def count_response(self, class_name: str, status: int) -> None:
+        """Count the final response to a request of this class."""
+        self._responses[class_name][_kind_of(status)] += 1
 
     def count_attempt_sent(self) -> None:
-        """Count an attempt that has been written whole."""
+        """Count an attempt whose last byte has been written."""
         self.attempts_sent += 1
 
     def render(self, concurrent: int, targets: int, disabled: int) -> bytes:
+        """Return the lines of GET /status/metrics.
+
+        `concurrent` is the number of requests in flight, `targets` that of listed endpoints and `disabled`
+        that of those which are ejected.
+        """
         lines = [
             f"proxy.replies.{name}.{kind}={count}"
-            for name, replies in self._replies.items()
-            for kind, count in replies.items()
+            for name, responses in self._responses.items()
+            for kind, count in responses.items()
         ]
         lines += [f"proxy.reload_{kind}={count}" for kind, count in self.reloads.items()]
         lines += [
@@ -38,3 +43,9 @@
             f"proxy.targets_disabled={disabled}",
         ]
         return ("\n".join(lines) + "\n").encode()
+
+
+def _kind_of(status: int) -> str:
+    if status == HTTPStatus.OK:
+        return "success"
+    return "overload" if status in OVERLOAD_STATUSES else "error"
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -27,7 +27,7 @@
     verdict,
 )
 from loadbalancer.membership.messages import LeaseAnswer, Member
-from loadbalancer.node.admin.server import AdminResponse, AdminRoutes
+from loadbalancer.node.admin.messages import AdminResponse, AdminRoutes
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import NodeConfig
--- a/loadbalancer/node/control/operator_requests.py
+++ b/loadbalancer/node/control/operator_requests.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from loadbalancer.node.admin.server import AdminResponse
+from loadbalancer.node.admin.messages import AdminResponse
 from loadbalancer.node.control.registry_client import RegistryClient
 
 REQUEST_TIMEOUT_MS: Final = 3_000.0
--- a/loadbalancer/node/discovery/client.py
+++ b/loadbalancer/node/discovery/client.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 
 import orjson
 
@@ -13,7 +14,6 @@
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 
 MAX_LIST_BYTES = 16 * 1024 * 1024
-HTTP_OK = 200
 LIST_PATH = "/discovery/hosts"
 
 
@@ -30,10 +30,12 @@
         """Never called: lists are received in full."""
 
     def answered(self, response: Response) -> None:
+        """The answer is complete."""
         if not self.response.done():
             self.response.set_result(response)
 
     def lost(self, written: bool) -> None:
+        """The connection has ended without a complete answer."""
         if not self.response.done():
             self.response.set_exception(DiscoveryConnectionError())
 
@@ -69,7 +71,7 @@
         host, port = self.address
         connection.start(f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode(), exchange)
         response = await exchange.response
-        if response.status != HTTP_OK:
+        if response.status != HTTPStatus.OK:
             raise DiscoveryStatusError(response.status)
         return decode_response(orjson.loads(response.body))
 
--- a/loadbalancer/node/discovery/poll_policy.py
+++ b/loadbalancer/node/discovery/poll_policy.py
@@ -9,7 +9,7 @@
 from random import Random
 
 PROPAGATION_DEADLINE_S = 6.0  # within which the node has to know what discovery has
-MOVE_DEADLINE_S = 4.0  # the same, from a change of discovery's address on
+ADDRESS_CHANGE_DEADLINE_S = 4.0  # the same, from a change of discovery's address on
 SCHEDULING_SLACK_S = 0.3  # of a deadline, for a busy event loop
 RESPONSE_TIMEOUT_S = 1.2  # a poll without an answer so long after its wait has failed
 CONNECT_TIMEOUT_S = 1.0  # of a poll's time
--- a/loadbalancer/node/discovery/revision_guard.py
+++ b/loadbalancer/node/discovery/revision_guard.py
@@ -1,7 +1,7 @@
 """Which revisions of the endpoint list are accepted.
 
 A list of an older revision than one received would bring removed endpoints back, so it is rejected. A source
-that was rebuilt from nothing counts its revisions from the start, though, and would be rejected for good.
+that was rebuilt from nothing counts its revisions from the start, though, and would be rejected forever.
 Once it has answered with complete older lists for long enough, and with no newer one between, its list is
 accepted. The time keeps a replica that lags for a moment from being taken for a rebuilt source.
 """
@@ -10,8 +10,8 @@
 
 from loadbalancer.node.discovery.errors import StaleListError
 from loadbalancer.node.discovery.poll_policy import (
+    ADDRESS_CHANGE_DEADLINE_S,
     INITIAL_BACKOFF_S,
-    MOVE_DEADLINE_S,
     PROPAGATION_DEADLINE_S,
     RESPONSE_TIMEOUT_S,
     SCHEDULING_SLACK_S,
@@ -20,7 +20,7 @@
 
 REBUILD_HOLD_S = PROPAGATION_DEADLINE_S - 2.0 * INITIAL_BACKOFF_S - RESPONSE_TIMEOUT_S
 # Shorter after a change of address, where a revision that counts from elsewhere is more likely.
-MOVE_REBUILD_HOLD_S = MOVE_DEADLINE_S - 2.0 * INITIAL_BACKOFF_S - SCHEDULING_SLACK_S
+ADDRESS_CHANGE_HOLD_S = ADDRESS_CHANGE_DEADLINE_S - 2.0 * INITIAL_BACKOFF_S - SCHEDULING_SLACK_S
 
 
 class RevisionGuard:
@@ -50,11 +50,11 @@
         self._older_since = None
         self._hold_s = REBUILD_HOLD_S
 
-    def reset_for_move(self) -> None:
+    def reset_for_new_address(self) -> None:
         """Begin with a new source, whose revisions may count from elsewhere."""
         self.minimum = 0
         self._older_since = None
-        self._hold_s = MOVE_REBUILD_HOLD_S
+        self._hold_s = ADDRESS_CHANGE_HOLD_S
 
     def _is_rebuilt(self, response: DiscoveryResponse, now: float) -> bool:
         if not response.complete:
--- a/loadbalancer/node/discovery/watcher.py
+++ b/loadbalancer/node/discovery/watcher.py
@@ -61,13 +61,13 @@
             return
         self._stop()
         self._client = DiscoveryClient(address)
-        self._guard.reset_for_move()
+        self._guard.reset_for_new_address()
         self._needs_full_list = self._failing = False
         self._policy.reset()
         self.start()
 
     def close(self) -> None:
-        """End the watch for good."""
+        """End the watch; none can be started after that."""
         self._closed = True
         self._stop()
 
--- a/loadbalancer/node/operator_ejections.py
+++ b/loadbalancer/node/operator_ejections.py
@@ -7,7 +7,7 @@
 from http import HTTPStatus
 
 from loadbalancer.balancing.events import EndpointEjected, EndpointRestored
-from loadbalancer.node.admin.server import AdminResponse, AdminRoutes
+from loadbalancer.node.admin.messages import AdminResponse, AdminRoutes
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.endpoint_list import EndpointList
 from loadbalancer.node.state.ejections import EjectionStore
--- a/loadbalancer/node/periodic_tasks.py
+++ b/loadbalancer/node/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""What the node does by the clock: its beat, and a line of figures in the log."""
+"""The node's periodic work: short tasks several times a second, and a line of statistics in the log."""
 
 from __future__ import annotations
 
@@ -14,69 +14,77 @@
 
 log = logging.getLogger("loadbalancer")
 
-STATS_S = 5.0
-BEAT_S = 0.1
+STATISTICS_INTERVAL_S = 5.0
+TICK_INTERVAL_S = 0.1
 
 
 class PeriodicTasks:
-    """Calls `each_beat` ten times a second, and logs what `counts` has gathered since the last line."""
+    """Calls `tasks` every tick, and logs `event_counts` and levels once per statistics interval."""
 
     def __init__(
         self,
         name: str,
-        each_beat: Sequence[Callable[[], None]],
-        counts: Counter[str],
-        jobs: Jobs,
+        tasks: Sequence[Callable[[], None]],
+        event_counts: Counter[str],
+        request_registry: Jobs,
         server: Server,
         pool: Pool,
         driver: Driver,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._name = name
-        self._each_beat = each_beat
-        self._counts = counts
-        self._jobs = jobs
+        self._tasks = tasks
+        self._event_counts = event_counts  # since the last line of statistics
+        self._request_registry = request_registry
         self._server = server
         self._pool = pool
         self._driver = driver
-        self._lag = 0.0  # the longest that the loop was late in this stretch
-        self._timers: dict[str, asyncio.TimerHandle] = {}
+        self._max_lag_s = 0.0  # the latest that a tick has come since the last line of statistics
+        self._tick_timer: asyncio.TimerHandle | None = None
+        self._statistics_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Tick and log now, and periodically from now on."""
         self.tick(self._loop.time())
-        self._stats()
+        self._log_statistics()
 
     def close(self) -> None:
-        for timer in self._timers.values():
-            timer.cancel()
+        """End the ticks and the lines."""
+        for timer in (self._tick_timer, self._statistics_timer):
+            if timer is not None:
+                timer.cancel()
 
     def tick(self, due: float) -> None:
-        """One beat, which was due at this time of the loop."""
+        """Run the tasks of a tick that was due at this time of the event loop (s)."""
         now = self._loop.time()
-        self._lag = max(self._lag, now - due)
-        for act in self._each_beat:
-            act()
-        self._timers["beat"] = self._loop.call_at(now + BEAT_S, self.tick, now + BEAT_S)
+        self._max_lag_s = max(self._max_lag_s, now - due)
+        for task in self._tasks:
+            task()
+        next_due = now + TICK_INTERVAL_S
+        self._tick_timer = self._loop.call_at(next_due, self.tick, next_due)
 
-    def _stats(self) -> None:
-        """One line of figures every few seconds."""
-        if self._server.expired:
-            self._counts["no request in time"] += self._server.expired
-            self._server.expired = 0
-        if self._pool.unreadable:
-            self._counts["unreadable answers"] += self._pool.unreadable
-            self._pool.unreadable = 0
-        figures = ", ".join(f"{name} {count}" for name, count in sorted(self._counts.items()))
+    def _log_statistics(self) -> None:
+        self._collect_counts()
         log.info(
-            "%s: %s; open %d, callers %d, upstream %d, loop late %.0f ms; module: %s",
+            "%s: %s; open requests %d, client connections %d, upstream connections %d, loop lag %.0f ms;"
+            " balancer: %s",
             self._name,
-            figures,
-            self._jobs.open,
+            ", ".join(f"{name} {count}" for name, count in sorted(self._event_counts.items())),
+            self._request_registry.open,
             len(self._server.connections),
             self._pool.size,
-            self._lag * 1000.0,
+            self._max_lag_s * 1000.0,
             self._driver.balancer.summary(),
         )
-        self._counts.clear()
-        self._lag = 0.0
-        self._timers["stats"] = self._loop.call_later(STATS_S, self._stats)
+        self._event_counts.clear()
+        self._max_lag_s = 0.0
+        self._statistics_timer = self._loop.call_later(STATISTICS_INTERVAL_S, self._log_statistics)
+
+    def _collect_counts(self) -> None:
+        """Move the counts that the listener and the pool keep into `event_counts`; one of 0 gets no entry."""
+        if self._server.expired:
+            self._event_counts["request timeouts"] += self._server.expired
+            self._server.expired = 0
+        if self._pool.unreadable:
+            self._event_counts["malformed responses"] += self._pool.unreadable
+            self._pool.unreadable = 0
--- a/loadbalancer/node/state/atomic_file.py
+++ b/loadbalancer/node/state/atomic_file.py
@@ -29,7 +29,7 @@
         os.close(descriptor)
 
 
-def share_file(path: Path, draft: Path, data: bytes) -> None:
+def replace_shared_file(path: Path, draft: Path, data: bytes) -> None:
     """Replace a file that another process may be reading, by way of `draft` in the same directory.
 
     The directory is created where it does not exist. The file need not outlive a power loss, so nothing is
--- a/loadbalancer/node/state/ejections.py
+++ b/loadbalancer/node/state/ejections.py
@@ -12,7 +12,7 @@
 import orjson
 
 from loadbalancer.node.failure_log import FailureLog, one_line
-from loadbalancer.node.state.atomic_file import share_file
+from loadbalancer.node.state.atomic_file import replace_shared_file
 
 log = logging.getLogger("loadbalancer")
 
@@ -111,7 +111,7 @@
             return True  # nothing outlives this process, and no other process shares its ejections
         data = orjson.dumps({key: getattr(ejection, field) for key, field in EJECTION_FIELDS.items()})
         try:
-            share_file(self._folder / _file_of(name), self._folder / f"draft-{os.getpid()}", data)
+            replace_shared_file(self._folder / _file_of(name), self._folder / f"draft-{os.getpid()}", data)
         except OSError as error:
             self._failures.failure("ejection of %s not written: %s", name, one_line(error))
             return False
--- a/loadbalancer/node/state/handover.py
+++ b/loadbalancer/node/state/handover.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.balancing.events import LearnedState
 from loadbalancer.node.failure_log import FailureLog, one_line
-from loadbalancer.node.state.atomic_file import share_file
+from loadbalancer.node.state.atomic_file import replace_shared_file
 from loadbalancer.node.state.learned_codec import (
     decode_learned,
     encode_learned,
@@ -55,7 +55,9 @@
         """Replace this process's file; the first failure to do so is logged."""
         row = {"at_ms": now_ms, "learned": encode_learned(learned), "held": in_flight}
         try:
-            share_file(self._folder / self._name, self._folder / f"draft-{self._name}", orjson.dumps(row))
+            replace_shared_file(
+                self._folder / self._name, self._folder / f"draft-{self._name}", orjson.dumps(row)
+            )
         except OSError as error:
             self._failures.failure("handover file not written: %s", one_line(error))
 
--- a/loadbalancer/node/state/rules.py
+++ b/loadbalancer/node/state/rules.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-MAX_LIST_AGE_MS = 300_000.0  # a restored endpoint list older than this no longer describes the deployment
+MAX_LIST_AGE_MS = 300_000.0  # an older list may name endpoints that are gone and lack those started since
 
 _COLD_START = "a cold start"
 
--- a/tests/node/admin/test_admin_server.py
+++ b/tests/node/admin/test_admin_server.py
@@ -8,8 +8,9 @@
 import orjson
 import pytest
 
-from loadbalancer.node.admin import server as door_module
-from loadbalancer.node.admin.server import MAX_CONNECTIONS, AdminResponse, AdminServer
+from loadbalancer.node.admin import connection as admin_connection
+from loadbalancer.node.admin.messages import AdminResponse
+from loadbalancer.node.admin.server import MAX_CONNECTIONS, AdminServer
 from loadbalancer.node.config import parse_config
 from loadbalancer.node.node import Node
 from tests.support.callers import LEAVING, Leave
@@ -133,7 +134,7 @@
             ]
             assert await status(node, "GET", "/status") == 200
             assert await held[0][0].read() == b""  # the oldest went
-            monkeypatch.setattr(door_module, "REQUEST_TIMEOUT_S", 0.0)
+            monkeypatch.setattr(admin_connection, "REQUEST_TIMEOUT_S", 0.0)
             reader, _ = await asyncio.open_connection(*node.admin_server.address)
             assert (await read_message(reader)).status == 408
             for _, writer in held:
--- a/tests/node/test_components.py
+++ b/tests/node/test_components.py
@@ -8,7 +8,7 @@
 import pytest
 
 from loadbalancer.endpoints import AttemptResult
-from loadbalancer.node import node as node_module
+from loadbalancer.node import shutdown
 from loadbalancer.node.node import Node
 from tests.support.loopback import Discovery, Peer, ask, config, request, targets
 
@@ -34,7 +34,7 @@
 
 
 def test_a_part_starts_once_the_node_listens_and_stops_before_it_closes(monkeypatch, tmp_path):
-    monkeypatch.setattr(node_module, "STOP_LEAST_S", 0.0)
+    monkeypatch.setattr(shutdown, "MIN_DRAIN_S", 0.0)
 
     async def main():
         server, discovery = await Peer().start(), await Discovery().start()
@@ -93,8 +93,8 @@
 
 @pytest.mark.parametrize("end", [hang, fail])
 def test_a_part_that_hangs_or_fails_in_its_stop_keeps_no_other_from_its_own(monkeypatch, caplog, end):
-    monkeypatch.setattr(node_module, "STOP_LEAST_S", 0.0)
-    monkeypatch.setattr(node_module, "PARTS_S", 0.05, raising=False)
+    monkeypatch.setattr(shutdown, "MIN_DRAIN_S", 0.0)
+    monkeypatch.setattr(shutdown, "COMPONENT_STOP_TIMEOUT_S", 0.05)
 
     async def main():
         node = Node(config("127.0.0.1:1"))
@@ -108,5 +108,5 @@
 
     asyncio.run(main())
     assert [record.message for record in caplog.records if record.levelname == "ERROR"] == [
-        "a part has not stopped as it should"
+        "a component failed to stop"
     ]
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.node import node as node_module
+from loadbalancer.node import shutdown
 from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.listener.server import inherited
 from loadbalancer.node.node import Node
@@ -102,9 +102,9 @@
             monkeypatch.setattr(
                 node.server, "drain", lambda young_s=0.0, open_s=0.0: waits.append(open_s) or None
             )
-            monkeypatch.setattr(node_module, "STOP_LEAST_S", 0.0)
+            monkeypatch.setattr(shutdown, "MIN_DRAIN_S", 0.0)
             await node.stop()
-            assert waits == [node_module.HANDOVER_S if shared else 0.0]
+            assert waits == [shutdown.SHARED_SOCKET_DRAIN_S if shared else 0.0]
         raw.close()
 
     asyncio.run(main())
