--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,7 +1,7 @@
-"""One real node: `python -m loadbalancer`, told what it is by the file that PROXY_CONFIG names.
+"""The node's program: `python -m loadbalancer`, configured by the JSON file that PROXY_CONFIG names.
 
-`python -m loadbalancer state show FILE [--node NAME]` prints a state file's verdict and contents as JSON;
-it exits 0 where the file is whole, 1 where a rule rejects it, 2 on a wrong command line.
+`python -m loadbalancer state show FILE [--node NAME]` prints a state file's verdict and contents as JSON.
+It exits with 0 where the file is accepted, 1 where a rule rejects it, 2 on a wrong command line.
 """
 
 from __future__ import annotations
@@ -16,26 +16,35 @@
 from pathlib import Path
 
 from loadbalancer.node.config import NodeConfig, parse_config
+from loadbalancer.node.errors import ConfigPathError
+from loadbalancer.node.failure_log import one_line
 from loadbalancer.node.node import Node
 from loadbalancer.node.state.inspection import describe_state
 
-LONGEST_SAID = 400  # characters of what is wrong: a value that it quotes may be of any length
+CONFIG_VARIABLE = "PROXY_CONFIG"
+MAX_ERROR_CHARS = 400  # an error quotes the value that is wrong, which may be of any length
+EXIT_OK = 0
+EXIT_FAILED = 1
+EXIT_BAD_CONFIGURATION = 2
 
 
 def read_config() -> NodeConfig:
-    path = os.environ.get("PROXY_CONFIG")
+    """Return the configuration; raise OSError if its file can't be read and ValueError if it is wrong."""
+    path = os.environ.get(CONFIG_VARIABLE)
     if not path:
-        raise ValueError("PROXY_CONFIG is not set")
+        raise ConfigPathError(CONFIG_VARIABLE)
     return parse_config(Path(path).read_bytes(), os.environ)
 
 
 def reload(node: Node) -> None:
-    """SIGHUP: the configuration file has been replaced, and discovery may have moved."""
+    """Read the configuration again on SIGHUP, and follow discovery at the address in it.
+
+    With a file that can't be read or is wrong, the node keeps its present configuration.
+    """
     try:
         config = read_config()
     except (OSError, ValueError) as error:
-        # Guard: a bad file must not end a node in service; it goes on with what it was told before.
-        logging.error("configuration not read again, the old one holds: %s", " ".join(str(error).split()))
+        logging.error("configuration not reloaded, the present one stays in use: %s", one_line(error))
         node.metrics.reloads["failure"] += 1
         return
     node.metrics.reloads["success"] += 1
@@ -44,7 +53,7 @@
 
 
 async def serve(config: NodeConfig) -> None:
-    """Run the node until SIGTERM or SIGINT."""
+    """Run the node until SIGTERM or SIGINT; raise OSError if it can't listen at an address."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -52,41 +61,44 @@
     node = Node(config)
     loop.add_signal_handler(signal.SIGHUP, reload, node)
     await node.start()
+    # What exists now lives as long as the process, so the garbage collector need not look at it again.
     gc.collect()
-    gc.freeze()  # what is there for good need not be looked at again
+    gc.freeze()
     logging.info("%s serves on %s:%d", config.name, *node.server.address)
     await stop.wait()
     logging.info("%s stops", config.name)
     await node.stop()
 
 
-def state(argv: list[str]) -> int:
+def show_state(arguments: list[str]) -> int:
+    """Run the `state` command; return its exit code."""
     parser = argparse.ArgumentParser(prog="python -m loadbalancer state", description="Inspect a state file.")
     parser.add_argument("verb", choices=["show"])
     parser.add_argument("file", type=Path)
     parser.add_argument("--node", help="check it against this node's name, as a start would")
-    told = parser.parse_args(argv)
-    text, whole = describe_state(told.file, told.node)
-    print(text)
-    return 0 if whole else 1
+    options = parser.parse_args(arguments)
+    description = describe_state(options.file, options.node)
+    print(description.text)
+    return EXIT_OK if description.accepted else EXIT_FAILED
 
 
 def main() -> int:
+    """Run the program; return its exit code."""
     if sys.argv[1:2] == ["state"]:
-        return state(sys.argv[2:])
+        return show_state(sys.argv[2:])
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     try:
         config = read_config()
     except (OSError, ValueError) as error:
-        said = " ".join(str(error).split())[:LONGEST_SAID]
-        print(f"loadbalancer: bad configuration: {said}", file=sys.stderr)
-        return 2
+        reason = one_line(error)[:MAX_ERROR_CHARS]
+        print(f"loadbalancer: bad configuration: {reason}", file=sys.stderr)
+        return EXIT_BAD_CONFIGURATION
     try:
         asyncio.run(serve(config))
     except OSError as error:
         print(f"loadbalancer: {error}", file=sys.stderr)
-        return 1
-    return 0
+        return EXIT_FAILED
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -101,7 +101,7 @@
     admin_address = variables.get("PROXY_OPERATOR") or row.get("operator")
     state = variables.get("PROXY_STATE") or row.get("state")
     if state is not None and not (isinstance(state, str) and state):
-        raise InvalidSettingError("state", state, "a path")
+        raise InvalidSettingError(setting="state", value=state, expected="a path")
     return NodeConfig(
         name=text_of(row, "name"),
         listen=_address("listen", row["listen"]),
@@ -139,7 +139,7 @@
 def _seed(row: JsonObject) -> int:
     value = text_of(row, "seed")
     if not set(value) <= set(hexdigits):
-        raise InvalidSettingError("seed", value, "hexadecimal")
+        raise InvalidSettingError(setting="seed", value=value, expected="hexadecimal")
     return int(value, HEX_BASE)
 
 
@@ -147,7 +147,7 @@
     try:
         return decode_response(row["known"])
     except ValueError as error:
-        raise MalformedSettingError("known", error) from error
+        raise MalformedSettingError(setting="known", reason=error) from error
 
 
 def _numbers(row: JsonObject, settings: JsonObject) -> JsonObject:
--- a/loadbalancer/node/discovery/response.py
+++ b/loadbalancer/node/discovery/response.py
@@ -39,9 +39,9 @@
     try:
         revision, complete, targets = _revision_of(row), row["all"], row["targets"]
         if type(complete) is not bool:
-            raise ListFieldError("all", complete, "true or false")
+            raise ListFieldError(field="all", value=complete, expected="true or false")
         if not isinstance(targets, list):
-            raise ListFieldError("targets", targets, "a list")
+            raise ListFieldError(field="targets", value=targets, expected="a list")
         endpoints = tuple(_endpoint_of(target) for target in targets)
         addresses = {target["uid"]: parse_address(target["endpoint"]) for target in targets}
     except (KeyError, TypeError, AttributeError) as error:
@@ -70,19 +70,19 @@
 def _revision_of(row: Mapping[str, Any]) -> int:
     revision = row["rev"]
     if type(revision) is not int or revision < 0:  # `isinstance` would accept a bool
-        raise ListFieldError("rev", revision, "a whole number from 0")
+        raise ListFieldError(field="rev", value=revision, expected="a whole number from 0")
     return revision
 
 
 def _endpoint_of(target: Mapping[str, Any]) -> Endpoint:
     state = STATUSES.get(target["state"])
     if state is None:
-        raise ListFieldError("state", target["state"], f"one of {', '.join(STATUSES)}")
+        raise ListFieldError(field="state", value=target["state"], expected=f"one of {', '.join(STATUSES)}")
     name, zone = target["uid"], target.get("az") or ""
     if not isinstance(name, str):
-        raise ListFieldError("uid", name, "a text")
+        raise ListFieldError(field="uid", value=name, expected="a text")
     if not isinstance(zone, str):
-        raise ListFieldError("az", zone, "a text")
+        raise ListFieldError(field="az", value=zone, expected="a text")
     launched_ms = target.get("boot_ms") or 0
     model = target.get("model")
     return Endpoint(
--- a/loadbalancer/node/state/inspection.py
+++ b/loadbalancer/node/state/inspection.py
@@ -23,9 +23,7 @@
 def describe_state(path: Path, node: str | None = None) -> StateDescription:
     """Describe a state file; where `node` is given, a file of another node is rejected."""
     try:
-        body = decode_frame(path.read_bytes())
-        if node is not None and body.get("node") != node:
-            raise StateRejectedError(Rule.ANOTHER_NODE)
+        body = _accepted_body(path.read_bytes(), node)
     except OSError as error:
         return _rejected(Rule.UNREADABLE, "error", str(error))
     except StateRejectedError as error:
@@ -36,6 +34,13 @@
     return StateDescription(text, accepted=True)
 
 
+def _accepted_body(data: bytes, node: str | None) -> FrameBody:
+    body = decode_frame(data)
+    if node is not None and body.get("node") != node:
+        raise StateRejectedError(Rule.ANOTHER_NODE)
+    return body
+
+
 def _rejected(rule: Rule, key: str, reason: str) -> StateDescription:
     return StateDescription(orjson.dumps({"verdict": rule.label, key: reason}).decode(), accepted=False)
 
