--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -16,7 +16,7 @@
 from loadbalancer.node.control.registry_client import RegistryClient
 from loadbalancer.node.control.route_store import RouteStore
 from loadbalancer.node.control.timers import RestartableTimer
-from loadbalancer.routing import Action, Apply, Fetch, Follower, Forget, Store, Vote
+from loadbalancer.routing import Action, Apply, CastVote, Delete, Fetch, RouteParticipant, Store
 from loadbalancer.staleness.clock_offsets import Interval
 
 log = logging.getLogger("loadbalancer")
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        core: Follower,
+        core: RouteParticipant,
         client: RegistryClient,
         clock: MembershipClock,
         store: RouteStore | None,
@@ -49,7 +49,7 @@
     def start(self) -> None:
         """Take over the versions on disk."""
         if self._store is not None:
-            self.carry_out(self.core.restored(self._store.load_all()))
+            self.carry_out(self.core.on_restored(self._store.load_all()))
 
     def close(self) -> None:
         """Stop calls and timers at once, and wait for a write to disk under way."""
@@ -63,7 +63,7 @@
     ) -> None:
         """Use what a renewal's answer states of routes; a malformed one is logged and changes nothing."""
         try:
-            actions = self.core.answer(now, answer.incarnation, lease_end, service_ms, answer.routes)
+            actions = self.core.on_answer(now, answer.incarnation, lease_end, service_ms, answer.routes)
             self.carry_out(actions)
         except ValueError as error:
             log.warning("routes: malformed answer ignored: %s", error)
@@ -95,16 +95,16 @@
                 self._tasks.spawn(self._fetch(action.number))
             case Store():
                 self._tasks.spawn(self._write(action))
-            case Vote():
+            case CastVote():
                 self._tasks.spawn(self._vote(action))
-            case Forget():
+            case Delete():
                 if self._store is not None:
                     self._store.remove(action.number)
             case Apply():
                 self._apply(action)
 
     def _reschedule(self) -> None:
-        due_ms = self.core.next_due(self._clock.now_ms())
+        due_ms = self.core.next_tick_ms(self._clock.now_ms())
         if due_ms is None:
             self._due_ms = math.inf
             self._timer.cancel()
@@ -115,7 +115,7 @@
     def _apply(self, action: Apply) -> None:
         self._tell(action.event)
         self.switches += 1
-        self.last_delay_ms = max(0.0, self._clock.now_ms() - action.due)
+        self.last_delay_ms = max(0.0, self._clock.now_ms() - action.due_ms)
         write_line = log.warning if self.last_delay_ms > LATE_SWITCH_MS else log.info
         write_line(
             "routes: version %d in force, %.1f ms after its moment", action.event.number, self.last_delay_ms
@@ -129,13 +129,13 @@
                 text = reply.body.decode()
         except (OSError, TimeoutError, ValueError) as error:
             log.warning("routes: version %d not fetched: %s", number, str(error)[:MAX_LOGGED_CHARS])
-        self.carry_out(self.core.fetched(self._clock.now_ms(), number, text))
+        self.carry_out(self.core.on_fetched(self._clock.now_ms(), number, text))
 
     async def _write(self, action: Store) -> None:
         problem = await self._try_write(action)
         if problem:
             log.error("routes: version %d not stored: %s", action.number, problem)
-        self.carry_out(self.core.stored(self._clock.now_ms(), action.number, not problem, problem))
+        self.carry_out(self.core.on_stored(self._clock.now_ms(), action.number, not problem, problem))
 
     async def _try_write(self, action: Store) -> str:
         """Returns why the version could not be stored, in one line; "" once it is on disk."""
@@ -147,18 +147,18 @@
             return " ".join(str(error).split())[:MAX_LOGGED_CHARS]
         return ""
 
-    async def _vote(self, action: Vote) -> None:
+    async def _vote(self, action: CastVote) -> None:
         body = {
             "incarnation": action.incarnation,
             "number": action.number,
             "yes": action.yes,
-            "why": action.why,
+            "why": action.reason,
         }
         if not action.yes:
-            log.warning("routes: version %d: this node votes no: %s", action.number, action.why)
+            log.warning("routes: version %d: this node votes no: %s", action.number, action.reason)
         try:
             reply = await self._client.post("routes/vote", body, CALL_TIMEOUT_MS)
         except (OSError, TimeoutError):
             return  # a later renewal's answer asks for the vote again
         if reply.status == HTTPStatus.OK:
-            self.core.voted(action.incarnation, action.number)
+            self.core.on_vote_acknowledged(action.incarnation, action.number)
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -39,12 +39,12 @@
     encode_answers,
 )
 from loadbalancer.registry.renewal_relay import MAX_BATCH_BODY_BYTES as MAX_BATCH_BODY
-from loadbalancer.routing.coordinator import Ruling
-from loadbalancer.routing.route_table import MAX_TEXT, parse
+from loadbalancer.routing.coordinator import ActivationOutcome
+from loadbalancer.routing.route_table import MAX_TEXT_BYTES, parse_table
 
 MAX_BODY_BYTES = 8 * 1024
 MAX_BODY_BYTES_BY_CALL = {
-    ("PUT", "routes"): MAX_TEXT,
+    ("PUT", "routes"): MAX_TEXT_BYTES,
     ("POST", "renew-many"): MAX_BATCH_BODY,
 }  # of bodies, in bytes
 REJECTIONS_PER_LOG_LINE = (
@@ -227,8 +227,8 @@
             routes=grant.routes,
             ttl_ms=leader.ttl_ms,
             term=leader.term or 0,
-            t2=t2,
-            t3=leader.service_ms(),
+            received_ms=t2,
+            answered_ms=leader.service_ms(),
         )
         return Answer(200, msgspec.json.encode(answer))
 
@@ -304,7 +304,7 @@
         return Answer(200, text.encode(), {"content-type": "application/toml"})
 
     async def _propose(self, call: Call) -> Answer:
-        parse(0, call.body)  # ValueError names the key and its line
+        parse_table(0, call.body)  # ValueError names the key and its line
         deadline = self._leader.service_ms() + self._leader.prepare_ms
         return self._proposed(await self._leader.execute(self._fleet.propose, call.body.decode(), deadline))
 
@@ -313,20 +313,20 @@
         deadline = self._leader.service_ms() + self._leader.prepare_ms
         return self._proposed(await self._leader.execute(self._fleet.rollback, body.number, deadline))
 
-    def _proposed(self, ruling: Ruling) -> Answer:
-        if ruling.refused:
-            return error(409, ruling.why)
+    def _proposed(self, ruling: ActivationOutcome) -> Answer:
+        if ruling.rejected:
+            return error(409, ruling.reason)
         self._log.info("route_version_proposed", number=ruling.number, phase=ruling.phase)
         return reply(200, {"number": ruling.number, "phase": ruling.phase})
 
     async def _vote(self, call: Call) -> Answer:
         body = _read(VoteRequest, call.body)
         fields = (body.incarnation, body.number, body.yes, body.why)
-        ruling: Ruling = await self._leader.execute(self._fleet.vote, *fields)
+        ruling: ActivationOutcome = await self._leader.execute(self._fleet.vote, *fields)
         return reply(200, {"phase": ruling.phase})
 
     async def _halt(self, call: Call) -> Answer:
         body = _read(HaltRequest, call.body)
-        ruling: Ruling = await self._leader.execute(self._fleet.halt, body.number)
+        ruling: ActivationOutcome = await self._leader.execute(self._fleet.halt, body.number)
         self._log.warning("routes_halted", number=ruling.number, phase=ruling.phase)
         return reply(200, {"number": ruling.number, "phase": ruling.phase})
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -13,12 +13,13 @@
 
 import structlog
 
-from loadbalancer.membership.lease_clock import LATE, LeaseClock
+from loadbalancer.membership.lease_clock import MAX_DELAY_TERM_FRACTION, LeaseClock
 from loadbalancer.registry.batch import Batcher
 from loadbalancer.registry.clock_file import ClockFile
 from loadbalancer.registry.commands import Command, EndService, EnrolMember, RemoveMembers, encode
 from loadbalancer.registry.errors import (
     GroupsDisabledError,
+    LeaderReplacedError,
     MemberLimitError,
     NotLeadingError,
 )
@@ -103,7 +104,7 @@
     def out_of_range_by_ms(self, sent_ms: float) -> float | None:
         """The age of a renewal by service time, where it is older than allowed or as far in the future."""
         age_ms = self.service_ms() - sent_ms
-        return age_ms if abs(age_ms) > LATE * self.ttl_ms else None
+        return age_ms if abs(age_ms) > MAX_DELAY_TERM_FRACTION * self.ttl_ms else None
 
     def unavailable_reason(self) -> str:
         """Why calls are neither answered here nor forwarded: what they wait for."""
@@ -150,7 +151,8 @@
         fields = (member.name, member.address, member.zone, member.start)
         grants: list[MemberGrant | None] = await self.execute(self._fleet.enrol, *fields)
         if grants[0] is None:
-            raise MemberLimitError("too many members")
+            message = "too many members"
+            raise MemberLimitError(message)
         return grants[0]
 
     async def remove(self, name: str, service: str | None) -> list[int]:
@@ -251,7 +253,7 @@
         now_ms, unix_ms = self._clocks.monotonic_ms(), self._clocks.unix_ms()
         self._fleet.read(lambda state: self._clock.start_leading(now_ms, unix_ms, begun.log_ms, begun.epoch))
         self._leases = LeaseClock(begun.ttl_ms)
-        self._leases.lead(now_ms, begun.renewals)
+        self._leases.begin_term(now_ms, begun.renewals)
         self._term = term
         self._log.info(
             "fleet_leading", term=term, rows=len(begun.renewals), service_ms=round(self.service_ms())
@@ -280,9 +282,9 @@
 
     async def _expire_leases(self) -> None:
         for renewal in self._fleet.take_applied_renewals():
-            self._leases.renewed(renewal.at_ms, renewal.incarnation, renewal.seq, renewal.answered)
-        self._leases.keep(self._fleet.read(lambda state: {row.incarnation for row in state.rows()}))
-        lapsed, support = self._leases.due(self._clocks.monotonic_ms())
+            self._leases.record_renewal(renewal.at_ms, renewal.incarnation, renewal.seq, renewal.answered)
+        self._leases.retain(self._fleet.read(lambda state: {row.incarnation for row in state.rows()}))
+        lapsed, support = self._leases.expired_and_attached(self._clocks.monotonic_ms())
         if not lapsed:
             return
         due = self._fleet.read(lambda state: state.due_expiry(lapsed, support))
--- a/tests/support/golden_members.py
+++ b/tests/support/golden_members.py
@@ -76,7 +76,7 @@
         self._calls: list[Any] = []
         siblings = [cores.sibling(number, f"n{number}", f"127.0.0.1:{9000 + number}") for number in OTHERS]
         self.core.set_members(0.0, siblings)
-        self.core.set_standing(0.0, cores.standing(ATTACHED), SERVICE_MS)
+        self.core.set_quota_status(0.0, cores.standing(ATTACHED), SERVICE_MS)
         self.core.set_view(msgpack.packb(["a view"]))
 
     def run(self, until: float) -> None:
@@ -99,7 +99,7 @@
     def knows(self) -> None:
         """What it makes of what was said."""
         reachability = {str(number): found.value for number, found in self.core.reachability().items()}
-        standings = {str(number): [int(one), at] for number, (one, at) in self.core.standings().items()}
+        standings = {str(number): [int(one), at] for number, (one, at) in self.core.quota_reports().items()}
         ignored = dict(self.core.ignored)
         self.rows.append({"reachability": reachability, "standings": standings, "ignored": ignored})
 
