--- a/loadbalancer/membership/__init__.py
+++ b/loadbalancer/membership/__init__.py
@@ -34,7 +34,7 @@
 from loadbalancer.membership.member_lease import MemberLease, QuotaLease, RegistryCall, SiblingReport
 from loadbalancer.membership.messages import LeaseGrant, Member
 from loadbalancer.membership.payload import QuotaStatus
-from loadbalancer.membership.quota_ledger import Ledger, Row, State
+from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
 from loadbalancer.membership.verdict import (
     VERDICTS,
     Connectivity,
@@ -56,19 +56,19 @@
     "LeaseClock",
     "LeaseGrant",
     "LeaseStatus",
-    "Ledger",
     "Member",
     "MemberLease",
+    "MemberRecord",
+    "MemberState",
     "Probe",
     "QuotaLease",
+    "QuotaLedger",
     "QuotaStatus",
     "Reachability",
     "ReachabilityChanged",
     "RegistryCall",
-    "Row",
     "Sibling",
     "SiblingReport",
-    "State",
     "Verdict",
     "ViewReceived",
     "connectivity",
--- a/loadbalancer/membership/quota_ledger.py
+++ b/loadbalancer/membership/quota_ledger.py
@@ -24,7 +24,7 @@
 from loadbalancer.membership.messages import LeaseGrant, Member
 
 
-class State(StrEnum):
+class MemberState(StrEnum):
     LIVE = "live"
     EXPIRED = "lapsed"  # its lease has run out; its share is kept for it until a majority gives it away
     DRAINING = "leaving"  # drains; takes its share until it has left
@@ -32,21 +32,21 @@
 
 
 @dataclass(slots=True)
-class Row:
+class MemberRecord:
     name: str
     address: str  # host:port where siblings call it; one process at a time can listen there
     zone: str
-    start: str  # a random text of the process's start
+    start_id: str  # a random text of the process's start
     incarnation: int
     rank: int  # its first incarnation: the lowest one wins a tie; kept by a restarted process
-    enrolled: int  # revision at which it came
-    share: float = 0.0
-    acked: int = 0  # it knows all rows that came up to this revision
+    enrolled_revision: int  # revision at which it came
+    quota: float = 0.0
+    acknowledged_revision: int = 0  # it knows all rows that came up to this revision
     elector: bool = False
-    state: State = State.LIVE
-    seq: int = 0  # of its last renewal
+    state: MemberState = MemberState.LIVE
+    renewal_seq: int = 0  # of its last renewal
 
-    def member(self) -> Member:
+    def to_member(self) -> Member:
         """What the group's processes are told of it."""
         return Member(self.name, self.address, self.zone, self.incarnation, self.rank, self.state.value)
 
@@ -59,7 +59,7 @@
     members: int = 0
 
 
-class Ledger:
+class QuotaLedger:
     """The rows by incarnation. Plain data: it can be pickled, copied and compared.
 
     The change log, and what stands `beside` the group, are not part of the replicated state.
@@ -67,8 +67,8 @@
 
     def __init__(self) -> None:
         self.revision = 0  # rises with each change that the group's processes have to know of
-        self.incarnations = 0
-        self.by_incarnation: dict[int, Row] = {}
+        self.last_incarnation = 0
+        self.records_by_incarnation: dict[int, MemberRecord] = {}
         self.external = ExternalQuota()
         self._changes = ChangeLog(0)
 
@@ -76,8 +76,8 @@
         """The fields that every release of the snapshot format has."""
         return {
             "revision": self.revision,
-            "incarnations": self.incarnations,
-            "by_incarnation": self.by_incarnation,
+            "last_incarnation": self.last_incarnation,
+            "records_by_incarnation": self.records_by_incarnation,
         }
 
     def __setstate__(self, state: dict[str, Any]) -> None:
@@ -87,64 +87,64 @@
 
     # ------------------------------------------------------------------ commands
 
-    def enrol(self, name: str, address: str, zone: str, start: str) -> Row:
+    def enrol(self, name: str, address: str, zone: str, start: str) -> MemberRecord:
         """The row of a process that has just begun to listen at its address. The same start again is no
         change."""
         before = None
-        for row in self.by_incarnation.values():
-            if row.state is State.LEFT:
+        for row in self.records_by_incarnation.values():
+            if row.state is MemberState.LEFT:
                 continue
-            if row.start == start:
+            if row.start_id == start:
                 return row
             if row.address == address:
                 before = row
-        self.incarnations += 1
-        number = self.incarnations
+        self.last_incarnation += 1
+        number = self.last_incarnation
         self._record_change(number, *(() if before is None else (before.incarnation,)))
-        new = Row(name, address, zone, start, number, number, self.revision)
+        new = MemberRecord(name, address, zone, start, number, number, self.revision)
         if before is not None:  # it listened where this one listens now, so one of the two has ended
-            del self.by_incarnation[before.incarnation]
+            del self.records_by_incarnation[before.incarnation]
             # Guard: an enrolment that comes late may be the ended one's while the other still takes this
             # share, so it is free only once a process says that it takes less.
-            new.rank, new.elector, new.share = before.rank, before.elector, before.share
-        self.by_incarnation[number] = new
+            new.rank, new.elector, new.quota = before.rank, before.elector, before.quota
+        self.records_by_incarnation[number] = new
         self._promote_electors()
         self._allocate(new)
         return new
 
-    def renew(self, incarnation: int, seq: int, acked: int, using: float) -> Row | None:
+    def renew(self, incarnation: int, seq: int, acked: int, using: float) -> MemberRecord | None:
         """Renew a lease. `using` is the most share that the process may be taking until it has the answer
         to this very renewal; `acked` the revision it acts on. None: no such row, the process has to enrol
         anew."""
-        row = self.by_incarnation.get(incarnation)
-        if row is None or row.state is State.LEFT:
+        row = self.records_by_incarnation.get(incarnation)
+        if row is None or row.state is MemberState.LEFT:
             return None
-        if seq > row.seq:  # one that was overtaken, or a repeat, changes nothing
-            before = row.acked, row.state
-            row.seq = seq
-            row.acked = max(row.acked, min(acked, self.revision))
-            row.share = min(row.share, max(0.0, using))
-            if row.state is State.EXPIRED:
-                row.state = State.LIVE
+        if seq > row.renewal_seq:  # one that was overtaken, or a repeat, changes nothing
+            before = row.acknowledged_revision, row.state
+            row.renewal_seq = seq
+            row.acknowledged_revision = max(row.acknowledged_revision, min(acked, self.revision))
+            row.quota = min(row.quota, max(0.0, using))
+            if row.state is MemberState.EXPIRED:
+                row.state = MemberState.LIVE
                 self._record_change(incarnation)
-            if before != (row.acked, row.state):
+            if before != (row.acknowledged_revision, row.state):
                 self._promote_electors()
         self._allocate(row)
         return row
 
     def begin_draining(self, incarnation: int) -> bool:
-        row = self.by_incarnation.get(incarnation)
-        if row is None or row.state is State.LEFT:
+        row = self.records_by_incarnation.get(incarnation)
+        if row is None or row.state is MemberState.LEFT:
             return False
-        if row.state is not State.DRAINING:
-            row.state = State.DRAINING
+        if row.state is not MemberState.DRAINING:
+            row.state = MemberState.DRAINING
             self._record_change(incarnation)
         return True
 
     def leave(self, incarnation: int) -> bool:
         """The process takes no share any more."""
-        row = self.by_incarnation.get(incarnation)
-        if row is None or row.state is State.LEFT:
+        row = self.records_by_incarnation.get(incarnation)
+        if row is None or row.state is MemberState.LEFT:
             return False
         self._end_membership(row)
         return True
@@ -152,7 +152,9 @@
     def remove(self, name: str) -> list[int]:
         """An operator's word that the processes of this name have ended."""
         ended = [
-            row for row in self.by_incarnation.values() if row.name == name and row.state is not State.LEFT
+            row
+            for row in self.records_by_incarnation.values()
+            if row.name == name and row.state is not MemberState.LEFT
         ]
         for row in ended:
             self._end_membership(row)
@@ -162,14 +164,18 @@
         """Leases that ran out, each with the seq of the renewal it ran out after, and the rows that the
         leader knows to be attached for a whole term (membership/lease_clock.py). Returns those that lapsed
         now and those removed."""
-        out = [self.by_incarnation[number] for number, seq in lapsed if self._is_last_renewal(number, seq)]
-        newly = [row for row in out if row.state in (State.LIVE, State.DRAINING)]
+        out = [
+            self.records_by_incarnation[number]
+            for number, seq in lapsed
+            if self._is_last_renewal(number, seq)
+        ]
+        newly = [row for row in out if row.state in (MemberState.LIVE, MemberState.DRAINING)]
         for row in newly:
-            row.state = State.EXPIRED
+            row.state = MemberState.EXPIRED
         given = self.is_majority_attached(attached)
-        removed = [row for row in out if row.state is State.LEFT or not row.elector or given]
+        removed = [row for row in out if row.state is MemberState.LEFT or not row.elector or given]
         for row in removed:
-            del self.by_incarnation[row.incarnation]
+            del self.records_by_incarnation[row.incarnation]
         if newly or removed:
             self._record_change(*(row.incarnation for row in (*newly, *removed)))
             self._promote_electors()
@@ -180,17 +186,21 @@
     def would_expire(self, lapsed: list[tuple[int, int]], attached: list[int]) -> bool:
         """Whether `expire` would change anything, so that an idle fleet adds nothing to the log."""
         given = self.is_majority_attached(attached)
-        out = [self.by_incarnation[number] for number, seq in lapsed if self._is_last_renewal(number, seq)]
-        return any(given or not row.elector or row.state is not State.EXPIRED for row in out)
+        out = [
+            self.records_by_incarnation[number]
+            for number, seq in lapsed
+            if self._is_last_renewal(number, seq)
+        ]
+        return any(given or not row.elector or row.state is not MemberState.EXPIRED for row in out)
 
     def is_majority_attached(self, attached: list[int]) -> bool:
         """Whether these rows are a majority of all electors; a tie is won with the lowest rank."""
-        electors = {row.incarnation: row.rank for row in self.by_incarnation.values() if row.elector}
+        electors = {row.incarnation: row.rank for row in self.records_by_incarnation.values() if row.elector}
         return is_majority(
             {rank for number, rank in electors.items() if number in attached}, electors.values()
         )
 
-    def grant(self, row: Row, acked: int, delta: bool = False) -> LeaseGrant:
+    def grant(self, row: MemberRecord, acked: int, delta: bool = False) -> LeaseGrant:
         """What the process of this row is told, which acts on the revision `acked`.
 
         The members only where that is not the present one; only what has changed since where the process
@@ -200,7 +210,7 @@
         grant = LeaseGrant(
             incarnation=row.incarnation,
             revision=self.revision,
-            quota=min(row.share, aim),
+            quota=min(row.quota, aim),
             elector=row.elector,
             state=row.state.value,
             target_quota=aim,
@@ -210,31 +220,31 @@
         changed = self._changes.since(acked) if delta else None
         if changed is None:
             return replace(grant, members=self.members())
-        there = sorted(changed & self.by_incarnation.keys())
+        there = sorted(changed & self.records_by_incarnation.keys())
         return replace(
             grant,
             since_revision=acked,
-            members=tuple(self.by_incarnation[incarnation].member() for incarnation in there),
-            removed=tuple(sorted(changed - self.by_incarnation.keys())),
+            members=tuple(self.records_by_incarnation[incarnation].to_member() for incarnation in there),
+            removed=tuple(sorted(changed - self.records_by_incarnation.keys())),
         )
 
     def members(self) -> tuple[Member, ...]:
         """The whole member list."""
-        return tuple(row.member() for row in self.by_incarnation.values())
+        return tuple(row.to_member() for row in self.records_by_incarnation.values())
 
     def has_process(self, start: str) -> bool:
         """Whether this very process has a row."""
-        return any(row.start == start for row in self.by_incarnation.values())
+        return any(row.start_id == start for row in self.records_by_incarnation.values())
 
     def reuses_record(self, address: str, start: str) -> bool:
         """Whether an enrolment of this process would add no row: it has one, or takes its predecessor's."""
         return any(
-            row.state is not State.LEFT and (row.start == start or row.address == address)
-            for row in self.by_incarnation.values()
+            row.state is not MemberState.LEFT and (row.start_id == start or row.address == address)
+            for row in self.records_by_incarnation.values()
         )
 
-    def records(self) -> list[Row]:
-        return list(self.by_incarnation.values())
+    def records(self) -> list[MemberRecord]:
+        return list(self.records_by_incarnation.values())
 
     def target_quota(self) -> float:
         """The share that each row comes to once all have renewed."""
@@ -242,11 +252,11 @@
 
     def sharing_count(self) -> int:
         """The rows that take part in the whole."""
-        return sum(row.state is not State.LEFT for row in self.by_incarnation.values())
+        return sum(row.state is not MemberState.LEFT for row in self.records_by_incarnation.values())
 
     def granted_quota(self) -> float:
         """The sum of the shares that all processes may be taking."""
-        return sum(row.share for row in self.by_incarnation.values())
+        return sum(row.quota for row in self.records_by_incarnation.values())
 
     # -------------------------------------------------------------------- parts
 
@@ -255,34 +265,40 @@
         self._changes.record(self.revision, incarnations)
 
     def _is_last_renewal(self, incarnation: int, seq: int) -> bool:
-        row = self.by_incarnation.get(incarnation)
-        return row is not None and row.seq == seq
+        row = self.records_by_incarnation.get(incarnation)
+        return row is not None and row.renewal_seq == seq
 
-    def _end_membership(self, row: Row) -> None:
-        row.state, row.share = State.LEFT, 0.0
+    def _end_membership(self, row: MemberRecord) -> None:
+        row.state, row.quota = MemberState.LEFT, 0.0
         self._record_change(row.incarnation)
         self._promote_electors()
 
-    def _allocate(self, row: Row) -> None:
+    def _allocate(self, row: MemberRecord) -> None:
         """Give the row what is free, up to its aim. What it has over that stays its own until it gives it
         up."""
-        if row.state in (State.LIVE, State.DRAINING):
-            lacking = self.target_quota() - row.share
+        if row.state in (MemberState.LIVE, MemberState.DRAINING):
+            lacking = self.target_quota() - row.quota
             if lacking > 0.0:
                 free = 1.0 - self.granted_quota() - self.external.quota
-                row.share += min(max(0.0, free), lacking)
+                row.quota += min(max(0.0, free), lacking)
 
     def _promote_electors(self) -> None:
         electors = (
-            row for row in self.by_incarnation.values() if row.elector and row.state is not State.LEFT
+            row
+            for row in self.records_by_incarnation.values()
+            if row.elector and row.state is not MemberState.LEFT
         )
         known = min(
-            (row.acked for row in electors), default=self.revision
+            (row.acknowledged_revision for row in electors), default=self.revision
         )  # every elector knows what came up to it
-        for row in self.by_incarnation.values():
-            if not row.elector and row.state in (State.LIVE, State.DRAINING) and row.enrolled <= known:
+        for row in self.records_by_incarnation.values():
+            if (
+                not row.elector
+                and row.state in (MemberState.LIVE, MemberState.DRAINING)
+                and row.enrolled_revision <= known
+            ):
                 row.elector = True
-                known = min(known, row.acked)
+                known = min(known, row.acknowledged_revision)
 
 
 def is_majority(ranks: set[int], electors: Any) -> bool:
--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -21,7 +21,7 @@
 from pysyncobj import SyncObjConsumer, replicated
 
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import Row
+from loadbalancer.membership.quota_ledger import MemberRecord
 from loadbalancer.registry.commands import EndService, EnrolMember, RemoveMembers, decode
 from loadbalancer.registry.fleet_state import FleetState, LimitReachedError, ServiceInUseError, TermStart
 from loadbalancer.registry.service_clock import ServiceClock
@@ -47,7 +47,7 @@
 class AppliedRequest(NamedTuple):
     """An enrolment or renewal that was applied: its row, if there is one, and what its process knows."""
 
-    row: Row | None
+    row: MemberRecord | None
     acked: int = -1
     takes_delta: bool = False
 
@@ -139,7 +139,7 @@
         def act() -> list[AppliedRequest]:
             row = self.state.enrol(name, address, zone, start)
             if row is not None:
-                self._record_renewal(row.incarnation, row.seq, -1)
+                self._record_renewal(row.incarnation, row.renewal_seq, -1)
             return [AppliedRequest(row)]
 
         return self._run(stamp, term, act, self._grants)
@@ -289,14 +289,14 @@
 
     def _carry_out(
         self, command: EnrolMember | RemoveMembers | EndService
-    ) -> Row | Rejected | MembersRemoved:
+    ) -> MemberRecord | Rejected | MembersRemoved:
         try:
             match command:
                 case EnrolMember():
                     row = self.state.enrol_in(
                         command.service, command.name, command.address, command.zone, command.start
                     )
-                    self._record_renewal(row.incarnation, row.seq, -1)
+                    self._record_renewal(row.incarnation, row.renewal_seq, -1)
                     return row
                 case RemoveMembers():
                     return MembersRemoved(self.state.remove(command.name, command.service))
@@ -316,16 +316,16 @@
         routes = self.state.routes.announcement()
         return [None if each.row is None else self._grant(each.row, each, routes) for each in applied]
 
-    def _outcomes(self, results: list[Row | Rejected | MembersRemoved]) -> list[Outcome] | None:
+    def _outcomes(self, results: list[MemberRecord | Rejected | MembersRemoved]) -> list[Outcome] | None:
         if self._answering_term != self.state.term:
             return None
         routes = self.state.routes.announcement()
         return [
-            self._grant(each, AppliedRequest(each), routes) if isinstance(each, Row) else each
+            self._grant(each, AppliedRequest(each), routes) if isinstance(each, MemberRecord) else each
             for each in results
         ]
 
-    def _grant(self, row: Row, applied: AppliedRequest, routes: dict[str, Any]) -> MemberGrant:
+    def _grant(self, row: MemberRecord, applied: AppliedRequest, routes: dict[str, Any]) -> MemberGrant:
         return MemberGrant(self.state.grant(row, applied.acked, applied.takes_delta), routes)
 
     def _deserialize(self, data: dict[str, Any]) -> None:
@@ -334,21 +334,21 @@
         self._on_change(None)
 
 
-def _member_entry(row: Row, service: str) -> dict[str, Any]:
+def _member_entry(row: MemberRecord, service: str) -> dict[str, Any]:
     """A member as GET /fleet/members shows it; the keys are part of that call's wire form."""
     return {
         "name": row.name,
         "address": row.address,
         "zone": row.zone,
-        "start": row.start,
+        "start": row.start_id,
         "incarnation": row.incarnation,
         "rank": row.rank,
-        "enrolled": row.enrolled,
-        "share": row.share,
-        "acked": row.acked,
+        "enrolled": row.enrolled_revision,
+        "share": row.quota,
+        "acked": row.acknowledged_revision,
         "elector": row.elector,
         "state": row.state,
-        "seq": row.seq,
+        "seq": row.renewal_seq,
         "service": service,
     }
 
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -28,8 +28,8 @@
 from msgspec.structs import replace
 
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import ExternalQuota, Ledger, Row, State
-from loadbalancer.routing.coordinator import ActivationOutcome, Activations
+from loadbalancer.membership.quota_ledger import ExternalQuota, MemberRecord, MemberState, QuotaLedger
+from loadbalancer.routing.coordinator import ActivationCoordinator, ActivationOutcome
 
 # Guards: enrolments that never end must not grow the log's state without bound.
 MAX_UNGROUPED_MEMBERS = 1_000  # of members that name no service
@@ -70,8 +70,8 @@
 class FleetState:
     """`ledger` is the group of members that name no service, and gives all incarnations."""
 
-    ledger: Ledger = field(default_factory=Ledger)
-    routes: Activations = field(default_factory=Activations)
+    ledger: QuotaLedger = field(default_factory=QuotaLedger)
+    routes: ActivationCoordinator = field(default_factory=ActivationCoordinator)
     log_ms: float = 0.0  # the highest stamp
     term: int = -1  # of the last `lead`
     leader_address: str = ""  # where the instance that leads in it answers
@@ -79,7 +79,7 @@
     ttl_ms: float = 0.0
     clock_bound_ms: float = 0.0
     repeated_enrolments: int = 0  # enrolments of a process that had a row already
-    services: dict[str, Ledger] = field(default_factory=dict)
+    services: dict[str, QuotaLedger] = field(default_factory=dict)
     _service_of: dict[int, str] = field(default_factory=dict, compare=False, repr=False)
 
     def __getstate__(self) -> tuple[None, dict[str, Any]]:
@@ -93,7 +93,9 @@
         for name, value in ({"services": {}} | state[1]).items():
             setattr(self, name, value)
         self._service_of = {
-            number: service for service, ledger in self.services.items() for number in ledger.by_incarnation
+            number: service
+            for service, ledger in self.services.items()
+            for number in ledger.records_by_incarnation
         }
 
     def start_term(
@@ -106,7 +108,7 @@
             self.epoch += 1
         self.term, self.leader_address = term, http
         self.ttl_ms, self.clock_bound_ms = max(self.ttl_ms, ttl_ms), max(self.clock_bound_ms, bound_ms)
-        rows = [(row.incarnation, row.seq) for row in self.rows()]
+        rows = [(row.incarnation, row.renewal_seq) for row in self.rows()]
         return TermStart(self.log_ms, self.epoch, self.ttl_ms, rows)
 
     def accept(self, stamp: float, term: int) -> bool:
@@ -122,14 +124,14 @@
 
     # Changes.
 
-    def enrol(self, name: str, address: str, zone: str, start: str) -> Row | None:
+    def enrol(self, name: str, address: str, zone: str, start: str) -> MemberRecord | None:
         """The row of a process that names no service; None where there are too many."""
         ledger = self.ledger
-        if len(ledger.by_incarnation) >= MAX_UNGROUPED_MEMBERS and not ledger.has_process(start):
+        if len(ledger.records_by_incarnation) >= MAX_UNGROUPED_MEMBERS and not ledger.has_process(start):
             return None
         return self._enrol(NO_SERVICE, ledger, name, address, zone, start)
 
-    def enrol_in(self, service: str, name: str, address: str, zone: str, start: str) -> Row:
+    def enrol_in(self, service: str, name: str, address: str, zone: str, start: str) -> MemberRecord:
         """The row of a process in the group of this service; LimitReachedError where there are too many."""
         ledger = self._ledger_of(service)
         if not ledger.reuses_record(address, start):
@@ -138,8 +140,8 @@
             self.services[service] = ledger
         return self._enrol(service, ledger, name, address, zone, start)
 
-    def renew(self, incarnation: int, seq: int, acked: int, using: float) -> Row | None:
-        renewed = self._ledger_of(self.service_of(incarnation)).by_incarnation.get(incarnation)
+    def renew(self, incarnation: int, seq: int, acked: int, using: float) -> MemberRecord | None:
+        renewed = self._ledger_of(self.service_of(incarnation)).records_by_incarnation.get(incarnation)
         for ended in superseded_by(renewed, self.rows()):
             self.leave(ended)
         row = self._prepared(self.service_of(incarnation)).renew(incarnation, seq, acked, using)
@@ -170,10 +172,10 @@
         ledger = self.services.get(service)
         if ledger is None:
             return []
-        live = [row.name for row in ledger.records() if row.state in (State.LIVE, State.DRAINING)]
+        live = [row.name for row in ledger.records() if row.state in (MemberState.LIVE, MemberState.DRAINING)]
         if live:
             raise ServiceInUseError(f"{len(live)} members of {service!r} have live leases, {live[0]!r} one")
-        ended = list(ledger.by_incarnation)
+        ended = list(ledger.records_by_incarnation)
         del self.services[service]
         for incarnation in ended:
             self._forget(incarnation)
@@ -192,7 +194,7 @@
             its_newly, its_removed = ledger.expire(rows, support)
             newly += its_newly
             removed += its_removed
-            if service != NO_SERVICE and not ledger.by_incarnation:
+            if service != NO_SERVICE and not ledger.records_by_incarnation:
                 del self.services[service]
         for incarnation in newly:
             self.routes.on_lease_expired(incarnation)
@@ -211,7 +213,7 @@
 
     # Reads.
 
-    def grant(self, row: Row, acked: int, delta: bool) -> LeaseGrant:
+    def grant(self, row: MemberRecord, acked: int, delta: bool) -> LeaseGrant:
         """What the process of this row is told (`Ledger.grant`)."""
         service = self.service_of(row.incarnation)
         return replace(self._prepared(service).grant(row, acked, delta), service=service)
@@ -220,7 +222,7 @@
         """The group of this row, or where a row that is not there would have been before groups."""
         return self._service_of.get(incarnation, NO_SERVICE)
 
-    def rows(self) -> Iterator[Row]:
+    def rows(self) -> Iterator[MemberRecord]:
         """The rows of all groups."""
         for ledger in self._ledgers():
             yield from ledger.records()
@@ -234,7 +236,7 @@
             ledger = self._ledger_of(service)
             if ledger.would_expire(rows, support):
                 due += rows
-                needed.update(ledger.by_incarnation)
+                needed.update(ledger.records_by_incarnation)
         if not due:
             return None
         return DueExpiry(due, [number for number in support if number in needed], self.repeated_enrolments)
@@ -248,7 +250,9 @@
         pending = self.routes.pending
         if pending is None:
             return False
-        return service_ms >= (pending.deadline_ms if pending.at_ms is None else pending.at_ms)
+        return service_ms >= (
+            pending.deadline_ms if pending.activates_at_ms is None else pending.activates_at_ms
+        )
 
     def revisions(self, incarnation: int) -> tuple[int, int]:
         """Of the member list that this row's process knows, and of the routes."""
@@ -262,16 +266,16 @@
 
     # Parts.
 
-    def _ledgers(self) -> Iterator[Ledger]:
+    def _ledgers(self) -> Iterator[QuotaLedger]:
         yield self.ledger
         yield from self.services.values()
 
-    def _ledger_of(self, service: str) -> Ledger:
+    def _ledger_of(self, service: str) -> QuotaLedger:
         if service == NO_SERVICE:
             return self.ledger
-        return self.services.get(service) or Ledger()
+        return self.services.get(service) or QuotaLedger()
 
-    def _prepared(self, service: str) -> Ledger:
+    def _prepared(self, service: str) -> QuotaLedger:
         """The ledger, knowing what members outside of its group may be taking of the same whole."""
         ledger = self._ledger_of(service)
         if service != NO_SERVICE:
@@ -282,27 +286,29 @@
             ledger.external = ExternalQuota(shares, rows)
         return ledger
 
-    def _enrol(self, service: str, ledger: Ledger, name: str, address: str, zone: str, start: str) -> Row:
-        before, given = set(ledger.by_incarnation), self.ledger.incarnations
-        self._prepared(service).incarnations = given
+    def _enrol(
+        self, service: str, ledger: QuotaLedger, name: str, address: str, zone: str, start: str
+    ) -> MemberRecord:
+        before, given = set(ledger.records_by_incarnation), self.ledger.last_incarnation
+        self._prepared(service).last_incarnation = given
         row = ledger.enrol(name, address, zone, start)
-        self.ledger.incarnations = ledger.incarnations
+        self.ledger.last_incarnation = ledger.last_incarnation
         # Guard: by a renewal's seq, an `expire` on its way sees that the lease runs anew. An enrolment that
         # is repeated changes no seq, so their count has to say so.
-        self.repeated_enrolments += ledger.incarnations == given
-        for gone in before - ledger.by_incarnation.keys():
+        self.repeated_enrolments += ledger.last_incarnation == given
+        for gone in before - ledger.records_by_incarnation.keys():
             self._forget(gone)
         if service != NO_SERVICE:
             self._service_of[row.incarnation] = service
         self.routes.on_attached(row.incarnation)
         return row
 
-    def _check_limits(self, service: str, ledger: Ledger) -> None:
-        rows = len(ledger.by_incarnation)
+    def _check_limits(self, service: str, ledger: QuotaLedger) -> None:
+        rows = len(ledger.records_by_incarnation)
         # Guard: members that name no service had so many before groups were switched on.
         if rows >= (MAX_UNGROUPED_MEMBERS if service == NO_SERVICE else MAX_GROUP_MEMBERS):
             raise LimitReachedError(f"service {service!r} has {rows} members, the most that a group may have")
-        rows = sum(len(other.by_incarnation) for other in self._ledgers())
+        rows = sum(len(other.records_by_incarnation) for other in self._ledgers())
         if rows >= MAX_MEMBERS:
             raise LimitReachedError(f"there are {rows} members, the most that all groups may have together")
 
@@ -317,13 +323,13 @@
         self.routes.on_left(incarnation)
 
     def _voters(self) -> list[int]:
-        live = (State.LIVE, State.DRAINING)
+        live = (MemberState.LIVE, MemberState.DRAINING)
         return [row.incarnation for row in self.rows() if row.state in live]
 
 
-def superseded_by(renewed: Row | None, rows: Iterable[Row]) -> list[int]:
+def superseded_by(renewed: MemberRecord | None, rows: Iterable[MemberRecord]) -> list[int]:
     """The earlier rows at the address of this one, whose processes have ended as it is first renewed."""
-    if renewed is None or renewed.seq > 0:
+    if renewed is None or renewed.renewal_seq > 0:
         return []
     return [
         row.incarnation
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -21,9 +21,9 @@
 from types import ModuleType
 from typing import IO, Any
 
-from loadbalancer.membership.quota_ledger import Ledger, Row, State
+from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
 from loadbalancer.registry.fleet_state import FleetState
-from loadbalancer.routing.coordinator import Activations, Pending, Version
+from loadbalancer.routing.coordinator import ActivationCoordinator, PendingActivation, VersionRecord
 
 PROTOCOL = 2  # pysyncobj's
 
@@ -48,12 +48,33 @@
         FleetState,
         {"leader_address": "http", "clock_bound_ms": "bound_ms", "repeated_enrolments": "repeats"},
     ),
-    StoredClass("orchidledge.members.ledger", "Ledger", Ledger),
-    StoredClass("orchidledge.members.ledger", "Row", Row),
-    StoredClass("orchidledge.members.ledger", "State", State),
-    StoredClass("orchidledge.routes.activation", "Activations", Activations),
-    StoredClass("orchidledge.routes.activation", "Version", Version),
-    StoredClass("orchidledge.routes.activation", "Pending", Pending),
+    StoredClass(
+        "orchidledge.members.ledger",
+        "Ledger",
+        QuotaLedger,
+        {"last_incarnation": "incarnations", "records_by_incarnation": "by_incarnation"},
+    ),
+    StoredClass(
+        "orchidledge.members.ledger",
+        "Row",
+        MemberRecord,
+        {
+            "start_id": "start",
+            "enrolled_revision": "enrolled",
+            "quota": "share",
+            "acknowledged_revision": "acked",
+            "renewal_seq": "seq",
+        },
+    ),
+    StoredClass("orchidledge.members.ledger", "State", MemberState),
+    StoredClass(
+        "orchidledge.routes.activation",
+        "Activations",
+        ActivationCoordinator,
+        {"last_number": "last", "active_number": "in_force"},
+    ),
+    StoredClass("orchidledge.routes.activation", "Version", VersionRecord),
+    StoredClass("orchidledge.routes.activation", "Pending", PendingActivation),
 )
 
 
--- a/loadbalancer/routing/__init__.py
+++ b/loadbalancer/routing/__init__.py
@@ -17,15 +17,15 @@
 4. An outcome, once in the log, is final; a number stands for one activation of one text.
 """
 
-from loadbalancer.routing.coordinator import ActivationOutcome, Activations
+from loadbalancer.routing.coordinator import ActivationCoordinator, ActivationOutcome
 from loadbalancer.routing.participant import Action, Apply, CastVote, Delete, Fetch, RouteParticipant, Store
 from loadbalancer.routing.route_table import NEUTRAL, RouteTable, find_objections, parse_table
 
 __all__ = [
     "NEUTRAL",
     "Action",
+    "ActivationCoordinator",
     "ActivationOutcome",
-    "Activations",
     "Apply",
     "CastVote",
     "Delete",
--- a/loadbalancer/routing/coordinator.py
+++ b/loadbalancer/routing/coordinator.py
@@ -49,28 +49,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Version:
+class VersionRecord:
     number: int
     text: str
     digest: str
     phase: str
-    of: int | None = None  # the version that this is a rollback to
-    why: str = ""  # of an abort
-    at_ms: float | None = None  # T, in S
+    rollback_of: int | None = None  # the version that this is a rollback to
+    reason: str = ""  # of an abort
+    activates_at_ms: float | None = None  # T, in S
 
 
 @dataclass(slots=True, frozen=True)
-class Pending:
+class PendingActivation:
     number: int
     deadline_ms: float  # S
-    asked: frozenset[int]  # incarnations
-    needed: frozenset[int]  # those of them that have not lapsed
-    yes: frozenset[int] = frozenset()
-    at_ms: float | None = None  # T in S, once decided
+    voters: frozenset[int]  # incarnations
+    required_voters: frozenset[int]  # those of them that have not lapsed
+    yes_voters: frozenset[int] = frozenset()
+    activates_at_ms: float | None = None  # T in S, once decided
 
     @property
     def phase(self) -> str:
-        return PREPARING if self.at_ms is None else DECIDED
+        return PREPARING if self.activates_at_ms is None else DECIDED
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,16 +84,16 @@
 
 
 @dataclass(slots=True)
-class Activations:
+class ActivationCoordinator:
     """All values in the fields are immutable: `copy` is shallow and `key` can be hashed."""
 
     revision: int = 0  # rises with everything that a renewal's answer shows
-    last: int = 0  # the highest number given
-    in_force: int = 0
-    versions: tuple[Version, ...] = field(
-        default_factory=lambda: (Version(0, NEUTRAL, digest(NEUTRAL), IN_FORCE, at_ms=0.0),)
+    last_number: int = 0  # the highest number given
+    active_number: int = 0
+    versions: tuple[VersionRecord, ...] = field(
+        default_factory=lambda: (VersionRecord(0, NEUTRAL, digest(NEUTRAL), IN_FORCE, activates_at_ms=0.0),)
     )
-    pending: Pending | None = None
+    pending: PendingActivation | None = None
 
     # ------------------------------------------------------------ calls of operators
 
@@ -121,8 +121,8 @@
         self._elapse(log_ms)
         pending = self.pending
         if pending is None or number not in (None, pending.number):
-            return self.outcome(self.last if number is None else number)
-        if pending.at_ms is None:
+            return self.outcome(self.last_number if number is None else number)
+        if pending.activates_at_ms is None:
             self._abort("halted by an operator")
         return self.outcome(pending.number)
 
@@ -131,32 +131,41 @@
     def vote(self, incarnation: int, number: int, yes: bool, why: str = "") -> ActivationOutcome:
         """A row's vote; one on another number, of a row not asked, or after the decision changes nothing."""
         pending = self.pending
-        if pending is not None and pending.at_ms is None and pending.number == number:
-            if incarnation in pending.asked and yes:
-                self.pending = replace(pending, yes=pending.yes | {incarnation})
-            elif incarnation in pending.asked:
+        if pending is not None and pending.activates_at_ms is None and pending.number == number:
+            if incarnation in pending.voters and yes:
+                self.pending = replace(pending, yes_voters=pending.yes_voters | {incarnation})
+            elif incarnation in pending.voters:
                 self._abort(f"{incarnation} said no: {why}")
         return self.outcome(number)
 
     def on_attached(self, incarnation: int) -> None:
         """The row has a live lease: to be called at every enrolment and every renewal."""
         pending = self.pending
-        if pending is not None and pending.at_ms is None and incarnation not in pending.needed:
+        if (
+            pending is not None
+            and pending.activates_at_ms is None
+            and incarnation not in pending.required_voters
+        ):
             new = frozenset((incarnation,))
-            self.pending = replace(pending, asked=pending.asked | new, needed=pending.needed | new)
+            self.pending = replace(
+                pending, voters=pending.voters | new, required_voters=pending.required_voters | new
+            )
 
     def on_lease_expired(self, incarnation: int) -> None:
         pending = self.pending
-        if pending is not None and incarnation in pending.needed:
-            self.pending = replace(pending, needed=pending.needed - {incarnation})
+        if pending is not None and incarnation in pending.required_voters:
+            self.pending = replace(pending, required_voters=pending.required_voters - {incarnation})
 
     def on_left(self, incarnation: int) -> None:
         """The row is gone: its process has ended, or must enrol anew."""
         pending = self.pending
-        if pending is not None and incarnation in pending.asked:
+        if pending is not None and incarnation in pending.voters:
             gone = {incarnation}
             self.pending = replace(
-                pending, asked=pending.asked - gone, needed=pending.needed - gone, yes=pending.yes - gone
+                pending,
+                voters=pending.voters - gone,
+                required_voters=pending.required_voters - gone,
+                yes_voters=pending.yes_voters - gone,
             )
 
     def apply_due(self, log_ms: float, ttl_ms: float, bound_ms: float) -> None:
@@ -164,30 +173,34 @@
         any row."""
         self._elapse(log_ms)
         pending = self.pending
-        if pending is None or pending.at_ms is not None or not pending.needed <= pending.yes:
+        if (
+            pending is None
+            or pending.activates_at_ms is not None
+            or not pending.required_voters <= pending.yes_voters
+        ):
             return
-        if pending.yes or not pending.asked:  # else all have lapsed, and nobody has checked it
+        if pending.yes_voters or not pending.voters:  # else all have lapsed, and nobody has checked it
             at_ms = log_ms + ttl_ms + bound_ms
-            self.pending = replace(pending, at_ms=at_ms)
-            self._update(pending.number, phase=DECIDED, at_ms=at_ms)
+            self.pending = replace(pending, activates_at_ms=at_ms)
+            self._update(pending.number, phase=DECIDED, activates_at_ms=at_ms)
 
     # ------------------------------------------------------------ what it tells
 
     def announcement(self) -> dict[str, Any]:
         """The `routes` of a renewal's answer; the same for every row."""
-        force, pending, last = self._kept_version(self.in_force), self.pending, None
+        force, pending, last = self._kept_version(self.active_number), self.pending, None
         ended = [version for version in self.versions[1:] if version.phase not in (PREPARING, DECIDED)]
         if ended:
-            last = {"number": ended[-1].number, "outcome": ended[-1].phase, "why": ended[-1].why}
+            last = {"number": ended[-1].number, "outcome": ended[-1].phase, "why": ended[-1].reason}
         return {
             "rev": self.revision,
-            "in_force": {"number": force.number, "at": force.at_ms, "digest": force.digest},
+            "in_force": {"number": force.number, "at": force.activates_at_ms, "digest": force.digest},
             "pending": None
             if pending is None
             else {
                 "number": pending.number,
                 "phase": pending.phase,
-                "at": pending.at_ms,
+                "at": pending.activates_at_ms,
                 "deadline": pending.deadline_ms,
                 "digest": self._kept_version(pending.number).digest,
             },
@@ -199,10 +212,16 @@
         texts."""
         said = self.announcement()
         if self.pending is not None:
-            said["pending"]["yes"] = sorted(self.pending.yes)
-            said["pending"]["waiting_for"] = sorted(self.pending.needed - self.pending.yes)
+            said["pending"]["yes"] = sorted(self.pending.yes_voters)
+            said["pending"]["waiting_for"] = sorted(self.pending.required_voters - self.pending.yes_voters)
         said["history"] = [
-            {"number": row.number, "phase": row.phase, "of": row.of, "at": row.at_ms, "why": row.why}
+            {
+                "number": row.number,
+                "phase": row.phase,
+                "of": row.rollback_of,
+                "at": row.activates_at_ms,
+                "why": row.reason,
+            }
             for row in self.versions
         ]
         return said
@@ -217,10 +236,10 @@
         return (
             ActivationOutcome(number, UNKNOWN)
             if version is None
-            else ActivationOutcome(number, version.phase, version.why)
+            else ActivationOutcome(number, version.phase, version.reason)
         )
 
-    def copy(self) -> Activations:
+    def copy(self) -> ActivationCoordinator:
         return replace(self)
 
     def key(self) -> tuple[object, ...]:
@@ -233,36 +252,36 @@
     ) -> ActivationOutcome:
         self._elapse(log_ms)
         pending = self.pending
-        current = self._kept_version(self.in_force if pending is None else pending.number)
+        current = self._kept_version(self.active_number if pending is None else pending.number)
         if current.text == text:
             return self.outcome(current.number)
         if pending is not None:
             return ActivationOutcome(
                 pending.number, pending.phase, f"version {pending.number} is pending", rejected=True
             )
-        self.last += 1
+        self.last_number += 1
         asked = frozenset(voters)
-        self.pending = Pending(self.last, deadline_ms, asked, asked)
-        self._store((*self.versions, Version(self.last, text, digest(text), PREPARING, of)))
-        return self.outcome(self.last)
+        self.pending = PendingActivation(self.last_number, deadline_ms, asked, asked)
+        self._store((*self.versions, VersionRecord(self.last_number, text, digest(text), PREPARING, of)))
+        return self.outcome(self.last_number)
 
     def _elapse(self, log_ms: float) -> None:
         pending = self.pending
         if pending is None:
             return
-        if pending.at_ms is None:
+        if pending.activates_at_ms is None:
             if log_ms >= pending.deadline_ms:
-                late = sorted(pending.needed - pending.yes)
+                late = sorted(pending.required_voters - pending.yes_voters)
                 self._abort(f"not prepared by its deadline, waiting for {late[:10] or 'anyone'}")
-        elif log_ms >= pending.at_ms:
-            self._update(self.in_force, phase=PAST)
+        elif log_ms >= pending.activates_at_ms:
+            self._update(self.active_number, phase=PAST)
             self._update(pending.number, phase=IN_FORCE)
-            self.in_force, self.pending = pending.number, None
+            self.active_number, self.pending = pending.number, None
             self._store(self.versions)
 
     def _abort(self, why: str) -> None:
         if self.pending is not None:
-            self._update(self.pending.number, phase=ABORTED, why=why[:MAX_REASON_LENGTH])
+            self._update(self.pending.number, phase=ABORTED, reason=why[:MAX_REASON_LENGTH])
             self.pending = None
 
     def _update(self, number: int, **changes: Any) -> None:
@@ -270,18 +289,18 @@
             tuple(replace(row, **changes) if row.number == number else row for row in self.versions),
         )
 
-    def _store(self, versions: tuple[Version, ...]) -> None:
+    def _store(self, versions: tuple[VersionRecord, ...]) -> None:
         """Version 0, the one in force and the last HISTORY, in the order of their numbers."""
         self.revision += 1
         oldest = versions[-MAX_VERSIONS].number if len(versions) > MAX_VERSIONS else 0
         self.versions = tuple(
-            row for row in versions if row.number in (0, self.in_force) or row.number >= oldest
+            row for row in versions if row.number in (0, self.active_number) or row.number >= oldest
         )
 
-    def _find(self, number: int) -> Version | None:
+    def _find(self, number: int) -> VersionRecord | None:
         return next((row for row in self.versions if row.number == number), None)
 
-    def _kept_version(self, number: int) -> Version:
+    def _kept_version(self, number: int) -> VersionRecord:
         """One that is always kept: in force, or pending."""
         version = self._find(number)
         assert version is not None
--- a/tests/membership/test_lease_holding.py
+++ b/tests/membership/test_lease_holding.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.membership import MemberLease, QuotaStatus, RegistryCall, SiblingReport
 from loadbalancer.membership.lease_clock import LeaseClock
-from loadbalancer.membership.quota_ledger import Ledger
+from loadbalancer.membership.quota_ledger import QuotaLedger
 from tests.support.detector_simulation import Node, World
 from tests.support.node_fleet import TTL_MS
 
@@ -32,7 +32,7 @@
         self.world = World(SIZE, seed)
         self.rng = Random(seed)
         self.cut_off: set[int] = set()
-        self.ledger, self.leases = Ledger(), LeaseClock(TTL_MS)
+        self.ledger, self.leases = QuotaLedger(), LeaseClock(TTL_MS)
         self.enrolments = {
             number: MemberLease(f"n{number}", f"at-{number}", "", str(number), Random(self.rng.random()))
             for number in self.world.nodes
@@ -78,7 +78,7 @@
         if call.path == "enrol":
             row = self.ledger.enrol(**call.body)
             assert row.incarnation == number
-            self.leases.record_renewal(self.world.now, number, row.seq, -1)
+            self.leases.record_renewal(self.world.now, number, row.renewal_seq, -1)
         else:
             seq, acked, using = call.body["seq"], call.body["acked"], call.body["using"]
             renewed = self.ledger.renew(number, seq, acked, using)
@@ -101,7 +101,7 @@
         lapsed, support = self.leases.expired_and_attached(self.world.now)
         if self.ledger.would_expire(lapsed, support):
             self.ledger.expire(lapsed, support)
-            self.leases.retain(self.ledger.by_incarnation)
+            self.leases.retain(self.ledger.records_by_incarnation)
         self.world.after(EXPIRE_MS, self._expire)
 
     # ------------------------------------------------------------------------- siblings
--- a/tests/membership/test_shares.py
+++ b/tests/membership/test_shares.py
@@ -17,7 +17,7 @@
 from loadbalancer.membership.lease_clock import MAX_DELAY_TERM_FRACTION, LeaseClock
 from loadbalancer.membership.member_lease import MemberLease, SiblingReport
 from loadbalancer.membership.payload import QuotaStatus
-from loadbalancer.membership.quota_ledger import Ledger, Row, State, is_majority
+from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger, is_majority
 
 TTL = 1000.0
 STEP = 10.0
@@ -36,7 +36,7 @@
     def __init__(self, seed: int, count: int) -> None:
         self.rng = Random(seed)
         self.now = 0.0
-        self.ledger, self.clock = Ledger(), LeaseClock(TTL)
+        self.ledger, self.clock = QuotaLedger(), LeaseClock(TTL)
         self.leads = True
         self.starts = 0
         self.mail: list[tuple[float, int, Any]] = []  # what arrives when
@@ -76,10 +76,10 @@
         self.post(node.name, "", arrive)
         self.mail.append((self.now + call.timeout_ms, len(self.mail), lost))
 
-    def run(self, path: str, body: dict[str, Any]) -> Row | None:
+    def run(self, path: str, body: dict[str, Any]) -> MemberRecord | None:
         if path == "enrol":
             row = self.ledger.enrol(**body)
-            self.clock.record_renewal(self.now, row.incarnation, row.seq, -1)
+            self.clock.record_renewal(self.now, row.incarnation, row.renewal_seq, -1)
             return row
         found = self.ledger.renew(body["incarnation"], body["seq"], body["acked"], body["using"])
         if found is not None:
@@ -113,7 +113,7 @@
             lapsed, support = self.clock.expired_and_attached(self.now)
             if self.ledger.would_expire(lapsed, support):
                 self.ledger.expire(lapsed, support)
-                self.clock.retain(self.ledger.by_incarnation)
+                self.clock.retain(self.ledger.records_by_incarnation)
         for node in self.nodes:
             if node.alive:
                 self.ask_service(node)
@@ -160,7 +160,9 @@
             world.cut, world.slow = set(), {}
         if not world.leads:
             world.leads = True
-            world.clock.begin_term(world.now, [(row.incarnation, row.seq) for row in world.ledger.records()])
+            world.clock.begin_term(
+                world.now, [(row.incarnation, row.renewal_seq) for row in world.ledger.records()]
+            )
     world.cut, world.slow = set(), {}
     world.nodes = [node if node.alive else world.start(node.name) for node in world.nodes]
     world.run_for(4 * TTL)
@@ -193,27 +195,27 @@
 
 
 def test_a_restarted_process_takes_its_rows_place_at_once() -> None:
-    ledger = Ledger()
+    ledger = QuotaLedger()
     first = ledger.enrol("n0", "a-n0", "", "t1")
     ledger.renew(first.incarnation, 1, ledger.revision, 1.0)
     again = ledger.enrol("n0", "a-n0", "", "t2")
-    assert (again.incarnation, again.share, again.elector, again.rank) == (2, 1.0, True, 1)
+    assert (again.incarnation, again.quota, again.elector, again.rank) == (2, 1.0, True, 1)
     assert ledger.renew(first.incarnation, 2, 9, 1.0) is None
     assert ledger.enrol("n0", "a-n0", "", "t2") is again
 
 
 def test_a_lapsed_row_keeps_its_share_until_a_majority_is_attached() -> None:
-    ledger = Ledger()
+    ledger = QuotaLedger()
     rows = [ledger.enrol(f"n{at}", f"a-{at}", "", f"t{at}") for at in range(3)]
     for turn in (1, 2):
         for row in rows:
-            ledger.renew(row.incarnation, turn, ledger.revision, min(row.share, ledger.target_quota()))
-    assert all(row.elector and row.share == pytest.approx(1 / 3) for row in rows)
+            ledger.renew(row.incarnation, turn, ledger.revision, min(row.quota, ledger.target_quota()))
+    assert all(row.elector and row.quota == pytest.approx(1 / 3) for row in rows)
     assert ledger.expire([(1, 2)], [2]) == ([1], [])  # one of three electors is attached
-    assert ledger.by_incarnation[1].state is State.EXPIRED
+    assert ledger.records_by_incarnation[1].state is MemberState.EXPIRED
     assert ledger.expire([(1, 2)], [2, 3]) == ([], [1])
     # type: ignore[union-attr]
-    assert ledger.renew(2, 3, ledger.revision, 1 / 3).share == pytest.approx(1 / 2)
+    assert ledger.renew(2, 3, ledger.revision, 1 / 3).quota == pytest.approx(1 / 2)
 
 
 @pytest.mark.parametrize(
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -14,7 +14,7 @@
 from loadbalancer.membership.change_log import ChangeLog
 from loadbalancer.membership.member_lease import MemberLease
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import Ledger, Row, State
+from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
 from loadbalancer.registry import fleet_state
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, LimitReachedError, ServiceInUseError
 from loadbalancer.registry.stored_form import STORED_FORM
@@ -30,7 +30,7 @@
     return state
 
 
-def enrol(state: FleetState, service: str, *names: str) -> list[Row]:
+def enrol(state: FleetState, service: str, *names: str) -> list[MemberRecord]:
     return [state.enrol_in(service, name, f"a-{name}", "z", f"start-{name}") for name in names]
 
 
@@ -39,7 +39,7 @@
     for _ in range(turns):
         for row in list(state.rows()):
             grant = state.grant(row, -1, delta=False)
-            state.renew(row.incarnation, row.seq + 1, grant.revision, min(row.share, grant.quota))
+            state.renew(row.incarnation, row.renewal_seq + 1, grant.revision, min(row.quota, grant.quota))
 
 
 def totals(state: FleetState) -> dict[str, float]:
@@ -102,12 +102,12 @@
     enrol(state, "pay", "n1", "n2", "n3")
     enrol(state, "find", "n4", "n5")
     renew_all(state)
-    seqs = {row.incarnation: row.seq for row in state.rows()}
+    seqs = {row.incarnation: row.renewal_seq for row in state.rows()}
     due = state.due_expiry([(1, seqs[1]), (4, seqs[4])], [2, 3])
     assert due is not None
     newly, removed = state.expire(due.lapsed, due.support, due.repeated_enrolments)
     assert (newly, removed) == ([1, 4], [1])  # of `find` nobody is attached: its row only lapses
-    assert state.services["find"].by_incarnation[4].state is State.EXPIRED
+    assert state.services["find"].records_by_incarnation[4].state is MemberState.EXPIRED
     assert state.due_expiry([(4, seqs[4])], [2, 3]) is None  # others' majority says nothing here
 
 
@@ -118,12 +118,14 @@
     again = state.enrol_in("find", "n1", "a-n1", "z", "start-again")
     assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0), "find": pytest.approx(1.0)}
     state.renew(again.incarnation, 1, 1, 1.0)
-    assert state.services["pay"].by_incarnation[1].state is State.LEFT
+    assert state.services["pay"].records_by_incarnation[1].state is MemberState.LEFT
     assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(2 / 3), "find": pytest.approx(1.0)}
     renew_all(state)
-    assert [row.share for row in state.services["pay"].records()] == [0.0, *[pytest.approx(0.5)] * 2]
-    state.expire([(1, state.services["pay"].by_incarnation[1].seq)], [], state.repeated_enrolments)
-    assert list(state.services["pay"].by_incarnation) == [2, 3]
+    assert [row.quota for row in state.services["pay"].records()] == [0.0, *[pytest.approx(0.5)] * 2]
+    state.expire(
+        [(1, state.services["pay"].records_by_incarnation[1].renewal_seq)], [], state.repeated_enrolments
+    )
+    assert list(state.services["pay"].records_by_incarnation) == [2, 3]
 
 
 def test_an_enrolment_under_another_service_may_be_late_and_ends_no_row() -> None:
@@ -133,10 +135,10 @@
     state.enrol_in("find", "n1", "a-n1", "z", "start-before")  # of a process that has ended; renews never
     renewed = state.renew(1, 9, state.services["pay"].revision, 1 / 3)
     assert renewed is not None
-    assert (renewed.state, renewed.share) == (State.LIVE, pytest.approx(1 / 3))
+    assert (renewed.state, renewed.quota) == (MemberState.LIVE, pytest.approx(1 / 3))
     state.expire([(1, 9)], [2, 3], state.repeated_enrolments)
     renew_all(state)
-    assert [row.share for row in state.services["pay"].records()] == [pytest.approx(0.5)] * 2
+    assert [row.quota for row in state.services["pay"].records()] == [pytest.approx(0.5)] * 2
 
 
 def test_the_last_members_that_name_no_service_leave_their_shares_once_restarted_to_name_one() -> None:
@@ -147,7 +149,7 @@
         state.enrol_in("pay", name, f"a-{name}", "z", f"again-{name}")
     for _ in range(3):
         for row in list(state.services["pay"].records()):
-            state.renew(row.incarnation, row.seq + 1, state.services["pay"].revision, row.share)
+            state.renew(row.incarnation, row.renewal_seq + 1, state.services["pay"].revision, row.quota)
     assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0)}
 
 
@@ -223,7 +225,7 @@
     copy: FleetState = pickle.loads(pickle.dumps(state))
     assert [row for row in copy.rows()] == [row for row in state.rows()]
     assert copy.service_of(3) == "pay"
-    row = copy.services["pay"].by_incarnation[3]
+    row = copy.services["pay"].records_by_incarnation[3]
     assert copy.grant(row, 1, delta=True).since_revision is UNSET  # what changed before it is not known
     enrol(copy, "pay", "n4")
     assert copy.grant(row, 2, delta=True).since_revision == 2
@@ -233,7 +235,7 @@
 
 
 def test_only_what_changed_is_told_to_a_process_that_takes_changes() -> None:
-    ledger = Ledger()
+    ledger = QuotaLedger()
     rows = [ledger.enrol(f"n{at}", f"a{at}", "z", f"s{at}") for at in range(4)]
     known = ledger.revision
     ledger.begin_draining(rows[1].incarnation)
@@ -256,9 +258,9 @@
     assert log.since(9) is None
 
 
-def node_with(*names: str) -> tuple[MemberLease, Ledger, Row]:
+def node_with(*names: str) -> tuple[MemberLease, QuotaLedger, MemberRecord]:
     """A process that was told the whole list of a group, itself the first."""
-    ledger = Ledger()
+    ledger = QuotaLedger()
     rows = [ledger.enrol(name, f"a-{name}", "z", f"s-{name}") for name in names]
     core = MemberLease(names[0], f"a-{names[0]}", "z", f"s-{names[0]}", Random(1))
     call = core.tick(0.0, None)
@@ -333,6 +335,6 @@
     assert len(set(pauses)) == len(pauses)
     call = core.tick(now, None)
     assert call is not None
-    ledger = Ledger()
+    ledger = QuotaLedger()
     core.on_grant(now + 1.0, call.number, ledger.grant(ledger.enrol("n1", "a", "z", "s"), -1), TTL)
     assert core.quota_in_force(now + 2.0) == 1.0
--- a/tests/registry/test_stored_form.py
+++ b/tests/registry/test_stored_form.py
@@ -75,8 +75,8 @@
         "ledgers": {
             service: {
                 "revision": ledger.revision,
-                "incarnations": ledger.incarnations,
-                "numbers": list(ledger.by_incarnation),
+                "incarnations": ledger.last_incarnation,
+                "numbers": list(ledger.records_by_incarnation),
             }
             for service, ledger in ledgers.items()
         },
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -18,7 +18,7 @@
 from loadbalancer.endpoints import Endpoint, EndpointStatus, RouteVersion, TrafficSplit
 from loadbalancer.routing import (
     NEUTRAL,
-    Activations,
+    ActivationCoordinator,
     Apply,
     CastVote,
     Delete,
@@ -116,13 +116,13 @@
 # -------------------------------------------------------------------- the log's part
 
 
-def proposed(*voters: int) -> Activations:
-    log = Activations()
+def proposed(*voters: int) -> ActivationCoordinator:
+    log = ActivationCoordinator()
     assert log.propose(1000, READ, voters, 2000).phase == "preparing"
     return log
 
 
-def decided(at: float = 1000) -> Activations:
+def decided(at: float = 1000) -> ActivationCoordinator:
     log = proposed(1)
     log.vote(1, 1, yes=True)
     log.apply_due(at, TTL, BOUND)
@@ -142,9 +142,9 @@
     }  # fmt: skip
     assert log.vote(2, 1, yes=False).phase == "decided"
     log.apply_due(1619, TTL, BOUND)
-    assert log.in_force == 0
+    assert log.active_number == 0
     log.apply_due(1620, TTL, BOUND)
-    assert (log.in_force, log.pending, log.announcement()["last"]["outcome"]) == (1, None, "in force")
+    assert (log.active_number, log.pending, log.announcement()["last"]["outcome"]) == (1, None, "in force")
 
 
 def test_a_halt_before_the_decision_aborts_and_after_it_says_decided() -> None:
@@ -172,7 +172,7 @@
         True,
     )
     assert log.propose(1520, REST, [1], 9000).number == 2
-    assert (log.in_force, log.propose(1521, READ, [1], 9000).rejected) == (1, True)
+    assert (log.active_number, log.propose(1521, READ, [1], 9000).rejected) == (1, True)
     log.vote(1, 2, yes=False, why="no ready server")
     assert log.outcome(2).reason == "1 said no: no ready server"
     assert log.propose(1522, READ, [1], 9000) == log.outcome(1)  # in force already: nothing begins
@@ -227,23 +227,25 @@
 # -------------------------------------------------------------------- the node's part
 
 
-def node(log: Activations, *facts: str) -> tuple[RouteParticipant, list[Any]]:
+def node(log: ActivationCoordinator, *facts: str) -> tuple[RouteParticipant, list[Any]]:
     """A follower, attached until 400 as incarnation 1, S = own clock, told `log` and given these facts."""
     follower = RouteParticipant(("read", "write"), BOUND)
     follower.set_endpoints(0, SERVERS)
     said = told(follower, log, 0)
     for fact in facts:
         said = {
-            "fetched": lambda: follower.on_fetched(0, log.last, log.text(log.last)),
-            "stored": lambda: follower.on_stored(0, log.last, ok=True),
-            "lost": lambda: follower.on_fetched(0, log.last, None),
-            "other": lambda: follower.on_fetched(0, log.last, REST),
-            "unwritten": lambda: follower.on_stored(0, log.last, ok=False, why="ENOSPC"),
+            "fetched": lambda: follower.on_fetched(0, log.last_number, log.text(log.last_number)),
+            "stored": lambda: follower.on_stored(0, log.last_number, ok=True),
+            "lost": lambda: follower.on_fetched(0, log.last_number, None),
+            "other": lambda: follower.on_fetched(0, log.last_number, REST),
+            "unwritten": lambda: follower.on_stored(0, log.last_number, ok=False, why="ENOSPC"),
         }[fact]()
     return follower, said
 
 
-def told(follower: RouteParticipant, log: Activations, now: float, incarnation: int = 1) -> list[Any]:
+def told(
+    follower: RouteParticipant, log: ActivationCoordinator, now: float, incarnation: int = 1
+) -> list[Any]:
     return follower.on_answer(now, incarnation, now + TTL, (now - 1, now + 1), log.announcement())
 
 
@@ -270,7 +272,7 @@
         ("[[class.x.group]]\nweight = 1", "not one of this node's"),
         ("x = 1", "unreadable: x (line 1)"),
     ):
-        log = Activations()
+        log = ActivationCoordinator()
         log.propose(0, text, [1], 500)
         _, (vote,) = node(log, "fetched")
         assert (vote.yes, why in vote.reason) == (False, True)
@@ -343,7 +345,7 @@
 
 def test_a_catalog_built_anew_that_gives_the_number_to_another_text_is_not_taken_for_the_old() -> None:
     follower, _ = node(proposed(1), "fetched", "stored")
-    log = Activations()
+    log = ActivationCoordinator()
     log.propose(0, REST, [1], 500)
     follower.on_unregistered(10)
     assert told(follower, log, 20) == [Delete(1), Fetch(1)]
@@ -388,7 +390,7 @@
         self.now, self.lag, self.log_ms, self.faults = 1000.0, 0.0, 0.0, True
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = count()
-        self.log, self.switches, self.lapses = Activations(), 0, 0
+        self.log, self.switches, self.lapses = ActivationCoordinator(), 0, 0
         self.leases: dict[int, float] = {}  # by incarnation: when the leader lets it lapse
         self.lapsed: set[int] = set()
         self.cut_until = [0.0, 0.0, 0.0]  # no call of the node's comes through
@@ -575,8 +577,12 @@
             assert follows or not process.followed or not live or process.stopped
             process.followed = follows
             running |= {follower.running_version} if follows else set()
-            assert pending is None or process.incarnation not in pending.yes or pending.number in process.disk
-        moments = [row.at_ms for row in self.log.versions if row.at_ms is not None]
+            assert (
+                pending is None
+                or process.incarnation not in pending.yes_voters
+                or pending.number in process.disk
+            )
+        moments = [row.activates_at_ms for row in self.log.versions if row.activates_at_ms is not None]
         assert len(running) <= 1 or any(abs(self.now - at) <= BOUND for at in moments), running
 
 
@@ -584,11 +590,11 @@
 def test_followers_run_one_version_under_faults_and_agree_once_they_end(seed: int) -> None:
     fleet = Fleet(seed)
     fleet.run(20_000)
-    assert fleet.log.in_force > 3
+    assert fleet.log.active_number > 3
     assert fleet.lapses > 3
     fleet.faults = False
     fleet.run(2_500)
     assert fleet.log.pending is None
     for process in fleet.nodes:
         assert process.follower.participation(fleet.clock(process)) == "following"
-        assert process.follower.running_version == fleet.log.in_force
+        assert process.follower.running_version == fleet.log.active_number
--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -10,7 +10,7 @@
 from loadbalancer.membership.lease_clock import ATTACHED_TERM_FRACTION
 from loadbalancer.membership.member_lease import FULL_LIST_REVISION, RegistryCall
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import Ledger, Row
+from loadbalancer.membership.quota_ledger import MemberRecord, QuotaLedger
 from loadbalancer.registry.fleet_state import NO_SERVICE, DueExpiry
 from tests.support.orders.parts import TTL, Bounds, Node, Service, members_key, past
 
@@ -66,18 +66,23 @@
             self.broken,
         )
 
-    def _changes_key(self, service: str, ledger: Ledger) -> tuple[Any, ...]:
+    def _changes_key(self, service: str, ledger: QuotaLedger) -> tuple[Any, ...]:
         """The change log as far back as a renewal may yet name: where it begins, and the last change of each
         member."""
         named = [ledger.revision]
         for node in self.nodes:
             core = node.core
-            if core is not None and node.service == service and core.incarnation in ledger.by_incarnation:
+            if (
+                core is not None
+                and node.service == service
+                and core.incarnation in ledger.records_by_incarnation
+            ):
                 named.append(core.revision)
             named += [
                 sent.call.body["acked"]
                 for sent in node.calls
-                if sent.service == service and sent.call.body.get("incarnation") in ledger.by_incarnation
+                if sent.service == service
+                and sent.call.body.get("incarnation") in ledger.records_by_incarnation
             ]
         since = max(ledger._changes._floor, min(at for at in named if at != FULL_LIST_REVISION))
         changed = {number: at for at, number in ledger._changes._changes if at > since}
@@ -160,7 +165,7 @@
             told.removed,
         )
 
-    def _row_key(self, row: Row, revision: int, base: int, usable: int) -> tuple[Any, ...]:
+    def _row_key(self, row: MemberRecord, revision: int, base: int, usable: int) -> tuple[Any, ...]:
         lease = self.service.clock._leases.get(row.incarnation)
         told = None
         if lease is not None:
@@ -181,12 +186,12 @@
         return (
             row.incarnation,
             row.rank,
-            row.start,
-            revision - row.enrolled,
-            round(row.share, 6),
-            revision - row.acked,
+            row.start_id,
+            revision - row.enrolled_revision,
+            round(row.quota, 6),
+            revision - row.acknowledged_revision,
             row.elector,
             row.state,
-            base - row.seq,
+            base - row.renewal_seq,
             told,
         )
--- a/tests/support/orders/mistakes.py
+++ b/tests/support/orders/mistakes.py
@@ -12,9 +12,9 @@
 
 from loadbalancer.membership.member_lease import FULL_LIST_REVISION, MemberLease, QuotaStatus, SiblingReport
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import ExternalQuota, Ledger, Row
+from loadbalancer.membership.quota_ledger import ExternalQuota, MemberRecord, QuotaLedger
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, superseded_by
-from loadbalancer.routing.coordinator import PREPARING, Activations
+from loadbalancer.routing.coordinator import PREPARING, ActivationCoordinator
 from loadbalancer.routing.participant import Action, CopyStage, RouteParticipant, Store
 
 Mistake = Callable[[pytest.MonkeyPatch], None]
@@ -33,24 +33,24 @@
 
 
 def moment_without_the_term(patch: pytest.MonkeyPatch) -> None:
-    right = Activations.apply_due
+    right = ActivationCoordinator.apply_due
 
-    def settle(self: Activations, log_ms: float, ttl_ms: float, bound_ms: float) -> None:
+    def settle(self: ActivationCoordinator, log_ms: float, ttl_ms: float, bound_ms: float) -> None:
         right(self, log_ms, 0.0, bound_ms)
 
-    patch.setattr(Activations, "apply_due", settle)
+    patch.setattr(ActivationCoordinator, "apply_due", settle)
 
 
 def answer_omits_the_decision(patch: pytest.MonkeyPatch) -> None:
-    right = Activations.announcement
+    right = ActivationCoordinator.announcement
 
-    def answer(self: Activations) -> dict[str, Any]:
+    def answer(self: ActivationCoordinator) -> dict[str, Any]:
         told = right(self)
         if told["pending"] is not None:
             told["pending"] |= {"phase": PREPARING, "at": None}
         return told
 
-    patch.setattr(Activations, "announcement", answer)
+    patch.setattr(ActivationCoordinator, "announcement", answer)
 
 
 def share_grows_by_hearing(patch: pytest.MonkeyPatch) -> None:
@@ -64,15 +64,15 @@
 
 
 def incarnation_does_not_rise(patch: pytest.MonkeyPatch) -> None:
-    right = Ledger.enrol
+    right = QuotaLedger.enrol
 
-    def enrol(self: Ledger, name: str, address: str, zone: str, start: str) -> Row:
-        for row in self.by_incarnation.values():
-            if row.address == address and row.start != start:
-                self.incarnations = row.incarnation - 1
+    def enrol(self: QuotaLedger, name: str, address: str, zone: str, start: str) -> MemberRecord:
+        for row in self.records_by_incarnation.values():
+            if row.address == address and row.start_id != start:
+                self.last_incarnation = row.incarnation - 1
         return right(self, name, address, zone, start)
 
-    patch.setattr(Ledger, "enrol", enrol)
+    patch.setattr(QuotaLedger, "enrol", enrol)
 
 
 def hold_rests_on_any_word(patch: pytest.MonkeyPatch) -> None:
@@ -87,22 +87,22 @@
 
 
 def row_given_away_without_a_majority(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Ledger, "is_majority_attached", lambda self, support: True)
+    patch.setattr(QuotaLedger, "is_majority_attached", lambda self, support: True)
 
 
 def late_enrolment_frees_a_share(patch: pytest.MonkeyPatch) -> None:
     """As the ledger was until a search found it: the row of a restarted process began with what was free."""
-    right = Ledger.enrol
+    right = QuotaLedger.enrol
 
-    def enrol(self: Ledger, name: str, address: str, zone: str, start: str) -> Row:
-        known = any(row.start == start for row in self.by_incarnation.values())
+    def enrol(self: QuotaLedger, name: str, address: str, zone: str, start: str) -> MemberRecord:
+        known = any(row.start_id == start for row in self.records_by_incarnation.values())
         row = right(self, name, address, zone, start)
         if not known:
-            row.share = 0.0
+            row.quota = 0.0
             self._allocate(row)
         return row
 
-    patch.setattr(Ledger, "enrol", enrol)
+    patch.setattr(QuotaLedger, "enrol", enrol)
 
 
 def late_follower_knows_the_time_loosely(patch: pytest.MonkeyPatch) -> None:
@@ -120,7 +120,7 @@
     """What members that name no service may be taking is left out of a service's sum."""
     right = FleetState._prepared
 
-    def prepared(self: FleetState, service: str) -> Ledger:
+    def prepared(self: FleetState, service: str) -> QuotaLedger:
         ledger = right(self, service)
         ledger.external = ExternalQuota(0.0, ledger.external.members)
         return ledger
@@ -132,7 +132,7 @@
     """What is free in a service's group is worked out from the rows of another service's."""
     right = FleetState._prepared
 
-    def prepared(self: FleetState, service: str) -> Ledger:
+    def prepared(self: FleetState, service: str) -> QuotaLedger:
         ledger = right(self, service)
         other = next((group for name, group in self.services.items() if name != service), None)
         if service != NO_SERVICE and other is not None:
@@ -148,7 +148,9 @@
     """An enrolment under another service ends the earlier row at its address, and not only a renewal."""
     right = FleetState.enrol_in
 
-    def enrol_in(self: FleetState, service: str, name: str, address: str, zone: str, start: str) -> Row:
+    def enrol_in(
+        self: FleetState, service: str, name: str, address: str, zone: str, start: str
+    ) -> MemberRecord:
         row = right(self, service, name, address, zone, start)
         for ended in superseded_by(row, self.rows()):
             self.leave(ended)
@@ -160,9 +162,9 @@
 def changes_told_from_where_the_log_begins(patch: pytest.MonkeyPatch) -> None:
     """The service tells a process that is further behind than its change log what the log has. Harmless to
     the right node, which sees by `since` that there is a gap, and asks for the whole list."""
-    right = Ledger.grant
+    right = QuotaLedger.grant
 
-    def grant(self: Ledger, row: Row, acked: int, delta: bool = False) -> LeaseGrant:
+    def grant(self: QuotaLedger, row: MemberRecord, acked: int, delta: bool = False) -> LeaseGrant:
         floor = self._changes._floor
         if not delta or acked == FULL_LIST_REVISION or acked >= floor:
             return right(self, row, acked, delta)
@@ -173,7 +175,7 @@
             else replace_fields(told, since_revision=floor, members=())
         )
 
-    patch.setattr(Ledger, "grant", grant)
+    patch.setattr(QuotaLedger, "grant", grant)
 
 
 def changes_taken_over_a_gap(patch: pytest.MonkeyPatch) -> None:
--- a/tests/support/orders/parts.py
+++ b/tests/support/orders/parts.py
@@ -10,7 +10,7 @@
 from loadbalancer.membership.lease_clock import LeaseClock
 from loadbalancer.membership.member_lease import MemberLease, RegistryCall, SiblingReport
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import Ledger, Row, State
+from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState
 
 TTL = 1000.0
@@ -112,16 +112,16 @@
     )  # fmt: skip
 
 
-def copied_ledger(ledger: Ledger) -> Ledger:
-    new: Ledger = object.__new__(type(ledger))
+def copied_ledger(ledger: QuotaLedger) -> QuotaLedger:
+    new: QuotaLedger = object.__new__(type(ledger))
     new.__dict__.update(ledger.__dict__)
     new._changes = ledger._changes.copy()
-    new.by_incarnation = {
-        number: Row(
-            row.name, row.address, row.zone, row.start, row.incarnation, row.rank, row.enrolled, row.share,
-            row.acked, row.elector, row.state, row.seq,
+    new.records_by_incarnation = {
+        number: MemberRecord(
+            row.name, row.address, row.zone, row.start_id, row.incarnation, row.rank,
+            row.enrolled_revision, row.quota, row.acknowledged_revision, row.elector, row.state, row.renewal_seq,
         )
-        for number, row in ledger.by_incarnation.items()
+        for number, row in ledger.records_by_incarnation.items()
     }  # fmt: skip
     return new
 
@@ -139,4 +139,4 @@
 
 
 def members_key(members: Any) -> tuple[tuple[int, int, bool], ...]:
-    return tuple([(member.incarnation, member.rank, member.state == State.LEFT) for member in members])
+    return tuple([(member.incarnation, member.rank, member.state == MemberState.LEFT) for member in members])
--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -26,7 +26,7 @@
 from loadbalancer.endpoints import Endpoint, EndpointStatus
 from loadbalancer.membership.member_lease import RegistryCall
 from loadbalancer.membership.messages import LeaseAnswer, LeaseGrant
-from loadbalancer.membership.quota_ledger import Row
+from loadbalancer.membership.quota_ledger import MemberRecord
 from loadbalancer.registry.fleet_state import FleetState
 from loadbalancer.routing.participant import Action, Apply, CastVote, Delete, Fetch, RouteParticipant, Store
 from tests.support.orders.parts import NEVER, TTL, Bounds, Node
@@ -98,12 +98,12 @@
     def _words_of_operators(self) -> Iterator[tuple[str, Routes]]:
         talk, routes = self.talk, self.service.state.routes
         if talk.proposals:
-            text = TEXTS[routes.last % len(TEXTS)]
+            text = TEXTS[routes.last_number % len(TEXTS)]
             rest = replace(talk, proposals=talk.proposals - 1)
             yield self._move(
                 "propose", 0, lambda w: w._said(rest, lambda state: state.propose(text, w._s() + PREPARE))
             )
-        if talk.rollbacks and routes.in_force:
+        if talk.rollbacks and routes.active_number:
             rest = replace(talk, rollbacks=talk.rollbacks - 1)
             yield self._move(
                 "rollback", 0, lambda w: w._said(rest, lambda state: state.rollback(0, w._s() + PREPARE))
@@ -176,7 +176,7 @@
         self._put(at, edge)
         return edge
 
-    def _grant(self, state: FleetState, row: Row, call: RegistryCall) -> LeaseAnswer:
+    def _grant(self, state: FleetState, row: MemberRecord, call: RegistryCall) -> LeaseAnswer:
         fields = asdict(super()._grant(state, row, call))
         now = self._s()
         return LeaseAnswer(
@@ -242,7 +242,9 @@
         state, core = self._log(), self.nodes[at].core
         state.routes.vote(vote.incarnation, vote.number, vote.yes, vote.reason)
         pending = state.routes.pending
-        counted = pending is not None and pending.number == vote.number and vote.incarnation in pending.yes
+        counted = (
+            pending is not None and pending.number == vote.number and vote.incarnation in pending.yes_voters
+        )
         stored = any(number == vote.number for number, _ in self.edges[at].disk)
         if counted and not stored and core is not None and core.incarnation == vote.incarnation:
             self.broken = f"the yes of {self.nodes[at].name} is counted before its copy is stored"
@@ -294,12 +296,16 @@
         state = self.service.state
         routes = state.routes
         versions = tuple(
-            (one.number, one.phase, None if one.at_ms is None else max(one.at_ms - self._s(), -2 * BOUND))
+            (
+                one.number,
+                one.phase,
+                None if one.activates_at_ms is None else max(one.activates_at_ms - self._s(), -2 * BOUND),
+            )
             for one in routes.versions
         )
         pending = None
         if routes.pending is not None:
-            sets = (routes.pending.asked, routes.pending.needed, routes.pending.yes)
+            sets = (routes.pending.voters, routes.pending.required_voters, routes.pending.yes_voters)
             pending = (sets, routes.pending.deadline_ms - self._s())
         edges = tuple(self._edge_key(node, edge) for node, edge in zip(self.nodes, self.edges, strict=True))
         return (*super().key(), self.talk, self.lag, versions, pending, edges)
--- a/tests/support/orders/routes_check.py
+++ b/tests/support/orders/routes_check.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from loadbalancer.routing.coordinator import ABORTED, Version
+from loadbalancer.routing.coordinator import ABORTED, VersionRecord
 from tests.support.orders.parts import TTL
 
 if TYPE_CHECKING:
@@ -15,15 +15,15 @@
 PREPARE = 4 * TTL  # from a proposal to its deadline
 
 
-def decided(world: Routes) -> list[Version]:
+def decided(world: Routes) -> list[VersionRecord]:
     """By T, the first being version 0."""
     return sorted(
         (
             one
             for one in world.service.state.routes.versions
-            if one.at_ms is not None and one.phase != ABORTED
+            if one.activates_at_ms is not None and one.phase != ABORTED
         ),
-        key=lambda one: one.at_ms or 0.0,
+        key=lambda one: one.activates_at_ms or 0.0,
     )
 
 
@@ -33,8 +33,8 @@
     if world.broken is not None:
         return world.broken
     s, versions = world._s(), decided(world)
-    begun = [one.number for one in versions if (one.at_ms or 0.0) <= s + BOUND]
-    settled = [one.number for one in versions if (one.at_ms or 0.0) < s - BOUND]
+    begun = [one.number for one in versions if (one.activates_at_ms or 0.0) <= s + BOUND]
+    settled = [one.number for one in versions if (one.activates_at_ms or 0.0) < s - BOUND]
     right = {*settled[-1:], *begun[len(settled) :]}
     for node, edge in zip(world.nodes, world.edges, strict=True):
         if node.core is None:
@@ -56,6 +56,6 @@
     if after.service.state.routes.pending is not None:
         return "a pending activation has not ended"
     running = [edge.follower.running_version for edge in after.edges]
-    if set(running) != {after.service.state.routes.in_force}:
-        return f"nodes run {running}, in force is {after.service.state.routes.in_force}"
+    if set(running) != {after.service.state.routes.active_number}:
+        return f"nodes run {running}, in force is {after.service.state.routes.active_number}"
     return None
--- a/tests/support/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -47,7 +47,7 @@
     SiblingReport,
 )
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import Row
+from loadbalancer.membership.quota_ledger import MemberRecord
 from loadbalancer.registry.fleet_state import NO_SERVICE, DueExpiry, FleetState
 from tests.support.orders.keys import Keyed
 from tests.support.orders.parts import NEVER, RNG, TTL, Bounds, LateWord, Node, Sent, Service, copied, waits
@@ -222,7 +222,7 @@
         if call.path == "enrol":
             row = self._enrol(state, body)
             self._give(row)
-            self.service.clock.record_renewal(self.now, row.incarnation, row.seq, -1)
+            self.service.clock.record_renewal(self.now, row.incarnation, row.renewal_seq, -1)
         else:
             row = state.renew(body["incarnation"], body["seq"], body["acked"], body["using"])
             if row is not None:
@@ -231,21 +231,21 @@
         self.service.clock.retain({row.incarnation for row in state.rows()})
         return None if row is None else self._grant(state, row, call)
 
-    def _enrol(self, state: FleetState, body: dict[str, Any]) -> Row:
+    def _enrol(self, state: FleetState, body: dict[str, Any]) -> MemberRecord:
         if self.bounds.services:
             return state.enrol_in(**({"service": NO_SERVICE} | body))
         row = state.enrol(**body)
         assert row is not None
         return row
 
-    def _grant(self, state: FleetState, row: Row, call: RegistryCall) -> LeaseGrant:
+    def _grant(self, state: FleetState, row: MemberRecord, call: RegistryCall) -> LeaseGrant:
         return state.grant(row, call.body.get("acked", -1), call.body.get("delta", False))
 
-    def _give(self, row: Row) -> None:
-        if all(start != row.start for start, _ in self.given):
+    def _give(self, row: MemberRecord) -> None:
+        if all(start != row.start_id for start, _ in self.given):
             if any(number >= row.incarnation for _, number in self.given):
-                self.broken = f"incarnation {row.incarnation} given to {row.start} after {self.given}"
-            self.given = (*self.given, (row.start, row.incarnation))
+                self.broken = f"incarnation {row.incarnation} given to {row.start_id} after {self.given}"
+            self.given = (*self.given, (row.start_id, row.incarnation))
 
     def _answer(self, at: int, answer: tuple[int, LeaseGrant | None]) -> None:
         node = self._own(at)
@@ -328,7 +328,7 @@
 
     def _lead(self) -> None:
         state = self._log()
-        self.service.clock.begin_term(self.now, [(row.incarnation, row.seq) for row in state.rows()])
+        self.service.clock.begin_term(self.now, [(row.incarnation, row.renewal_seq) for row in state.rows()])
         self.plan = None  # the log refuses what the one before proposed
 
     def _snapshot(self) -> None:
--- a/tests/support/orders/shares_check.py
+++ b/tests/support/orders/shares_check.py
@@ -58,13 +58,12 @@
         if core is None or core.incarnation is None:
             continue
         ledger = state.services.get(node.service, state.ledger)
-        if core.incarnation not in ledger.by_incarnation or core.revision != ledger.revision:
+        if core.incarnation not in ledger.records_by_incarnation or core.revision != ledger.revision:
             continue
         if set(core.members) != set(ledger.members()):
             knows = [member.incarnation for member in core.members]
-            return (
-                f"{node.name} knows {knows} as the members at {core.revision}: {list(ledger.by_incarnation)}"
-            )
+            listed = list(ledger.records_by_incarnation)
+            return f"{node.name} knows {knows} as the members at {core.revision}: {listed}"
     return None
 
 
