--- a/tests/data/golden/generate_registry.py
+++ b/tests/data/golden/generate_registry.py
@@ -171,13 +171,26 @@
     step("PUT", "/discovery/hosts"),
 ]
 
+STORED = [
+    SETTLED,
+    step("GET", "/fleet/watch?incarnation=3&timeout_ms=0"),
+    step("GET", "/discovery/hosts"),
+    step("GET", "/discovery/hosts?since=12"),
+    step("GET", "/discovery/hosts?since=1"),
+    step("GET", "/fleet/routes", until='"pending":null'),  # led, and past the deadline of the pending version
+    *(step("GET", f"/fleet/routes/{number}") for number in range(7)),
+]
+
 SCRIPTS = {
     "targets": ("", 0, TARGETS),
     "groups": ("groups = true\nttl_ms = 600000\nprepare_ms = 600000", 0, MEMBERS + VERSIONS + ENDS),
     "short leases": ("ttl_ms = 300\nclock_bound_ms = 1", 0, SHORT_LEASES),
     "no groups": ("ttl_ms = 600000", 0, NO_GROUPS),
     "no quorum": ("", 2, NO_QUORUM),
+    "on a stored snapshot": ("ttl_ms = 1500", 0, STORED),
+    "on a stored journal": ("ttl_ms = 1500", 0, STORED),
 }
+ON_STORED_DATA = {"on a stored snapshot": "data-r0", "on a stored journal": "data-r2"}
 
 
 def main() -> None:
@@ -187,6 +200,8 @@
     for name, (members, peers, script) in SCRIPTS.items():
         with tempfile.TemporaryDirectory() as folder:
             case = {"members": members, "peers": peers, "steps": script}
+            if name in ON_STORED_DATA:
+                case["data"] = ON_STORED_DATA[name]
             recorded[name] = golden_registry.replay_instance(release, Path(folder), case)
     (out / "registry.json").write_bytes(orjson.dumps(recorded, option=orjson.OPT_INDENT_2))
     with tempfile.TemporaryDirectory() as folder:
