--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -25,12 +25,12 @@
 from loadbalancer.balancing import Balancer
 from loadbalancer.endpoints import AttemptResult, Endpoint
 from loadbalancer.node.clock import Clock
-from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.config import NodeConfig, parse_config
 from loadbalancer.node.control import control_plane as fleet_part
-from loadbalancer.node.control.registry_client import Agent
+from loadbalancer.node.control.registry_client import RegistryClient
 from loadbalancer.node.http import service_http as web
-from loadbalancer.registry.agent import Follower
-from loadbalancer.registry.settings import Agent as AgentSettings
+from loadbalancer.registry.agent import RegistryFollower
+from loadbalancer.registry.settings import AgentSettings
 from tests.support.loopback import config_row
 
 ALL = "all"  # the group where shares are not by service
@@ -61,7 +61,7 @@
         self.changes_seen[uid] = self.changes_seen.get(uid, 0) + 1
 
 
-class InnerAgent(Follower):
+class InnerAgent(RegistryFollower):
     """The agent's code, called without a socket between it and its node."""
 
     def __init__(self, spec: HollowSpec, instances: list[int], figures: Figures) -> None:
@@ -73,7 +73,7 @@
         self.figures = figures
 
     def _take(self, source_rev: int, whole: bool, targets: list[Any]) -> None:
-        before, follows = set(self.cache.entries), self.cache.have
+        before, follows = set(self.cache.entries), self.cache.filled
         super()._take(source_rev, whole, targets)
         for uid in self.cache.entries.keys() - before:
             if follows and uid.startswith(CHANGE):
@@ -87,7 +87,7 @@
         return web.Reply(answer.status, answer.headers, answer.body)
 
 
-class MeasuredAgent(Agent):
+class MeasuredAgent(RegistryClient):
     """The node's side of its agent: inner or a real process; each call is timed and what fails is counted."""
 
     def __init__(self, address: Callable[[], Any], node: HollowNode) -> None:
@@ -157,8 +157,8 @@
         if self._setup.probes:
             await self.part.start()
         else:
-            self.part.routing.start()
-            self.part.sight.start()
+            self.part.route_activation.start()
+            self.part.freshness.start()
             self.part.lease.start()
         self._tasks.append(asyncio.create_task(self._see_servers()))
 
@@ -174,8 +174,8 @@
         def agent(address: Callable[[], Any]) -> MeasuredAgent:
             return MeasuredAgent(address, self)
 
-        fleet_part.Agent = agent  # type: ignore[attr-defined, assignment]
-        return fleet_part.FleetPart(config, clock, servers, watcher, driver)  # type: ignore[arg-type]
+        fleet_part.RegistryClient = agent  # type: ignore[attr-defined, assignment]
+        return fleet_part.ControlPlane(config, clock, servers, watcher, driver)  # type: ignore[arg-type]
 
     def _time_enrolment(self) -> None:
         """Note when the first answer comes, ahead of what the part does with it."""
@@ -191,18 +191,18 @@
 
     async def _see_servers(self) -> None:
         """Facts on servers go out with the probes' payloads, as many as calls would make."""
-        view = self.part.sight.view
+        view = self.part.freshness.table
         while True:
-            now = self.part.clock.ms()
+            now = self.part.clock.now_ms()
             for uid in self._setup.servers[self.spec.service]:
-                view.saw(now, uid, AttemptResult.OK)
+                view.record_outcome(now, uid, AttemptResult.OK)
             await asyncio.sleep(SEEN_EVERY_S)
 
     async def leave(self) -> None:
         part, self.part = self.part, None
         if part is None:
             return
-        part.drains()
+        part.begin_drain()
         await part.stop()
         self._end(part)
 
@@ -222,7 +222,7 @@
         """The share that this node takes now."""
         if self.part is None:
             return 0.0
-        share = float(self.part.lease.core.taking(self.part.clock.ms()))
+        share = float(self.part.lease.core.taking(self.part.clock.now_ms()))
         if self._had_share and share <= 0.0:
             self.figures.yielded += 1
         self._had_share = share > 0.0
@@ -243,7 +243,7 @@
         """What this node makes of each sibling."""
         if self.part is None:
             return []
-        return [verdict.value for verdict in self.part.verdicts(self.part.clock.ms()).values()]
+        return [verdict.value for verdict in self.part.verdicts(self.part.clock.now_ms()).values()]
 
     @property
     def ttl_ms(self) -> float:
@@ -255,7 +255,7 @@
 
     @property
     def attached(self) -> bool:
-        return self.enrolled and bool(self.part.lease.core.attached(self.part.clock.ms()))
+        return self.enrolled and bool(self.part.lease.core.attached(self.part.clock.now_ms()))
 
     @property
     def elector(self) -> bool:
@@ -263,7 +263,7 @@
 
     @property
     def has_list(self) -> bool:
-        return self.agent is not None and self.agent.cache.have
+        return self.agent is not None and self.agent.cache.filled
 
 
 class _Servers:
@@ -271,8 +271,8 @@
 
     def __init__(self, clock: Clock, uids: list[str]) -> None:
         self._clock = clock
-        self.listed = {uid: (Endpoint(uid), ("127.0.0.1", 9)) for uid in uids}
-        self.listed_rev = self.origin_rev = 1
+        self.endpoints = {uid: (Endpoint(uid), ("127.0.0.1", 9)) for uid in uids}
+        self.revision = self.service_revision = 1
 
     @property
     def confirmed_ms(self) -> float:
@@ -281,15 +281,15 @@
 
 def probes(part: Any) -> tuple[int, int]:
     """Sent and taken; earlier releases name their shell otherwise."""
-    if hasattr(part, "probing"):
-        return part.probing.probes_sent, part.probing.probes_received
+    if hasattr(part, "probe_transport"):
+        return part.probe_transport.probes_sent, part.probe_transport.probes_received
     return part.hearing.asks, part.hearing.asked
 
 
 _seeds = itertools.count(1)
 
 
-def _config(spec: HollowSpec, setup: Setup) -> Config:
+def _config(spec: HollowSpec, setup: Setup) -> NodeConfig:
     group = len(setup.servers[spec.service]) if setup.scoped else len(setup.regions)
     kept = KEPT_MOST if group <= KEPT_MOST else KEPT_LARGE
     members: dict[str, Any] = {"listen": f"127.0.0.1:{spec.port}", "zone": spec.zone}
@@ -302,7 +302,7 @@
     return parse_config(orjson.dumps(row))
 
 
-def _balancer(config: Config) -> Any:
+def _balancer(config: NodeConfig) -> Any:
     """Its period is the real module's; it has no calls."""
     real = Balancer(config.settings, next(_seeds), 0.0)
     return SimpleNamespace(period_ms=real.period_ms, pool=lambda: (0.0, 0, 0.0))
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -1,105 +1,140 @@
-"""The view, carried out: own facts go in as they happen, marks come out on a period, facts go to siblings
-and back."""
+"""Feeds the freshness table and derives confidence levels from it.
+
+This node's observations go in as they happen, confidence levels come out periodically, and reports go to
+siblings and come from them on the probes' payloads.
+"""
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable, Collection
+from typing import Final, NamedTuple
 
 from loadbalancer.balancing.events import AttemptOutcome
 from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import Viewed
 from loadbalancer.node.balancer_driver import Driver
-from loadbalancer.node.control.timers import Alarm, FleetClock
-from loadbalancer.node.endpoint_list import ServerList
-from loadbalancer.node.membership_settings import FleetSettings
-from loadbalancer.staleness import Marks, Offsets, Stand, View
+from loadbalancer.node.control.clock import MembershipClock
+from loadbalancer.node.control.rejection_log import RejectionLog
+from loadbalancer.node.control.timers import RestartableTimer
+from loadbalancer.node.endpoint_list import EndpointList
+from loadbalancer.node.membership_settings import MembershipSettings
+from loadbalancer.staleness import (
+    ClockOffsets,
+    ConfidenceTracker,
+    ConnectivityState,
+    EdgeStatus,
+    FreshnessTable,
+)
+
+MAX_UPDATE_PERIODS: Final = 4.0  # control periods between two updates of the confidence levels, at most,
+MIN_UPDATE_MS: Final = 50.0  # but no less time than this, which bounds the CPU time of updates
 
-log = logging.getLogger("loadbalancer")
 
-PERIODS = 4.0  # between two updates of the marks, at most
-LEAST_MS = 50.0  # but no less, for what an update costs
+class _ListVersion(NamedTuple):
+    """The endpoint list as last passed to the table: discovery's revision and its last confirmation."""
 
+    revision: int
+    confirmed_ms: float
 
-class Sight:
-    """`on_marks` hears of the marks that have changed."""
+
+class FreshnessTracker:
+    """Keeps the freshness table current; `on_levels` is called with the confidence levels that changed."""
 
     def __init__(
         self,
-        settings: FleetSettings,
-        clock: FleetClock,
-        offsets: Offsets,
-        servers: ServerList,
+        settings: MembershipSettings,
+        clock: MembershipClock,
+        clock_offsets: ClockOffsets,
+        servers: EndpointList,
         driver: Driver,
-        on_marks: Callable[[dict[str, Confidence]], None],
+        on_levels: Callable[[dict[str, Confidence]], None],
     ) -> None:
-        self.stand: Callable[[], Stand] = lambda: "alone"
-        self.view = View(offsets)
+        self.connectivity: Callable[[], ConnectivityState] = lambda: "alone"
+        self.table = FreshnessTable(clock_offsets)
         self._settings, self._clock, self._servers = settings, clock, servers
-        self._driver, self._on_marks = driver, on_marks
+        self._driver, self._on_levels = driver, on_levels
         period_ms = driver.balancer.period_ms
-        # A mark has to hold until the next update, so that one late for the bounds would never be given.
-        self._every_ms = min(settings.marks_every_ms, max(LEAST_MS, PERIODS * period_ms))
-        self._marks = Marks(self.view, period_ms, self._every_ms)
-        self._alarm = Alarm(self._update)
-        self._listed: tuple[int, float] | None = None  # the revision and confirmation last taken over
-        self.refused = 0
-        self._shown = (-settings.ask_every_ms, b"")
+        # A level has to hold until the next update: updates too rare for the maximum ages would give none.
+        longest_ms = max(MIN_UPDATE_MS, MAX_UPDATE_PERIODS * period_ms)
+        self._update_every_ms = min(settings.confidence_period_ms, longest_ms)
+        self._confidence = ConfidenceTracker(self.table, period_ms, self._update_every_ms)
+        self._timer = RestartableTimer(self._update)
+        self._list_version: _ListVersion | None = None
+        self._rejections = RejectionLog("freshness: %d reports rejected, the last from %d: %s")
+        self._report = b""
+        self._reported_at = -settings.probe_period_ms
+
+    @property
+    def rejected_reports(self) -> int:
+        """Siblings' reports that were rejected since the start."""
+        return self._rejections.count
 
     def start(self) -> None:
+        """Update the confidence levels now and periodically."""
         self._update()
 
     def close(self) -> None:
-        self._alarm.cancel()
+        """Stop the updates."""
+        self._timer.cancel()
 
-    def marks(self) -> dict[str, Confidence]:
-        return self._marks.marks
+    def confidence(self) -> dict[str, Confidence]:
+        """The current confidence level of every listed server."""
+        return self._confidence.levels
 
-    def saw(self, outcome: AttemptOutcome) -> None:
-        """An attempt has ended: on every call's path."""
-        now = self._clock.ms()
-        self.view.saw(now, outcome.server, outcome.result)
+    def record_outcome(self, outcome: AttemptOutcome) -> None:
+        """An attempt at a server ended. Runs on the path of every call."""
+        now = self._clock.now_ms()
+        self.table.record_outcome(now, outcome.server, outcome.result)
         if outcome.load_report:
             load = outcome.load_report.get("util", outcome.load_report.get("queue"))
             if load is not None:
-                self.view.loaded(now, outcome.server, load)
-
-    def members(self, incarnations: Collection[int]) -> None:
-        self.view.members(incarnations)
-        self._marks.round_ms = self._settings.ask_every_ms * max(1, len(incarnations))
-
-    def told(self, viewed: Viewed) -> None:
-        why = self.view.told(viewed.now, viewed.incarnation, viewed.view)
-        if why is not None:
-            self.refused += 1
-            if self.refused % 100 == 1:  # one line for the first, then now and then
-                log.warning("view: %d not taken, the last from %d: %s", self.refused, viewed.incarnation, why)
-
-    def share(self, now: float) -> bytes:
-        """What goes with the next calls; made anew once a period."""
-        if now - self._shown[0] >= self._settings.ask_every_ms:
+                self.table.record_load(now, outcome.server, load)
+
+    def set_members(self, incarnations: Collection[int]) -> None:
+        """All members of the group but this node."""
+        self.table.set_members(incarnations)
+        self._confidence.round_ms = self._settings.probe_period_ms * max(1, len(incarnations))
+
+    def receive_report(self, viewed: Viewed) -> None:
+        """Use a sibling's report."""
+        rejection = self.table.receive_report(viewed.now, viewed.incarnation, viewed.view)
+        if rejection is not None:
+            self._rejections.add(viewed.incarnation, rejection)
+
+    def report(self, now: float) -> bytes:
+        """The encoded report for the next probes; made anew once a probe period."""
+        if now - self._reported_at >= self._settings.probe_period_ms:
             in_flight, cursor, threshold = self._driver.balancer.pool()
-            self.view.figures(now, in_flight, cursor, threshold)
-            self._shown = now, self.view.share(now)
-        return self._shown[1]
+            self.table.record_pool(now, in_flight, cursor, threshold)
+            self._reported_at, self._report = now, self.table.make_report(now)
+        return self._report
+
+    def edges(self, now: float) -> list[EdgeStatus]:
+        """The status of every edge, for operators."""
+        return self._confidence.edge_statuses(now)
 
-    def status(self, now: float) -> list[dict[str, object]]:
-        return self._marks.routes_status(now)
+    # ------------------------------------------------------------- internals
 
     def _update(self) -> None:
-        now = self._clock.ms()
+        now = self._clock.now_ms()
         self._follow_list()
-        changed = self._marks.update(now, self.stand())
+        changed = self._confidence.update(now, self.connectivity())
         if changed:
-            self._on_marks(changed)
-        self._alarm.at(self._clock.loop_time(now + self._every_ms))
+            self._on_levels(changed)
+        self._timer.schedule(self._clock.loop_time(now + self._update_every_ms))
 
     def _follow_list(self) -> None:
+        """Pass the endpoint list to the table where it was changed or confirmed."""
         servers = self._servers
-        heard = servers.listed_rev, servers.confirmed_ms
-        if heard == self._listed:
+        version = _ListVersion(servers.revision, servers.confirmed_ms)
+        if version == self._list_version:
             return
-        same = self._listed is not None and heard[0] == self._listed[0]
-        self._listed = heard
-        at = self._clock.ms() if heard[1] < 0.0 else self._clock.of_fleet(heard[1])
-        self.view.listed(at, servers.origin_rev, None if same else list(servers.listed))
+        unchanged = self._list_version is not None and version.revision == self._list_version.revision
+        self._list_version = version
+        if version.confirmed_ms < 0.0:  # not confirmed by discovery yet
+            confirmed_at = self._clock.now_ms()
+        else:
+            confirmed_at = self._clock.from_node_ms(version.confirmed_ms)
+        self.table.confirm_list(
+            confirmed_at, servers.service_revision, None if unchanged else list(servers.endpoints)
+        )
--- a/tests/stored/test_node_data.py
+++ b/tests/stored/test_node_data.py
@@ -17,8 +17,8 @@
 from loadbalancer.node.config import parse_config
 from loadbalancer.node.control.route_store import RouteStore
 from loadbalancer.node.state import snapshot
-from loadbalancer.node.state.ejections import Ban, Bans
-from loadbalancer.node.state.handover import Handover
+from loadbalancer.node.state.ejections import Ejection, EjectionStore
+from loadbalancer.node.state.handover import HandoverFiles
 from tests.support.loopback import config_row
 from tests.support.registry_processes import ROOT
 
@@ -40,11 +40,13 @@
 
 
 def test_a_state_file_is_read_whole_and_written_as_the_same_bytes() -> None:
-    found = snapshot.read(STATE, "n0", WRITTEN_MS + 1_000.0, 0)
-    assert (found.age_ms, found.broken) == (1_000.0, [])
+    found = snapshot.read_state(STATE, "n0", WRITTEN_MS + 1_000.0, 0)
+    assert (found.age_ms, found.violated_rules) == (1_000.0, [])
     assert found.learned is not None
-    assert found.listing is not None
-    written = snapshot.encode("n0", WRITTEN_MS, found.learned, found.out, found.listing)
+    assert found.endpoint_list is not None
+    written = snapshot.encode_state(
+        "n0", WRITTEN_MS, found.learned, found.ejected_since_ms, found.endpoint_list
+    )
     assert written == STATE.read_bytes()
 
 
@@ -61,7 +63,7 @@
 def test_route_versions_are_read_and_written_as_the_same_bytes(node: Path, tmp_path: Path) -> None:
     expected = [(number, text) for number, text in EXPECTED["routes"]]
     store = RouteStore(node / "routes")
-    assert store.read() == expected
+    assert store.load_all() == expected
     store.close()
     again = RouteStore(tmp_path / "again")
     for number, text in expected:
@@ -72,26 +74,26 @@
 
 def test_ejections_are_read_and_written_as_the_same_bytes(node: Path, tmp_path: Path) -> None:
     expected = EXPECTED["ejections"]
-    found = Bans(node / "ejections")
-    assert sorted(found.read(WRITTEN_MS)) == sorted(expected)
-    again = Bans(tmp_path / "again")
+    found = EjectionStore(node / "ejections")
+    assert sorted(found.read_changes(WRITTEN_MS)) == sorted(expected)
+    again = EjectionStore(tmp_path / "again")
     for name, row in expected.items():
-        assert found.get(name) == Ban(row["out_ms"], row["back_ms"])
-        again.take_out(name, row["out_ms"])
+        assert found.get(name) == Ejection(row["out_ms"], row["back_ms"])
+        again.eject(name, row["out_ms"])
         if row["back_ms"] is not None:
-            again.bring_back(name, row["back_ms"])
+            again.restore(name, row["back_ms"])
     assert files(tmp_path / "again") == files(DATA / "node" / "ejections")
 
 
 def test_what_a_process_hands_over_is_read_and_written_as_the_same_bytes(node: Path, tmp_path: Path) -> None:
-    learned, held = Handover(node / "handover", NEW_PROCESS).read(WRITTEN_MS)
+    learned, held = HandoverFiles(node / "handover", NEW_PROCESS).read_siblings(WRITTEN_MS)
     assert learned is not None
     assert held == EXPECTED["handover"]["held"]
-    Handover(tmp_path / "again", OLD_PROCESS).write(WRITTEN_MS, learned, held)
+    HandoverFiles(tmp_path / "again", OLD_PROCESS).write(WRITTEN_MS, learned, held)
     assert files(tmp_path / "again") == files(DATA / "node" / "handover")
 
 
 def test_two_processes_of_a_node_share_the_folders_that_they_always_shared(tmp_path: Path) -> None:
     config = parse_config(orjson.dumps(config_row("127.0.0.1:1")), {"TMPDIR": str(tmp_path)})
-    assert config.maintenance == tmp_path / "orchidledge-maintenance"
-    assert config.handover == tmp_path / "orchidledge-handover"
+    assert config.ejections_folder == tmp_path / "orchidledge-maintenance"
+    assert config.handover_folder == tmp_path / "orchidledge-handover"
--- a/tests/support/stored_registry.py
+++ b/tests/support/stored_registry.py
@@ -7,10 +7,10 @@
 
 from pysyncobj import SyncObj, SyncObjConf
 
-from loadbalancer.registry.catalog import Catalog
+from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.service_clock import ServiceClock
-from loadbalancer.registry.snapshot_file import Dump
+from loadbalancer.registry.snapshot_file import SnapshotFile
 from tests.support.pickle_contents import contents, unzipped
 from tests.support.ports import free_port
 from tests.support.registry_processes import until
@@ -24,9 +24,9 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.targets = Catalog(KEEP_GONE, lambda revision: None)
+        self.targets = TargetCatalog(KEEP_GONE, lambda revision: None)
         self.fleet = FleetCatalog(ServiceClock(None), lambda: 0.0, lambda groups: None)
-        self.snapshot_file = Dump([self.targets, self.fleet])
+        self.snapshot_file = SnapshotFile([self.targets, self.fleet])
 
     def read_snapshot(self) -> None:
         self.snapshot_file.read(str(self.folder / "raft.dump"))
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -20,8 +20,8 @@
 from loadbalancer.node.control.route_store import RouteStore
 from loadbalancer.node.state import snapshot
 from loadbalancer.node.state.snapshot import StateFile
-from loadbalancer.registry.catalog import Catalog, Page
-from loadbalancer.registry.fleet_catalog import FleetCatalog, Renewed
+from loadbalancer.registry.catalog import ListPage, TargetCatalog
+from loadbalancer.registry.fleet_catalog import AppliedRenewal, FleetCatalog
 from loadbalancer.registry.service_clock import ServiceClock
 
 MOST = 1_000  # interleavings of a case
@@ -32,10 +32,10 @@
 
     def __init__(self, wrong: bool) -> None:
         self.told: list[int] = []
-        self.catalog = Catalog(1, self.told.append)
+        self.catalog = TargetCatalog(1, self.told.append)
         self.put("a")
-        self.seen: Page | None = None
-        self.news: Page | None = None
+        self.seen: ListPage | None = None
+        self.news: ListPage | None = None
         if wrong:
             self.catalog._lock = nullcontext()
 
@@ -71,9 +71,9 @@
     def __init__(self, wrong: bool) -> None:
         self.fleet = FleetCatalog(ServiceClock(), lambda: 0.0, lambda groups: None)
         self.fleet.lead(0.0, 1, "", 0, 1000.0, 50.0, _doApply=True)
-        self.fleet.serve(1)
+        self.fleet.start_answering(1)
         self.enrol("n0")
-        self.taken: list[Renewed] = []
+        self.taken: list[AppliedRenewal] = []
         self.seen: dict[str, Any] = {}
         if wrong:
             self.fleet._lock = nullcontext()
@@ -86,14 +86,14 @@
         self.enrol("n1")
 
     def leader(self) -> None:
-        self.taken += self.fleet.take_renewed()
+        self.taken += self.fleet.take_applied_renewals()
 
     def web(self) -> None:
         self.seen = self.fleet.members()
 
     def holds(self) -> bool:
         """Each renewal is taken once; what is read is the log's state at one command's end."""
-        taken = [(one.incarnation, one.seq) for one in (*self.taken, *self.fleet.take_renewed())]
+        taken = [(one.incarnation, one.seq) for one in (*self.taken, *self.fleet.take_applied_renewals())]
         rows = [(row["name"], row["seq"], row["share"]) for row in self.seen["members"]]
         before, renewed = [("n0", 0, 1.0)], [("n0", 1, 1.0)]
         states = [(1, 1.0, before), (1, 2.0, renewed), (2, 2.0, [*renewed, ("n1", 0, 0.0)])]
@@ -107,26 +107,26 @@
     def __init__(self, wrong: bool) -> None:
         path = Path(tempfile.mkdtemp()) / "state"
         self.old, self.next = StateFile(path), StateFile(path)
-        self.wrote = self.old.holds()
+        self.wrote = self.old.acquire_lock()
         self.refused = False
         if wrong:
             self.old._writing = nullcontext()
 
     def write(self) -> None:
         try:
-            self.old._make_and_put(lambda: snapshot.frame(b"old"))
+            self.old._make_and_put(lambda: snapshot.encode_frame(b"old"))
         except OSError:
             self.refused = True
 
     def stop(self) -> None:
         self.old.close()
-        self.wrote = self.next.holds()
+        self.wrote = self.next.acquire_lock()
         if self.wrote:
-            self.next._make_and_put(lambda: snapshot.frame(b"new"))
+            self.next._make_and_put(lambda: snapshot.encode_frame(b"new"))
         self.next.close()
 
     def holds(self) -> bool:
-        return self.wrote and self.old.path.read_bytes() == snapshot.frame(b"new")
+        return self.wrote and self.old.path.read_bytes() == snapshot.encode_frame(b"new")
 
 
 class Twice:
@@ -135,7 +135,7 @@
     def __init__(self, wrong: bool) -> None:
         self.file = StateFile(Path(tempfile.mkdtemp()) / "state")
         self.failed: list[OSError] = []
-        self.wrote = self.file.holds()
+        self.wrote = self.file.acquire_lock()
         if wrong:
             self.file._writing = nullcontext()
 
@@ -147,12 +147,12 @@
 
     def _write(self, body: bytes) -> None:
         try:
-            self.file._make_and_put(lambda: snapshot.frame(body))
+            self.file._make_and_put(lambda: snapshot.encode_frame(body))
         except OSError as error:
             self.failed.append(error)
 
     def holds(self) -> bool:
-        whole = [snapshot.frame(body) for body in (b"first", b"second, longer")]
+        whole = [snapshot.encode_frame(body) for body in (b"first", b"second, longer")]
         return self.wrote and not self.failed and self.file.path.read_bytes() in whole
 
 
@@ -169,15 +169,15 @@
     def worker(self) -> None:
         self._step("write", lambda: self.store._write(1, "aborted"))
         if not self.wrong:
-            self._step("forget", lambda: self.store._forget(1))
+            self._step("forget", lambda: self.store._remove(1))
         self._step("write", lambda: self.store._write(2, "proposed next"))
 
     def beside(self) -> None:
         if self.wrong:  # removals by a thread of their own, out of the order they were asked for in
-            self._step("forget", lambda: self.store._forget(1))
+            self._step("forget", lambda: self.store._remove(1))
 
     def reader(self) -> None:
-        self._step("read", lambda: self.seen.extend(RouteStore(self.folder).read()))
+        self._step("read", lambda: self.seen.extend(RouteStore(self.folder).load_all()))
 
     def _step(self, name: str, act: Callable[[], object]) -> None:
         self.done.append(name)
@@ -186,7 +186,7 @@
     def holds(self) -> bool:
         """What is read is whole and was there at one moment; what is left is what was asked for last."""
         moments = ([], [(1, "aborted")], [(2, "proposed next")])
-        return self.seen in moments and RouteStore(self.folder).read() == [(2, "proposed next")]
+        return self.seen in moments and RouteStore(self.folder).load_all() == [(2, "proposed next")]
 
 
 CASES: dict[str, tuple[Callable[[bool], Any], list[Callable[[Any], None]]]] = {
--- a/tests/wire/test_golden_registry.py
+++ b/tests/wire/test_golden_registry.py
@@ -12,8 +12,8 @@
 import pytest
 
 from loadbalancer.node.http.service_http import Call, Client
-from loadbalancer.registry.forwarding import pass_on
-from loadbalancer.registry.renewal_relay import RenewalRelay, answer_batch, read_batch
+from loadbalancer.registry.forwarding import forward
+from loadbalancer.registry.renewal_relay import RenewalRelay, decode_renewals, encode_answers
 from tests.support.golden import PRESENT
 from tests.support.golden_registry import replay_agent, replay_instance
 from tests.support.golden_relay import Functions, play
@@ -33,5 +33,5 @@
 
 
 def test_an_instance_passes_calls_and_renewals_on_to_the_one_that_leads() -> None:
-    played = play(Functions(Client, Call, pass_on, RenewalRelay, read_batch, answer_batch))
+    played = play(Functions(Client, Call, forward, RenewalRelay, decode_renewals, encode_answers))
     assert orjson.loads(orjson.dumps(played)) == orjson.loads((DATA / "relay.json").read_bytes())
