--- a/tests/stored/test_node_data.py
+++ b/tests/stored/test_node_data.py
@@ -45,9 +45,7 @@
     assert (found.age_ms, found.violated_rules) == (1_000.0, [])
     assert found.learned is not None
     assert found.endpoint_list is not None
-    written = encode_state(
-        "n0", WRITTEN_MS, found.learned, found.ejected_since_ms, found.endpoint_list
-    )
+    written = encode_state("n0", WRITTEN_MS, found.learned, found.ejected_since_ms, found.endpoint_list)
     assert written == STATE.read_bytes()
 
 
