--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -1,13 +1,13 @@
-"""The fleet as every instance of the list service replicates it: a second consumer of the Raft log (store.py
-is the first), with the state and its rules in fleet_state.py.
+"""The fleet as every instance of the list service replicates it: the second consumer of the Raft log.
+
+The state and its rules are in fleet_state.py; catalog.py is the first consumer.
 
 A command of a leader that has been replaced since has the result None. Other results are what the answer to a
-node carries, taken at the command's place in the log; they are worked out by the instance that leads, and
-only there.
+node carries, taken at the command's place in the log; only the instance that leads prepares them.
 
-pysyncobj numbers commands by their methods' names, in order, so a journal is read as long as the order of the
-names it was written with stays. A command added later has to sort after all others: `write` does, and holds
-any of registry/commands.py.
+pysyncobj numbers commands by their methods' names, in order, and journals hold these numbers. So the names of
+replicated methods are part of the journal's format, and a command that is added has to sort after all others:
+`write` does, and carries any command of commands.py.
 """
 
 from __future__ import annotations
@@ -39,21 +39,21 @@
 
     incarnation: int
     seq: int
-    answered: int  # the last renewal whose answer the process has used
-    acked: int  # the revision of the member list that it acts on
-    using: float
+    answered_seq: int  # the last renewal whose answer the process has used
+    acknowledged_revision: int  # the revision of the member list that it acts on
+    quota_in_use: float
 
 
 class AppliedRequest(NamedTuple):
-    """An enrolment or renewal that was applied: its row, if there is one, and what its process knows."""
+    """An enrolment or renewal that was applied: its record, if there is one, and what its process knows."""
 
     row: MemberRecord | None
-    acked: int = -1
+    acknowledged_revision: int = -1
     takes_delta: bool = False
 
 
 class MemberGrant(Struct, frozen=True):
-    """What the process of a row is told: its lease, and the route versions (`Activations.answer`)."""
+    """The answer to a process: its lease, and the route versions (`ActivationCoordinator.announcement`)."""
 
     lease: LeaseGrant
     routes: dict[str, Any]
@@ -66,7 +66,7 @@
 
 
 class MembersRemoved(Struct, frozen=True):
-    """The incarnations that an operator's word ended."""
+    """The incarnations that an operator has ended."""
 
     incarnations: list[int]
 
@@ -76,20 +76,20 @@
 
 @dataclass(slots=True, frozen=True)
 class AppliedRenewal:
-    """A renewal or enrolment that was applied: what the leader counts its lease from."""
+    """A renewal or enrolment that was applied: the leader counts the lease from it."""
 
     at_ms: float  # ms of the monotonic clock
     incarnation: int
     seq: int
-    answered: int
+    answered_seq: int
 
 
 class FleetCatalog(SyncObjConsumer):  # type: ignore[misc]  # pysyncobj ships no types
     """The fleet's state under one lock: Raft's thread changes it, the event loop reads it.
 
-    `mono` is the monotonic clock in ms; `on_change` is called, in Raft's thread, when a revision has risen or
-    this instance has begun or ceased to lead, with the groups whose member lists have changed, None for all.
-    The service clock is changed under the same lock.
+    `monotonic_ms` reads the monotonic clock. `on_change` is called, in Raft's thread, when a revision has
+    risen or this instance has begun or ceased to lead, with the groups whose member lists have changed, None
+    for all. The service clock is changed under the same lock.
     """
 
     def __init__(
@@ -98,24 +98,20 @@
         monotonic_ms: Callable[[], float],
         on_change: Callable[[frozenset[str] | None], None],
     ) -> None:
-        # Set before the consumer's own start, so that pysyncobj leaves them out of its snapshots.
+        # pysyncobj stores the attributes that are set after its own constructor.
         self._lock = threading.Lock()
         self._clock = clock
         self._monotonic_ms = monotonic_ms
         self._on_change = on_change
-        self._answering_term = (
-            -1
-        )  # the term in which this instance answers: answers are made and renewals kept
+        self._answering_term = -1  # in which this instance prepares answers and records renewals
         self._applied_renewals: list[AppliedRenewal] = []
         self._delta_requests: set[int] = set()  # incarnations whose next renewal takes changes of the list
-        self.leader_term: int | None = (
-            None  # the Raft term this instance leads in; set by Raft's thread alone
-        )
+        self.leader_term: int | None = None  # in which this instance leads Raft; set by Raft's thread alone
         super().__init__()
         self.state = FleetState()
 
     def state_changed(self, old: int, new: int) -> None:
-        """pysyncobj's `onStateChanged`, in its thread, where the term is that of the state."""
+        """pysyncobj's `onStateChanged`, in its thread, where the term is that of the role."""
         self.leader_term = self._syncObj.raftCurrentTerm if new == RAFT_LEADER else None
         self._on_change(None)
 
@@ -125,7 +121,7 @@
     def lead(
         self, stamp: float, term: int, http: str, epoch: int | None, ttl_ms: float, bound_ms: float
     ) -> TermStart | None:
-        """The first of a term; its stamp says nothing, as service time goes on only from its result."""
+        """Begin a term. Its stamp has no meaning, since service time continues only from its result."""
         with self._lock:
             self._applied_renewals.clear()
             return self.state.start_term(term, http, epoch, ttl_ms, bound_ms)
@@ -134,7 +130,7 @@
     def enrol(
         self, stamp: float, term: int, name: str, address: str, zone: str, start: str
     ) -> list[MemberGrant | None] | None:
-        """What the process is told; None in its place where there are too many rows."""
+        """The process's grant; None in its place where there are too many members."""
 
         def act() -> list[AppliedRequest]:
             row = self.state.enrol(name, address, zone, start)
@@ -142,71 +138,84 @@
                 self._record_renewal(row.incarnation, row.renewal_seq, -1)
             return [AppliedRequest(row)]
 
-        return self._run(stamp, term, act, self._grants)
+        return self._apply(stamp, term, act, self._grants)
 
     @replicated  # type: ignore[untyped-decorator]
     def renew_many(
         self, stamp: float, term: int, renewals: list[PlainRenewal]
     ) -> list[MemberGrant | None] | None:
-        """For each renewal what its process is told, None where it has no row."""
-        return self._run(
+        """Each process's grant, None where it has no record."""
+        return self._apply(
             stamp, term, lambda: [self._renew(Renewal(*each)) for each in renewals], self._grants
         )
 
     @replicated  # type: ignore[untyped-decorator]
     def write(self, stamp: float, term: int, commands: list[bytes]) -> list[Outcome] | None:
-        """Carry out commands of registry/commands.py in turn; for each its outcome."""
-        return self._run(
-            stamp, term, lambda: [self._carry_out(decode(each)) for each in commands], self._outcomes
+        """Carry out commands of commands.py in turn; the outcome of each."""
+        return self._apply(
+            stamp, term, lambda: [self._execute(decode(each)) for each in commands], self._outcomes
         )
 
     @replicated  # type: ignore[untyped-decorator]
     def leaving(self, stamp: float, term: int, incarnation: int) -> bool | None:
-        return self._run(stamp, term, lambda: self.state.start_draining(incarnation), bool)
+        """A process drains; False where it has no record."""
+        return self._apply(stamp, term, lambda: self.state.start_draining(incarnation), bool)
 
     @replicated  # type: ignore[untyped-decorator]
     def leave(self, stamp: float, term: int, incarnation: int) -> bool | None:
-        return self._run(stamp, term, lambda: self.state.leave(incarnation), bool)
+        """A process has ended; False where it has no record."""
+        return self._apply(stamp, term, lambda: self.state.leave(incarnation), bool)
 
     @replicated  # type: ignore[untyped-decorator]
     def remove(self, stamp: float, term: int, name: str) -> list[int] | None:
-        return self._run(stamp, term, lambda: self.state.remove(name), _unchanged)
+        """An operator declares that the processes of this name have ended; their incarnations."""
+        return self._apply(stamp, term, lambda: self.state.remove(name), _unchanged)
 
     @replicated  # type: ignore[untyped-decorator]
     def expire(
         self, stamp: float, term: int, lapsed: list[tuple[int, int]], support: list[int], repeats: int
     ) -> Expired | None:
-        return self._run(stamp, term, lambda: self.state.expire(lapsed, support, repeats), _unchanged)
+        """Apply a DueExpiry (`FleetState.due_expiry`)."""
+        return self._apply(stamp, term, lambda: self.state.expire(lapsed, support, repeats), _unchanged)
 
     @replicated  # type: ignore[untyped-decorator]
     def propose(self, stamp: float, term: int, text: str, deadline_ms: float) -> ActivationOutcome | None:
-        """Begin to prepare a table, already checked, until `deadline_ms` (S)."""
-        return self._run(stamp, term, lambda: self.state.propose(text, deadline_ms), self.state.ruling)
+        """Begin to prepare a route table, already checked, until `deadline_ms` of service time."""
+        return self._apply(
+            stamp, term, lambda: self.state.propose(text, deadline_ms), self.state.current_outcome
+        )
 
     @replicated  # type: ignore[untyped-decorator]
     def rollback(self, stamp: float, term: int, number: int, deadline_ms: float) -> ActivationOutcome | None:
-        return self._run(stamp, term, lambda: self.state.rollback(number, deadline_ms), self.state.ruling)
+        """Begin to prepare the text of an earlier version under a new number."""
+        return self._apply(
+            stamp, term, lambda: self.state.rollback(number, deadline_ms), self.state.current_outcome
+        )
 
     @replicated  # type: ignore[untyped-decorator]
     def halt(self, stamp: float, term: int, number: int | None) -> ActivationOutcome | None:
-        return self._run(stamp, term, lambda: self.state.halt(number), self.state.ruling)
+        """Abort the pending route version if it is not decided; None: whichever is pending."""
+        return self._apply(stamp, term, lambda: self.state.halt(number), self.state.current_outcome)
 
     @replicated  # type: ignore[untyped-decorator]
     def vote(
         self, stamp: float, term: int, incarnation: int, number: int, yes: bool, why: str
     ) -> ActivationOutcome | None:
+        """A process's vote on the pending route version."""
         act = self.state.routes.vote
-        return self._run(stamp, term, lambda: act(incarnation, number, yes, why), self.state.ruling)
+        return self._apply(
+            stamp, term, lambda: act(incarnation, number, yes, why), self.state.current_outcome
+        )
 
     @replicated  # type: ignore[untyped-decorator]
     def decide(self, stamp: float, term: int) -> bool | None:
-        """Let the log's time pass: a deadline or a moment of activation may be reached by it."""
-        return self._run(stamp, term, lambda: True, _unchanged)
+        """Advance the log's time: a deadline or a time of activation may be reached by it."""
+        return self._apply(stamp, term, lambda: True, _unchanged)
 
     # The leader's.
 
     def start_answering(self, term: int) -> None:
-        """This instance is to answer in this term."""
+        """This instance prepares the answers to commands of this term, and records renewals."""
         with self._lock:
             self._answering_term = term
             self._delta_requests.clear()
@@ -218,11 +227,12 @@
             return taken
 
     def read(self, what: Callable[[FleetState], T]) -> T:
-        """What `what` makes of the state as applied here; it may keep no part of it that changes."""
+        """The result of `what` on the state as applied here, of which it may keep no part that changes."""
         with self._lock:
             return what(self.state)
 
     def has_quorum(self) -> bool:
+        """Whether this instance is connected to a majority."""
         try:
             return bool(self._syncObj.hasQuorum)
         except RuntimeError:  # pysyncobj's set of connections changed in its thread while it was counted
@@ -233,24 +243,24 @@
         return self._syncObj._getLeader() is not None
 
     def leader_address(self) -> str | None:
-        """Where the instance that leads answers, as far as this one knows."""
+        """The leader's host:port for HTTP, as far as this instance knows."""
         raft = self._syncObj
         with self._lock:
             known = self.state.term == raft.raftCurrentTerm and raft._getLeader() is not None
             return self.state.leader_address if known else None
 
     def request_delta(self, incarnation: int) -> None:
-        """The next renewal of this row takes changes of the member list in place of the whole."""
+        """The next renewal of this record is answered with changes in place of the complete member list."""
         with self._lock:
             self._delta_requests.add(incarnation)
 
     def members(self, service: str | None = None) -> dict[str, Any]:
-        """What GET /fleet/members answers; of one group, or of all."""
+        """What GET /fleet/members answers, of one group or of all; the keys are part of its wire form."""
         with self._lock:
             state = self.state
             rows = [
                 _member_entry(row, state.service_of(row.incarnation))
-                for row in state.rows()
+                for row in state.records()
                 if service in (None, state.service_of(row.incarnation))
             ]
             revision = state.group_revisions().get(service or "", 0)
@@ -258,13 +268,13 @@
 
     # Parts.
 
-    def _run(self, stamp: float, term: int, act: Callable[[], T], answer: Callable[[T], R]) -> R | None:
-        """Apply a command: its change, what that brings about, and then its answer."""
+    def _apply(self, stamp_ms: float, term: int, act: Callable[[], T], answer: Callable[[T], R]) -> R | None:
+        """Apply a command: its change, what becomes due by it, and then its answer."""
         with self._lock:
             before, routes_before = self.state.group_revisions(), self.state.routes.revision
-            if not self.state.accept(stamp, term):
+            if not self.state.accept(stamp_ms, term):
                 return None
-            self._observe_stamp(stamp)
+            self._observe_stamp(stamp_ms)
             result = act()
             self.state.settle()
             if routes_before != self.state.routes.revision:
@@ -277,21 +287,23 @@
         now = self.state.group_revisions()
         return frozenset(group for group, _ in before.items() ^ now.items())
 
-    def _observe_stamp(self, stamp: float) -> None:
-        # Not from a journal that is read back or caught up with: those stamps were made long before.
+    def _observe_stamp(self, stamp_ms: float) -> None:
+        # Not while a journal is replayed or caught up with: those stamps were made long before.
         raft = self._syncObj
         if raft is not None and raft.isReady() and raft.raftCurrentTerm == self.state.term:
-            self._clock.observe(self._monotonic_ms(), stamp, self.state.epoch)
+            self._clock.observe(self._monotonic_ms(), stamp_ms, self.state.epoch)
 
     def _renew(self, renewal: Renewal) -> AppliedRequest:
-        row = self.state.renew(renewal.incarnation, renewal.seq, renewal.acked, renewal.using)
+        row = self.state.renew(
+            renewal.incarnation, renewal.seq, renewal.acknowledged_revision, renewal.quota_in_use
+        )
         if row is not None:
-            self._record_renewal(renewal.incarnation, renewal.seq, renewal.answered)
+            self._record_renewal(renewal.incarnation, renewal.seq, renewal.answered_seq)
         takes_delta = renewal.incarnation in self._delta_requests
         self._delta_requests.discard(renewal.incarnation)
-        return AppliedRequest(row, renewal.acked, takes_delta)
+        return AppliedRequest(row, renewal.acknowledged_revision, takes_delta)
 
-    def _carry_out(
+    def _execute(
         self, command: EnrolMember | RemoveMembers | EndService
     ) -> MemberRecord | Rejected | MembersRemoved:
         try:
@@ -314,7 +326,7 @@
             self._applied_renewals.append(AppliedRenewal(self._monotonic_ms(), incarnation, seq, answered))
 
     def _grants(self, applied: Iterable[AppliedRequest]) -> list[MemberGrant | None] | None:
-        """What the processes are told; None where they have no row."""
+        """The processes' grants; None for a process without a record."""
         if self._answering_term != self.state.term:
             return None
         routes = self.state.routes.announcement()
@@ -330,7 +342,7 @@
         ]
 
     def _grant(self, row: MemberRecord, applied: AppliedRequest, routes: dict[str, Any]) -> MemberGrant:
-        return MemberGrant(self.state.grant(row, applied.acked, applied.takes_delta), routes)
+        return MemberGrant(self.state.grant(row, applied.acknowledged_revision, applied.takes_delta), routes)
 
     def _deserialize(self, data: dict[str, Any]) -> None:
         with self._lock:
@@ -339,7 +351,7 @@
 
 
 def _member_entry(row: MemberRecord, service: str) -> dict[str, Any]:
-    """A member as GET /fleet/members shows it; the keys are part of that call's wire form."""
+    """A member as GET /fleet/members shows it; the keys are part of its wire form."""
     return {
         "name": row.name,
         "address": row.address,
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -282,8 +282,8 @@
 
     async def _expire_leases(self) -> None:
         for renewal in self._fleet.take_applied_renewals():
-            self._leases.record_renewal(renewal.at_ms, renewal.incarnation, renewal.seq, renewal.answered)
-        self._leases.retain(self._fleet.read(lambda state: {row.incarnation for row in state.rows()}))
+            self._leases.record_renewal(renewal.at_ms, renewal.incarnation, renewal.seq, renewal.answered_seq)
+        self._leases.retain(self._fleet.read(lambda state: {row.incarnation for row in state.records()}))
         lapsed, support = self._leases.expired_and_attached(self._clocks.monotonic_ms())
         if not lapsed:
             return
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -1,22 +1,22 @@
-"""What the list service's log holds of the fleet: the members by group, the route versions, the log's time,
-who leads.
+"""The fleet's replicated state: the members by group, the route versions, the log's time, the leader.
 
 Pure and without clocks: the same commands in the same order give the same state on every instance. A command
-is `begin`, one change, `settle`, and then whatever its answer reads. Its rules:
+is `accept`, one change, `settle`, and then whatever its answer reads. Its rules:
 
-- Each command carries the leader's service time when it was proposed (`stamp`) and the Raft term it leads in.
-  `lead` is the first of a term; from there on commands of earlier terms are refused. So what a leader
-  proposed that has been replaced since, and that reached the log late, grants and ends nothing.
+- Each command carries the leader's service time at its proposal (`stamp_ms`) and its Raft term. `start_term`
+  is the first of a term; from there on commands of earlier terms are rejected. So what a leader proposed that
+  has been replaced since, and that reached the log late, grants and ends nothing.
 - The lease term and the clock bound in force are the longest that any leader so far was configured with,
-  since rows may still rest on them.
-- A leader that can't tell how service time goes on begins a new epoch of it (service_clock.py).
-- A group is the members in front of one service, with a ledger of its own: rows, electors, majority and
-  shares of one group know nothing of another's. A member that names no service may balance to any: its
-  share counts in the sum of every group, and its group's free share is what the fullest other leaves.
-- Incarnations are given once over all groups. Where a process enrols under another service than the one
-  before it at its address, the log can't tell at first which of the two has ended, as an enrolment may come
-  late. The first renewal tells: its process had an answer made after the earlier row, so it was there after
-  the process of that row, and one process at a time listens at an address. The earlier row has left then.
+  since members may still rely on them.
+- A leader that can't tell how service time continues begins a new epoch of it (service_clock.py).
+- A group is the members in front of one service, with a ledger of its own: its records, electors, majority
+  and quotas are independent of other groups'. A member that names no service may balance to any: its quota
+  counts in the sum of every group, and its group's free quota is what the fullest other group leaves.
+- Incarnations are unique over all groups and only rise. Where a process enrols under another service than the
+  process before it at its address, the log can't tell at first which of the two has ended, as an enrolment
+  may be delayed. The first renewal tells: its process had an answer made after the earlier record, so it was
+  there after the process of that record, and one process at a time listens at an address. The earlier record
+  has left then.
 """
 
 from __future__ import annotations
@@ -32,31 +32,31 @@
 from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
 from loadbalancer.routing.coordinator import ActivationCoordinator, ActivationOutcome
 
-# Guards: enrolments that never end must not grow the log's state without bound.
-MAX_UNGROUPED_MEMBERS = 1_000  # of members that name no service
-MAX_GROUP_MEMBERS = 500
-MAX_MEMBERS = 4_000
+# Enrolments must not grow the log's state without bound.
+MAX_UNGROUPED_MEMBERS = 1_000  # that name no service
+MAX_GROUP_MEMBERS = 500  # of one service
+MAX_MEMBERS = 4_000  # of all groups
 
 NO_SERVICE = ""  # the group of members that name no service
 
 
 @dataclass(slots=True, frozen=True)
 class TermStart:
-    """What the log held when a term of leading began."""
+    """What the log held when a leader's term began."""
 
-    log_ms: float
-    epoch: int
-    ttl_ms: float
-    renewals: list[tuple[int, int]]  # incarnation and seq
+    log_ms: float  # the highest stamp
+    epoch: int  # of service time
+    ttl_ms: float  # of the leases in force
+    renewals: list[tuple[int, int]]  # each record's incarnation and the seq of its last renewal
 
 
 @dataclass(slots=True, frozen=True)
 class DueExpiry:
-    """Leases that ran out, as (incarnation, seq of its last renewal), and the rows surely attached."""
+    """The arguments of `FleetState.expire`."""
 
-    lapsed: list[tuple[int, int]]
-    support: list[int]
-    repeated_enrolments: int
+    lapsed: list[tuple[int, int]]  # incarnation and seq of the last renewal of leases that have expired
+    support: list[int]  # incarnations that are attached for certain
+    repeated_enrolments: int  # the state's when this was decided
 
 
 class Expired(NamedTuple):
@@ -66,24 +66,34 @@
     removed: list[int]
 
 
+class Revisions(NamedTuple):
+    """What a member's process watches."""
+
+    members: int  # of the member list of its group
+    routes: int
+
+
 @dataclass(slots=True)
 class FleetState:
-    """`ledger` is the group of members that name no service, and gives all incarnations."""
+    """The state and its changes; `ledger` is the group without a service, and issues all incarnations.
+
+    Fields are stored in snapshots (stored_form.py).
+    """
 
     ledger: QuotaLedger = field(default_factory=QuotaLedger)
     routes: ActivationCoordinator = field(default_factory=ActivationCoordinator)
     log_ms: float = 0.0  # the highest stamp
-    term: int = -1  # of the last `lead`
-    leader_address: str = ""  # where the instance that leads in it answers
+    term: int = -1  # Raft's, of the present leader
+    leader_address: str = ""  # the present leader's host:port for HTTP
     epoch: int = 0  # of service time
-    ttl_ms: float = 0.0
-    clock_bound_ms: float = 0.0
+    ttl_ms: float = 0.0  # of leases: the longest of any leader
+    clock_bound_ms: float = 0.0  # the longest of any leader
     repeated_enrolments: int = 0  # enrolments of a process that had a row already
     services: dict[str, QuotaLedger] = field(default_factory=dict)
     _service_of: dict[int, str] = field(default_factory=dict, compare=False, repr=False)
 
     def __getstate__(self) -> tuple[None, dict[str, Any]]:
-        """As earlier releases write it and read it, for as long as no member names a service."""
+        """The stored fields; without `services` while there is none, as instances without groups need it."""
         kept = {one.name: getattr(self, one.name) for one in fields(self) if one.name != "_service_of"}
         if not self.services:
             del kept["services"]
@@ -99,40 +109,43 @@
         }
 
     def start_term(
-        self, term: int, http: str, epoch: int | None, ttl_ms: float, bound_ms: float
+        self, term: int, leader_address: str, epoch: int | None, ttl_ms: float, clock_bound_ms: float
     ) -> TermStart | None:
-        """Begin a term. `epoch`: of what its leader knows of service time, None where it knows none."""
+        """Begin a leader's term; None where a later term has begun.
+
+        `epoch` is that of the service time which the leader knows, None where it knows none.
+        """
         if term < self.term:
             return None
         if epoch != self.epoch and term > self.term:
             self.epoch += 1
-        self.term, self.leader_address = term, http
-        self.ttl_ms, self.clock_bound_ms = max(self.ttl_ms, ttl_ms), max(self.clock_bound_ms, bound_ms)
-        rows = [(row.incarnation, row.renewal_seq) for row in self.rows()]
+        self.term, self.leader_address = term, leader_address
+        self.ttl_ms, self.clock_bound_ms = max(self.ttl_ms, ttl_ms), max(self.clock_bound_ms, clock_bound_ms)
+        rows = [(row.incarnation, row.renewal_seq) for row in self.records()]
         return TermStart(self.log_ms, self.epoch, self.ttl_ms, rows)
 
-    def accept(self, stamp: float, term: int) -> bool:
-        """Whether a command counts; if so the log's time is its stamp, or what it was where that is later."""
+    def accept(self, stamp_ms: float, term: int) -> bool:
+        """Whether a command is of the present term; if so the log's time rises to its stamp."""
         if term != self.term:
             return False
-        self.log_ms = max(self.log_ms, stamp)
+        self.log_ms = max(self.log_ms, stamp_ms)
         return True
 
     def settle(self) -> None:
-        """Decide, end or put in force what is due, once the command's own change is made."""
+        """Decide, abort or activate the route version that is due, after the command's own change."""
         self.routes.apply_due(self.log_ms, self.ttl_ms, self.clock_bound_ms)
 
     # Changes.
 
     def enrol(self, name: str, address: str, zone: str, start: str) -> MemberRecord | None:
-        """The row of a process that names no service; None where there are too many."""
+        """The record of a process that names no service; None where there are too many."""
         ledger = self.ledger
         if len(ledger.records_by_incarnation) >= MAX_UNGROUPED_MEMBERS and not ledger.has_process(start):
             return None
         return self._enrol(NO_SERVICE, ledger, name, address, zone, start)
 
     def enrol_in(self, service: str, name: str, address: str, zone: str, start: str) -> MemberRecord:
-        """The row of a process in the group of this service; MemberLimitError where there are too many."""
+        """The record of a process in the group of this service; MemberLimitError where there are too many."""
         ledger = self._ledger_of(service)
         if not ledger.reuses_record(address, start):
             self._check_limits(service, ledger)
@@ -140,26 +153,39 @@
             self.services[service] = ledger
         return self._enrol(service, ledger, name, address, zone, start)
 
-    def renew(self, incarnation: int, seq: int, acked: int, using: float) -> MemberRecord | None:
+    def renew(
+        self, incarnation: int, seq: int, acknowledged_revision: int, quota_in_use: float
+    ) -> MemberRecord | None:
+        """Renew a lease; None where the process has no record and has to enrol again.
+
+        `acknowledged_revision` is the revision of the member list that the process acts on, `quota_in_use`
+        the most that it may be taking.
+        """
         renewed = self._ledger_of(self.service_of(incarnation)).records_by_incarnation.get(incarnation)
-        for ended in superseded_by(renewed, self.rows()):
+        for ended in superseded_by(renewed, self.records()):
             self.leave(ended)
-        row = self._prepared(self.service_of(incarnation)).renew(incarnation, seq, acked, using)
-        if row is not None:
+        ledger = self._prepared(self.service_of(incarnation))
+        record = ledger.renew(incarnation, seq, acknowledged_revision, quota_in_use)
+        if record is not None:
             self.routes.on_attached(incarnation)
-        return row
+        return record
 
     def start_draining(self, incarnation: int) -> bool:
+        """The process drains; False where it has no record."""
         return self._prepared(self.service_of(incarnation)).begin_draining(incarnation)
 
     def leave(self, incarnation: int) -> bool:
+        """The process has ended; False where it has no record."""
         left = self._prepared(self.service_of(incarnation)).leave(incarnation)
         if left:
             self.routes.on_left(incarnation)
         return left
 
     def remove(self, name: str, service: str | None = None) -> list[int]:
-        """The incarnations that an operator's word ended; service None: in every group."""
+        """End the processes of this name, as an operator declares; service None: in every group.
+
+        Returns their incarnations.
+        """
         ended = []
         for group in [NO_SERVICE, *self.services] if service is None else [service]:
             ended += self._prepared(group).remove(name)
@@ -168,7 +194,10 @@
         return ended
 
     def end_service(self, service: str) -> list[int]:
-        """Remove the group of a service that has ended; ServiceInUseError while a lease of it is live."""
+        """Remove the group of a service that has ended, and return its incarnations.
+
+        ServiceInUseError while a member of it has a live lease.
+        """
         ledger = self.services.get(service)
         if ledger is None:
             return []
@@ -181,9 +210,9 @@
             self._forget(incarnation)
         return ended
 
-    def expire(self, lapsed: list[tuple[int, int]], support: list[int], repeats: int) -> Expired:
-        """The rows that lapsed now and those removed; none where an enrolment was repeated meanwhile."""
-        if repeats != self.repeated_enrolments:
+    def expire(self, lapsed: list[tuple[int, int]], support: list[int], repeated_enrolments: int) -> Expired:
+        """Apply a DueExpiry; nothing changes where an enrolment was repeated since it was decided."""
+        if repeated_enrolments != self.repeated_enrolments:
             return Expired([], [])
         newly: list[int] = []
         removed: list[int] = []
@@ -201,33 +230,38 @@
         return Expired(newly, removed)
 
     def propose(self, text: str, deadline_ms: float) -> ActivationOutcome:
+        """Begin to prepare a route table, already checked, until `deadline_ms` of service time."""
         return self.routes.propose(self.log_ms, text, self._voters(), deadline_ms)
 
     def rollback(self, number: int, deadline_ms: float) -> ActivationOutcome:
+        """Begin to prepare the text of an earlier version under a new number."""
         return self.routes.rollback(self.log_ms, number, self._voters(), deadline_ms)
 
     def halt(self, number: int | None) -> ActivationOutcome:
+        """Abort the pending version if it is not decided; None: whichever is pending."""
         return self.routes.halt(self.log_ms, number)
 
     # Reads.
 
-    def grant(self, row: MemberRecord, acked: int, delta: bool) -> LeaseGrant:
-        """What the process of this row is told (`Ledger.grant`)."""
+    def grant(self, row: MemberRecord, acknowledged_revision: int, delta: bool) -> LeaseGrant:
+        """The lease of the process of this record (`QuotaLedger.grant`)."""
         service = self.service_of(row.incarnation)
-        return replace(self._prepared(service).grant(row, acked, delta), service=service)
+        return replace(self._prepared(service).grant(row, acknowledged_revision, delta), service=service)
 
     def service_of(self, incarnation: int) -> str:
-        """The group of this row, or where a row that is not there would have been before groups."""
+        """The service of this record; NO_SERVICE for one that does not exist."""
         return self._service_of.get(incarnation, NO_SERVICE)
 
-    def rows(self) -> Iterator[MemberRecord]:
-        """The rows of all groups."""
+    def records(self) -> Iterator[MemberRecord]:
+        """The records of all groups."""
         for ledger in self._ledgers():
             yield from ledger.records()
 
     def due_expiry(self, lapsed: list[tuple[int, int]], support: list[int]) -> DueExpiry | None:
-        """The part of these that `expire` would act on; None where that is nothing, so that an idle fleet
-        adds nothing to the log."""
+        """The part of these that `expire` would act on.
+
+        None where there is nothing to do, so that an idle fleet adds nothing to the log.
+        """
         due: list[tuple[int, int]] = []
         needed: set[int] = set()
         for service, rows in self._by_service(lapsed).items():
@@ -239,12 +273,12 @@
             return None
         return DueExpiry(due, [number for number in support if number in needed], self.repeated_enrolments)
 
-    def ruling(self, given: ActivationOutcome) -> ActivationOutcome:
-        """Where the version of a ruling stands now."""
-        return given if given.rejected else self.routes.outcome(given.number)
+    def current_outcome(self, outcome: ActivationOutcome) -> ActivationOutcome:
+        """The phase that the version of this outcome is in now."""
+        return outcome if outcome.rejected else self.routes.outcome(outcome.number)
 
     def decision_due(self, service_ms: float) -> bool:
-        """Whether a deadline or a moment of activation has come that `settle` has not seen."""
+        """Whether a deadline or a time of activation has passed since the last `settle`."""
         pending = self.routes.pending
         if pending is None:
             return False
@@ -252,12 +286,12 @@
             pending.deadline_ms if pending.activates_at_ms is None else pending.activates_at_ms
         )
 
-    def revisions(self, incarnation: int) -> tuple[int, int]:
-        """Of the member list that this row's process knows, and of the routes."""
-        return self._ledger_of(self.service_of(incarnation)).revision, self.routes.revision
+    def revisions(self, incarnation: int) -> Revisions:
+        """The revisions that the process of this record watches."""
+        return Revisions(self._ledger_of(self.service_of(incarnation)).revision, self.routes.revision)
 
     def group_revisions(self) -> dict[str, int]:
-        """Of each group's member list."""
+        """The revision of each group's member list."""
         revisions = {service: ledger.revision for service, ledger in self.services.items()}
         revisions[NO_SERVICE] = self.ledger.revision
         return revisions
@@ -274,7 +308,7 @@
         return self.services.get(service) or QuotaLedger()
 
     def _prepared(self, service: str) -> QuotaLedger:
-        """The ledger, knowing what members outside of its group may be taking of the same whole."""
+        """The ledger, with the quota that members outside of its group may be taking."""
         ledger = self._ledger_of(service)
         if service != NO_SERVICE:
             ledger.external = ExternalQuota(self.ledger.granted_quota(), self.ledger.sharing_count())
@@ -291,8 +325,8 @@
         self._prepared(service).last_incarnation = given
         row = ledger.enrol(name, address, zone, start)
         self.ledger.last_incarnation = ledger.last_incarnation
-        # Guard: by a renewal's seq, an `expire` on its way sees that the lease runs anew. An enrolment that
-        # is repeated changes no seq, so their count has to say so.
+        # An `expire` that is already proposed sees by a renewal's seq that the lease was renewed. A repeated
+        # enrolment changes no seq, so it is counted.
         self.repeated_enrolments += ledger.last_incarnation == given
         for gone in before - ledger.records_by_incarnation.keys():
             self._forget(gone)
@@ -303,12 +337,14 @@
 
     def _check_limits(self, service: str, ledger: QuotaLedger) -> None:
         rows = len(ledger.records_by_incarnation)
-        # Guard: members that name no service had so many before groups were switched on.
+        # A fleet without groups may have this many members, and keeps them when groups are switched on.
         if rows >= (MAX_UNGROUPED_MEMBERS if service == NO_SERVICE else MAX_GROUP_MEMBERS):
-            raise MemberLimitError(f"service {service!r} has {rows} members, the most that a group may have")
+            message = f"service {service!r} has {rows} members, the most that a group may have"
+            raise MemberLimitError(message)
         rows = sum(len(other.records_by_incarnation) for other in self._ledgers())
         if rows >= MAX_MEMBERS:
-            raise MemberLimitError(f"there are {rows} members, the most that all groups may have together")
+            message = f"there are {rows} members, the most that all groups may have together"
+            raise MemberLimitError(message)
 
     def _by_service(self, lapsed: list[tuple[int, int]]) -> dict[str, list[tuple[int, int]]]:
         found: dict[str, list[tuple[int, int]]] = {}
@@ -322,11 +358,11 @@
 
     def _voters(self) -> list[int]:
         live = (MemberState.LIVE, MemberState.DRAINING)
-        return [row.incarnation for row in self.rows() if row.state in live]
+        return [row.incarnation for row in self.records() if row.state in live]
 
 
 def superseded_by(renewed: MemberRecord | None, rows: Iterable[MemberRecord]) -> list[int]:
-    """The earlier rows at the address of this one, whose processes have ended as it is first renewed."""
+    """The incarnations of earlier records at the address of this one, ended by its first renewal."""
     if renewed is None or renewed.renewal_seq > 0:
         return []
     return [
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -38,7 +38,7 @@
 def renew_all(state: FleetState, turns: int = 3) -> None:
     """Every process renews and takes what it is told, turn by turn."""
     for _ in range(turns):
-        for row in list(state.rows()):
+        for row in list(state.records()):
             grant = state.grant(row, -1, delta=False)
             state.renew(row.incarnation, row.renewal_seq + 1, grant.revision, min(row.quota, grant.quota))
 
@@ -103,7 +103,7 @@
     enrol(state, "pay", "n1", "n2", "n3")
     enrol(state, "find", "n4", "n5")
     renew_all(state)
-    seqs = {row.incarnation: row.renewal_seq for row in state.rows()}
+    seqs = {row.incarnation: row.renewal_seq for row in state.records()}
     due = state.due_expiry([(1, seqs[1]), (4, seqs[4])], [2, 3])
     assert due is not None
     newly, removed = state.expire(due.lapsed, due.support, due.repeated_enrolments)
@@ -192,7 +192,7 @@
     with pytest.raises(MemberLimitError, match="all groups"):
         enrol(state, "other", "n5")
     assert "other" not in state.services
-    assert [row.name for row in state.rows()] == ["n1", "n2", "n4"]
+    assert [row.name for row in state.records()] == ["n1", "n2", "n4"]
 
 
 def test_members_that_name_no_service_keep_their_limit_when_groups_are_switched_on(
@@ -224,7 +224,7 @@
     enrol(state, NO_SERVICE, "n1")
     enrol(state, "pay", "n2", "n3")
     copy: FleetState = pickle.loads(pickle.dumps(state))
-    assert [row for row in copy.rows()] == [row for row in state.rows()]
+    assert [row for row in copy.records()] == [row for row in state.records()]
     assert copy.service_of(3) == "pay"
     row = copy.services["pay"].records_by_incarnation[3]
     assert copy.grant(row, 1, delta=True).since_revision is UNSET  # what changed before it is not known
--- a/tests/support/orders/mistakes.py
+++ b/tests/support/orders/mistakes.py
@@ -152,7 +152,7 @@
         self: FleetState, service: str, name: str, address: str, zone: str, start: str
     ) -> MemberRecord:
         row = right(self, service, name, address, zone, start)
-        for ended in superseded_by(row, self.rows()):
+        for ended in superseded_by(row, self.records()):
             self.leave(ended)
         return row
 
--- a/tests/support/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -228,7 +228,7 @@
             if row is not None:
                 self.service.clock.record_renewal(self.now, row.incarnation, body["seq"], body["answered"])
         state.settle()
-        self.service.clock.retain({row.incarnation for row in state.rows()})
+        self.service.clock.retain({row.incarnation for row in state.records()})
         return None if row is None else self._grant(state, row, call)
 
     def _enrol(self, state: FleetState, body: dict[str, Any]) -> MemberRecord:
@@ -319,7 +319,7 @@
         state = self._log()
         state.expire(plan.lapsed, plan.support, plan.repeated_enrolments)
         state.settle()
-        self.service.clock.retain({row.incarnation for row in state.rows()})
+        self.service.clock.retain({row.incarnation for row in state.records()})
 
     def _apply(self) -> None:
         assert self.plan is not None
@@ -328,7 +328,9 @@
 
     def _lead(self) -> None:
         state = self._log()
-        self.service.clock.begin_term(self.now, [(row.incarnation, row.renewal_seq) for row in state.rows()])
+        self.service.clock.begin_term(
+            self.now, [(row.incarnation, row.renewal_seq) for row in state.records()]
+        )
         self.plan = None  # the log refuses what the one before proposed
 
     def _snapshot(self) -> None:
