--- a/tests/support/golden_members.py
+++ b/tests/support/golden_members.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 import msgpack
+import msgspec
 
 Row = dict[str, Any]
 
@@ -22,6 +23,7 @@
 RESULT_OF = {2: ACKED, 3: TIMED_OUT, 4: CONNECTION_REFUSED, 5: ACKED}  # of an indirect probe
 GARBAGE = bytes(msgpack.packb("no message"))
 TICK_MS = 50.0
+RECORDED_REJECTIONS = {"malformed": "garbage"}
 SERVICE_MS = 1_764_000_000_000.0
 
 
@@ -153,26 +155,31 @@
     return bytes(msgpack.packb(list(row.values())))
 
 
+def _recorded(rejection: Any) -> str | None:
+    """A reason for rejecting a report, by the name it was recorded under."""
+    return None if rejection is None else RECORDED_REJECTIONS[rejection.value]
+
+
 def staleness(cores: Cores) -> list[Row]:
     """What a node tells of what it has seen, and what it makes of what a sibling tells."""
     offsets = cores.offsets()
     view = cores.view(offsets)
-    view.members([2])
-    view.listed(100.0, 12, ["t1", "t2", "t3"])
+    view.set_members([2])
+    view.confirm_list(100.0, 12, ["t1", "t2", "t3"])
     for at, result in enumerate(
         ("ok", "timeout", "error", "full", "connect_failed", "reset", "cancelled", "moot")
     ):
-        view.saw(200.0 + at, f"t{1 + at % 3}", cores.result(result))
-    view.loaded(210.0, "t1", 0.75)
-    view.figures(220.0, 3.0, -2, 0.5)
-    rows: list[Row] = [{"shares": said(view.share(300.0))}, {"shares": said(view.share(301.0))}]
-    offsets.sample(2, 310.0, 1_000_312.0, 1_000_313.0, 315.0)
+        view.record_outcome(200.0 + at, f"t{1 + at % 3}", cores.result(result))
+    view.record_load(210.0, "t1", 0.75)
+    view.record_pool(220.0, 3.0, -2, 0.5)
+    rows: list[Row] = [{"shares": said(view.make_report(300.0))}, {"shares": said(view.make_report(301.0))}]
+    offsets.add_sample(2, 310.0, 1_000_312.0, 1_000_313.0, 315.0)
     for payload in (share(1, 1_000_314.0), share(1, 1_000_315.0), share(2, 1.0, form=2), GARBAGE):
-        rows.append({"told": said(payload), "refused": view.told(320.0, 2, payload)})
+        rows.append({"told": said(payload), "refused": _recorded(view.receive_report(320.0, 2, payload))})
     marks = cores.marks(view, 100.0, 250.0)
     changed = marks.update(330.0, "attached")
     rows.append({"marks": {name: mark.value for name, mark in changed.items()}})
-    rows.append({"status": marks.routes_status(330.0)})
+    rows.append({"status": msgspec.to_builtins(marks.edge_statuses(330.0))})
     return rows
 
 
--- a/tests/support/orders/parts.py
+++ b/tests/support/orders/parts.py
@@ -119,7 +119,8 @@
     new.records_by_incarnation = {
         number: MemberRecord(
             row.name, row.address, row.zone, row.start_id, row.incarnation, row.rank,
-            row.enrolled_revision, row.quota, row.acknowledged_revision, row.elector, row.state, row.renewal_seq,
+            row.enrolled_revision, row.quota, row.acknowledged_revision, row.elector, row.state,
+            row.renewal_seq,
         )
         for number, row in ledger.records_by_incarnation.items()
     }  # fmt: skip
