--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -222,7 +222,7 @@
         """The share that this node takes now."""
         if self.part is None:
             return 0.0
-        share = float(self.part.lease.core.taking(self.part.clock.now_ms()))
+        share = float(self.part.lease.core.quota_in_force(self.part.clock.now_ms()))
         if self._had_share and share <= 0.0:
             self.figures.yielded += 1
         self._had_share = share > 0.0
@@ -255,7 +255,7 @@
 
     @property
     def attached(self) -> bool:
-        return self.enrolled and bool(self.part.lease.core.attached(self.part.clock.now_ms()))
+        return self.enrolled and bool(self.part.lease.core.is_attached(self.part.clock.now_ms()))
 
     @property
     def elector(self) -> bool:
