--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -243,7 +243,7 @@
         """What this node makes of each sibling."""
         if self.part is None:
             return []
-        return [verdict.value for verdict in self.part.verdicts(self.part.clock.now_ms()).values()]
+        return [verdict.value for verdict in self.part.group.verdicts(self.part.clock.now_ms()).values()]
 
     @property
     def ttl_ms(self) -> float:
--- a/loadbalancer/node/component.py
+++ b/loadbalancer/node/component.py
@@ -1,4 +1,4 @@
-"""What a node runs beside its service to callers, in the form that its assembly asks for."""
+"""Components that run beside a node's service to callers."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class Component(Protocol):
-    """Begins, ends and reports with the node that lists it in `Node.parts`."""
+    """Starts, stops and reports metrics with the node."""
 
     async def start(self) -> None:
-        """The node serves callers from here on."""
+        """Start; the node serves callers already."""
 
     async def stop(self) -> None:
-        """The node leaves service in an orderly way: all requests have their answers, `close` comes next."""
+        """Shut down gracefully: every request has been answered, and `close` follows."""
 
     def close(self) -> None:
-        """Let go of timers, sockets and files at once, whether or not `stop` or even `start` has run."""
+        """Release timers, sockets and files at once, whether or not `stop` or even `start` has run."""
 
     def metrics(self) -> str:
-        """Its lines of GET /status/metrics, `proxy.NAME=VALUE` each and each with its line end."""
+        """The component's lines of GET /status/metrics, each `proxy.NAME=VALUE` and a line end."""
         ...
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -14,33 +14,30 @@
 from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import (
     Changed,
-    Connectivity,
     DetectorConfig,
     Enrolment,
     FailureDetector,
-    LeaseStatus,
     Sibling,
-    Verdict,
     Viewed,
     Word,
-    connectivity,
-    verdict,
 )
-from loadbalancer.membership.messages import LeaseAnswer, Member
+from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.admin.server import AdminResponse, AdminRoutes
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import NodeConfig
-from loadbalancer.node.control import member_status
+from loadbalancer.node.control import status_bodies
 from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.freshness_tracker import FreshnessTracker
+from loadbalancer.node.control.group_view import GroupView
 from loadbalancer.node.control.lease_client import REGISTRY_PEER, LeaseClient
-from loadbalancer.node.control.member_status import MembersStatus, RoutesStatus, SiblingStatus
 from loadbalancer.node.control.operator_requests import forward_request
 from loadbalancer.node.control.probe_transport import ProbeTransport
 from loadbalancer.node.control.registry_client import RegistryClient
 from loadbalancer.node.control.route_activation import RouteActivator
 from loadbalancer.node.control.route_store import RouteStore
+from loadbalancer.node.control.status_bodies import MembersStatus, RoutesStatus
+from loadbalancer.node.control.status_reporter import StatusReporter
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from loadbalancer.node.endpoint_list import EndpointList
 from loadbalancer.routing import Follower
@@ -48,18 +45,15 @@
 
 log = logging.getLogger("loadbalancer")
 
-SIBLING_ACK_TIMEOUT_MS: Final = 3_000.0  # a detached node that no sibling acked for so long is isolated
 NONCE_BYTES: Final = 8  # tells one start of a process from another
 SEED_BYTES: Final = 8
-QUOTA_DECIMALS: Final = 6  # of the metric
-DELAY_DECIMALS: Final = 3  # of the metric, in ms
 
 
 class ControlPlane:
     """A component of the node (node/component.py) where the configuration names `members`.
 
-    Its fields are the parts that it assembles: the lease, the probe transport, the route activation and the
-    freshness of what the node knows.
+    Its fields are the parts that it assembles: the lease, the probe transport, the route activation, the
+    freshness of what the node knows, and its view of the group.
     """
 
     def __init__(
@@ -75,7 +69,7 @@
         self.settings = settings = config.membership
         self.clock = MembershipClock(clock, settings.clock_offset_ms)
         self.clock_offsets = ClockOffsets()
-        self._name, self._servers, self._tell = config.name, servers, driver.tell
+        self._name, self._servers, self._notify_balancer = config.name, servers, driver.tell
         self._granted: QuotaGrant | None = None  # the last one that the balancer was notified of
         self._client = RegistryClient(lambda: watcher.address)
         rng = Random(int.from_bytes(os.urandom(SEED_BYTES), "big"))  # the balancer's draws are its own
@@ -85,7 +79,18 @@
         self.freshness = FreshnessTracker(
             settings, self.clock, self.clock_offsets, servers, driver, self._on_levels
         )
-        self.freshness.connectivity = lambda: self.connectivity(self.clock.now_ms()).value
+        self.group = GroupView(self.lease, self.probe_transport)
+        self.freshness.connectivity = lambda: self.group.connectivity(self.clock.now_ms()).value
+        self._status = StatusReporter(
+            config.name,
+            settings.service,
+            self.clock,
+            self.lease,
+            self.probe_transport,
+            self.route_activation,
+            self.freshness,
+            self.group,
+        )
         driver.before.append(self.route_activation.run_if_due)
 
     def _make_lease(self, rng: Random) -> LeaseClient:
@@ -114,7 +119,7 @@
         core = Follower(class_names, self.settings.max_clock_uncertainty_ms)
         folder = self.settings.routes_path
         store = RouteStore(folder) if folder is not None else None
-        return RouteActivator(core, self._client, self.clock, store, self._tell)
+        return RouteActivator(core, self._client, self.clock, store, self._notify_balancer)
 
     # ------------------------------------------------- as a component of the node
 
@@ -147,26 +152,13 @@
 
     def metrics(self) -> str:
         """The lines of GET /status/metrics."""
-        now = self.clock.now_ms()
-        metrics = member_status.count_verdicts(self.verdicts(now).values()) | {
-            "members_asks": self.probe_transport.probes_sent,
-            "members_asked": self.probe_transport.probes_received,
-            "members_refused": self.probe_transport.rejected_calls,
-            "members_ignored": self.probe_transport.core.ignored.total(),
-            "view_refused": self.freshness.rejected_reports,
-            "lease_failures": self.lease.failures,
-            "share": round(self.lease.core.taking(now), QUOTA_DECIMALS),
-            "route_version": self.route_activation.core.running,
-            "route_switches": self.route_activation.switches,
-            "route_late_ms": round(self.route_activation.last_delay_ms, DELAY_DECIMALS),
-        }
-        return member_status.format_metrics(metrics)
+        return self._status.metrics()
 
-    def admin_calls(self) -> AdminRoutes:
+    def admin_routes(self) -> AdminRoutes:
         """The admin server's calls on the control plane."""
         return {
-            (b"GET", b"/status/members"): lambda _: _ok(self.status()),
-            (b"GET", b"/status/routes"): lambda _: _ok(self.routes_status()),
+            (b"GET", b"/status/members"): lambda _: _ok(self._status.members_status()),
+            (b"GET", b"/status/routes"): lambda _: _ok(self._status.routes_status()),
             (b"PUT", b"/routes/halt"): lambda body: self._forward("routes/halt", body),
             (b"PUT", b"/routes/rollback"): lambda body: self._forward("routes/rollback", body),
         }
@@ -186,7 +178,7 @@
             for member in core.members
             if member.state != "left"
         ]
-        self.probe_transport.carry_out(detector.set_members(now, siblings))
+        self.probe_transport.execute(detector.set_members(now, siblings))
         self.freshness.set_members(
             [sibling.incarnation for sibling in siblings if sibling.incarnation != answer.incarnation]
         )
@@ -196,7 +188,7 @@
         self.lease.set_revisions(answer.rev, int(answer.routes.get("rev", 0)))
 
     def _on_lease_lost(self, now: float) -> None:
-        self.route_activation.carry_out(self.route_activation.core.gone(now))
+        self.route_activation.execute(self.route_activation.core.gone(now))
 
     def _on_quota_change(self) -> None:
         """Notify the balancer of the quota and its end, so that no timer here has to end it in time."""
@@ -204,7 +196,7 @@
         grant = QuotaGrant(share.share, share.rows, self.clock.to_node_ms(share.until_ms))
         if grant != self._granted:
             self._granted = grant
-            self._tell(grant)
+            self._notify_balancer(grant)
 
     def _before_tick(self, now: float) -> None:
         """Set what the next probes state of this node, and use what siblings stated of themselves."""
@@ -239,81 +231,11 @@
 
     def _on_levels(self, levels: dict[str, Confidence]) -> None:
         """Notify the balancer of confidence levels that changed, and the participant of servers to avoid."""
-        self._tell(ConfidenceUpdate(levels))
+        self._notify_balancer(ConfidenceUpdate(levels))
         now = self.clock.now_ms()
         listed = tuple(server for server, _ in self._servers.endpoints.values())
         unconfirmed = _unconfirmed(self.freshness.confidence())
-        self.route_activation.carry_out(self.route_activation.core.seen(now, listed, unconfirmed))
-
-    # --------------------------------------------------------------- for operators
-
-    def connectivity(self, now: float) -> Connectivity:
-        """What this node reaches: the list service, only siblings, or neither."""
-        core = self.lease.core
-        renewed_at = now if core.attached(now) else None
-        acked_at = self.probe_transport.core.last_ack_at
-        return connectivity(now, core.ttl_ms, renewed_at, acked_at, SIBLING_ACK_TIMEOUT_MS)
-
-    def verdicts(self, now: float) -> dict[int, Verdict]:
-        """The verdict on each sibling, by incarnation."""
-        core = self.lease.core
-        attached, reachability = core.attached(now), self.probe_transport.core.reachability()
-        return {
-            member.incarnation: verdict(
-                _lease_status(member) if attached else LeaseStatus.UNKNOWN,
-                reachability[member.incarnation],
-                member.state in ("leaving", "left"),
-            )
-            for member in core.members
-            if member.incarnation in reachability
-        }
-
-    def status(self) -> MembersStatus:
-        """The body of GET /status/members."""
-        now, core, detector = self.clock.now_ms(), self.lease.core, self.probe_transport.core
-        share, service_ms = core.share(now), self.lease.service_ms(now)
-        siblings = self._sibling_statuses(now)
-        return MembersStatus(
-            name=self._name,
-            service=self.settings.service,
-            incarnation=core.incarnation,
-            connectivity=self.connectivity(now),
-            standing=core.standing(now).name.lower(),
-            quota=core.taking(now),
-            member_count=share.rows,
-            elector=core.elector,
-            lease_ms=max(0.0, core.lease_end - now) if core.incarnation is not None else 0.0,
-            now_ms=now,
-            service_ms=service_ms,
-            routes=self.route_activation.core.status(now),
-            health=detector.health,
-            ignored=dict(detector.ignored),
-            siblings=siblings,
-        )
-
-    def routes_status(self) -> RoutesStatus:
-        """The body of GET /status/routes."""
-        now = self.clock.now_ms()
-        return RoutesStatus(connectivity=self.connectivity(now), edges=self.freshness.edges(now))
-
-    def _sibling_statuses(self, now: float) -> list[SiblingStatus]:
-        reachability, verdicts = self.probe_transport.core.reachability(), self.verdicts(now)
-        return [
-            SiblingStatus(
-                name=member.name,
-                incarnation=member.incarnation,
-                address=member.address,
-                state=member.state,
-                reachability=reachability[member.incarnation],
-                verdict=verdicts[member.incarnation],
-            )
-            for member in self.lease.core.members
-            if member.incarnation in verdicts
-        ]
-
-
-def _lease_status(member: Member) -> LeaseStatus:
-    return LeaseStatus.LAPSED if member.state == "lapsed" else LeaseStatus.LIVE
+        self.route_activation.execute(self.route_activation.core.seen(now, listed, unconfirmed))
 
 
 def _unconfirmed(levels: Mapping[str, Confidence]) -> list[str]:
@@ -325,4 +247,4 @@
 
 
 def _ok(status: MembersStatus | RoutesStatus) -> AdminResponse:
-    return AdminResponse(HTTPStatus.OK, member_status.encode(status))
+    return AdminResponse(HTTPStatus.OK, status_bodies.encode(status))
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -109,7 +109,7 @@
             self._reported_at, self._report = now, self.table.make_report(now)
         return self._report
 
-    def edges(self, now: float) -> list[EdgeStatus]:
+    def edge_statuses(self, now: float) -> list[EdgeStatus]:
         """The status of every edge, for operators."""
         return self._confidence.edge_statuses(now)
 
--- /dev/null
+++ b/loadbalancer/node/control/group_view.py
@@ -0,0 +1,59 @@
+"""What this node makes of the members of its group, from their leases and their reachability."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from loadbalancer.membership import Connectivity, LeaseStatus, Verdict, connectivity, verdict
+from loadbalancer.membership.messages import Member
+from loadbalancer.node.control.lease_client import LeaseClient
+from loadbalancer.node.control.probe_transport import ProbeTransport
+from loadbalancer.node.control.status_bodies import SiblingStatus
+
+SIBLING_ACK_TIMEOUT_MS: Final = 3_000.0  # a detached node that no sibling acked for so long is isolated
+
+
+class GroupView:
+    """Combines the member list of the lease with the failure detector's evidence."""
+
+    def __init__(self, lease: LeaseClient, probe_transport: ProbeTransport) -> None:
+        self._lease, self._detector = lease.core, probe_transport.core
+
+    def connectivity(self, now: float) -> Connectivity:
+        """What this node reaches: the list service, only siblings, or neither."""
+        renewed_at = now if self._lease.attached(now) else None
+        acked_at = self._detector.last_ack_at
+        return connectivity(now, self._lease.ttl_ms, renewed_at, acked_at, SIBLING_ACK_TIMEOUT_MS)
+
+    def verdicts(self, now: float) -> dict[int, Verdict]:
+        """The verdict on each sibling, by incarnation."""
+        attached, reachability = self._lease.attached(now), self._detector.reachability()
+        return {
+            member.incarnation: verdict(
+                _lease_status(member) if attached else LeaseStatus.UNKNOWN,
+                reachability[member.incarnation],
+                member.state in ("leaving", "left"),
+            )
+            for member in self._lease.members
+            if member.incarnation in reachability
+        }
+
+    def siblings(self, now: float) -> list[SiblingStatus]:
+        """The status of each sibling, in the order of the member list."""
+        reachability, verdicts = self._detector.reachability(), self.verdicts(now)
+        return [
+            SiblingStatus(
+                name=member.name,
+                incarnation=member.incarnation,
+                address=member.address,
+                state=member.state,
+                reachability=reachability[member.incarnation],
+                verdict=verdicts[member.incarnation],
+            )
+            for member in self._lease.members
+            if member.incarnation in verdicts
+        ]
+
+
+def _lease_status(member: Member) -> LeaseStatus:
+    return LeaseStatus.LAPSED if member.state == "lapsed" else LeaseStatus.LIVE
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -48,7 +48,7 @@
         self._timer = RestartableTimer(self._tick)
         self._tasks = BackgroundTasks()
         self._watch = RegistryWatch(client, lambda: core.incarnation, self._on_registry_change)
-        self._left = asyncio.Event()
+        self._leave_acknowledged = asyncio.Event()
         self._term = 0  # of the leader that answered last
 
     def start(self) -> None:
@@ -83,7 +83,7 @@
         self._tick()
         try:
             async with asyncio.timeout(LEAVE_TIMEOUT_S):
-                await self._left.wait()
+                await self._leave_acknowledged.wait()
         except TimeoutError:
             log.warning(
                 "lease: the list service has not acknowledged that this node leaves; the lease will expire"
@@ -129,7 +129,7 @@
         else:
             self.core.acknowledged(now, call.number)
             if call.path == "leave":
-                self._left.set()
+                self._leave_acknowledged.set()
 
     def _use(self, sent_at: float, now: float, call: Call, answer: LeaseAnswer) -> None:
         if answer.term != self._term:  # service time is by the new leader's clock from here on
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -78,7 +78,7 @@
         if self._server is not None:
             self._server.close()
 
-    def carry_out(self, actions: Sequence[Action]) -> None:
+    def execute(self, actions: Sequence[Action]) -> None:
         """Carry out the failure detector's actions, in their order."""
         for action in actions:
             match action:
@@ -100,7 +100,7 @@
     def _tick(self) -> None:
         now = self._clock.now_ms()
         self.before_tick(now)
-        self.carry_out(self.core.tick(now))
+        self.execute(self.core.tick(now))
         self._timer.schedule(self._clock.loop_time(max(now + MIN_TICK_MS, self.core.due or now)))
 
     async def _probe(self, action: Probe | IndirectProbe, path: str) -> None:
@@ -111,12 +111,12 @@
             reply = await self._client.call(address, "POST", path, action.payload, timeout_s)
         except (OSError, TimeoutError, ValueError) as error:
             refused = isinstance(error, ConnectionRefusedError)
-            self.carry_out(self.core.on_failure(self._clock.now_ms(), action.id, refused))
+            self.execute(self.core.on_failure(self._clock.now_ms(), action.id, refused))
             return
         if reply.status == HTTPStatus.OK:
-            self.carry_out(self.core.on_ack(self._clock.now_ms(), action.id, reply.body))
+            self.execute(self.core.on_ack(self._clock.now_ms(), action.id, reply.body))
         else:
-            self.carry_out(self.core.on_failure(self._clock.now_ms(), action.id, refused=False))
+            self.execute(self.core.on_failure(self._clock.now_ms(), action.id, refused=False))
 
     # ---------------------------------------------------------- being probed
 
@@ -149,7 +149,7 @@
         now = self._clock.now_ms()
         if call.path == PROBE_PATH:
             payload, actions = self.core.on_probe(now, call.body)
-            self.carry_out(actions)
+            self.execute(actions)
             return self._answer(payload)
         if len(self._waiting) >= MAX_INDIRECT_PROBES:
             return self._reject(HTTPStatus.SERVICE_UNAVAILABLE, "too many indirect probes")
@@ -159,7 +159,7 @@
         number = next(self._call_numbers)
         waiting = self._waiting[number] = asyncio.get_running_loop().create_future()
         try:
-            self.carry_out(self.core.on_indirect_probe(now, number, body))
+            self.execute(self.core.on_indirect_probe(now, number, body))
             async with asyncio.timeout(INDIRECT_TIMEOUT_S):
                 payload = await waiting
         except TimeoutError:
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -35,13 +35,13 @@
         client: RegistryClient,
         clock: MembershipClock,
         store: RouteStore | None,
-        tell: Callable[[Event], None],
+        notify: Callable[[Event], None],
     ) -> None:
         """`store` is None where the node prepares no versions; `tell` passes events to the balancer."""
         self.core = core
         self.switches = 0
         self.last_delay_ms = 0.0  # between the last switch and its moment
-        self._client, self._clock, self._store, self._tell = client, clock, store, tell
+        self._client, self._clock, self._store, self._notify_balancer = client, clock, store, notify
         self._timer = RestartableTimer(self._tick)
         self._due_ms = math.inf  # when a switch, or the end of the lease, is due
         self._tasks = BackgroundTasks()
@@ -49,7 +49,7 @@
     def start(self) -> None:
         """Take over the versions on disk."""
         if self._store is not None:
-            self.carry_out(self.core.restored(self._store.load_all()))
+            self.execute(self.core.restored(self._store.load_all()))
 
     def close(self) -> None:
         """Stop calls and timers at once, and wait for a write to disk under way."""
@@ -64,14 +64,14 @@
         """Use what a renewal's answer states of routes; a malformed one is logged and changes nothing."""
         try:
             actions = self.core.answer(now, answer.incarnation, lease_end, service_ms, answer.routes)
-            self.carry_out(actions)
+            self.execute(actions)
         except ValueError as error:
             log.warning("routes: malformed answer ignored: %s", error)
 
-    def carry_out(self, actions: Sequence[Action]) -> None:
+    def execute(self, actions: Sequence[Action]) -> None:
         """Carry out the participant's actions, in their order."""
         for action in actions:
-            self._carry_out_one(action)
+            self._execute_action(action)
         self._reschedule()
 
     def run_if_due(self) -> None:
@@ -87,9 +87,9 @@
     # ------------------------------------------------------------- internals
 
     def _tick(self) -> None:
-        self.carry_out(self.core.tick(self._clock.now_ms()))
+        self.execute(self.core.tick(self._clock.now_ms()))
 
-    def _carry_out_one(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
             case Fetch():
                 self._tasks.spawn(self._fetch(action.number))
@@ -113,7 +113,7 @@
             self._timer.schedule(self._clock.loop_time(due_ms))
 
     def _apply(self, action: Apply) -> None:
-        self._tell(action.event)
+        self._notify_balancer(action.event)
         self.switches += 1
         self.last_delay_ms = max(0.0, self._clock.now_ms() - action.due)
         write_line = log.warning if self.last_delay_ms > LATE_SWITCH_MS else log.info
@@ -129,15 +129,15 @@
                 text = reply.body.decode()
         except (OSError, TimeoutError, ValueError) as error:
             log.warning("routes: version %d not fetched: %s", number, str(error)[:MAX_LOGGED_CHARS])
-        self.carry_out(self.core.fetched(self._clock.now_ms(), number, text))
+        self.execute(self.core.fetched(self._clock.now_ms(), number, text))
 
     async def _write(self, action: Store) -> None:
-        problem = await self._try_write(action)
+        problem = await self._write_to_disk(action)
         if problem:
             log.error("routes: version %d not stored: %s", action.number, problem)
-        self.carry_out(self.core.stored(self._clock.now_ms(), action.number, not problem, problem))
+        self.execute(self.core.stored(self._clock.now_ms(), action.number, not problem, problem))
 
-    async def _try_write(self, action: Store) -> str:
+    async def _write_to_disk(self, action: Store) -> str:
         """Returns why the version could not be stored, in one line; "" once it is on disk."""
         if self._store is None:
             return "the configuration names no folder for routes"
--- a/loadbalancer/node/control/member_status.py
+++ b/loadbalancer/node/control/status_bodies.py
@@ -1,13 +1,11 @@
-"""What operators see of the control plane: the bodies of GET /status/members and GET /status/routes, and the
-lines of GET /status/metrics.
+"""What operators see of the control plane: the bodies of GET /status/members and GET /status/routes.
 
 Fields are named by the field's terms; `rename` maps them to the keys that operators read.
 """
 
 from __future__ import annotations
 
-from collections import Counter
-from collections.abc import Iterable, Mapping
+from collections.abc import Mapping
 
 import msgspec
 import orjson
@@ -60,14 +58,3 @@
 def encode(status: MembersStatus | RoutesStatus) -> bytes:
     """The status as JSON; the keys of its maps may be numbers."""
     return orjson.dumps(msgspec.to_builtins(status), option=orjson.OPT_NON_STR_KEYS)
-
-
-def count_verdicts(verdicts: Iterable[Verdict]) -> dict[str, float]:
-    """A metric for each verdict: how many members have it."""
-    counts = Counter(verdicts)
-    return {f"members_{verdict.value}": counts[verdict] for verdict in Verdict}
-
-
-def format_metrics(metrics: Mapping[str, float]) -> str:
-    """The lines of GET /status/metrics, `proxy.NAME=VALUE` each."""
-    return "".join(f"proxy.{name}={value}\n" for name, value in metrics.items())
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -105,7 +105,7 @@
             self.pool,
             self.driver,
         )
-        fleet = {} if self.control_plane is None else self.control_plane.admin_calls()
+        fleet = {} if self.control_plane is None else self.control_plane.admin_routes()
         self.admin_server = AdminServer({**self._calls(), **self.endpoint_list.admin_routes(), **fleet})
 
     def _sharing(self) -> SiblingProcess | None:
--- a/loadbalancer/staleness/freshness.py
+++ b/loadbalancer/staleness/freshness.py
@@ -175,7 +175,7 @@
         """The encoded report to send now: at most 48 servers, in under 64 KiB."""
         self._sequence += 1
         listing = self.endpoint_list
-        report = wire.Report(
+        report = wire.FreshnessReport(
             version=wire.FORMAT_VERSION,
             sequence=self._sequence,
             sent_at=now,
@@ -249,7 +249,7 @@
         )
 
     def _add_gossip(
-        self, origin: Hashable, reading: OffsetReading | None, now: float, report: wire.Report
+        self, origin: Hashable, reading: OffsetReading | None, now: float, report: wire.FreshnessReport
     ) -> None:
         for observation in report.servers:
             if observation.name in self.endpoint_list.servers:
@@ -264,7 +264,7 @@
 
 
 def _sibling_state(
-    report: wire.Report, sent_at: Interval, reading: OffsetReading | None, now: float
+    report: wire.FreshnessReport, sent_at: Interval, reading: OffsetReading | None, now: float
 ) -> SiblingState:
     confirmed_at = None
     if report.list_confirmed_at is not None:
--- a/loadbalancer/staleness/wire.py
+++ b/loadbalancer/staleness/wire.py
@@ -51,7 +51,7 @@
     threshold: _Quantity
 
 
-class Report(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class FreshnessReport(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """What one process reports of itself and of the servers."""
 
     version: Literal[1]
@@ -64,10 +64,10 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Report).decode
+_decode = msgspec.msgpack.Decoder(FreshnessReport).decode
 
 
-def decode(payload: object) -> Report | None:
+def decode(payload: object) -> FreshnessReport | None:
     """The report, or None for anything else: too long, not MessagePack, malformed or inconsistent."""
     if not isinstance(payload, bytes) or len(payload) > MAX_REPORT_BYTES:
         return None
@@ -78,7 +78,7 @@
     return report if _is_consistent(report) else None
 
 
-def _is_consistent(report: Report) -> bool:
+def _is_consistent(report: FreshnessReport) -> bool:
     """Whether no time is later than the sending and every load has a time."""
     times = [report.list_confirmed_at, *(pool.measured_at for pool in report.pools)]
     for server in report.servers:
