--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -13,16 +13,16 @@
 from loadbalancer.balancing.events import ConfidenceUpdate, QuotaGrant
 from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import (
-    Changed,
     DetectorConfig,
-    Enrolment,
     FailureDetector,
+    MemberLease,
+    ReachabilityChanged,
     Sibling,
-    Viewed,
-    Word,
+    SiblingReport,
+    ViewReceived,
 )
 from loadbalancer.membership.messages import LeaseAnswer
-from loadbalancer.node.admin.server import AdminResponse, AdminRoutes
+from loadbalancer.node.admin.messages import AdminResponse, AdminRoutes
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import NodeConfig
@@ -40,7 +40,7 @@
 from loadbalancer.node.control.status_reporter import StatusReporter
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from loadbalancer.node.endpoint_list import EndpointList
-from loadbalancer.routing import Follower
+from loadbalancer.routing import RouteParticipant
 from loadbalancer.staleness import ClockOffsets
 
 log = logging.getLogger("loadbalancer")
@@ -95,7 +95,7 @@
 
     def _make_lease(self, rng: Random) -> LeaseClient:
         settings, start = self.settings, secrets.token_hex(NONCE_BYTES)
-        core = Enrolment(self._name, settings.listen, settings.zone, start, rng, settings.service)
+        core = MemberLease(self._name, settings.listen, settings.zone, start, rng, settings.service)
         lease = LeaseClient(core, self._client, self.clock, self.clock_offsets)
         lease.on_answer = self._on_answer
         lease.on_lease_lost = self._on_lease_lost
@@ -116,7 +116,7 @@
 
     def _make_route_activation(self, config: NodeConfig) -> RouteActivator:
         class_names = tuple(kind.name for kind in config.settings.classes)
-        core = Follower(class_names, self.settings.max_clock_uncertainty_ms)
+        core = RouteParticipant(class_names, self.settings.max_clock_uncertainty_ms)
         folder = self.settings.routes_path
         store = RouteStore(folder) if folder is not None else None
         return RouteActivator(core, self._client, self.clock, store, self._notify_balancer)
@@ -184,16 +184,16 @@
         )
         service_ms = self.lease.service_ms(now)
         if service_ms is not None:
-            self.route_activation.on_lease_answer(now, core.lease_end, service_ms, answer)
-        self.lease.set_revisions(answer.rev, int(answer.routes.get("rev", 0)))
+            self.route_activation.on_lease_answer(now, core.lease_end_ms, service_ms, answer)
+        self.lease.set_revisions(answer.revision, int(answer.routes.get("rev", 0)))
 
     def _on_lease_lost(self, now: float) -> None:
-        self.route_activation.execute(self.route_activation.core.gone(now))
+        self.route_activation.execute(self.route_activation.core.on_unregistered(now))
 
     def _on_quota_change(self) -> None:
         """Notify the balancer of the quota and its end, so that no timer here has to end it in time."""
-        share = self.lease.core.share(self.clock.now_ms())
-        grant = QuotaGrant(share.share, share.rows, self.clock.to_node_ms(share.until_ms))
+        quota = self.lease.core.quota(self.clock.now_ms())
+        grant = QuotaGrant(quota.quota, quota.members, self.clock.to_node_ms(quota.until_ms))
         if grant != self._granted:
             self._granted = grant
             self._notify_balancer(grant)
@@ -203,28 +203,34 @@
         core, detector = self.lease.core, self.probe_transport.core
         service_ms = self.lease.service_ms(now)
         if service_ms is not None and core.incarnation is not None:
-            detector.set_standing(now, core.standing(now), max(0.0, service_ms[0]))
-        if not core.attached(now):
-            core.heard(now, self._sibling_statements(now))
+            detector.set_quota_status(now, core.quota_status(now), max(0.0, service_ms[0]))
+        if not core.is_attached(now):
+            core.on_sibling_reports(now, self._sibling_statements(now))
             self._on_quota_change()
         detector.set_view(self.freshness.report(now))
 
-    def _sibling_statements(self, now: float) -> dict[int, Word]:
+    def _sibling_statements(self, now: float) -> dict[int, SiblingReport]:
         """What siblings stated of themselves, each at the earliest time it may have been by this clock."""
         statements = {}
-        for incarnation, (standing, stated_at) in self.probe_transport.core.standings().items():
+        for incarnation, (standing, stated_at) in self.probe_transport.core.quota_reports().items():
             local = self.clock_offsets.to_local(REGISTRY_PEER, now, stated_at)
             if local is not None:
-                statements[incarnation] = Word(standing, local[0])
+                statements[incarnation] = SiblingReport(standing, local[0])
         return statements
 
-    def _on_report(self, viewed: Viewed) -> None:
+    def _on_report(self, viewed: ViewReceived) -> None:
         """A sibling's report: its call's times sample the sibling's clock, before the report is used."""
-        if viewed.sent is not None:
-            self.clock_offsets.add_sample(viewed.incarnation, viewed.sent, viewed.at, viewed.at, viewed.now)
+        if viewed.probe_sent_ms is not None:
+            self.clock_offsets.add_sample(
+                viewed.incarnation,
+                viewed.probe_sent_ms,
+                viewed.sent_at_ms,
+                viewed.sent_at_ms,
+                viewed.received_ms,
+            )
         self.freshness.receive_report(viewed)
 
-    def _on_reachability_change(self, changed: Changed) -> None:
+    def _on_reachability_change(self, changed: ReachabilityChanged) -> None:
         log.info(
             "members: incarnation %d is %s, was %s", changed.incarnation, changed.new.value, changed.old.value
         )
@@ -235,7 +241,7 @@
         now = self.clock.now_ms()
         listed = tuple(server for server, _ in self._servers.endpoints.values())
         unconfirmed = _unconfirmed(self.freshness.confidence())
-        self.route_activation.execute(self.route_activation.core.seen(now, listed, unconfirmed))
+        self.route_activation.execute(self.route_activation.core.set_endpoints(now, listed, unconfirmed))
 
 
 def _unconfirmed(levels: Mapping[str, Confidence]) -> list[str]:
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.balancing.events import AttemptOutcome
 from loadbalancer.endpoints import Confidence
-from loadbalancer.membership import Viewed
+from loadbalancer.membership import ViewReceived
 from loadbalancer.node.balancer_driver import Driver
 from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.rejection_log import RejectionLog
@@ -95,9 +95,9 @@
         self.table.set_members(incarnations)
         self._confidence.round_ms = self._settings.probe_period_ms * max(1, len(incarnations))
 
-    def receive_report(self, viewed: Viewed) -> None:
+    def receive_report(self, viewed: ViewReceived) -> None:
         """Use a sibling's report."""
-        rejection = self.table.receive_report(viewed.now, viewed.incarnation, viewed.view)
+        rejection = self.table.receive_report(viewed.received_ms, viewed.incarnation, viewed.view)
         if rejection is not None:
             self._rejections.add(viewed.incarnation, rejection)
 
--- a/loadbalancer/node/control/group_view.py
+++ b/loadbalancer/node/control/group_view.py
@@ -21,13 +21,13 @@
 
     def connectivity(self, now: float) -> Connectivity:
         """What this node reaches: the list service, only siblings, or neither."""
-        renewed_at = now if self._lease.attached(now) else None
+        renewed_at = now if self._lease.is_attached(now) else None
         acked_at = self._detector.last_ack_at
         return connectivity(now, self._lease.ttl_ms, renewed_at, acked_at, SIBLING_ACK_TIMEOUT_MS)
 
     def verdicts(self, now: float) -> dict[int, Verdict]:
         """The verdict on each sibling, by incarnation."""
-        attached, reachability = self._lease.attached(now), self._detector.reachability()
+        attached, reachability = self._lease.is_attached(now), self._detector.reachability()
         return {
             member.incarnation: verdict(
                 _lease_status(member) if attached else LeaseStatus.UNKNOWN,
@@ -56,4 +56,4 @@
 
 
 def _lease_status(member: Member) -> LeaseStatus:
-    return LeaseStatus.LAPSED if member.state == "lapsed" else LeaseStatus.LIVE
+    return LeaseStatus.EXPIRED if member.state == "lapsed" else LeaseStatus.LIVE
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -9,7 +9,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from loadbalancer.membership import Call, Enrolment
+from loadbalancer.membership import MemberLease, RegistryCall
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.control.background_tasks import BackgroundTasks
 from loadbalancer.node.control.clock import MembershipClock
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, core: Enrolment, client: RegistryClient, clock: MembershipClock, clock_offsets: ClockOffsets
+        self, core: MemberLease, client: RegistryClient, clock: MembershipClock, clock_offsets: ClockOffsets
     ) -> None:
         """`clock_offsets`: into which the calls' times are sampled, under REGISTRY_PEER."""
         self.core = core
@@ -71,7 +71,7 @@
 
     def begin_drain(self) -> None:
         """Announce that this node drains; it keeps its quota until `leave`."""
-        self.core.leaving(self._clock.now_ms())
+        self.core.begin_draining(self._clock.now_ms())
         self._tick()
 
     async def leave(self) -> None:
@@ -97,16 +97,16 @@
         call = self.core.tick(now, None if service is None else sum(service) / 2)
         if call is not None:
             self._tasks.spawn(self._send(call))
-        due = self.core.due()
+        due = self.core.next_call_at()
         if due < math.inf:
             self._timer.schedule(self._clock.loop_time(max(due, now)))
 
     def _on_registry_change(self) -> None:
         """Members or routes have changed: renew soon, as the answer states the changes."""
-        self.core.news(self._clock.now_ms())
+        self.core.on_watch_event(self._clock.now_ms())
         self._tick()
 
-    async def _send(self, call: Call) -> None:
+    async def _send(self, call: RegistryCall) -> None:
         sent_at = self._clock.now_ms()
         try:
             reply = await self._client.post(call.path, call.body, call.timeout_ms)
@@ -115,7 +115,7 @@
             self._on_failure(self._clock.now_ms(), call, f"{type(error).__name__}: {error}")
         self._tick()
 
-    def _on_reply(self, sent_at: float, call: Call, reply: web.Reply) -> None:
+    def _on_reply(self, sent_at: float, call: RegistryCall, reply: web.Reply) -> None:
         """ValueError for a malformed body."""
         now = self._clock.now_ms()
         if reply.status == HTTPStatus.NOT_FOUND and call.path == "renew":
@@ -127,16 +127,16 @@
         elif call.path in ("enrol", "renew"):
             self._use(sent_at, now, call, decode_lease_answer(reply.body))
         else:
-            self.core.acknowledged(now, call.number)
+            self.core.on_departure_acknowledged(now, call.number)
             if call.path == "leave":
                 self._leave_acknowledged.set()
 
-    def _use(self, sent_at: float, now: float, call: Call, answer: LeaseAnswer) -> None:
+    def _use(self, sent_at: float, now: float, call: RegistryCall, answer: LeaseAnswer) -> None:
         if answer.term != self._term:  # service time is by the new leader's clock from here on
             self._clock_offsets.forget(REGISTRY_PEER)
             self._term = answer.term
-        self._clock_offsets.add_sample(REGISTRY_PEER, sent_at, answer.t2, answer.t3, now)
-        if not self.core.granted(now, call.number, answer, answer.ttl_ms):
+        self._clock_offsets.add_sample(REGISTRY_PEER, sent_at, answer.received_ms, answer.answered_ms, now)
+        if not self.core.on_grant(now, call.number, answer, answer.ttl_ms):
             self.failures += 1
             return
         if self._failing:
@@ -145,22 +145,22 @@
         self.on_answer(now, answer)
         self.on_quota_change()
 
-    def _on_unknown(self, now: float, call: Call) -> None:
+    def _on_unknown(self, now: float, call: RegistryCall) -> None:
         log.warning("lease: this process is not known to the list service; it enrols again")
-        self.core.failed(now, call.number, unknown=True)
+        self.core.on_failure(now, call.number, unknown=True)
         self.on_lease_lost(now)
         self.on_quota_change()
 
-    def _on_failure(self, now: float, call: Call, problem: str) -> None:
+    def _on_failure(self, now: float, call: RegistryCall, problem: str) -> None:
         self._count_failure(
             f"{call.path} failed, the last grant holds until the lease expires: {problem[:MAX_LOGGED_CHARS]}"
         )
-        self.core.failed(now, call.number)
+        self.core.on_failure(now, call.number)
         self.on_quota_change()
 
-    def _on_rejection(self, now: float, call: Call, body: bytes) -> None:
+    def _on_rejection(self, now: float, call: RegistryCall, body: bytes) -> None:
         self._count_failure(f"enrolment rejected, the group is full: {body[:MAX_LOGGED_CHARS]!r}")
-        self.core.refused(now, call.number)
+        self.core.on_enrolment_rejected(now, call.number)
 
     def _count_failure(self, message: str) -> None:
         """Count a failure; the first of a series is logged."""
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -12,7 +12,15 @@
 
 import tenacity
 
-from loadbalancer.membership import Ack, Action, Changed, FailureDetector, IndirectProbe, Probe, Viewed
+from loadbalancer.membership import (
+    Ack,
+    Action,
+    FailureDetector,
+    IndirectProbe,
+    Probe,
+    ReachabilityChanged,
+    ViewReceived,
+)
 from loadbalancer.node.address import Address, parse_address
 from loadbalancer.node.control.background_tasks import BackgroundTasks
 from loadbalancer.node.control.clock import MembershipClock
@@ -48,8 +56,8 @@
         """`max_connections`: accepted from any peers, and as many again kept open to members."""
         self.core = core
         self.before_tick: Callable[[float], None] = lambda now: None
-        self.on_report: Callable[[Viewed], None] = lambda viewed: None
-        self.on_change: Callable[[Changed], None] = lambda changed: None
+        self.on_report: Callable[[ViewReceived], None] = lambda viewed: None
+        self.on_change: Callable[[ReachabilityChanged], None] = lambda changed: None
         self.probes_sent = self.probes_received = 0
         self._clock = clock
         self._timer = RestartableTimer(self._tick)
@@ -90,9 +98,9 @@
                     waiting = self._waiting.pop(action.call, None)
                     if waiting is not None and not waiting.done():
                         waiting.set_result(action.payload)
-                case Viewed():
+                case ViewReceived():
                     self.on_report(action)
-                case Changed():
+                case ReachabilityChanged():
                     self.on_change(action)
 
     # --------------------------------------------------------------- probing
--- a/loadbalancer/node/control/status_reporter.py
+++ b/loadbalancer/node/control/status_reporter.py
@@ -40,17 +40,17 @@
     def members_status(self) -> MembersStatus:
         """The body of GET /status/members."""
         now, lease, detector = self._clock.now_ms(), self._lease.core, self._probe_transport.core
-        share = lease.share(now)
+        granted = lease.quota(now)
         return MembersStatus(
             name=self._name,
             service=self._service,
             incarnation=lease.incarnation,
             connectivity=self._group.connectivity(now),
-            standing=lease.standing(now).name.lower(),
-            quota=lease.taking(now),
-            member_count=share.rows,
+            standing=lease.quota_status(now).name.lower(),
+            quota=lease.quota_in_force(now),
+            member_count=granted.members,
             elector=lease.elector,
-            lease_ms=max(0.0, lease.lease_end - now) if lease.incarnation is not None else 0.0,
+            lease_ms=max(0.0, lease.lease_end_ms - now) if lease.incarnation is not None else 0.0,
             now_ms=now,
             service_ms=self._lease.service_ms(now),
             routes=self._route_activation.core.status(now),
@@ -78,8 +78,8 @@
             "members_ignored": self._probe_transport.core.ignored.total(),
             "view_refused": self._freshness.rejected_reports,
             "lease_failures": self._lease.failures,
-            "share": round(self._lease.core.taking(now), QUOTA_DECIMALS),
-            "route_version": self._route_activation.core.running,
+            "share": round(self._lease.core.quota_in_force(now), QUOTA_DECIMALS),
+            "route_version": self._route_activation.core.running_version,
             "route_switches": self._route_activation.switches,
             "route_late_ms": round(self._route_activation.last_delay_ms, DELAY_DECIMALS),
         }
