--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -157,9 +157,9 @@
         if self._setup.probes:
             await self.part.start()
         else:
-            self.part.route_activation.start()
+            self.part.route_activator.start()
             self.part.freshness.start()
-            self.part.lease.start()
+            self.part.lease_client.start()
         self._tasks.append(asyncio.create_task(self._see_servers()))
 
     def _make_part(self) -> Any:
@@ -179,7 +179,7 @@
 
     def _time_enrolment(self) -> None:
         """Note when the first answer comes, ahead of what the part does with it."""
-        lease = self.part.lease
+        lease = self.part.lease_client
         carry_on = lease.on_answer
 
         def first(now: float, answer: Any) -> None:
@@ -222,7 +222,7 @@
         """The share that this node takes now."""
         if self.part is None:
             return 0.0
-        share = float(self.part.lease.core.quota_in_force(self.part.clock.now_ms()))
+        share = float(self.part.lease_client.member_lease.quota_in_force(self.part.clock.now_ms()))
         if self._had_share and share <= 0.0:
             self.figures.yielded += 1
         self._had_share = share > 0.0
@@ -247,19 +247,21 @@
 
     @property
     def ttl_ms(self) -> float:
-        return float(self.part.lease.core.ttl_ms) if self.part is not None else math.inf
+        return float(self.part.lease_client.member_lease.ttl_ms) if self.part is not None else math.inf
 
     @property
     def enrolled(self) -> bool:
-        return self.part is not None and self.part.lease.core.incarnation is not None
+        return self.part is not None and self.part.lease_client.member_lease.incarnation is not None
 
     @property
     def attached(self) -> bool:
-        return self.enrolled and bool(self.part.lease.core.is_attached(self.part.clock.now_ms()))
+        return self.enrolled and bool(
+            self.part.lease_client.member_lease.is_attached(self.part.clock.now_ms())
+        )
 
     @property
     def elector(self) -> bool:
-        return self.enrolled and bool(self.part.lease.core.elector)
+        return self.enrolled and bool(self.part.lease_client.member_lease.elector)
 
     @property
     def has_list(self) -> bool:
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -1,4 +1,4 @@
-"""Assembles the control plane of a node and passes facts between its cores."""
+"""Assembles the control plane of a node and passes facts between its parts."""
 
 from __future__ import annotations
 
@@ -73,34 +73,34 @@
         self._granted: QuotaGrant | None = None  # the last one that the balancer was notified of
         self._client = RegistryClient(lambda: watcher.address)
         rng = Random(int.from_bytes(os.urandom(SEED_BYTES), "big"))  # the balancer's draws are its own
-        self.lease = self._make_lease(rng)
+        self.lease_client = self._make_lease_client(rng)
         self.probe_transport = self._make_probe_transport(rng, config.membership_descriptors // 2)
-        self.route_activation = self._make_route_activation(config)
+        self.route_activator = self._make_route_activator(config)
         self.freshness = FreshnessTracker(
             settings, self.clock, self.clock_offsets, servers, driver, self._on_levels
         )
-        self.group = GroupView(self.lease, self.probe_transport)
+        self.group = GroupView(self.lease_client, self.probe_transport)
         self.freshness.connectivity = lambda: self.group.connectivity(self.clock.now_ms()).value
         self._status = StatusReporter(
             config.name,
             settings.service,
             self.clock,
-            self.lease,
+            self.lease_client,
             self.probe_transport,
-            self.route_activation,
+            self.route_activator,
             self.freshness,
             self.group,
         )
-        driver.before.append(self.route_activation.run_if_due)
+        driver.before.append(self.route_activator.run_if_due)
 
-    def _make_lease(self, rng: Random) -> LeaseClient:
-        settings, start = self.settings, secrets.token_hex(NONCE_BYTES)
-        core = MemberLease(self._name, settings.listen, settings.zone, start, rng, settings.service)
-        lease = LeaseClient(core, self._client, self.clock, self.clock_offsets)
-        lease.on_answer = self._on_answer
-        lease.on_lease_lost = self._on_lease_lost
-        lease.on_quota_change = self._on_quota_change
-        return lease
+    def _make_lease_client(self, rng: Random) -> LeaseClient:
+        settings, nonce = self.settings, secrets.token_hex(NONCE_BYTES)
+        lease = MemberLease(self._name, settings.listen, settings.zone, nonce, rng, settings.service)
+        client = LeaseClient(lease, self._client, self.clock, self.clock_offsets)
+        client.on_answer = self._on_answer
+        client.on_lease_lost = self._on_lease_lost
+        client.on_quota_change = self._on_quota_change
+        return client
 
     def _make_probe_transport(self, rng: Random, max_connections: int) -> ProbeTransport:
         config = DetectorConfig(
@@ -114,12 +114,12 @@
         transport.on_change = self._on_reachability_change
         return transport
 
-    def _make_route_activation(self, config: NodeConfig) -> RouteActivator:
+    def _make_route_activator(self, config: NodeConfig) -> RouteActivator:
         class_names = tuple(kind.name for kind in config.settings.classes)
-        core = RouteParticipant(class_names, self.settings.max_clock_uncertainty_ms)
+        participant = RouteParticipant(class_names, self.settings.max_clock_uncertainty_ms)
         folder = self.settings.routes_path
         store = RouteStore(folder) if folder is not None else None
-        return RouteActivator(core, self._client, self.clock, store, self._notify_balancer)
+        return RouteActivator(participant, self._client, self.clock, store, self._notify_balancer)
 
     # ------------------------------------------------- as a component of the node
 
@@ -129,24 +129,24 @@
         The node listens for probes before it enrols: that shows that no other process of this node is alive
         (membership/quota_ledger.py).
         """
-        self.route_activation.start()
+        self.route_activator.start()
         self._on_quota_change()
         self.freshness.start()
-        self.probe_transport.listen(self.settings.address, self.lease.start)
+        self.probe_transport.listen(self.settings.address, self.lease_client.start)
 
     def begin_drain(self) -> None:
         """Announce to the group that this node drains."""
-        self.lease.begin_drain()
+        self.lease_client.begin_drain()
 
     async def stop(self) -> None:
         """Leave the group, after the last request has been answered."""
-        await self.lease.leave()
+        await self.lease_client.leave()
 
     def close(self) -> None:
         """Release timers, sockets and files at once."""
-        self.lease.close()
+        self.lease_client.close()
         self.probe_transport.close()
-        self.route_activation.close()
+        self.route_activator.close()
         self.freshness.close()
         self._client.close()
 
@@ -166,33 +166,33 @@
     async def _forward(self, path: str, body: bytes) -> AdminResponse:
         return await forward_request(self._client, path, body)
 
-    # ------------------------------------------------------------ between the cores
+    # ------------------------------------------------------------ between the parts
 
     def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
-        """Pass what a lease answer states to every core, in the same turn of the event loop."""
-        core = self.lease.core
-        detector = self.probe_transport.core
+        """Pass what a lease answer states to all parts, in the same turn of the event loop."""
+        lease = self.lease_client.member_lease
+        detector = self.probe_transport.detector
         detector.set_incarnation(answer.incarnation)
         siblings = [
             Sibling(member.incarnation, member.name, member.address)
-            for member in core.members
+            for member in lease.members
             if member.state != "left"
         ]
         self.probe_transport.execute(detector.set_members(now, siblings))
         self.freshness.set_members(
             [sibling.incarnation for sibling in siblings if sibling.incarnation != answer.incarnation]
         )
-        service_ms = self.lease.service_ms(now)
+        service_ms = self.lease_client.service_ms(now)
         if service_ms is not None:
-            self.route_activation.on_lease_answer(now, core.lease_end_ms, service_ms, answer)
-        self.lease.set_revisions(answer.revision, int(answer.routes.get("rev", 0)))
+            self.route_activator.on_lease_answer(now, lease.lease_end_ms, service_ms, answer)
+        self.lease_client.set_revisions(answer.revision, int(answer.routes.get("rev", 0)))
 
     def _on_lease_lost(self, now: float) -> None:
-        self.route_activation.execute(self.route_activation.core.on_unregistered(now))
+        self.route_activator.execute(self.route_activator.participant.on_unregistered(now))
 
     def _on_quota_change(self) -> None:
         """Notify the balancer of the quota and its end, so that no timer here has to end it in time."""
-        quota = self.lease.core.quota(self.clock.now_ms())
+        quota = self.lease_client.member_lease.quota(self.clock.now_ms())
         grant = QuotaGrant(quota.quota, quota.members, self.clock.to_node_ms(quota.until_ms))
         if grant != self._granted:
             self._granted = grant
@@ -200,19 +200,19 @@
 
     def _before_tick(self, now: float) -> None:
         """Set what the next probes state of this node, and use what siblings stated of themselves."""
-        core, detector = self.lease.core, self.probe_transport.core
-        service_ms = self.lease.service_ms(now)
-        if service_ms is not None and core.incarnation is not None:
-            detector.set_quota_status(now, core.quota_status(now), max(0.0, service_ms[0]))
-        if not core.is_attached(now):
-            core.on_sibling_reports(now, self._sibling_statements(now))
+        lease, detector = self.lease_client.member_lease, self.probe_transport.detector
+        service_ms = self.lease_client.service_ms(now)
+        if service_ms is not None and lease.incarnation is not None:
+            detector.set_quota_status(now, lease.quota_status(now), max(0.0, service_ms[0]))
+        if not lease.is_attached(now):
+            lease.on_sibling_reports(now, self._sibling_statements(now))
             self._on_quota_change()
-        detector.set_view(self.freshness.report(now))
+        detector.set_view(self.freshness.current_report(now))
 
     def _sibling_statements(self, now: float) -> dict[int, SiblingReport]:
         """What siblings stated of themselves, each at the earliest time it may have been by this clock."""
         statements = {}
-        for incarnation, (standing, stated_at) in self.probe_transport.core.quota_reports().items():
+        for incarnation, (standing, stated_at) in self.probe_transport.detector.quota_reports().items():
             local = self.clock_offsets.to_local(REGISTRY_PEER, now, stated_at)
             if local is not None:
                 statements[incarnation] = SiblingReport(standing, local[0])
@@ -240,8 +240,8 @@
         self._notify_balancer(ConfidenceUpdate(levels))
         now = self.clock.now_ms()
         listed = tuple(server for server, _ in self._servers.endpoints.values())
-        unconfirmed = _unconfirmed(self.freshness.confidence())
-        self.route_activation.execute(self.route_activation.core.set_endpoints(now, listed, unconfirmed))
+        unconfirmed = _unconfirmed(self.freshness.levels())
+        self.route_activator.execute(self.route_activator.participant.set_endpoints(now, listed, unconfirmed))
 
 
 def _unconfirmed(levels: Mapping[str, Confidence]) -> list[str]:
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -77,7 +77,7 @@
         """Stop the updates."""
         self._timer.cancel()
 
-    def confidence(self) -> dict[str, Confidence]:
+    def levels(self) -> dict[str, Confidence]:
         """The current confidence level of every listed server."""
         return self._confidence.levels
 
@@ -101,7 +101,7 @@
         if rejection is not None:
             self._rejections.add(viewed.incarnation, rejection)
 
-    def report(self, now: float) -> bytes:
+    def current_report(self, now: float) -> bytes:
         """The encoded report for the next probes; made anew once a probe period."""
         if now - self._reported_at >= self._settings.probe_period_ms:
             in_flight, cursor, threshold = self._driver.balancer.pool()
--- a/loadbalancer/node/control/group_view.py
+++ b/loadbalancer/node/control/group_view.py
@@ -16,25 +16,25 @@
 class GroupView:
     """Combines the member list of the lease with the failure detector's evidence."""
 
-    def __init__(self, lease: LeaseClient, probe_transport: ProbeTransport) -> None:
-        self._lease, self._detector = lease.core, probe_transport.core
+    def __init__(self, lease_client: LeaseClient, probe_transport: ProbeTransport) -> None:
+        self._member_lease, self._detector = lease_client.member_lease, probe_transport.detector
 
     def connectivity(self, now: float) -> Connectivity:
         """What this node reaches: the list service, only siblings, or neither."""
-        renewed_at = now if self._lease.is_attached(now) else None
+        renewed_at = now if self._member_lease.is_attached(now) else None
         acked_at = self._detector.last_ack_at
-        return connectivity(now, self._lease.ttl_ms, renewed_at, acked_at, SIBLING_ACK_TIMEOUT_MS)
+        return connectivity(now, self._member_lease.ttl_ms, renewed_at, acked_at, SIBLING_ACK_TIMEOUT_MS)
 
     def verdicts(self, now: float) -> dict[int, Verdict]:
         """The verdict on each sibling, by incarnation."""
-        attached, reachability = self._lease.is_attached(now), self._detector.reachability()
+        attached, reachability = self._member_lease.is_attached(now), self._detector.reachability()
         return {
             member.incarnation: verdict(
                 _lease_status(member) if attached else LeaseStatus.UNKNOWN,
                 reachability[member.incarnation],
                 member.state in ("leaving", "left"),
             )
-            for member in self._lease.members
+            for member in self._member_lease.members
             if member.incarnation in reachability
         }
 
@@ -50,7 +50,7 @@
                 reachability=reachability[member.incarnation],
                 verdict=verdicts[member.incarnation],
             )
-            for member in self._lease.members
+            for member in self._member_lease.members
             if member.incarnation in verdicts
         ]
 
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -1,4 +1,4 @@
-"""The node's lease: sends the calls that the lease's core asks for, and uses their answers."""
+"""The node's lease: sends the calls that `MemberLease` asks for, and uses their answers."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from loadbalancer.node.control.registry_client import RegistryClient, decode_lease_answer
 from loadbalancer.node.control.registry_watch import RegistryWatch, Revisions
 from loadbalancer.node.control.timers import RestartableTimer
+from loadbalancer.node.failure_log import one_line
 from loadbalancer.node.http import service_http as web
 from loadbalancer.staleness import ClockOffsets
 from loadbalancer.staleness.clock_offsets import Interval
@@ -35,10 +36,14 @@
     """
 
     def __init__(
-        self, core: MemberLease, client: RegistryClient, clock: MembershipClock, clock_offsets: ClockOffsets
+        self,
+        member_lease: MemberLease,
+        client: RegistryClient,
+        clock: MembershipClock,
+        clock_offsets: ClockOffsets,
     ) -> None:
         """`clock_offsets`: into which the calls' times are sampled, under REGISTRY_PEER."""
-        self.core = core
+        self.member_lease = member_lease
         self.on_answer: Callable[[float, LeaseAnswer], None] = lambda now, answer: None
         self.on_lease_lost: Callable[[float], None] = lambda now: None
         self.on_quota_change: Callable[[], None] = lambda: None
@@ -47,7 +52,7 @@
         self._client, self._clock, self._clock_offsets = client, clock, clock_offsets
         self._timer = RestartableTimer(self._tick)
         self._tasks = BackgroundTasks()
-        self._watch = RegistryWatch(client, lambda: core.incarnation, self._on_registry_change)
+        self._watch = RegistryWatch(client, lambda: member_lease.incarnation, self._on_registry_change)
         self._leave_acknowledged = asyncio.Event()
         self._term = 0  # of the leader that answered last
 
@@ -71,14 +76,14 @@
 
     def begin_drain(self) -> None:
         """Announce that this node drains; it keeps its quota until `leave`."""
-        self.core.begin_draining(self._clock.now_ms())
+        self.member_lease.begin_draining(self._clock.now_ms())
         self._tick()
 
     async def leave(self) -> None:
         """Give the quota up, after the last request has been answered, and tell the service."""
-        if self.core.incarnation is None:
+        if self.member_lease.incarnation is None:
             return
-        self.core.leave(self._clock.now_ms())
+        self.member_lease.leave(self._clock.now_ms())
         self.on_quota_change()
         self._tick()
         try:
@@ -94,16 +99,16 @@
     def _tick(self) -> None:
         now = self._clock.now_ms()
         service = self.service_ms(now)
-        call = self.core.tick(now, None if service is None else sum(service) / 2)
+        call = self.member_lease.tick(now, None if service is None else sum(service) / 2)
         if call is not None:
             self._tasks.spawn(self._send(call))
-        due = self.core.next_call_at()
+        due = self.member_lease.next_call_at()
         if due < math.inf:
             self._timer.schedule(self._clock.loop_time(max(due, now)))
 
     def _on_registry_change(self) -> None:
         """Members or routes have changed: renew soon, as the answer states the changes."""
-        self.core.on_watch_event(self._clock.now_ms())
+        self.member_lease.on_watch_event(self._clock.now_ms())
         self._tick()
 
     async def _send(self, call: RegistryCall) -> None:
@@ -112,7 +117,7 @@
             reply = await self._client.post(call.path, call.body, call.timeout_ms)
             self._on_reply(sent_at, call, reply)
         except (OSError, TimeoutError, ValueError) as error:
-            self._on_failure(self._clock.now_ms(), call, f"{type(error).__name__}: {error}")
+            self._on_failure(self._clock.now_ms(), call, f"{type(error).__name__}: {one_line(error)}")
         self._tick()
 
     def _on_reply(self, sent_at: float, call: RegistryCall, reply: web.Reply) -> None:
@@ -127,7 +132,7 @@
         elif call.path in ("enrol", "renew"):
             self._use(sent_at, now, call, decode_lease_answer(reply.body))
         else:
-            self.core.on_departure_acknowledged(now, call.number)
+            self.member_lease.on_departure_acknowledged(now, call.number)
             if call.path == "leave":
                 self._leave_acknowledged.set()
 
@@ -136,7 +141,7 @@
             self._clock_offsets.forget(REGISTRY_PEER)
             self._term = answer.term
         self._clock_offsets.add_sample(REGISTRY_PEER, sent_at, answer.received_ms, answer.answered_ms, now)
-        if not self.core.on_grant(now, call.number, answer, answer.ttl_ms):
+        if not self.member_lease.on_grant(now, call.number, answer, answer.ttl_ms):
             self.failures += 1
             return
         if self._failing:
@@ -147,7 +152,7 @@
 
     def _on_unknown(self, now: float, call: RegistryCall) -> None:
         log.warning("lease: this process is not known to the list service; it enrols again")
-        self.core.on_failure(now, call.number, unknown=True)
+        self.member_lease.on_failure(now, call.number, unknown=True)
         self.on_lease_lost(now)
         self.on_quota_change()
 
@@ -155,12 +160,12 @@
         self._count_failure(
             f"{call.path} failed, the last grant holds until the lease expires: {problem[:MAX_LOGGED_CHARS]}"
         )
-        self.core.on_failure(now, call.number)
+        self.member_lease.on_failure(now, call.number)
         self.on_quota_change()
 
     def _on_rejection(self, now: float, call: RegistryCall, body: bytes) -> None:
         self._count_failure(f"enrolment rejected, the group is full: {body[:MAX_LOGGED_CHARS]!r}")
-        self.core.on_enrolment_rejected(now, call.number)
+        self.member_lease.on_enrolment_rejected(now, call.number)
 
     def _count_failure(self, message: str) -> None:
         """Count a failure; the first of a series is logged."""
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -51,10 +51,10 @@
     """
 
     def __init__(
-        self, core: FailureDetector, clock: MembershipClock, max_connections: int = MAX_CONNECTIONS
+        self, detector: FailureDetector, clock: MembershipClock, max_connections: int = MAX_CONNECTIONS
     ) -> None:
         """`max_connections`: accepted from any peers, and as many again kept open to members."""
-        self.core = core
+        self.detector = detector
         self.before_tick: Callable[[float], None] = lambda now: None
         self.on_report: Callable[[ViewReceived], None] = lambda viewed: None
         self.on_change: Callable[[ReachabilityChanged], None] = lambda changed: None
@@ -108,8 +108,8 @@
     def _tick(self) -> None:
         now = self._clock.now_ms()
         self.before_tick(now)
-        self.execute(self.core.tick(now))
-        self._timer.schedule(self._clock.loop_time(max(now + MIN_TICK_MS, self.core.due or now)))
+        self.execute(self.detector.tick(now))
+        self._timer.schedule(self._clock.loop_time(max(now + MIN_TICK_MS, self.detector.due or now)))
 
     async def _probe(self, action: Probe | IndirectProbe, path: str) -> None:
         self.probes_sent += 1
@@ -119,12 +119,12 @@
             reply = await self._client.call(address, "POST", path, action.payload, timeout_s)
         except (OSError, TimeoutError, ValueError) as error:
             refused = isinstance(error, ConnectionRefusedError)
-            self.execute(self.core.on_failure(self._clock.now_ms(), action.id, refused))
+            self.execute(self.detector.on_failure(self._clock.now_ms(), action.id, refused))
             return
         if reply.status == HTTPStatus.OK:
-            self.execute(self.core.on_ack(self._clock.now_ms(), action.id, reply.body))
+            self.execute(self.detector.on_ack(self._clock.now_ms(), action.id, reply.body))
         else:
-            self.execute(self.core.on_failure(self._clock.now_ms(), action.id, refused=False))
+            self.execute(self.detector.on_failure(self._clock.now_ms(), action.id, refused=False))
 
     # ---------------------------------------------------------- being probed
 
@@ -156,7 +156,7 @@
             )
         now = self._clock.now_ms()
         if call.path == PROBE_PATH:
-            payload, actions = self.core.on_probe(now, call.body)
+            payload, actions = self.detector.on_probe(now, call.body)
             self.execute(actions)
             return self._answer(payload)
         if len(self._waiting) >= MAX_INDIRECT_PROBES:
@@ -167,7 +167,7 @@
         number = next(self._call_numbers)
         waiting = self._waiting[number] = asyncio.get_running_loop().create_future()
         try:
-            self.execute(self.core.on_indirect_probe(now, number, body))
+            self.execute(self.detector.on_indirect_probe(now, number, body))
             async with asyncio.timeout(INDIRECT_TIMEOUT_S):
                 payload = await waiting
         except TimeoutError:
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -16,6 +16,7 @@
 from loadbalancer.node.control.registry_client import RegistryClient
 from loadbalancer.node.control.route_store import RouteStore
 from loadbalancer.node.control.timers import RestartableTimer
+from loadbalancer.node.failure_log import one_line
 from loadbalancer.routing import Action, Apply, CastVote, Delete, Fetch, RouteParticipant, Store
 from loadbalancer.staleness.clock_offsets import Interval
 
@@ -27,18 +28,18 @@
 
 
 class RouteActivator:
-    """Carries out the actions of the activation's participant."""
+    """Carries out the actions of this node's participant in the two-phase activation."""
 
     def __init__(
         self,
-        core: RouteParticipant,
+        participant: RouteParticipant,
         client: RegistryClient,
         clock: MembershipClock,
         store: RouteStore | None,
         notify: Callable[[Event], None],
     ) -> None:
         """`store` is None where the node prepares no versions; `tell` passes events to the balancer."""
-        self.core = core
+        self.participant = participant
         self.switches = 0
         self.last_delay_ms = 0.0  # between the last switch and its moment
         self._client, self._clock, self._store, self._notify_balancer = client, clock, store, notify
@@ -49,7 +50,7 @@
     def start(self) -> None:
         """Take over the versions on disk."""
         if self._store is not None:
-            self.execute(self.core.on_restored(self._store.load_all()))
+            self.execute(self.participant.on_restored(self._store.load_all()))
 
     def close(self) -> None:
         """Stop calls and timers at once, and wait for a write to disk under way."""
@@ -59,11 +60,13 @@
             self._store.close()
 
     def on_lease_answer(
-        self, now: float, lease_end: float, service_ms: Interval, answer: LeaseAnswer
+        self, now: float, lease_end_ms: float, service_ms: Interval, answer: LeaseAnswer
     ) -> None:
         """Use what a renewal's answer states of routes; a malformed one is logged and changes nothing."""
         try:
-            actions = self.core.on_answer(now, answer.incarnation, lease_end, service_ms, answer.routes)
+            actions = self.participant.on_answer(
+                now, answer.incarnation, lease_end_ms, service_ms, answer.routes
+            )
             self.execute(actions)
         except ValueError as error:
             log.warning("routes: malformed answer ignored: %s", error)
@@ -87,7 +90,7 @@
     # ------------------------------------------------------------- internals
 
     def _tick(self) -> None:
-        self.execute(self.core.tick(self._clock.now_ms()))
+        self.execute(self.participant.tick(self._clock.now_ms()))
 
     def _execute_action(self, action: Action) -> None:
         match action:
@@ -104,7 +107,7 @@
                 self._apply(action)
 
     def _reschedule(self) -> None:
-        due_ms = self.core.next_tick_ms(self._clock.now_ms())
+        due_ms = self.participant.next_tick_ms(self._clock.now_ms())
         if due_ms is None:
             self._due_ms = math.inf
             self._timer.cancel()
@@ -128,14 +131,14 @@
             if reply.status == HTTPStatus.OK:
                 text = reply.body.decode()
         except (OSError, TimeoutError, ValueError) as error:
-            log.warning("routes: version %d not fetched: %s", number, str(error)[:MAX_LOGGED_CHARS])
-        self.execute(self.core.on_fetched(self._clock.now_ms(), number, text))
+            log.warning("routes: version %d not fetched: %s", number, one_line(error)[:MAX_LOGGED_CHARS])
+        self.execute(self.participant.on_fetched(self._clock.now_ms(), number, text))
 
     async def _write(self, action: Store) -> None:
         problem = await self._write_to_disk(action)
         if problem:
             log.error("routes: version %d not stored: %s", action.number, problem)
-        self.execute(self.core.on_stored(self._clock.now_ms(), action.number, not problem, problem))
+        self.execute(self.participant.on_stored(self._clock.now_ms(), action.number, not problem, problem))
 
     async def _write_to_disk(self, action: Store) -> str:
         """Returns why the version could not be stored, in one line; "" once it is on disk."""
@@ -144,7 +147,7 @@
         try:
             await asyncio.wrap_future(self._store.write(action.number, action.text))
         except OSError as error:
-            return " ".join(str(error).split())[:MAX_LOGGED_CHARS]
+            return one_line(error)[:MAX_LOGGED_CHARS]
         return ""
 
     async def _vote(self, action: CastVote) -> None:
@@ -161,4 +164,4 @@
         except (OSError, TimeoutError):
             return  # a later renewal's answer asks for the vote again
         if reply.status == HTTPStatus.OK:
-            self.core.on_vote_acknowledged(action.incarnation, action.number)
+            self.participant.on_vote_acknowledged(action.incarnation, action.number)
--- a/loadbalancer/node/control/route_store.py
+++ b/loadbalancer/node/control/route_store.py
@@ -11,6 +11,7 @@
 
 import msgpack
 
+from loadbalancer.node.failure_log import one_line
 from loadbalancer.node.state.atomic_file import sync_directory, write_atomically
 from loadbalancer.node.state.frame import FORMAT_VERSION, decode_frame, encode_frame
 
@@ -44,8 +45,7 @@
                     row = decode_frame(path.read_bytes())
                     stored.append(StoredRoute(int(row["number"]), str(row["text"])))
                 except (OSError, ValueError, KeyError, TypeError) as error:
-                    problem = " ".join(str(error).split())[:MAX_LOGGED_CHARS]
-                    log.warning("routes: %s is not used: %s", path, problem)
+                    log.warning("routes: %s ignored: %s", path, one_line(error)[:MAX_LOGGED_CHARS])
         return stored
 
     def write(self, number: int, text: str) -> Future[None]:
--- a/loadbalancer/node/control/status_reporter.py
+++ b/loadbalancer/node/control/status_reporter.py
@@ -26,20 +26,24 @@
         name: str,
         service: str,
         clock: MembershipClock,
-        lease: LeaseClient,
+        lease_client: LeaseClient,
         probe_transport: ProbeTransport,
-        route_activation: RouteActivator,
+        route_activator: RouteActivator,
         freshness: FreshnessTracker,
         group: GroupView,
     ) -> None:
         """`name`: of this node; `service`: whose nodes are its group, "" for all nodes."""
         self._name, self._service, self._clock = name, service, clock
-        self._lease, self._probe_transport = lease, probe_transport
-        self._route_activation, self._freshness, self._group = route_activation, freshness, group
+        self._lease_client, self._probe_transport = lease_client, probe_transport
+        self._route_activator, self._freshness, self._group = route_activator, freshness, group
 
     def members_status(self) -> MembersStatus:
         """The body of GET /status/members."""
-        now, lease, detector = self._clock.now_ms(), self._lease.core, self._probe_transport.core
+        now, lease, detector = (
+            self._clock.now_ms(),
+            self._lease_client.member_lease,
+            self._probe_transport.detector,
+        )
         granted = lease.quota(now)
         return MembersStatus(
             name=self._name,
@@ -52,8 +56,8 @@
             elector=lease.elector,
             lease_ms=max(0.0, lease.lease_end_ms - now) if lease.incarnation is not None else 0.0,
             now_ms=now,
-            service_ms=self._lease.service_ms(now),
-            routes=self._route_activation.core.status(now),
+            service_ms=self._lease_client.service_ms(now),
+            routes=self._route_activator.participant.status(now),
             health=detector.health,
             ignored=dict(detector.ignored),
             siblings=self._group.siblings(now),
@@ -75,12 +79,12 @@
             "members_asks": self._probe_transport.probes_sent,
             "members_asked": self._probe_transport.probes_received,
             "members_refused": self._probe_transport.rejected_calls,
-            "members_ignored": self._probe_transport.core.ignored.total(),
+            "members_ignored": self._probe_transport.detector.ignored.total(),
             "view_refused": self._freshness.rejected_reports,
-            "lease_failures": self._lease.failures,
-            "share": round(self._lease.core.quota_in_force(now), QUOTA_DECIMALS),
-            "route_version": self._route_activation.core.running_version,
-            "route_switches": self._route_activation.switches,
-            "route_late_ms": round(self._route_activation.last_delay_ms, DELAY_DECIMALS),
+            "lease_failures": self._lease_client.failures,
+            "share": round(self._lease_client.member_lease.quota_in_force(now), QUOTA_DECIMALS),
+            "route_version": self._route_activator.participant.running_version,
+            "route_switches": self._route_activator.switches,
+            "route_late_ms": round(self._route_activator.last_delay_ms, DELAY_DECIMALS),
         }
         return "".join(f"proxy.{name}={value}\n" for name, value in metrics.items())
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -86,7 +86,7 @@
     @property
     def core(self) -> MemberLease:
         assert self.lease is not None
-        return self.lease.core
+        return self.lease.member_lease
 
     @property
     def enrolled(self) -> bool:
