--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -19,6 +19,7 @@
     ReachabilityChanged,
     Sibling,
     SiblingReport,
+    State,
     ViewReceived,
 )
 from loadbalancer.membership.messages import LeaseAnswer
@@ -176,7 +177,7 @@
         siblings = [
             Sibling(member.incarnation, member.name, member.address)
             for member in lease.members
-            if member.state != "left"
+            if member.state != State.LEFT
         ]
         self.probe_transport.execute(detector.set_members(now, siblings))
         self.freshness.set_members(
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -23,6 +23,10 @@
 
 log = logging.getLogger("loadbalancer")
 
+# Paths of the calls under /fleet/.
+ENROLMENT: Final = "enrol"
+RENEWAL: Final = "renew"
+DEPARTURE: Final = "leave"
 REGISTRY_PEER: Final = "service"  # the list service among the peers of the clock offsets
 LEAVE_TIMEOUT_S: Final = 0.5  # how long a process that ends waits for its leave to be acknowledged
 MAX_LOGGED_CHARS: Final = 200  # of an error's text or an answer's body
@@ -123,17 +127,17 @@
     def _on_reply(self, sent_at: float, call: RegistryCall, reply: web.Reply) -> None:
         """ValueError for a malformed body."""
         now = self._clock.now_ms()
-        if reply.status == HTTPStatus.NOT_FOUND and call.path == "renew":
+        if reply.status == HTTPStatus.NOT_FOUND and call.path == RENEWAL:
             self._on_unknown(now, call)
-        elif reply.status == HTTPStatus.CONFLICT and call.path == "enrol":
+        elif reply.status == HTTPStatus.CONFLICT and call.path == ENROLMENT:
             self._on_rejection(now, call, reply.body)
         elif reply.status != HTTPStatus.OK:
             self._on_failure(now, call, f"answered {reply.status}")
-        elif call.path in ("enrol", "renew"):
+        elif call.path in (ENROLMENT, RENEWAL):
             self._use(sent_at, now, call, decode_lease_answer(reply.body))
         else:
             self.member_lease.on_departure_acknowledged(now, call.number)
-            if call.path == "leave":
+            if call.path == DEPARTURE:
                 self._leave_acknowledged.set()
 
     def _use(self, sent_at: float, now: float, call: RegistryCall, answer: LeaseAnswer) -> None:
--- a/tests/staleness/test_staleness.py
+++ b/tests/staleness/test_staleness.py
@@ -1,4 +1,4 @@
-"""The view: offsets and ages that hold on any link, marks within their bounds, garbage turned down."""
+"""Staleness: offsets and ages that hold on any link, confidence within its limits, reports decoded strictly."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 class Peer:
-    """A clock that is off by a skew and a constant drift from own time, and what its calls take."""
+    """A clock with a skew and a constant drift from local time, and how long its calls take."""
 
     def __init__(self, skew: float, drift: float, start: float) -> None:
         self.skew, self.drift, self.start, self.now = skew, drift, start, start
 
-    def shows(self, own: float) -> float:
-        return own + self.skew + (own - self.start) * self.drift
+    def shows(self, local: float) -> float:
+        return local + self.skew + (local - self.start) * self.drift
 
     def call(self, offsets: ClockOffsets, wait: float, there: float, held: float, back: float) -> bool:
         t1 = self.now + wait
@@ -41,13 +41,13 @@
         return offsets.add_sample("peer", t1, *times, self.now)
 
 
-def view_of(
+def table_of(
     *servers: str, offsets: ClockOffsets | None = None, members: tuple[int, ...] = (7,)
 ) -> FreshnessTable:
-    view = FreshnessTable(offsets or ClockOffsets())
-    view.confirm_list(0.0, 1, servers)
-    view.set_members(members)
-    return view
+    table = FreshnessTable(offsets or ClockOffsets())
+    table.confirm_list(0.0, 1, servers)
+    table.set_members(members)
+    return table
 
 
 @given(skews, drifts, st.floats(0.0, 1e9), calls, st.floats(0.0, 1e5))
@@ -64,7 +64,7 @@
 
 
 @given(skews, drifts, calls, st.floats(-1e5, 1e5))
-def test_times_of_either_clock_turn_into_intervals_that_hold_the_other(skew, drift, plan, span):
+def test_times_of_either_clock_convert_to_intervals_that_hold_the_other(skew, drift, plan, span):
     offsets, peer = ClockOffsets(), Peer(skew, drift, 1e6)
     for call in plan:
         peer.call(offsets, *call)
@@ -100,7 +100,7 @@
         (0.0, "0", None, 1.0),
     ],
 )
-def test_absurd_samples_are_counted_and_change_nothing(times):
+def test_invalid_samples_are_counted_and_change_nothing(times):
     offsets = ClockOffsets()
     assert offsets.add_sample("peer", 0.0, 0.0, 0.0, 0.0)
     before = offsets.offset("peer", 0.0)
@@ -120,18 +120,18 @@
 
 
 @given(skews, drifts, calls, st.floats(0.0, 5000.0), delays, st.floats(0.0, 5000.0))
-def test_a_told_fact_s_true_age_lies_within_least_and_most(skew, drift, plan, old, way, later):
+def test_a_reported_observation_s_true_age_lies_within_least_and_most(skew, drift, plan, old, way, later):
     offsets, peer = ClockOffsets(), Peer(skew, drift, 1e6)
     for call in plan:
         peer.call(offsets, *call)
-    view, there = view_of("s", offsets=offsets, members=("peer",)), view_of("s")
+    table, there = table_of("s", offsets=offsets, members=("peer",)), table_of("s")
     seen, sent = peer.now, peer.now + old
     there.record_outcome(peer.shows(seen), "s", AttemptResult.OK)
-    assert view.receive_report(sent + way, "peer", there.make_report(peer.shows(sent))) is None
+    assert table.receive_report(sent + way, "peer", there.make_report(peer.shows(sent))) is None
     now = sent + way + later
     for edge, true in (
-        (server_edge(view, now, "s"), now - seen),
-        (sibling_edge(view, now, "peer"), now - sent),
+        (server_edge(table, now, "s"), now - seen),
+        (sibling_edge(table, now, "peer"), now - sent),
     ):
         least, most = edge.age
         assert least <= true + 0.01
@@ -139,39 +139,39 @@
         assert least >= later - 0.01
 
 
-def test_without_a_sample_a_told_age_has_no_bound_and_gets_one_as_it_is_told_again():
-    view, there = view_of("s"), view_of("s")
+def test_without_a_sample_a_reported_age_is_unbounded_until_it_is_reported_again():
+    table, there = table_of("s"), table_of("s")
     there.record_outcome(100.0, "s", AttemptResult.OK)
-    view.receive_report(200.0, 7, there.make_report(150.0))
-    assert server_edge(view, 260.0, "s").age == (60.0, math.inf)
-    view.clock_offsets.add_sample(7, 300.0, 300.0, 300.0, 301.0)
-    view.receive_report(301.0, 7, there.make_report(300.0))
-    least, most = server_edge(view, 301.0, "s").age
+    table.receive_report(200.0, 7, there.make_report(150.0))
+    assert server_edge(table, 260.0, "s").age == (60.0, math.inf)
+    table.clock_offsets.add_sample(7, 300.0, 300.0, 300.0, 301.0)
+    table.receive_report(301.0, 7, there.make_report(300.0))
+    least, most = server_edge(table, 301.0, "s").age
     assert 199.0 < least < most < 204.0
-    view.clock_offsets.forget(7)
-    view.receive_report(302.0, 7, there.make_report(301.0))
-    assert server_edge(view, 302.0, "s").age == (least + 1.0, most + 1.0)
-    view.clock_offsets.add_sample(
+    table.clock_offsets.forget(7)
+    table.receive_report(302.0, 7, there.make_report(301.0))
+    assert server_edge(table, 302.0, "s").age == (least + 1.0, most + 1.0)
+    table.clock_offsets.add_sample(
         7, 302.0, 1002.0, 1002.0, 302.0
     )  # its clock jumped: what it says now counts
-    view.receive_report(303.0, 7, there.make_report(1003.0))
-    least, most = server_edge(view, 303.0, "s").age
+    table.receive_report(303.0, 7, there.make_report(1003.0))
+    least, most = server_edge(table, 303.0, "s").age
     assert 900.0 < least < most < 904.0
 
 
 def test_revisions_behind_count_from_the_newest_that_a_present_member_holds():
-    view, there = view_of("s"), view_of("s")
+    table, there = table_of("s"), table_of("s")
     there.confirm_list(0.0, 5)
-    view.receive_report(1.0, 7, there.make_report(1.0))
-    assert server_edge(view, 1.0, "s").revisions_behind == 4
-    assert sibling_edge(view, 1.0, 7).revisions_behind == 0
-    view.set_members(())
-    assert server_edge(view, 1.0, "s").revisions_behind == 0
+    table.receive_report(1.0, 7, there.make_report(1.0))
+    assert server_edge(table, 1.0, "s").revisions_behind == 4
+    assert sibling_edge(table, 1.0, 7).revisions_behind == 0
+    table.set_members(())
+    assert server_edge(table, 1.0, "s").revisions_behind == 0
 
 
-def test_a_share_is_bounded_and_tells_new_failures_first_and_all_servers_in_turn():
+def test_a_report_is_bounded_and_has_new_failures_first_and_all_servers_in_rotation():
     names = [f"s{at}" for at in range(200)]
-    there = view_of(*names)
+    there = table_of(*names)
     for at, name in enumerate(names):
         there.record_outcome(float(at), name, AttemptResult.RESET if name == "s3" else AttemptResult.OK)
     told: set[str] = set()
@@ -184,38 +184,38 @@
     assert told == set(names)
 
 
-def test_what_siblings_tell_is_bounded_by_the_list_and_the_members():
+def test_siblings_reports_are_bounded_by_the_list_and_the_members():
     members = tuple(range(20))
-    view, there = view_of("s", "t", members=members), view_of("s", "t", "unlisted")
+    table, there = table_of("s", "t", members=members), table_of("s", "t", "unlisted")
     for name in ("s", "t", "unlisted"):
         there.record_outcome(1.0, name, AttemptResult.OK)
     for member in members:
-        view.receive_report(2.0, member, there.make_report(2.0))
-    assert set(view.gossip) == {"s", "t"}
-    assert {len(hearsay.by_origin) for hearsay in view.gossip.values()} == {MAX_ORIGINS}
-    assert view.receive_report(2.0, "stranger", there.make_report(2.0)) is ReportRejection.UNKNOWN_MEMBER
-    view.confirm_list(3.0, 2, ("t",))
-    view.record_outcome(3.0, "s", AttemptResult.OK)  # an attempt that outlived its server's line
-    assert set(view.gossip) == {"t"}
-    assert not view.observations
-
-
-def test_a_share_that_comes_late_or_from_the_future_is_not_taken_and_a_forged_count_does_not_last():
-    view, there = view_of("s"), view_of("s")
-    view.clock_offsets.add_sample(7, 0.0, 0.0, 0.0, 0.0)
+        table.receive_report(2.0, member, there.make_report(2.0))
+    assert set(table.gossip) == {"s", "t"}
+    assert {len(hearsay.by_origin) for hearsay in table.gossip.values()} == {MAX_ORIGINS}
+    assert table.receive_report(2.0, "stranger", there.make_report(2.0)) is ReportRejection.UNKNOWN_MEMBER
+    table.confirm_list(3.0, 2, ("t",))
+    table.record_outcome(3.0, "s", AttemptResult.OK)  # an attempt that outlived its server's line
+    assert set(table.gossip) == {"t"}
+    assert not table.observations
+
+
+def test_a_report_out_of_order_or_from_the_future_is_rejected_and_a_forged_sequence_does_not_last():
+    table, there = table_of("s"), table_of("s")
+    table.clock_offsets.add_sample(7, 0.0, 0.0, 0.0, 0.0)
     first, second = there.make_report(1.0), there.make_report(2.0)
-    assert view.receive_report(3.0, 7, second) is None
-    assert view.receive_report(3.0, 7, first) is ReportRejection.OUT_OF_ORDER
-    age = sibling_edge(view, 9.0, 7).age
-    assert (view.receive_report(9.0, 7, second), sibling_edge(view, 9.0, 7).age) == (
+    assert table.receive_report(3.0, 7, second) is None
+    assert table.receive_report(3.0, 7, first) is ReportRejection.OUT_OF_ORDER
+    age = sibling_edge(table, 9.0, 7).age
+    assert (table.receive_report(9.0, 7, second), sibling_edge(table, 9.0, 7).age) == (
         None,
         age,
     )  # by another call
-    assert view.receive_report(3.0, 7, there.make_report(500.0)) is ReportRejection.FROM_FUTURE
-    assert view.clock_offsets.offset(7, 3.0) is None
-    assert view.receive_report(4.0, 7, msgspec.msgpack.encode([1, 2**53, 4.0, 1, None, [], []])) is None
-    assert view.receive_report(5.0, 7, there.make_report(5.0)) is None
-    assert (view.counts.rejected, view.counts.accepted) == (
+    assert table.receive_report(3.0, 7, there.make_report(500.0)) is ReportRejection.FROM_FUTURE
+    assert table.clock_offsets.offset(7, 3.0) is None
+    assert table.receive_report(4.0, 7, msgspec.msgpack.encode([1, 2**53, 4.0, 1, None, [], []])) is None
+    assert table.receive_report(5.0, 7, there.make_report(5.0)) is None
+    assert (table.counts.rejected, table.counts.accepted) == (
         {ReportRejection.OUT_OF_ORDER: 1, ReportRejection.FROM_FUTURE: 1},
         4,
     )
@@ -251,46 +251,46 @@
         [*good(), "more"],
     ],
 )
-def test_an_entry_that_is_absurd_in_one_place_is_garbage(entry):
-    view = view_of("s")
-    assert view.receive_report(1.0, 7, msgspec.msgpack.encode(good())) is None
-    assert view.receive_report(1.0, 7, msgspec.msgpack.encode(entry)) is ReportRejection.MALFORMED
-    assert view.counts.rejected[ReportRejection.MALFORMED] == 1
-    assert view.gossip["s"].by_origin[7].load == 0.5
+def test_a_report_that_is_invalid_in_one_place_is_malformed(entry):
+    table = table_of("s")
+    assert table.receive_report(1.0, 7, msgspec.msgpack.encode(good())) is None
+    assert table.receive_report(1.0, 7, msgspec.msgpack.encode(entry)) is ReportRejection.MALFORMED
+    assert table.counts.rejected[ReportRejection.MALFORMED] == 1
+    assert table.gossip["s"].by_origin[7].load == 0.5
 
 
 @example(b"\x91" * 60_000)
 @example(bytes(70_000))
 @given(st.binary(max_size=200) | st.none() | st.text() | st.integers())
-def test_any_other_payload_is_garbage_too(payload):
-    assert view_of("s").receive_report(1.0, 7, payload) is ReportRejection.MALFORMED
+def test_any_other_payload_is_malformed_too(payload):
+    assert table_of("s").receive_report(1.0, 7, payload) is ReportRejection.MALFORMED
 
 
 class Ticker:
-    """A view of one server "s", with marks updated every 30 ms."""
+    """A table of one server "s", with confidence updated every 30 ms."""
 
     def __init__(self) -> None:
-        self.view, self.now, self.last, self.stand = view_of("s"), 0.0, 0.0, "attached"
-        self.marks = ConfidenceTracker(self.view, P, EVERY, round_ms=1000.0)
+        self.table, self.now, self.last, self.connectivity = table_of("s"), 0.0, 0.0, "attached"
+        self.tracker = ConfidenceTracker(self.table, P, EVERY, round_ms=1000.0)
         self.changes: list[Confidence] = []
 
     @property
-    def mark(self) -> Confidence:
-        return self.marks.levels["s"]
+    def level(self) -> Confidence:
+        return self.tracker.levels["s"]
 
     def run(self, span: float, gap: float = math.inf) -> None:
-        """Let time pass, with a call that ends so `gap` ms after the last."""
+        """Let time pass, with an answer every `gap` ms."""
         end = self.now + span
         while self.now < end:
             while self.last + gap <= self.now:
                 self.last += gap
-                self.view.record_outcome(self.last, "s", AttemptResult.OK)
-            self.view.confirm_list(self.now, 1)
-            self.changes += self.marks.update(self.now, self.stand).values()
+                self.table.record_outcome(self.last, "s", AttemptResult.OK)
+            self.table.confirm_list(self.now, 1)
+            self.changes += self.tracker.update(self.now, self.connectivity).values()
             self.now += EVERY
 
     def reason(self) -> object:
-        return self.marks.edge_statuses(self.now)[0].reason
+        return self.tracker.edge_statuses(self.now)[0].reason
 
 
 def test_a_route_rises_step_by_step_on_steady_answers_and_falls_step_by_step_without():
@@ -298,9 +298,9 @@
     ticker.run(EVERY)
     assert (ticker.changes, ticker.reason()) == ([Confidence.NONE], "unheard")
     ticker.run(3000.0, gap=60.0)
-    assert (ticker.mark, ticker.reason()) == (Confidence.HIGH, "heard")
+    assert (ticker.level, ticker.reason()) == (Confidence.HIGH, "heard")
     ticker.run(5000.0)
-    assert ticker.mark is Confidence.NONE
+    assert ticker.level is Confidence.NONE
     assert ticker.changes[-6:] == [
         Confidence.LOW,
         Confidence.MEDIUM,
@@ -309,111 +309,115 @@
         Confidence.LOW,
         Confidence.NONE,
     ]
-    ticker.view.record_outcome(ticker.now, "s", AttemptResult.OK)
+    ticker.table.record_outcome(ticker.now, "s", AttemptResult.OK)
     ticker.run(EVERY)
-    assert (ticker.mark, ticker.reason()) == (Confidence.LOW, "settling")
+    assert (ticker.level, ticker.reason()) == (Confidence.LOW, "settling")
 
 
 @given(st.integers(0, 2**32))
-def test_no_sure_or_fair_mark_outlives_its_bound_and_none_flaps(seed):
+def test_no_high_or_medium_level_outlives_its_limit_and_none_flaps(seed):
     draw, ticker, sures, last = random.Random(seed), Ticker(), 0, -math.inf
     for _ in range(150):
         if draw.random() < 0.5:
-            ticker.view.record_outcome(
+            ticker.table.record_outcome(
                 ticker.now,
                 "s",
                 draw.choice(
                     [AttemptResult.OK, AttemptResult.OK, AttemptResult.REJECTED, AttemptResult.RESET]
                 ),
             )
-        before = ticker.mark if ticker.changes else Confidence.NONE
+        before = ticker.level if ticker.changes else Confidence.NONE
         ticker.run(draw.choice([EVERY, EVERY, 8 * EVERY]))
-        age = ticker.now - ticker.view.observations["s"].answered_at if ticker.view.observations else math.inf
-        assert ticker.mark is not Confidence.HIGH or age <= MAX_AGE_PERIODS[0] * P
-        assert ticker.mark is not Confidence.MEDIUM or age <= MAX_AGE_PERIODS[1] * P
-        if ticker.mark is Confidence.HIGH and before is not Confidence.HIGH:
+        age = (
+            ticker.now - ticker.table.observations["s"].answered_at if ticker.table.observations else math.inf
+        )
+        assert ticker.level is not Confidence.HIGH or age <= MAX_AGE_PERIODS[0] * P
+        assert ticker.level is not Confidence.MEDIUM or age <= MAX_AGE_PERIODS[1] * P
+        if ticker.level is Confidence.HIGH and before is not Confidence.HIGH:
             assert ticker.now - last >= MAX_AGE_PERIODS[0] * P
             last, sures = ticker.now, sures + 1
 
 
 @pytest.mark.parametrize(("bound", "better"), [(0, Confidence.HIGH), (1, Confidence.MEDIUM)])
-def test_answers_at_intervals_around_a_bound_do_not_make_a_mark_flap(bound, better):
+def test_answers_at_intervals_around_a_limit_do_not_make_a_level_flap(bound, better):
     ticker = Ticker()
     for times in (0.9, 1.1):  # of the bound
         ticker.run(8000.0, gap=times * MAX_AGE_PERIODS[bound] * P)
         ticker.changes.clear()
         ticker.run(20_000.0, gap=times * MAX_AGE_PERIODS[bound] * P)
         assert ticker.changes == []
-        assert ticker.mark is not better
+        assert ticker.level is not better
     ticker.run(8000.0, gap=0.5 * RISE_AGE_RATIO * MAX_AGE_PERIODS[bound] * P)
-    assert ticker.mark is better
+    assert ticker.level is better
 
 
-def test_failed_calls_lower_a_mark_at_once_and_one_alone_does_not():
+def test_failed_attempts_lower_a_level_at_once_and_one_alone_does_not():
     ticker = Ticker()
     ticker.run(3000.0, gap=EVERY)
     ticker.changes.clear()
     for outcome in (AttemptResult.RESET, AttemptResult.OK, *[AttemptResult.ERROR] * 5):
-        ticker.view.record_outcome(ticker.now, "s", outcome)
+        ticker.table.record_outcome(ticker.now, "s", outcome)
         ticker.run(EVERY)
     assert ticker.changes == [Confidence.MEDIUM, Confidence.LOW]
     assert ticker.reason() == "missing"
 
 
-@pytest.mark.parametrize(("stand", "mark"), [("adrift", Confidence.MEDIUM), ("alone", Confidence.LOW)])
-def test_a_stand_lowers_marks_only_once_it_lasts(stand, mark):
+@pytest.mark.parametrize(
+    ("connectivity", "level"), [("adrift", Confidence.MEDIUM), ("alone", Confidence.LOW)]
+)
+def test_lost_connectivity_lowers_levels_only_once_it_lasts(connectivity, level):
     ticker = Ticker()
     ticker.run(3000.0, gap=EVERY)
     ticker.changes.clear()
-    for ticker.stand in (stand, "attached") * 4:
+    for ticker.connectivity in (connectivity, "attached") * 4:
         ticker.run(SUSTAINED_PERIODS * P / 2, gap=EVERY)
     assert ticker.changes == []
-    ticker.stand = stand
+    ticker.connectivity = connectivity
     ticker.run(2 * SUSTAINED_PERIODS * P, gap=EVERY)
-    assert (ticker.mark, ticker.reason()) == (mark, stand)
+    assert (ticker.level, ticker.reason()) == (level, connectivity)
 
 
-def test_a_sibling_s_answers_make_a_route_fair_and_its_failures_lower_a_sure_one():
+def test_a_sibling_s_answers_give_medium_and_its_failures_lower_high():
     ticker = Ticker()
-    ticker.view.clock_offsets.add_sample(7, 0.0, 0.0, 0.0, 0.0)
-    there = view_of("s")
+    ticker.table.clock_offsets.add_sample(7, 0.0, 0.0, 0.0, 0.0)
+    there = table_of("s")
     alone, shared = (math.inf, Confidence.MEDIUM, "told"), (4 * EVERY, Confidence.HIGH, "heard")
     for gap, mark, why in (alone, shared, alone, shared):
         for _ in range(60):
             there.record_outcome(ticker.now - 5.0, "s", AttemptResult.OK)
-            ticker.view.receive_report(ticker.now, 7, there.make_report(ticker.now - 1.0))
+            ticker.table.receive_report(ticker.now, 7, there.make_report(ticker.now - 1.0))
             ticker.run(EVERY, gap)
-        assert (ticker.mark, ticker.reason()) == (mark, why)
+        assert (ticker.level, ticker.reason()) == (mark, why)
     there.record_outcome(ticker.now, "s", AttemptResult.CONNECT_FAILED)
-    ticker.view.receive_report(ticker.now + 20.0, 7, there.make_report(ticker.now + 20.0))
+    ticker.table.receive_report(ticker.now + 20.0, 7, there.make_report(ticker.now + 20.0))
     ticker.now += EVERY
     ticker.run(EVERY)
-    assert (ticker.mark, ticker.reason()) == (Confidence.MEDIUM, "missing-for-sibling")
+    assert (ticker.level, ticker.reason()) == (Confidence.MEDIUM, "missing-for-sibling")
 
 
-def test_an_old_list_or_one_far_behind_lowers_marks():
+def test_an_old_list_or_one_far_behind_lowers_levels():
     ticker = Ticker()
     ticker.run(3000.0, gap=EVERY)
-    there = view_of("s")
+    there = table_of("s")
     there.confirm_list(0.0, 4)
-    ticker.view.receive_report(ticker.now, 7, there.make_report(1.0))
+    ticker.table.receive_report(ticker.now, 7, there.make_report(1.0))
     ticker.run(300.0, gap=EVERY)
-    assert (ticker.mark, ticker.reason()) == (Confidence.MEDIUM, "behind")
-    ticker.view.set_members(())
+    assert (ticker.level, ticker.reason()) == (Confidence.MEDIUM, "behind")
+    ticker.table.set_members(())
     ticker.run(600.0, gap=EVERY)
-    assert ticker.mark is Confidence.HIGH
+    assert ticker.level is Confidence.HIGH
     at = ticker.now + 7000.0
-    ticker.view.record_outcome(at, "s", AttemptResult.OK)
-    ticker.marks.update(at, "attached")
-    ticker.view.record_outcome(at + 200.0, "s", AttemptResult.OK)
-    assert ticker.marks.update(at + 200.0, "attached") == {"s": Confidence.MEDIUM}
+    ticker.table.record_outcome(at, "s", AttemptResult.OK)
+    ticker.tracker.update(at, "attached")
+    ticker.table.record_outcome(at + 200.0, "s", AttemptResult.OK)
+    assert ticker.tracker.update(at + 200.0, "attached") == {"s": Confidence.MEDIUM}
 
 
 def test_the_status_shows_every_edge():
     ticker = Ticker()
     ticker.run(EVERY)
-    ticker.view.record_outcome(0.0, "s", AttemptResult.OK)
-    row, sibling = ticker.marks.edge_statuses(ticker.now)
+    ticker.table.record_outcome(0.0, "s", AttemptResult.OK)
+    row, sibling = ticker.tracker.edge_statuses(ticker.now)
     assert (row.target, row.least_ms, row.most_ms) == ("s", EVERY, EVERY)
     assert (sibling.kind, sibling.confidence.value, sibling.most_ms, sibling.reason) == (
         "sibling",
