--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -139,7 +139,7 @@
             **self.ejections.admin_routes(),
         }
         if self.control_plane is not None:
-            routes.update(self.control_plane.admin_calls())
+            routes.update(self.control_plane.admin_routes())
         self.admin_server = AdminServer(routes)
 
     def _sibling_process(self) -> SiblingProcess | None:
