--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -276,7 +276,7 @@
 
     @property
     def confirmed_ms(self) -> float:
-        return self._clock.ms() // LIST_CONFIRMED_MS * LIST_CONFIRMED_MS
+        return self._clock.unix_ms() // LIST_CONFIRMED_MS * LIST_CONFIRMED_MS
 
 
 def probes(part: Any) -> tuple[int, int]:
--- a/loadbalancer/node/attempts.py
+++ b/loadbalancer/node/attempts.py
@@ -66,7 +66,7 @@
             body,
             job.call.length is None,
             lambda: self._jobs.waits(job),
-            self._clock.loop_time(action.written_by_ms),
+            self._clock.to_loop_time(action.written_by_ms),
         )
         if attempt is None:
             on_result(AttemptResult.CONNECT_FAILED, None)
--- a/loadbalancer/node/balancer_driver.py
+++ b/loadbalancer/node/balancer_driver.py
@@ -67,7 +67,7 @@
 
     def _decide(self, event: Event) -> list[Action]:
         try:
-            return self.balancer.handle(self._clock.ms(), event)
+            return self.balancer.handle(self._clock.unix_ms(), event)
         except Exception:
             # Guard: a fault of the module must leave no caller without an answer, nor stop its clockwork.
             log.exception("the decision module failed on %s", type(event).__name__)
--- a/loadbalancer/node/clock.py
+++ b/loadbalancer/node/clock.py
@@ -13,10 +13,10 @@
         self._time = loop.time
         self._anchor_s = time.time() - loop.time()
 
-    def ms(self, at: float | None = None) -> float:
+    def unix_ms(self, at: float | None = None) -> float:
         """Return the Unix time in ms, now or at a time of the event loop (s)."""
         return ((self._time() if at is None else at) + self._anchor_s) * 1000.0
 
-    def loop_time(self, ms: float) -> float:
+    def to_loop_time(self, ms: float) -> float:
         """Return the event loop's time (s) at a Unix time in ms."""
         return ms / 1000.0 - self._anchor_s
--- a/loadbalancer/node/control/clock.py
+++ b/loadbalancer/node/control/clock.py
@@ -17,7 +17,7 @@
 
     def now_ms(self) -> float:
         """The current time in ms; never goes back."""
-        return self._clock.ms() + self._offset_ms
+        return self._clock.unix_ms() + self._offset_ms
 
     def to_node_ms(self, ms: float) -> float:
         """A time of this clock by the node's clock."""
@@ -29,4 +29,4 @@
 
     def loop_time(self, ms: float) -> float:
         """A time of this clock by the event loop's clock, in s."""
-        return self._clock.loop_time(ms - self._offset_ms)
+        return self._clock.to_loop_time(ms - self._offset_ms)
--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -51,7 +51,7 @@
             return
         self.revision, self.service_revision = response.revision, response.service_revision
         if kind is not EndpointListKind.CACHED:
-            self.confirmed_ms = self._clock.ms()
+            self.confirmed_ms = self._clock.unix_ms()
         if kind is not EndpointListKind.DELTA:
             self.endpoints = {}
         for endpoint in response.endpoints:
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -102,7 +102,7 @@
         self.watcher = _watcher(self.config, self.endpoint_list)
 
     def _build_balancer(self) -> None:
-        balancer = Balancer(self.config.settings, self.config.seed, self.clock.ms())
+        balancer = Balancer(self.config.settings, self.config.seed, self.clock.unix_ms())
         self.driver = Driver(
             balancer, self.clock, self.request_registry, self.attempts, self.watcher, self.event_counts
         )
--- a/loadbalancer/node/operator_ejections.py
+++ b/loadbalancer/node/operator_ejections.py
@@ -42,7 +42,7 @@
         if not self._is_known(name):
             return EjectionResult.UNKNOWN_ENDPOINT
         is_new = not self._store.is_ejected(name)
-        stored = self._store.eject(name, self._clock.ms())
+        stored = self._store.eject(name, self._clock.unix_ms())
         if is_new:
             self._apply(name)
         return EjectionResult.DONE if stored else EjectionResult.NOT_STORED
@@ -53,14 +53,14 @@
         if not self._is_known(name):
             return EjectionResult.UNKNOWN_ENDPOINT
         was_ejected = self._store.is_ejected(name)
-        stored = self._store.restore(name, self._clock.ms())
+        stored = self._store.restore(name, self._clock.unix_ms())
         if was_ejected and stored:
             self._apply(name)
         return EjectionResult.DONE if stored else EjectionResult.NOT_STORED
 
     def sync(self) -> None:
         """Take over what another process of this node has stored."""
-        for name in self._store.read_changes(self._clock.ms()):
+        for name in self._store.read_changes(self._clock.unix_ms()):
             self._apply(name)
 
     def restore_from_state(self, ejected_since_ms: dict[str, float]) -> None:
--- a/loadbalancer/node/request_registry.py
+++ b/loadbalancer/node/request_registry.py
@@ -93,7 +93,7 @@
         """A request has come in: the whole of it, or its head while the body still comes."""
         self._counts["taken"] += 1
         try:
-            request, give_up_s = parse(call, self._classes, self._clock.ms(call.arrived))
+            request, give_up_s = parse(call, self._classes, self._clock.unix_ms(call.arrived))
             self._check_new(request)
         except BadRequestError as error:
             self._counts[f"bad {error.status}"] += 1
@@ -140,7 +140,7 @@
         for attempt in job.attempts:
             if attempt is not None:
                 attempt.run_clock(job.give_up_at - self._loop.time())
-        self._tell(RequestReceived(job.id, self._clock.ms(job.give_up_at)))
+        self._tell(RequestReceived(job.id, self._clock.unix_ms(job.give_up_at)))
 
     def _on_gone(self, job: Job) -> None:
         if not job.done:
--- a/loadbalancer/node/sibling_process.py
+++ b/loadbalancer/node/sibling_process.py
@@ -23,14 +23,14 @@
         The balancer starts from what the other process has learned only `at_start`; it gets that one's load
         every time, and once more, empty, when there is none left.
         """
-        sibling = self.handover.read_siblings(self._clock.ms())
+        sibling = self.handover.read_siblings(self._clock.unix_ms())
         if at_start and sibling.learned is not None:
             self._driver.tell(sibling.learned)
         if sibling.in_flight or self._has_load:
             self._driver.tell(SiblingProcessLoad(sibling.in_flight))
         self._has_load = bool(sibling.in_flight)
         balancer = self._driver.balancer
-        self.handover.write(self._clock.ms(), balancer.learned_state(), balancer.in_flight())
+        self.handover.write(self._clock.unix_ms(), balancer.learned_state(), balancer.in_flight())
 
     def close(self) -> None:
         """Remove this process's file."""
--- a/loadbalancer/node/state_writer.py
+++ b/loadbalancer/node/state_writer.py
@@ -46,7 +46,7 @@
 
     def restore(self) -> None:
         """Take over what the rules accept of the state file: ejections, then the list, then learned state."""
-        found = read_state(self._file.path, self._node_name, self._clock.ms(), self._given_revision)
+        found = read_state(self._file.path, self._node_name, self._clock.unix_ms(), self._given_revision)
         self._ejections.restore_from_state(found.ejected_since_ms)
         if found.endpoint_list is not None:
             self._endpoint_list.apply_update(EndpointListKind.CACHED, found.endpoint_list)
@@ -93,7 +93,7 @@
         learned = self._driver.balancer.learned_state()
         learned.class_latency_ms = dict(learned.class_latency_ms)
         endpoint_list = self._endpoint_list.complete_list()
-        now_ms = self._clock.ms()
+        now_ms = self._clock.unix_ms()
         await self._file.write(
             lambda: encode_state(self._node_name, now_ms, learned, ejected_since_ms, endpoint_list)
         )
--- a/tests/node/admin/test_admin_server.py
+++ b/tests/node/admin/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' door, and what can be asked for at it."""
+"""The admin server, and the requests that it answers."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 )
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-DOOR = {"operator": "127.0.0.1:0"}
+ADMIN_SETTINGS = {"operator": "127.0.0.1:0"}
 
 
 def call(method: str, path: str, body: bytes = b"") -> bytes:
     return f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-async def say(node: Node, data: bytes) -> Message:
+async def send_request(node: Node, data: bytes) -> Message:
     reader, writer = await asyncio.open_connection(*node.admin_server.address)
     writer.write(data)
     try:
@@ -44,14 +44,14 @@
 
 
 async def status(node: Node, method: str, path: str, body: bytes = b"") -> int:
-    return (await say(node, call(method, path, body))).status
+    return (await send_request(node, call(method, path, body))).status
 
 
 def test_status_is_yes_once_there_is_a_server_to_send_to():
     async def main():
-        async with running(**DOOR) as node:
+        async with running(**ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 503
-        async with running(Peer(), **DOOR) as node:
+        async with running(Peer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 200
 
     asyncio.run(main())
@@ -80,8 +80,8 @@
 )
 def test_calls_get_a_yes_or_a_no(data, expected):
     async def main():
-        async with running(Peer(), **DOOR) as node:
-            assert (await say(node, data)).status == expected
+        async with running(Peer(), **ADMIN_SETTINGS) as node:
+            assert (await send_request(node, data)).status == expected
 
     asyncio.run(main())
 
@@ -91,11 +91,11 @@
         def broken(_: bytes) -> AdminResponse:
             raise KeyError("x")
 
-        door = AdminServer({(b"PUT", b"/broken"): broken, (b"GET", b"/fine"): lambda _: AdminResponse(200)})
-        await door.open(("127.0.0.1", 0))
-        assert door.dispatch(b"PUT", b"/broken", b"").status == 500
-        assert door.dispatch(b"GET", b"/fine", b"").status == 200
-        door.close()
+        server = AdminServer({(b"PUT", b"/broken"): broken, (b"GET", b"/fine"): lambda _: AdminResponse(200)})
+        await server.open(("127.0.0.1", 0))
+        assert server.dispatch(b"PUT", b"/broken", b"").status == 500
+        assert server.dispatch(b"GET", b"/fine", b"").status == 200
+        server.close()
 
     asyncio.run(main())
     assert "failed" in caplog.text
@@ -114,12 +114,12 @@
         async def left_later(body: bytes) -> AdminResponse:
             return left(body)
 
-        door = AdminServer({(b"GET", b"/left"): left_later if later else left})
-        await door.open(("127.0.0.1", 0))
-        caller.connect(door.address)
+        server = AdminServer({(b"GET", b"/left"): left_later if later else left})
+        await server.open(("127.0.0.1", 0))
+        caller.connect(server.address)
         caller.sendall(call("GET", "/left"))
-        await until(lambda: gone and not door._connections)
-        door.close()
+        await until(lambda: gone and not server._connections)
+        server.close()
         caller.close()
 
     asyncio.run(main())
@@ -128,7 +128,7 @@
 
 def test_callers_that_finish_no_call_keep_nobody_out_and_are_closed(monkeypatch):
     async def main():
-        async with running(Peer(), **DOOR) as node:
+        async with running(Peer(), **ADMIN_SETTINGS) as node:
             held = [
                 await asyncio.open_connection(*node.admin_server.address) for _ in range(MAX_CONNECTIONS + 4)
             ]
@@ -165,7 +165,7 @@
 def test_standby_says_no_lets_idle_callers_go_and_finishes_what_is_held():
     async def main():
         server = Held()
-        async with running(server, **DOOR) as node:
+        async with running(server, **ADMIN_SETTINGS) as node:
             idle, busy = await Caller.to(node), await Caller.to(node)
             assert (await idle.ask(UP)).status == 200
             busy.writer.write(request())
@@ -187,7 +187,7 @@
 
 def test_active_ends_the_drain_and_connections_are_kept_again():
     async def main():
-        async with running(Peer(), **DOOR) as node:
+        async with running(Peer(), **ADMIN_SETTINGS) as node:
             await status(node, "PUT", "/standby")
             assert await status(node, "PUT", "/active") == 200
             assert await status(node, "GET", "/status") == 200
@@ -202,7 +202,7 @@
 def test_a_node_that_leaves_service_does_not_become_active_again():
     async def main():
         server = Held()
-        async with running(server, **DOOR) as node:
+        async with running(server, **ADMIN_SETTINGS) as node:
             caller = await Caller.to(node)
             caller.writer.write(request())
             await until(lambda: server.seen)
--- a/tests/node/admin/test_metrics.py
+++ b/tests/node/admin/test_metrics.py
@@ -1,4 +1,4 @@
-"""What the node reports of itself at the operators' door."""
+"""What the node reports of itself at the admin server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from loadbalancer.balancing.events import Request
 from loadbalancer.node.admin.metrics import NodeMetrics
 from loadbalancer.node.node import Node
-from tests.node.admin.test_admin_server import DOOR, call, say, status
+from tests.node.admin.test_admin_server import ADMIN_SETTINGS, call, send_request, status
 from tests.support.loopback import (
     Caller,
     Held,
@@ -27,7 +27,7 @@
 
 
 async def figures(node: Node) -> dict[str, int]:
-    answer = await say(node, call("GET", "/status/metrics"))
+    answer = await send_request(node, call("GET", "/status/metrics"))
     assert answer.status == 200
     pairs = (line.split("=") for line in answer.body.decode().splitlines())
     return {name.removeprefix("proxy."): int(value) for name, value in pairs}
@@ -57,7 +57,7 @@
 
 def test_reloads_are_counted_good_and_failed(tmp_path, monkeypatch):
     async def main():
-        async with running(Peer(), **DOOR) as node:
+        async with running(Peer(), **ADMIN_SETTINGS) as node:
             path = tmp_path / "config.json"
             monkeypatch.setenv("PROXY_CONFIG", str(path))
             path.write_text("{")
@@ -76,7 +76,7 @@
         async def script(message):
             return reply(200 if message.headers["req-id"].startswith("q") else 500)
 
-        async with running(Peer(script), settings={"tier": 1}, **DOOR) as node:
+        async with running(Peer(script), settings={"tier": 1}, **ADMIN_SETTINGS) as node:
             for at in range(3):
                 assert (await ask(node, request(name=f"q{at}"))).status == 200
             assert (await ask(node, request("post", name="x"))).status == 502
@@ -93,7 +93,7 @@
 def test_refusals_of_the_module_and_over_the_limit_are_overload():
     async def main():
         server = Held()
-        async with running(server, bounds={"maxOpen": 1}, **DOOR) as node:
+        async with running(server, bounds={"maxOpen": 1}, **ADMIN_SETTINGS) as node:
             caller = await Caller.to(node)
             caller.writer.write(request(name="held"))
             await until(lambda: server.seen)
@@ -113,7 +113,7 @@
 def test_concurrent_and_targets_are_those_of_the_moment():
     async def main():
         server = Held()
-        async with running(server, Peer(), **DOOR) as node:
+        async with running(server, Peer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", "/maintenance/enter", b"s1") == 200
             callers = [await Caller.to(node) for _ in range(3)]
             for at, caller in enumerate(callers):
@@ -134,7 +134,7 @@
 def test_an_attempt_that_never_connects_is_no_dispatch():
     async def main():
         gone = Peer()
-        async with running(gone, **DOOR) as node:
+        async with running(gone, **ADMIN_SETTINGS) as node:
             gone._server.close()
             await gone._server.wait_closed()
             assert (await ask(node, request(name="q"))).status == 503
--- a/tests/node/discovery/test_discovery_lists.py
+++ b/tests/node/discovery/test_discovery_lists.py
@@ -12,7 +12,7 @@
 from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.discovery.response import decode_response
 from tests.support.clocks import run
-from tests.support.discoveries import MODES, TOLD_S, Source, now, row, watching
+from tests.support.discoveries import MODES, PROPAGATION_DEADLINE_S, Source, now, row, watching
 
 
 def target(**more: Any) -> dict[str, Any]:
@@ -126,7 +126,7 @@
             if form is EndpointListKind.FAILED:
                 source.fall_silent("reset")
             began = source.change()
-            assert await listener.learned(3) - began < TOLD_S
+            assert await listener.learned(3) - began < PROPAGATION_DEADLINE_S
             assert not listener.raises
             began = source.change()
             assert await listener.learned(4) - began < 0.1  # and is followed on
@@ -155,6 +155,6 @@
                 while [form for _, form, _ in listener.heard].count(EndpointListKind.FAILED) < 6:
                     await listener.next()
             back = now()
-            assert await listener.learned(3) - back < TOLD_S
+            assert await listener.learned(3) - back < PROPAGATION_DEADLINE_S
 
     run(main())
--- a/tests/node/discovery/test_discovery_silence.py
+++ b/tests/node/discovery/test_discovery_silence.py
@@ -11,49 +11,60 @@
 from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.discovery.poll_policy import PollPolicy
 from tests.support.clocks import run
-from tests.support.discoveries import MODES, MOVED_S, PUSH_S, TOLD_S, Luck, Source, now, watching
+from tests.support.discoveries import (
+    ADDRESS_CHANGE_DEADLINE_S,
+    MODES,
+    PROPAGATION_DEADLINE_S,
+    PUSH_BACKOFF_S,
+    Luck,
+    Source,
+    now,
+    watching,
+)
 
 # ------------------------------------------------------------------------- the clock
 
 
 @MODES
 def test_what_a_silent_watch_misses_is_learned_in_time(pause_s):
-    patience = PollPolicy(20.0, pause_s, Luck(1.0))
-    patience.record_success()
-    silent_s = patience.timeout_s
-    assert silent_s + patience.record_failure() + patience.timeout_s < TOLD_S
+    policy = PollPolicy(20.0, pause_s, Luck(1.0))
+    policy.record_success()
+    silent_s = policy.timeout_s
+    assert silent_s + policy.record_failure() + policy.timeout_s < PROPAGATION_DEADLINE_S
 
 
 @MODES
 def test_the_call_after_any_number_of_failures_comes_in_time(pause_s):
     """The worst: discovery is back right after a call was sent that it will never answer."""
-    patience = PollPolicy(20.0, pause_s, Luck(1.0))
+    policy = PollPolicy(20.0, pause_s, Luck(1.0))
     pauses = []
     for _ in range(5000):  # some hours of an outage
-        unheard_s = patience.timeout_s
-        pauses.append(patience.record_failure())
-        assert unheard_s + pauses[-1] + patience.timeout_s < TOLD_S
+        unheard_s = policy.timeout_s
+        pauses.append(policy.record_failure())
+        assert unheard_s + pauses[-1] + policy.timeout_s < PROPAGATION_DEADLINE_S
     assert pauses == sorted(pauses)
-    assert pauses[-1] == (PUSH_S if pause_s == PUSH_S else pytest.approx(3.2))  # backs off where it may crowd
-    patience.record_success()
-    assert patience.record_failure() == pauses[0]
+    assert pauses[-1] == (
+        PUSH_BACKOFF_S if pause_s == PUSH_BACKOFF_S else pytest.approx(3.2)
+    )  # backs off where it may crowd
+    policy.record_success()
+    assert policy.record_failure() == pauses[0]
 
 
 @MODES
 def test_pauses_are_drawn_apart_at_every_failure(pause_s):
     fleet = [PollPolicy(20.0, pause_s, Random(seed)) for seed in range(40)]
     for _ in range(6):
-        pauses = sorted(patience.record_failure() for patience in fleet)
+        pauses = sorted(policy.record_failure() for policy in fleet)
         assert pauses[-1] > 1.8 * pauses[0]
         assert max(later - earlier for earlier, later in itertools.pairwise(pauses)) < 0.1 * pauses[-1]
 
 
 def test_settings_may_leave_less():
-    patience = PollPolicy(0.1, 0.1, Luck(1.0))
-    assert patience.wait_ms == 50
-    patience.record_success()
-    assert patience.wait_ms == 100
-    assert [patience.record_failure() for _ in range(4)] == [0.1] * 4
+    policy = PollPolicy(0.1, 0.1, Luck(1.0))
+    assert policy.wait_ms == 50
+    policy.record_success()
+    assert policy.wait_ms == 100
+    assert [policy.record_failure() for _ in range(4)] == [0.1] * 4
 
 
 @MODES
@@ -70,7 +81,7 @@
             fell_silent = source.fall_silent(how)
             assert fell_silent - began < 2.75  # in the first long wait
             source.change()
-            assert await listener.learned(3) - fell_silent < TOLD_S
+            assert await listener.learned(3) - fell_silent < PROPAGATION_DEADLINE_S
             assert source.connections == 2
 
     run(main())
@@ -94,7 +105,7 @@
             began = source.change(7)
             while not any((form, rev) == (EndpointListKind.FULL, 7) for _, form, rev in listener.heard):
                 await listener.next()
-                assert now() - began < TOLD_S
+                assert now() - began < PROPAGATION_DEADLINE_S
 
     run(main())
 
@@ -108,7 +119,7 @@
         async with watching(source, pause_s) as (_, listener):
             await asyncio.sleep(outage_s)
             source.act = "answer"
-            assert await listener.learned(2) - outage_s < TOLD_S
+            assert await listener.learned(2) - outage_s < PROPAGATION_DEADLINE_S
 
     run(main())
 
@@ -152,7 +163,9 @@
             watcher.change_address(new.address)
             while not any((form, rev) == (EndpointListKind.FULL, lower) for _, form, rev in listener.heard):
                 await listener.next()
-            assert 2.0 < now() - moved < MOVED_S  # a replica that only lags has some time to catch up
+            assert (
+                2.0 < now() - moved < ADDRESS_CHANGE_DEADLINE_S
+            )  # a replica that only lags has some time to catch up
         new.close()
 
     run(main())
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -1,4 +1,4 @@
-"""Servers out by hand: the bans' files, the calls at the door and what the module makes of them."""
+"""Ejections by operators: their files, their admin requests and what the balancer makes of them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from loadbalancer.node.node import Node
 from loadbalancer.node.operator_ejections import EjectionResult
 from loadbalancer.node.state.ejections import FILE_PREFIX, FOLDER_NAME, RETENTION_MS, Ejection, EjectionStore
-from tests.node.admin.test_admin_server import DOOR, status
+from tests.node.admin.test_admin_server import ADMIN_SETTINGS, status
 from tests.support.builders import Bed, sent, servers
 from tests.support.loopback import Caller, Discovery, Held, Peer, ask, listing, request, running, until
 
@@ -41,21 +41,21 @@
 
 
 def test_putting_a_server_out_twice_is_undone_by_one_call_back(tmp_path):
-    bans = EjectionStore(tmp_path)
-    bans.eject("s", 1000.0)
-    bans.eject("s", 2000.0)
-    assert bans.get("s") == Ejection(1000.0)
-    bans.restore("s", 3000.0)
-    assert not bans.is_ejected("s")
+    store = EjectionStore(tmp_path)
+    store.eject("s", 1000.0)
+    store.eject("s", 2000.0)
+    assert store.get("s") == Ejection(1000.0)
+    store.restore("s", 3000.0)
+    assert not store.is_ejected("s")
 
 
 def test_a_return_from_long_ago_is_forgotten_with_its_file(tmp_path):
-    bans = EjectionStore(tmp_path)
-    bans.eject("s", 0.0)
-    bans.restore("s", 1.0)
-    bans.read_changes(RETENTION_MS)
+    store = EjectionStore(tmp_path)
+    store.eject("s", 0.0)
+    store.restore("s", 1.0)
+    store.read_changes(RETENTION_MS)
     assert list(tmp_path.iterdir())
-    bans.read_changes(RETENTION_MS + 2.0)
+    store.read_changes(RETENTION_MS + 2.0)
     assert not list(tmp_path.iterdir())
 
 
@@ -63,30 +63,30 @@
 def test_a_file_that_cannot_be_read_keeps_its_server_out_and_is_logged(tmp_path, caplog, text):
     (tmp_path / (FILE_PREFIX + "s")).write_text(text)
     (tmp_path / "something else").write_text(text)
-    bans = EjectionStore(tmp_path)
-    assert bans.read_changes(0.0) == ["s"]
-    assert bans.is_ejected("s")
+    store = EjectionStore(tmp_path)
+    assert store.read_changes(0.0) == ["s"]
+    assert store.is_ejected("s")
     assert len(caplog.records) == 1
-    bans.restore("s", 10.0)
-    assert not bans.is_ejected("s")
+    store.restore("s", 10.0)
+    assert not store.is_ejected("s")
 
 
 def test_a_folder_that_takes_no_file_is_a_no_and_the_ban_holds_in_this_process(tmp_path, caplog):
     (tmp_path / "file").write_text("")
-    bans = EjectionStore(tmp_path / "file")
-    assert bans.read_changes(0.0) == []
-    assert not bans.eject("s", 0.0)
-    assert bans.is_ejected("s")
-    assert not bans.restore("s", 1.0)
-    assert bans.is_ejected("s")
+    store = EjectionStore(tmp_path / "file")
+    assert store.read_changes(0.0) == []
+    assert not store.eject("s", 0.0)
+    assert store.is_ejected("s")
+    assert not store.restore("s", 1.0)
+    assert store.is_ejected("s")
     assert len(caplog.records) == 1  # once for the stretch
 
 
 def test_without_a_folder_bans_are_kept_in_memory():
-    bans = EjectionStore(None)
-    assert bans.eject("s", 0.0)
-    assert bans.read_changes(1.0) == []
-    assert bans.is_ejected("s")
+    store = EjectionStore(None)
+    assert store.eject("s", 0.0)
+    assert store.read_changes(1.0) == []
+    assert store.is_ejected("s")
 
 
 # --------------------------------------------------------------------- the calls
@@ -95,7 +95,7 @@
 def test_a_server_out_by_hand_gets_nothing_new_and_finishes_what_it_has():
     async def main():
         first, second = Held(), Held()
-        async with running(first, second, **DOOR) as node:
+        async with running(first, second, **ADMIN_SETTINGS) as node:
             callers = [await Caller.to(node) for _ in range(2)]
             for at, caller in enumerate(callers):
                 caller.writer.write(request(name=f"q{at}"))
@@ -122,7 +122,7 @@
         with socket.create_server(("127.0.0.1", 0), backlog=0) as silent, socket.socket() as filler:
             filler.connect(silent.getsockname())
             server = Peer()
-            async with running(server, bounds={"connectTimeoutMs": 10_000.0}, **DOOR) as node:
+            async with running(server, bounds={"connectTimeoutMs": 10_000.0}, **ADMIN_SETTINGS) as node:
                 known = node.endpoint_list.endpoints["s0"][0]
                 silent_server = Endpoint("quiet", zone=known.zone)
                 node.endpoint_list.endpoints["quiet"] = silent_server, silent.getsockname()[:2]
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize(("body", "expected"), [(b"s9", 404), (b"", 404), (b"\xff\xfe", 400)])
 def test_an_unknown_id_is_told_no(path, body, expected):
     async def main():
-        async with running(Peer(), **DOOR) as node:
+        async with running(Peer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", path, body) == expected
 
     asyncio.run(main())
@@ -155,7 +155,7 @@
         await other.start()
         news = listing(2, True, s0=(server.endpoint, "Ready"), s1=(other.endpoint, "Ready"))
         discovery = Discovery()
-        async with running(server, discovery=discovery, **DOOR) as node:
+        async with running(server, discovery=discovery, **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", ENTER, b"s0") == 200
             discovery.news.append(news)  # for the next call: the first stays silent and is given up
             await until(lambda: "s1" in node.endpoint_list.endpoints)
@@ -170,7 +170,7 @@
 def test_the_ban_binds_a_second_process_and_one_started_later(tmp_path):
     async def main():
         server = Peer()
-        async with running(server, tmpdir=str(tmp_path), **DOOR) as old:
+        async with running(server, tmpdir=str(tmp_path), **ADMIN_SETTINGS) as old:
             new = Node(old.config)
             new.server.listen = _nowhere  # type: ignore[method-assign]
             await new.start()
@@ -194,7 +194,7 @@
 
 def test_a_call_back_right_after_the_other_process_was_told_is_not_lost(tmp_path):
     async def main():
-        async with running(Peer(), tmpdir=str(tmp_path), **DOOR) as node:
+        async with running(Peer(), tmpdir=str(tmp_path), **ADMIN_SETTINGS) as node:
             EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
             assert node.ejections.restore("s0") is EjectionResult.DONE
             assert not EjectionStore(tmp_path / FOLDER_NAME).is_ejected("s0")
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -84,7 +84,7 @@
     async def main():
         async with running(Peer()) as node:
             node.driver.balancer = scripted = Scripted(lambda event: [Reject(event.id, 250.0)])
-            before = node.clock.ms()
+            before = node.clock.unix_ms()
             answer = await ask(
                 node,
                 request(Req_Owner="acme", Req_Retry="1", Req_Cost="1500", Req_Deadline_Ms="5000"),
@@ -97,7 +97,7 @@
                 True,
                 1.5,
             )
-            assert heard.deadline_ms < node.clock.ms() + 5000  # the way there and back comes off
+            assert heard.deadline_ms < node.clock.unix_ms() + 5000  # the way there and back comes off
             assert heard.deadline_ms > before + 4900
 
     asyncio.run(main())
@@ -789,9 +789,9 @@
 
     before = time.time() * 1000.0
     clock = Clock(Loop())
-    assert abs(clock.ms() - before) < 60_000
+    assert abs(clock.unix_ms() - before) < 60_000
     monkeypatch.setattr(time, "time", lambda: 0.0)
-    first, second = clock.ms(), clock.ms()
+    first, second = clock.unix_ms(), clock.unix_ms()
     assert first < second
 
 
--- a/tests/node/upstream/test_writes.py
+++ b/tests/node/upstream/test_writes.py
@@ -145,7 +145,7 @@
             def act(event):
                 if isinstance(event, AttemptOutcome) and event.result is AttemptResult.REJECTED:
                     client.leave()  # in the turn in which the next attempt is chosen
-                return balancer.handle(node.clock.ms(), event)
+                return balancer.handle(node.clock.unix_ms(), event)
 
             node.driver.balancer = Scripted(act)
             await until(lambda: node.event_counts["gone"])
--- a/tests/stored/test_node_data.py
+++ b/tests/stored/test_node_data.py
@@ -19,6 +19,7 @@
 from loadbalancer.node.state import snapshot
 from loadbalancer.node.state.ejections import Ejection, EjectionStore
 from loadbalancer.node.state.handover import HandoverFiles
+from loadbalancer.node.state.restore import read_state
 from tests.support.loopback import config_row
 from tests.support.registry_processes import ROOT
 
@@ -40,7 +41,7 @@
 
 
 def test_a_state_file_is_read_whole_and_written_as_the_same_bytes() -> None:
-    found = snapshot.read_state(STATE, "n0", WRITTEN_MS + 1_000.0, 0)
+    found = read_state(STATE, "n0", WRITTEN_MS + 1_000.0, 0)
     assert (found.age_ms, found.violated_rules) == (1_000.0, [])
     assert found.learned is not None
     assert found.endpoint_list is not None
--- a/tests/support/discoveries.py
+++ b/tests/support/discoveries.py
@@ -18,10 +18,10 @@
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from tests.support.loopback import read_message, reply
 
-TOLD_S = 6.0  # by the operators' terms, not by the program's own constant
-MOVED_S = 4.0  # so too, from SIGHUP on
-PUSH_S, ASK_S = 0.5, 5.0  # the longest pause that a node's settings leave it
-MODES = pytest.mark.parametrize("pause_s", [PUSH_S, ASK_S], ids=["push", "ask"])
+PROPAGATION_DEADLINE_S = 6.0  # by the operators' terms, not by the program's own constant
+ADDRESS_CHANGE_DEADLINE_S = 4.0  # so too, from SIGHUP on
+PUSH_BACKOFF_S, POLL_BACKOFF_S = 0.5, 5.0  # the longest pause that a node's settings leave it
+MODES = pytest.mark.parametrize("pause_s", [PUSH_BACKOFF_S, POLL_BACKOFF_S], ids=["push", "ask"])
 
 
 class Luck(Random):
@@ -147,7 +147,7 @@
 
 @contextlib.asynccontextmanager
 async def watching(
-    source: Source, pause_s: float = PUSH_S, known: int = 1, luck: float = 1.0
+    source: Source, pause_s: float = PUSH_BACKOFF_S, known: int = 1, luck: float = 1.0
 ) -> AsyncIterator[tuple[EndpointListWatcher, Listener]]:
     listener = Listener()
     watcher = EndpointListWatcher(source.address, known, PollPolicy(20.0, pause_s, Luck(luck)), listener)
