--- a/loadbalancer/node/admin/connection.py
+++ b/loadbalancer/node/admin/connection.py
@@ -57,7 +57,7 @@
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come; once the request is complete, or can't be, it is answered.
+        """Parse what has arrived; answer the request once it is complete or proves malformed.
 
         Later input is read and dropped, as unread input would turn the connection's end into a reset, to
         which the response could be lost.
--- a/loadbalancer/node/admin/metrics.py
+++ b/loadbalancer/node/admin/metrics.py
@@ -5,7 +5,9 @@
 from collections.abc import Iterable
 from http import HTTPStatus
 
-OVERLOAD_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+# Plain integers: every response is compared with them.
+SUCCESS_STATUS = HTTPStatus.OK.value
+OVERLOAD_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS.value, HTTPStatus.SERVICE_UNAVAILABLE.value)
 
 
 class NodeMetrics:
@@ -18,7 +20,11 @@
 
     def count_response(self, class_name: str, status: int) -> None:
         """Count the final response to a request of this class."""
-        self._responses[class_name][_kind_of(status)] += 1
+        if status == SUCCESS_STATUS:
+            kind = "success"
+        else:
+            kind = "overload" if status in OVERLOAD_STATUSES else "error"
+        self._responses[class_name][kind] += 1
 
     def count_attempt_sent(self) -> None:
         """Count an attempt whose last byte has been written."""
@@ -43,9 +49,3 @@
             f"proxy.targets_disabled={disabled}",
         ]
         return ("\n".join(lines) + "\n").encode()
-
-
-def _kind_of(status: int) -> str:
-    if status == HTTPStatus.OK:
-        return "success"
-    return "overload" if status in OVERLOAD_STATUSES else "error"
--- a/loadbalancer/node/discovery/client.py
+++ b/loadbalancer/node/discovery/client.py
@@ -24,7 +24,7 @@
         self.response: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
 
     def sent(self) -> None:
-        """Ignored: a poll has no effect that it could have had."""
+        """Ignored: a poll may always be repeated, whether or not it was sent."""
 
     def begun(self, response: Response) -> None:
         """Never called: lists are received in full."""
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -41,9 +41,9 @@
 RESERVED_DESCRIPTORS = 32  # for the listener, discovery, standard streams and the event loop
 MIN_CONNECTION_DESCRIPTORS = 16
 # Of the descriptors for connections; what is left takes in a burst until idle connections have been closed.
-INBOUND_SHARE = 0.45
-UPSTREAM_SHARE = 0.35
-POLL_WAIT_SHARE = 0.5  # of the time within which discovery has to be polled; the rest is for the poll's way
+INBOUND_FRACTION = 0.45
+UPSTREAM_FRACTION = 0.35
+POLL_WAIT_FRACTION = 0.5  # of the time within which discovery has to be polled; the rest is for its transfer
 STANDBY_GRACE_S = 0.5  # in standby, a connection so new is left open for its first request
 
 
@@ -74,9 +74,9 @@
             MIN_CONNECTION_DESCRIPTORS,
             config.max_descriptors - RESERVED_DESCRIPTORS - config.membership_descriptors,
         )
-        self.server = Server(int(usable * INBOUND_SHARE), lambda call: self.request_registry.take(call))
+        self.server = Server(int(usable * INBOUND_FRACTION), lambda call: self.request_registry.take(call))
         self.pool = Pool(
-            int(usable * UPSTREAM_SHARE),
+            int(usable * UPSTREAM_FRACTION),
             config.connection_idle_ms / 1000.0,
             config.connect_timeout_ms / 1000.0,
             self.metrics.count_attempt_sent,
@@ -115,7 +115,7 @@
         self.components: list[Component] = [component for component in optional if component is not None]
         self.periodic_tasks = PeriodicTasks(
             self.config.name,
-            self._tasks_of_a_tick(),
+            self._tick_tasks(),
             self.event_counts,
             self.request_registry,
             self.server,
@@ -166,7 +166,7 @@
         self.attempts.on_outcome.append(control_plane.freshness.record_outcome)
         return control_plane
 
-    def _tasks_of_a_tick(self) -> list[Callable[[], None]]:
+    def _tick_tasks(self) -> list[Callable[[], None]]:
         tasks: list[Callable[[], None]] = []
         if self.config.admin_address is not None:  # then the node's other process may change ejections
             tasks.append(self.ejections.sync)
@@ -180,12 +180,12 @@
 
     def render_metrics(self) -> bytes:
         """Return the text of GET /status/metrics: the node's own lines, then those of each component."""
-        own = self.metrics.render(
+        node_lines = self.metrics.render(
             self.request_registry.under_way,
             len(self.endpoint_list.endpoints),
             self.driver.balancer.ejected_count,
         )
-        return own + "".join(component.metrics() for component in self.components).encode()
+        return node_lines + "".join(component.metrics() for component in self.components).encode()
 
     async def start(self) -> None:
         """Give the balancer all that is known, and begin to serve; raise OSError if an address is in use.
@@ -244,7 +244,7 @@
 
 
 def _watcher(config: NodeConfig, endpoint_list: EndpointList) -> EndpointListWatcher:
-    max_wait_s = config.poll_deadline_ms * POLL_WAIT_SHARE / 1000.0
+    max_wait_s = config.poll_deadline_ms * POLL_WAIT_FRACTION / 1000.0
     # An agent that pushes runs on this machine for this node alone: no backoff has to spare it.
     max_backoff_s = max_wait_s if config.settings.poll_discovery else INITIAL_BACKOFF_S
     policy = PollPolicy(max_wait_s, max_backoff_s, Random(config.seed))
--- a/loadbalancer/node/periodic_tasks.py
+++ b/loadbalancer/node/periodic_tasks.py
@@ -39,7 +39,7 @@
         self._server = server
         self._pool = pool
         self._driver = driver
-        self._max_lag_s = 0.0  # the latest that a tick has come since the last line of statistics
+        self._max_lag_s = 0.0  # the longest delay of a tick since the last line of statistics
         self._tick_timer: asyncio.TimerHandle | None = None
         self._statistics_timer: asyncio.TimerHandle | None = None
 
