--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -16,10 +16,10 @@
     DetectorConfig,
     FailureDetector,
     MemberLease,
+    MemberState,
     ReachabilityChanged,
     Sibling,
     SiblingReport,
-    State,
     ViewReceived,
 )
 from loadbalancer.membership.messages import LeaseAnswer
@@ -177,7 +177,7 @@
         siblings = [
             Sibling(member.incarnation, member.name, member.address)
             for member in lease.members
-            if member.state != State.LEFT
+            if member.state != MemberState.LEFT
         ]
         self.probe_transport.execute(detector.set_members(now, siblings))
         self.freshness.set_members(
--- a/loadbalancer/node/control/group_view.py
+++ b/loadbalancer/node/control/group_view.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from loadbalancer.membership import Connectivity, LeaseStatus, State, Verdict, connectivity, verdict
+from loadbalancer.membership import Connectivity, LeaseStatus, MemberState, Verdict, connectivity, verdict
 from loadbalancer.membership.messages import Member
 from loadbalancer.node.control.lease_client import LeaseClient
 from loadbalancer.node.control.probe_transport import ProbeTransport
@@ -32,7 +32,7 @@
             member.incarnation: verdict(
                 _lease_status(member) if attached else LeaseStatus.UNKNOWN,
                 reachability[member.incarnation],
-                member.state in (State.DRAINING, State.LEFT),
+                member.state in (MemberState.DRAINING, MemberState.LEFT),
             )
             for member in self._member_lease.members
             if member.incarnation in reachability
@@ -56,4 +56,4 @@
 
 
 def _lease_status(member: Member) -> LeaseStatus:
-    return LeaseStatus.EXPIRED if member.state == State.EXPIRED else LeaseStatus.LIVE
+    return LeaseStatus.EXPIRED if member.state == MemberState.EXPIRED else LeaseStatus.LIVE
--- a/tests/staleness/test_staleness.py
+++ b/tests/staleness/test_staleness.py
@@ -1,4 +1,5 @@
-"""Staleness: offsets and ages that hold on any link, confidence within its limits, reports decoded strictly."""
+"""Staleness: offsets and ages that hold on any link, confidence within its limits, reports decoded
+strictly."""
 
 from __future__ import annotations
 
