--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -39,8 +39,8 @@
     encode_answers,
 )
 from loadbalancer.registry.renewal_relay import MAX_BATCH_BODY_BYTES as MAX_BATCH_BODY
-from loadbalancer.routing.coordinator import ActivationOutcome
 from loadbalancer.routing.route_table import MAX_TEXT_BYTES, parse_table
+from loadbalancer.routing.version_record import ActivationOutcome
 
 MAX_BODY_BYTES = 8 * 1024
 MAX_BODY_BYTES_BY_CALL = {
--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -27,7 +27,7 @@
 from loadbalancer.registry.fleet_state import Expired, FleetState, TermStart
 from loadbalancer.registry.raft import RAFT_LEADER
 from loadbalancer.registry.service_clock import ServiceClock
-from loadbalancer.routing.coordinator import ActivationOutcome
+from loadbalancer.routing.version_record import ActivationOutcome
 
 PlainRenewal = tuple[int, int, int, int, float]  # a `Renewal` as it stands in the log
 T = TypeVar("T")
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -30,7 +30,8 @@
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import ExternalQuota, MemberRecord, MemberState, QuotaLedger
 from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
-from loadbalancer.routing.coordinator import ActivationCoordinator, ActivationOutcome
+from loadbalancer.routing.coordinator import ActivationCoordinator
+from loadbalancer.routing.version_record import ActivationOutcome
 
 # Guards: enrolments that never end must not grow the log's state without bound.
 MAX_UNGROUPED_MEMBERS = 1_000  # of members that name no service
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -23,7 +23,8 @@
 
 from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
 from loadbalancer.registry.fleet_state import FleetState
-from loadbalancer.routing.coordinator import ActivationCoordinator, PendingActivation, VersionRecord
+from loadbalancer.routing.coordinator import ActivationCoordinator
+from loadbalancer.routing.version_record import PendingActivation, VersionRecord
 
 PROTOCOL = 2  # pysyncobj's
 
--- a/loadbalancer/routing/participant.py
+++ b/loadbalancer/routing/participant.py
@@ -1,170 +1,74 @@
-"""A node's part of two-phase activation: brings texts to its disk, votes, switches at T, falls back when
-its lease ends.
-
-Facts come in as calls with the node's own clock (`now`, ms), actions go out; the shell carries them out in
-order and reports each Fetch, Store and Vote that has ended. The stand at a moment:
-
-    detached   no live lease by the node's own clock: version 0
-    waiting    a live lease, but the version in force, or one decided, is not on this disk yet, or S has not
-               been known closely enough to switch to the decided one: version 0, and the lease does not
-               count for routes yet
-    following  a live lease and all that is decided on this disk: the version in force at the best estimate
-               of S
-
-Only the end of its lease makes a following node stop following: each row with a live lease is asked before
-a decision, and one that comes after it waits until it holds what is decided. So no two followers run
-different versions, but for the clock bound around T.
-
-Order on disk: checked, stored with fsync, only then a yes. A yes is true for as long as the process runs,
-and a Forget is asked for only once the log has ended an activation. A process that starts again has what it
-stored (`restored`), runs version 0, and learns the outcome from its first answer.
-"""
-
-from __future__ import annotations
-
-import math
-from collections.abc import Collection, Iterable
-from dataclasses import dataclass, field, fields, replace
-from enum import Enum
-from typing import Any
-
-from loadbalancer.endpoints import Endpoint, RouteVersion
-from loadbalancer.routing.coordinator import DECIDED, MAX_REASON_LENGTH, PREPARING, digest
-from loadbalancer.routing.route_table import RouteTable, find_objections, parse_table
-
-
-@dataclass(slots=True, frozen=True)
-class Fetch:
-    """GET the version's text; then `fetched`."""
-
-    number: int
-
-
-@dataclass(slots=True, frozen=True)
-class Store:
-    """Write and fsync; then `stored`. Writes and removals of a number are carried out in the order they are
-    asked."""
+"""A node's part in two-phase activation: it stores texts, votes, switches on time and falls back.
 
-    number: int
-    text: str
+Events come in as calls with the node's own clock (`now`, ms); each returns the actions that follow. The owner
+carries them out in order and reports the end of each Fetch, Store and CastVote.
 
+A node's participation at a moment (`Participation`):
 
-@dataclass(slots=True, frozen=True)
-class CastVote:
-    """Send it; `voted` once the service has answered. A lost one is asked for again at a later renewal's
-    answer."""
+    detached   no live lease by the node's own clock; runs version 0
+    waiting    a live lease, but the version in force or a decided one is not on this disk yet, or service
+               time has not been known closely enough to switch to the decided one; runs version 0
+    following  a live lease and all required versions on this disk; runs the version in force by the best
+               estimate of service time
 
-    incarnation: int
-    number: int
-    yes: bool
-    reason: str
+Only the end of its lease makes a following node stop following: each member with a live lease votes before a
+decision, and one that comes after it waits until it has stored what is decided. So no two following nodes run
+different versions, but for the clock bound around the activation time.
 
+Order on disk: a text is checked and stored with fsync before the node votes yes. The yes stays true for as
+long as the process runs, and Delete is requested only once the log has ended an activation. A process that
+starts again has what was stored (`on_restored`), runs version 0, and learns the outcome from its first lease
+answer.
+"""
 
-@dataclass(slots=True, frozen=True)
-class Delete:
-    number: int
-
-
-@dataclass(slots=True, frozen=True)
-class Apply:
-    event: RouteVersion
-    due_ms: float  # own clock, ms: when it should have been; now less this is how late
-
-
-Action = Fetch | Store | CastVote | Delete | Apply
-
-
-class CopyStage(Enum):
-    FETCHING = "fetching"
-    MISSING = "missing"  # a fetch has failed
-    READ = "read"
-    UNREADABLE = "unreadable"
-    STORING = "storing"
-    STORED = "stored"
-
-
-@dataclass(slots=True, frozen=True)
-class VersionCopy:
-    """This node's copy of a version."""
-
-    digest: str
-    stage: CopyStage
-    text: str = ""  # until stored
-    table: RouteTable | None = None
-    objection: str | None = None  # None: not checked yet; "": none
-    store_error: str = ""  # the last store's
-    retry_at_ms: float = 0.0  # own clock: not fetched or stored again before
-    vote_sent: bool = False  # the vote, under this incarnation
-    vote_acknowledged: bool = False  # and that the service has it
-    clock_confirmed: bool = (
-        False  # in force, or S has been known within the bound: no switch at a wrong moment
-    )
-
-    @property
-    def busy(self) -> bool:
-        return self.stage in (CopyStage.FETCHING, CopyStage.STORING)
+from __future__ import annotations
 
+from collections.abc import Collection, Iterable
+from dataclasses import dataclass, field, fields, replace
+from enum import StrEnum
+from typing import Any
 
-@dataclass(slots=True, frozen=True)
-class Announcement:
-    """What the last answer said."""
+from loadbalancer.endpoints import Endpoint, RouteVersion, TrafficSplit
+from loadbalancer.routing.actions import Action, Apply, CastVote, Delete, Fetch, Store
+from loadbalancer.routing.announcement import Announcement
+from loadbalancer.routing.route_table import find_objections, parse_table
+from loadbalancer.routing.service_offset import ServiceOffset
+from loadbalancer.routing.version_copy import CopyStage, VersionCopy
+from loadbalancer.routing.version_record import digest
 
-    revision: int
-    in_force: tuple[int, str]  # number, digest
-    pending: tuple[int, str] | None = None
-    activates_at_ms: float | None = None  # T of the pending one in S, once decided
+MAX_OBJECTION_CHARS = 300
+UNKNOWN_OFFSET = ServiceOffset(0.0, 0.0)  # until the first lease answer
+NO_VERSION = 0  # the neutral version, which needs no copy
 
-    @classmethod
-    def from_answer(cls, routes: dict[str, Any]) -> Announcement:
-        """From a renewal's answer; ValueError on one that is malformed."""
-        try:
-            force, pending, rev = routes["in_force"], routes["pending"], int(routes["rev"])
-            in_force = (int(force["number"]), str(force["digest"]))
-            if pending is None:
-                return cls(rev, in_force)
-            coming = (int(pending["number"]), str(pending["digest"]))
-            if pending["phase"] == PREPARING:
-                return cls(rev, in_force, coming)
-            at = float(pending["at"])
-            if pending["phase"] != DECIDED or not math.isfinite(at):
-                raise ValueError(f"phase {pending['phase']!r} at {at}")
-            return cls(rev, in_force, coming, at)
-        except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise ValueError(
-                f"malformed routes: {type(error).__name__}: {error}"[:MAX_REASON_LENGTH]
-            ) from error
 
-    def required(self) -> list[tuple[int, str]]:
-        """What a follower must hold: the version in force and a decided one; version 0 needs no copy."""
-        held = [self.in_force] if self.in_force[0] else []
-        return [*held, self.pending] if self.pending and self.activates_at_ms is not None else held
+class Participation(StrEnum):
+    """Whether a node takes part in route versions; the values are what operators read."""
 
-    def wanted(self) -> list[tuple[int, str]]:
-        held = [self.in_force] if self.in_force[0] else []
-        return [*held, self.pending] if self.pending else held
+    DETACHED = "detached"
+    WAITING = "waiting"
+    FOLLOWING = "following"
 
 
 @dataclass(slots=True)
 class RouteParticipant:
-    """`classes`: this node's. `bound_ms`: a node that knows S less closely than this votes no. All values
-    in the fields but `copies` are immutable: `copy` is cheap and `key` can be hashed."""
+    """One node's state. All values in the fields but `copies` are immutable, so `copy` is cheap."""
 
-    classes: tuple[str, ...]
-    bound_ms: float
-    retry_ms: float = 200.0  # after a fetch or store that failed
-    running_version: int = 0  # the version last applied
+    classes: tuple[str, ...]  # of requests, as this node is configured
+    bound_ms: float  # a node that knows service time less closely than this votes no
+    retry_ms: float = 200.0  # from a fetch or write that failed to the next
+    running_version: int = NO_VERSION  # the version last applied
     incarnation: int | None = None
-    lease_end_ms: float | None = None  # own clock
-    service_offset_ms: tuple[float, float] = (0.0, 0.0)  # S less the own clock: least, most
+    lease_end_ms: float | None = None  # own clock; None: no lease
+    service_offset: ServiceOffset = UNKNOWN_OFFSET
     announced: Announcement | None = None
-    endpoints: tuple[Endpoint, ...] | None = None  # None: no list yet
-    unconfident: frozenset[str] = frozenset()
+    endpoints: tuple[Endpoint, ...] | None = None  # None: no endpoint list yet
+    unconfident: frozenset[str] = frozenset()  # names of endpoints in which confidence is none
     copies: dict[int, VersionCopy] = field(default_factory=dict)
 
-    # ------------------------------------------------------------ facts
+    # Events.
 
     def on_restored(self, found: Iterable[tuple[int, str]]) -> list[Action]:
-        """At the start: the numbers and texts on disk. One that can't be read is forgotten."""
+        """The process has started with these numbers and texts on disk; unreadable ones are deleted."""
         actions: list[Action] = []
         for number, text in found:
             try:
@@ -176,50 +80,50 @@
         return actions
 
     def on_answer(
-        self, now: float, incarnation: int, live_until: float, s: tuple[float, float], routes: dict[str, Any]
+        self,
+        now: float,
+        incarnation: int,
+        lease_end_ms: float,
+        service_ms: tuple[float, float],
+        routes: dict[str, Any],
     ) -> list[Action]:
-        """A renewal or enrolment was answered: the lease by the own clock from when it was sent, S now as
-        an interval.
+        """An enrolment or a renewal was answered.
 
-        One fact, so that no lease is ever longer than what is known. An answer older than one already seen
-        changes nothing; ValueError on malformed `routes`, and nothing is changed.
+        `lease_end_ms` is by the node's own clock, `service_ms` the interval of service time now and `routes`
+        the announcement. They come in one call, so that no lease outlives what is known. An answer older than
+        the last one used changes nothing. Raises MalformedAnnouncementError, and then changes nothing.
         """
-        told = Announcement.from_answer(routes)
-        same = incarnation == self.incarnation
-        # Guard: forgetting by an old answer what was voted on since would make a counted yes untrue.
-        if (
-            self.announced
-            and self.incarnation is not None
-            and (incarnation, told.revision) < (self.incarnation, self.announced.revision)
-        ):
+        announced = Announcement.from_answer(routes)
+        if self._is_outdated(incarnation, announced):
             return []
+        same = incarnation == self.incarnation
         for number, copy in self.copies.items():
-            heard = copy.vote_acknowledged and same
-            self.copies[number] = replace(copy, vote_acknowledged=heard, vote_sent=heard)
+            acknowledged = copy.vote_acknowledged and same
+            self.copies[number] = replace(copy, vote_acknowledged=acknowledged, vote_sent=acknowledged)
         if same and self.lease_end_ms is not None:
-            live_until = max(live_until, self.lease_end_ms)
-        self.incarnation, self.lease_end_ms, self.announced = incarnation, live_until, told
-        return self.tick(now, s)
+            lease_end_ms = max(lease_end_ms, self.lease_end_ms)
+        self.incarnation, self.lease_end_ms, self.announced = incarnation, lease_end_ms, announced
+        return self.tick(now, service_ms)
 
-    def set_lease_end(self, now: float, live_until: float | None) -> list[Action]:
-        """The lease ends at another time than the last answer said; None: it has ended."""
-        self.lease_end_ms = live_until
+    def set_lease_end(self, now: float, lease_end_ms: float | None) -> list[Action]:
+        """The lease ends at another time than the last answer stated; None: it has ended."""
+        self.lease_end_ms = lease_end_ms
         return self._step(now)
 
     def on_unregistered(self, now: float) -> list[Action]:
-        """The service has no row of this node: it enrols anew, perhaps at one that counts from the start."""
+        """The service has no record of this node, which enrols again, perhaps with a service built anew."""
         self.incarnation = None
         return self.set_lease_end(now, None)
 
     def set_endpoints(
         self, now: float, servers: tuple[Endpoint, ...], blind: Collection[str] = ()
     ) -> list[Action]:
-        """The server list, whole, and the addresses whose route is marked blind."""
+        """The complete endpoint list, and the names of those in which confidence is none."""
         self.endpoints, self.unconfident = servers, frozenset(blind)
         return self._step(now)
 
     def on_fetched(self, now: float, number: int, text: str | None) -> list[Action]:
-        """None: it could not be had now."""
+        """A fetch has ended; `text` is None where it failed."""
         copy = self.copies.get(number)
         if copy is None or copy.stage is not CopyStage.FETCHING:
             return []
@@ -233,8 +137,8 @@
         self.copies[number] = copy
         return self._step(now)
 
-    def on_stored(self, now: float, number: int, ok: bool, why: str = "") -> list[Action]:
-        """`ok`: written and synced."""
+    def on_stored(self, now: float, number: int, ok: bool, reason: str = "") -> list[Action]:
+        """A write has ended; `ok`: the text is written and synced, else `reason` says why not."""
         copy = self.copies.get(number)
         if copy is None or copy.stage is not CopyStage.STORING:
             return []
@@ -243,7 +147,7 @@
         else:
             again_at = now + self.retry_ms
             copy = replace(
-                copy, stage=CopyStage.READ, store_error=f"not writable: {why}", retry_at_ms=again_at
+                copy, stage=CopyStage.READ, store_error=f"not writable: {reason}", retry_at_ms=again_at
             )
         self.copies[number] = copy
         return self._step(now)
@@ -254,48 +158,59 @@
         if copy is not None and incarnation == self.incarnation:
             self.copies[number] = replace(copy, vote_acknowledged=True)
 
-    def tick(self, now: float, s: tuple[float, float] | None = None) -> list[Action]:
-        """Time has passed; `s`: S now, where the estimate has changed."""
-        if s is not None:
-            self.service_offset_ms = (s[0] - now, s[1] - now)
+    def tick(self, now: float, service_ms: tuple[float, float] | None = None) -> list[Action]:
+        """Time has passed; `service_ms` is the interval of service time now, if the estimate has changed."""
+        if service_ms is not None:
+            earliest_ms, latest_ms = service_ms
+            self.service_offset = ServiceOffset(earliest_ms - now, latest_ms - now)
         return self._step(now)
 
-    # ------------------------------------------------------------ what it tells
+    # Reads.
 
     def next_tick_ms(self, now: float) -> float | None:
-        """When, by the own clock, tick has something to do; not after now: at once; None: not by time
-        alone."""
-        due = []
+        """When `tick` has something to do, on the node's own clock.
+
+        A time up to `now` means at once, None that time alone changes nothing.
+        """
+        due_ms = self._retries_ms(now)
         if self.lease_end_ms is not None and self.running_version:
-            due.append(self.lease_end_ms)
-        if self._awaits_activation(now):
-            due.append(self._activation_ms())
-        if self.announced is not None and self.participation(now) != "detached":
-            due += [
-                copy.retry_at_ms
-                for number, _ in self.announced.wanted()
-                if (copy := self.copies.get(number)) is not None
-                and (
-                    copy.stage is CopyStage.MISSING
-                    or (copy.store_error and not self._is_being_prepared(number))
-                )
-            ]
-        return min(due, default=None)
+            due_ms.append(self.lease_end_ms)
+        switch_ms = self._next_switch_ms(now)
+        if switch_ms is not None:
+            due_ms.append(switch_ms)
+        return min(due_ms, default=None)
+
+    def _retries_ms(self, now: float) -> list[float]:
+        """When failed fetches and writes of wanted versions are to be repeated."""
+        if self.announced is None or self.participation(now) is Participation.DETACHED:
+            return []
+        wanted = [(version.number, self.copies.get(version.number)) for version in self.announced.wanted()]
+        return [
+            copy.retry_at_ms
+            for number, copy in wanted
+            if copy is not None
+            and (
+                copy.stage is CopyStage.MISSING or (copy.store_error and not self._is_being_prepared(number))
+            )
+        ]
 
-    def participation(self, now: float) -> str:
+    def participation(self, now: float) -> Participation:
+        """Whether this node follows the version in force."""
         if self.lease_end_ms is None or now >= self.lease_end_ms or self.announced is None:
-            return "detached"
-        return "following" if all(self._is_ready(*one) for one in self.announced.required()) else "waiting"
+            return Participation.DETACHED
+        ready = all(self._is_ready(version.number, version.digest) for version in self.announced.required())
+        return Participation.FOLLOWING if ready else Participation.WAITING
 
     def status(self, now: float) -> dict[str, Any]:
-        """For operators."""
-        told = self.announced
+        """The node's state for operators, by the names of the JSON body."""
+        announced = self.announced
+        pending = None if announced is None else announced.pending
         return {
             "version": self.running_version,
-            "stand": self.participation(now),
-            "in_force": told.in_force[0] if told else None,
-            "pending": told.pending[0] if told and told.pending else None,
-            "at": told.activates_at_ms if told else None,
+            "stand": self.participation(now).value,
+            "in_force": None if announced is None else announced.in_force.number,
+            "pending": None if pending is None else pending.number,
+            "at": None if announced is None else announced.activates_at_ms,
             "copies": {
                 number: {"stage": copy.stage.value, "why": copy.objection or copy.store_error}
                 for number, copy in self.copies.items()
@@ -303,62 +218,61 @@
         }
 
     def copy(self) -> RouteParticipant:
+        """A participant that changes independently of this one."""
         return replace(self, copies=dict(self.copies))
 
     def key(self) -> tuple[object, ...]:
+        """The whole state as a hashable value."""
         names = [item.name for item in fields(self) if item.name not in ("copies", "endpoints")]
         plain = tuple(getattr(self, name) for name in names)
         return (*plain, tuple(sorted(self.copies.items(), key=lambda item: item[0])), repr(self.endpoints))
 
-    # ------------------------------------------------------------ steps
+    # Steps.
+
+    def _is_outdated(self, incarnation: int, announced: Announcement) -> bool:
+        """Whether an answer is older than the last one used.
+
+        An old answer must not delete what has been voted on since, or a yes that is counted would be untrue.
+        """
+        if self.announced is None or self.incarnation is None:
+            return False
+        return (incarnation, announced.revision) < (self.incarnation, self.announced.revision)
 
     def _step(self, now: float) -> list[Action]:
-        told = self.announced
-        if told is None:
+        announced = self.announced
+        if announced is None:
             return []
-        actions = self._delete_obsolete(told)
-        if self.participation(now) != "detached":
-            for number, its_digest in told.wanted():
-                actions += self._advance_copy(now, number, its_digest)
-        return actions + self._switch(now, told)
+        actions = self._delete_obsolete(announced)
+        if self.participation(now) is not Participation.DETACHED:
+            for version in announced.wanted():
+                actions += self._advance_copy(now, version.number, version.digest)
+        return actions + self._switch(now, announced)
 
     def _is_being_prepared(self, number: int) -> bool:
-        """It is being prepared, so it is to be voted on."""
-        told = self.announced
-        return (
-            told is not None
-            and told.pending is not None
-            and told.pending[0] == number
-            and told.activates_at_ms is None
-        )
+        return self.announced is not None and self.announced.is_being_prepared(number)
 
-    def _delete_obsolete(self, told: Announcement) -> list[Action]:
-        """What no answer speaks of any more, or has another text than the answer's."""
-        gone = [
+    def _delete_obsolete(self, announced: Announcement) -> list[Action]:
+        """Drop copies that the announcement does not name, or names with another text."""
+        obsolete = [
             number
             for number, copy in self.copies.items()
-            if (number, copy.digest) not in told.wanted() and not copy.busy
+            if (number, copy.digest) not in announced.wanted() and not copy.is_busy
         ]
-        return [Delete(number) for number in gone if self.copies.pop(number).stage is CopyStage.STORED]
+        return [Delete(number) for number in obsolete if self.copies.pop(number).stage is CopyStage.STORED]
 
-    def _advance_copy(self, now: float, number: int, its_digest: str) -> list[Action]:
+    def _advance_copy(self, now: float, number: int, text_digest: str) -> list[Action]:
+        """Take the next step with a wanted version: fetch, check, store or vote."""
         copy = self.copies.get(number)
         if copy is None or (copy.stage is CopyStage.MISSING and now >= copy.retry_at_ms):
-            self.copies[number] = VersionCopy(its_digest, CopyStage.FETCHING)
+            self.copies[number] = VersionCopy(text_digest, CopyStage.FETCHING)
             return [Fetch(number)]
-        close = self.service_offset_ms[1] - self.service_offset_ms[0] <= 2 * self.bound_ms
-        # Guard: a process that came after the decision has cast no vote, so it has to know S closely first.
-        if not copy.clock_confirmed and (
-            close or (self.announced is not None and self.announced.in_force[0] == number)
-        ):
-            copy = self.copies[number] = replace(copy, clock_confirmed=True)
-        if copy.busy or copy.stage is CopyStage.MISSING:
+        copy = self._confirm_clock(number, copy)
+        if copy.is_busy or copy.stage is CopyStage.MISSING:
             return []
         if self._is_being_prepared(number):
-            copy = self._checked(copy)
-            self.copies[number] = copy
+            copy = self.copies[number] = self._checked(copy)
             if copy.objection is None:
-                return []  # until there is a list
+                return []  # until the endpoint list has come
             if copy.objection or copy.stage is CopyStage.STORED:
                 return self._vote(number, copy)
         if copy.stage is CopyStage.READ and now >= copy.retry_at_ms:
@@ -366,16 +280,29 @@
             return [Store(number, copy.text)]
         return []
 
+    def _confirm_clock(self, number: int, copy: VersionCopy) -> VersionCopy:
+        """Note that service time is known closely enough to switch to this version on time.
+
+        A process that has come after the decision has not checked that by a vote. The version in force needs
+        no switch at an exact moment.
+        """
+        is_close = self.service_offset.width_ms <= 2 * self.bound_ms
+        in_force = self.announced is not None and self.announced.in_force.number == number
+        if not copy.clock_confirmed and (is_close or in_force):
+            copy = self.copies[number] = replace(copy, clock_confirmed=True)
+        return copy
+
     def _checked(self, copy: VersionCopy) -> VersionCopy:
+        """The copy with this node's objection to it, if that can be determined now."""
         if copy.store_error and not copy.objection:
             return replace(copy, objection=copy.store_error)
         if copy.objection is not None or self.endpoints is None or copy.table is None:
             return copy
-        why = find_objections(copy.table, self.classes, self.endpoints, self.unconfident)
-        wide = (self.service_offset_ms[1] - self.service_offset_ms[0]) / 2
-        if not wide <= self.bound_ms:
-            why.append(f"service time is known to {wide:.1f} ms only")
-        return replace(copy, objection="; ".join(why)[:MAX_REASON_LENGTH])
+        objections = find_objections(copy.table, self.classes, self.endpoints, self.unconfident)
+        uncertainty_ms = self.service_offset.width_ms / 2
+        if not uncertainty_ms <= self.bound_ms:
+            objections.append(f"service time is known to {uncertainty_ms:.1f} ms only")
+        return replace(copy, objection="; ".join(objections)[:MAX_OBJECTION_CHARS])
 
     def _vote(self, number: int, copy: VersionCopy) -> list[Action]:
         if copy.vote_sent or self.incarnation is None:
@@ -383,47 +310,54 @@
         self.copies[number] = replace(copy, vote_sent=True)
         return [CastVote(self.incarnation, number, not copy.objection, copy.objection or "")]
 
-    def _switch(self, now: float, told: Announcement) -> list[Action]:
-        number, due = 0, now
-        if self.participation(now) == "following":
-            number = told.in_force[0]
-            if told.pending and told.activates_at_ms is not None:
-                # Once switched it stays so, though a better estimate of S may say that T has yet to come.
-                passed = self._activation_ms() <= now or self.running_version == told.pending[0]
-                number, due = (told.pending[0], min(now, self._activation_ms())) if passed else (number, now)
-        elif self.lease_end_ms is not None:
-            due = min(now, self.lease_end_ms)
+    def _switch(self, now: float, announced: Announcement) -> list[Action]:
+        """Apply the version that the node has to run now, if it runs another one."""
+        number, due_ms = self._version_to_run(now, announced)
         if number == self.running_version:
             return []
         self.running_version = number
+        return [Apply(RouteVersion(number, self._splits(number)), due_ms)]
+
+    def _version_to_run(self, now: float, announced: Announcement) -> tuple[int, float]:
+        """The version's number, and when it was due."""
+        if self.participation(now) is Participation.FOLLOWING:
+            return self._version_to_follow(now, announced)
+        return NO_VERSION, now if self.lease_end_ms is None else min(now, self.lease_end_ms)
+
+    def _version_to_follow(self, now: float, announced: Announcement) -> tuple[int, float]:
+        pending = announced.pending
+        if pending is not None and announced.activates_at_ms is not None:
+            activation_ms = self._activation_ms(announced.activates_at_ms)
+            # A switch is never undone, though a later estimate may put the activation time after now.
+            if activation_ms <= now or self.running_version == pending.number:
+                return pending.number, min(now, activation_ms)
+        return announced.in_force.number, now
+
+    def _splits(self, number: int) -> dict[str, tuple[TrafficSplit, ...]]:
         copy = self.copies.get(number)
-        classes = (
-            copy.table.splits_by_class(self.classes) if copy is not None and copy.table is not None else {}
-        )
-        return [Apply(RouteVersion(number, classes), due)]
+        return {} if copy is None or copy.table is None else copy.table.splits_by_class(self.classes)
 
-    def _is_ready(self, number: int, its_digest: str) -> bool:
+    def _is_ready(self, number: int, text_digest: str) -> bool:
+        """Whether this text of the version is stored, and the node can switch to it on time."""
         copy = self.copies.get(number)
         return (
             copy is not None
             and copy.clock_confirmed
             and copy.stage is CopyStage.STORED
-            and copy.digest == its_digest
-        )
-
-    def _awaits_activation(self, now: float) -> bool:
-        told = self.announced
-        coming = (
-            told.pending[0]
-            if told is not None and told.pending and told.activates_at_ms is not None
-            else None
-        )
-        return (
-            coming is not None and self.participation(now) == "following" and self.running_version != coming
+            and copy.digest == text_digest
         )
 
-    def _activation_ms(self) -> float:
-        """T by the own clock, at the middle of what S may be."""
-        assert self.announced is not None
-        assert self.announced.activates_at_ms is not None
-        return self.announced.activates_at_ms - (self.service_offset_ms[0] + self.service_offset_ms[1]) / 2
+    def _next_switch_ms(self, now: float) -> float | None:
+        """When the decided version comes into force on the node's own clock; None where none is awaited."""
+        announced = self.announced
+        if announced is None or announced.pending is None or announced.activates_at_ms is None:
+            return None
+        if self.running_version == announced.pending.number:
+            return None
+        if self.participation(now) is not Participation.FOLLOWING:
+            return None
+        return self._activation_ms(announced.activates_at_ms)
+
+    def _activation_ms(self, service_ms: float) -> float:
+        """A service time on the node's own clock, by the best estimate."""
+        return service_ms - self.service_offset.middle_ms
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -173,7 +173,7 @@
     )
     assert log.propose(1520, REST, [1], 9000).number == 2
     assert (log.active_number, log.propose(1521, READ, [1], 9000).rejected) == (1, True)
-    log.vote(1, 2, yes=False, why="no ready server")
+    log.vote(1, 2, yes=False, reason="no ready server")
     assert log.outcome(2).reason == "1 said no: no ready server"
     assert log.propose(1522, READ, [1], 9000) == log.outcome(1)  # in force already: nothing begins
 
@@ -238,7 +238,7 @@
             "stored": lambda: follower.on_stored(0, log.last_number, ok=True),
             "lost": lambda: follower.on_fetched(0, log.last_number, None),
             "other": lambda: follower.on_fetched(0, log.last_number, REST),
-            "unwritten": lambda: follower.on_stored(0, log.last_number, ok=False, why="ENOSPC"),
+            "unwritten": lambda: follower.on_stored(0, log.last_number, ok=False, reason="ENOSPC"),
         }[fact]()
     return follower, said
 
--- a/tests/support/orders/mistakes.py
+++ b/tests/support/orders/mistakes.py
@@ -14,8 +14,11 @@
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import ExternalQuota, MemberRecord, QuotaLedger
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, superseded_by
-from loadbalancer.routing.coordinator import PREPARING, ActivationCoordinator
-from loadbalancer.routing.participant import Action, CopyStage, RouteParticipant, Store
+from loadbalancer.routing.actions import Action, Store
+from loadbalancer.routing.coordinator import ActivationCoordinator
+from loadbalancer.routing.participant import RouteParticipant
+from loadbalancer.routing.version_copy import CopyStage
+from loadbalancer.routing.version_record import PREPARING
 
 Mistake = Callable[[pytest.MonkeyPatch], None]
 
--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -28,7 +28,8 @@
 from loadbalancer.membership.messages import LeaseAnswer, LeaseGrant
 from loadbalancer.membership.quota_ledger import MemberRecord
 from loadbalancer.registry.fleet_state import FleetState
-from loadbalancer.routing.participant import Action, Apply, CastVote, Delete, Fetch, RouteParticipant, Store
+from loadbalancer.routing.actions import Action, Apply, CastVote, Delete, Fetch, Store
+from loadbalancer.routing.participant import RouteParticipant
 from tests.support.orders.parts import NEVER, TTL, Bounds, Node
 from tests.support.orders.routes_check import BOUND, PREPARE, routes_check
 from tests.support.orders.shares import Shares
@@ -319,7 +320,12 @@
         known = None
         if told is not None:
             at = None if told.activates_at_ms is None else max(told.activates_at_ms - self._s(), -2 * BOUND)
-            known = (self.service.state.routes.revision - told.revision, told.in_force[0], told.pending, at)
+            known = (
+                self.service.state.routes.revision - told.revision,
+                told.in_force.number,
+                told.pending,
+                at,
+            )
         copies = tuple(
             (
                 number,
@@ -334,7 +340,7 @@
             for number, copy in sorted(follower.copies.items(), key=lambda one: one[0])
         )
         live = None if follower.lease_end_ms is None else max(0.0, follower.lease_end_ms - own)
-        offset = tuple(round(edge + node.skew + self.lag, 3) for edge in follower.service_offset_ms)
+        offset = tuple(round(edge + node.skew + self.lag, 3) for edge in follower.service_offset)
         return (
             *ballots,
             edge.writing,
@@ -362,7 +368,7 @@
     """S now. By this answer it is what it was at answering or later, by at most the time that the call took;
     where this process knows it more closely from an earlier one, and the two agree, it keeps to that."""
     new = (told_s, told_s + own - sent)
-    known = (follower.service_offset_ms[0] + own, follower.service_offset_ms[1] + own)
+    known = (follower.service_offset.low_ms + own, follower.service_offset.high_ms + own)
     apart = known[1] < new[0] or new[1] < known[0]
     wider = known[1] - known[0] >= new[1] - new[0]
     return new if follower.announced is None or apart or wider else known
--- a/tests/support/orders/routes_check.py
+++ b/tests/support/orders/routes_check.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from loadbalancer.routing.coordinator import ABORTED, VersionRecord
+from loadbalancer.routing.version_record import ABORTED, VersionRecord
 from tests.support.orders.parts import TTL
 
 if TYPE_CHECKING:
