--- a/bench/fleet_routes.py
+++ b/bench/fleet_routes.py
@@ -14,7 +14,7 @@
 
 from bench.figures import quantile
 from bench.fleet_world import LIMIT_S, Figures, Plan, Samples, Tail, World, spread
-from tests.support.invariant_sampler import Sample, apart, overtaken
+from tests.support.invariant_sampler import Sample, quota_violations, version_conflicts
 from tests.support.load import Load, Outcome
 from tests.support.registry_processes import until
 
@@ -207,8 +207,8 @@
             )
         ]
         mixed, repeated, checked = self._mixed(samples, outcomes)
-        broken = apart(samples, self._world.plan.bound_ms / 1000.0)
-        over = overtaken(samples)
+        broken = version_conflicts(samples, self._world.plan.bound_ms / 1000.0)
+        over = quota_violations(samples)
         return {
             "activations": self.phases.total(),
             "phases": dict(self.phases),
@@ -248,8 +248,11 @@
 
 def _followed(samples: list[Sample], start: float, end: float) -> bool:
     """Whether the node followed a version, none of them 0, from start to end as far as its samples tell."""
-    first = bisect_right(samples, start, key=lambda sample: sample.came) - 1
-    last = bisect_left(samples, end, key=lambda sample: sample.sent)
+    first = bisect_right(samples, start, key=lambda sample: sample.answered_s) - 1
+    last = bisect_left(samples, end, key=lambda sample: sample.requested_s)
     if first < 0 or last >= len(samples):
         return False
-    return all(sample.run[1] == "following" and sample.run[2] for sample in samples[first : last + 1])
+    return all(
+        sample.followed_version[1] == "following" and sample.followed_version[2]
+        for sample in samples[first : last + 1]
+    )
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,6 +1,6 @@
 """Nodes that know each other, as processes with faults between them: failure detection, leases and shares.
 
-The share rule, every request's answer and the calm after the faults are checked by `watched` in each.
+The sum of quotas, every request's answer and the recovery from faults are checked by `under_load` in each.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
     QuotaStatus,
     encode,
 )
-from tests.support.invariant_sampler import GAP_S, Sample, Status, apart, overtaken
-from tests.support.node_fleet import LIMIT_S, TTL_MS, Fleet
+from tests.support.invariant_sampler import MAX_GAP_S, Sample, Status, quota_violations, version_conflicts
+from tests.support.node_fleet import TTL_MS, WAIT_LIMIT_S, Fleet
 from tests.support.registry_processes import until
 
 Row = tuple[float, float, int]  # when asked, share, version followed
@@ -41,17 +41,17 @@
     ]
 
 
-def test_the_watch_finds_a_break_of_either_rule_and_takes_no_skew_for_one() -> None:
+def test_the_sampler_finds_a_violation_of_either_invariant_and_tolerates_skew() -> None:
     gives = sampled((0.0, 1.0, 0), (0.03, 1.0, 0), (0.06, 0.5, 1), (0.09, 0.5, 1))
     takes = sampled((0.02, 0.0, 0), (0.05, 0.5, 0), (0.08, 0.5, 1))  # asked after one answer, before the next
-    assert overtaken([gives, takes]) == []
-    assert apart([gives, takes], 0.05) == []
+    assert quota_violations([gives, takes]) == []
+    assert version_conflicts([gives, takes], 0.05) == []
     keeps = sampled(*((0.03 * at, 1.0, 0) for at in range(8)))
     early = sampled((0.0, 0.0, 0), (0.05, 0.5, 1), (0.08, 0.5, 1), (0.2, 0.5, 1))
-    assert overtaken([keeps, early])
-    assert apart([keeps, early], 0.05)
-    stopped = sampled((0.0, 1.0, 0), (0.05 + GAP_S, 1.0, 0))  # it may not have run in between
-    assert overtaken([stopped, sampled(*((0.1 * at, 0.5, 1) for at in range(5)))]) == []
+    assert quota_violations([keeps, early])
+    assert version_conflicts([keeps, early], 0.05)
+    stopped = sampled((0.0, 1.0, 0), (0.05 + MAX_GAP_S, 1.0, 0))  # it may not have run in between
+    assert quota_violations([stopped, sampled(*((0.1 * at, 0.5, 1) for at in range(5)))]) == []
 
 
 def verdict(status: Status, name: str) -> str | None:
@@ -59,20 +59,20 @@
 
 
 def test_a_node_killed_is_failed_at_all_others_and_comes_back_under_a_new_incarnation(fleet: Fleet) -> None:
-    with fleet.watched():
+    with fleet.under_load():
         before = fleet.status(4)["incarnation"]
         fleet.kill(4)
-        fleet.until_all("n4 failed", lambda status: verdict(status, "n4") == "failed", 0, 1, 2, 3)
-        fleet.until_shared(0, 1, 2, 3)
+        fleet.wait_until_all("n4 failed", lambda status: verdict(status, "n4") == "failed", 0, 1, 2, 3)
+        fleet.wait_until_shared(0, 1, 2, 3)
         fleet.start(4)
-        fleet.until_shared(0, 1, 2, 3, 4)
+        fleet.wait_until_shared(0, 1, 2, 3, 4)
         assert fleet.status(4)["incarnation"] > before
 
 
-def test_short_stops_are_never_failures_and_a_long_one_costs_the_share_until_it_is_granted_anew(
+def test_short_pauses_are_never_failures_and_a_long_one_costs_the_quota_until_it_is_granted_again(
     fleet: Fleet,
 ) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         start = time.monotonic()
         for _ in range(5):
             fleet.freeze(2)
@@ -84,16 +84,16 @@
         assert {(sample.status["rows"], round(sample.share, 6)) for sample in short} == {(5, 0.2)}
         before = fleet.status(3)["incarnation"]
         fleet.freeze(3)
-        fleet.until_shared(0, 1, 2, 4)
+        fleet.wait_until_shared(0, 1, 2, 4)
         start = time.monotonic()
         fleet.thaw(3)
-        fleet.until_shared(0, 1, 2, 3, 4)
+        fleet.wait_until_shared(0, 1, 2, 3, 4)
 
         def enrolled_anew() -> list[Sample]:
             woken = watch.since(start, 3)
             return woken if woken and (woken[-1].status["incarnation"] or 0) > before else []
 
-        woken = until(enrolled_anew, LIMIT_S, "n3 seen under a new incarnation")
+        woken = until(enrolled_anew, WAIT_LIMIT_S, "n3 seen under a new incarnation")
         assert {sample.share for sample in woken if sample.status["incarnation"] in (before, None)} <= {0.0}
 
 
@@ -103,19 +103,19 @@
 @pytest.mark.parametrize(
     ("cut_off", "takes"), [((3, 4), (1 / 3, 0.0)), ((0, 1, 2), (0.2, 0.2)), ((0, 1, 2, 3, 4), (0.2, 0.0))]
 )
-def test_halves_that_hear_only_themselves_never_take_more_than_the_whole(
+def test_partitioned_halves_never_exceed_the_total_quota(
     fleet: Fleet, cut_off: tuple[int, ...], takes: tuple[float, float]
 ) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         fleet.net.cut(*HALVES)
         fleet.cut_service(*cut_off)
 
         def ended(status: Status) -> bool:
             return status["lease_ms"] == 0.0 and status["stand"] == "adrift"
 
-        fleet.until_all("leases at an end", ended, *cut_off)
+        fleet.wait_until_all("leases at an end", ended, *cut_off)
         for half, share in zip(HALVES, takes, strict=True):
-            fleet.until_all(
+            fleet.wait_until_all(
                 f"{share} at {half}", lambda status, share=share: abs(status["share"] - share) < 1e-6, *half
             )
         settled = time.monotonic()
@@ -126,57 +126,59 @@
         assert standing == {at: "holding" if takes[at > 2] else "yielded" for at in cut_off}
 
 
-def test_a_node_that_the_list_service_hears_and_does_not_reach_yields_and_nobody_takes_its_place(
+def test_a_node_whose_renewals_get_no_answer_yields_and_nobody_takes_its_quota(
     fleet: Fleet,
 ) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         start = time.monotonic()
         held = [fleet.posts[at].hold("/fleet/renew", answers=True) for at in (3, 4)]
-        fleet.until_all("shares yielded", lambda status: status["share"] == 0.0, 3, 4)
+        fleet.wait_until_all("shares yielded", lambda status: status["share"] == 0.0, 3, 4)
         until_later(fleet, TTL_MS)
         assert {
             (sample.status["rows"], round(sample.share, 6)) for sample in watch.since(start, 0, 1, 2)
         } == {(5, 0.2)}
         for one in held:
             one.release()
-        fleet.until_shared(0, 1, 2, 3, 4)
+        fleet.wait_until_shared(0, 1, 2, 3, 4)
 
 
 def until_later(fleet: Fleet, ms: float) -> None:
     """Until so much time has passed by a node's own clock."""
     start = fleet.status(0)["now_ms"]
-    until(lambda: fleet.status(0)["now_ms"] > start + ms, LIMIT_S, f"{ms} ms later")
+    until(lambda: fleet.status(0)["now_ms"] > start + ms, WAIT_LIMIT_S, f"{ms} ms later")
 
 
 def test_without_a_quorum_of_the_list_service_all_hold_and_no_process_enrols_anew(fleet: Fleet) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         before = {at: fleet.status(at)["incarnation"] for at in range(5)}
         leader = fleet.registry.leader()
         start = time.monotonic()
         for index in (leader, (leader + 1) % 3):
             fleet.registry.kill(index)
-        fleet.until_all("all hold", lambda status: status["standing"] == "holding" and not status["lease_ms"])
+        fleet.wait_until_all(
+            "all hold", lambda status: status["standing"] == "holding" and not status["lease_ms"]
+        )
         until_later(fleet, 2 * TTL_MS)
         assert {round(sample.share, 6) for sample in watch.since(start)} == {0.2}
-        fleet.until_calm()
+        fleet.wait_until_stable()
         assert before == {at: fleet.status(at)["incarnation"] for at in range(5)}
 
 
-def test_a_broken_link_is_parted_a_lossy_one_nothing_and_slow_asymmetric_ones_keep_service_time_true(
+def test_a_broken_link_is_a_link_fault_a_lossy_one_none_and_asymmetric_ones_keep_service_time(
     fleet: Fleet,
 ) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         start = time.monotonic()
         fleet.net.cut(0, 1)
         fleet.net.cut_one_way(2, 3)
         for at, other in ((0, 1), (1, 0), (2, 3), (3, 2)):
-            fleet.until_all(
+            fleet.wait_until_all(
                 f"n{other} parted at n{at}",
                 lambda status, name=f"n{other}": verdict(status, name) == "parted",
                 at,
             )
         fleet.net.heal()
-        fleet.until_calm()
+        fleet.wait_until_stable()
         fleet.net.lose(range(5), range(5), 0.02)
         fleet.net.delay(0, (1, 2, 3, 4), 5.0)
         fleet.net.delay((1, 2, 3, 4), 0, 80.0)
@@ -188,7 +190,7 @@
         assert {round(sample.share, 6) for sample in found} == {0.2}
         # S less this process's clock, as each sample bounds it: one figure lies in all of them
         spans = [
-            (low - sample.came * 1000.0, high - sample.sent * 1000.0)
+            (low - sample.answered_s * 1000.0, high - sample.requested_s * 1000.0)
             for sample in watch.since(asymmetric)
             for low, high in [sample.status["service_ms"]]
         ]
@@ -196,7 +198,7 @@
 
 
 def test_a_fleet_restarted_one_by_one_under_load_loses_no_request(fleet: Fleet) -> None:
-    with fleet.watched():
+    with fleet.under_load():
         for at, node in enumerate(fleet.nodes):
             for load in fleet.loads:  # as callers do that are told of it; what they have sent is under way
                 load.ports = [other.port for other in fleet.nodes if other is not node]
@@ -204,16 +206,16 @@
             assert node.process is not None
             assert node.process.returncode == 0
             node.start()
-            fleet.until_all(f"n{at} back", lambda status: status["share"] > 0.0, at)
+            fleet.wait_until_all(f"n{at} back", lambda status: status["share"] > 0.0, at)
             for load in fleet.loads:
                 load.ports = [other.port for other in fleet.nodes]
 
 
-def test_garbage_absurd_figures_and_forged_incarnations_are_answered_counted_and_forgotten(
+def test_malformed_messages_and_forged_incarnations_are_answered_counted_and_forgotten(
     fleet: Fleet,
 ) -> None:
     rng = random.Random(18)
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         status, port = fleet.status(0), fleet.members_port(0)
         own, sibling = status["incarnation"], status["siblings"][0]["incarnation"]
         size, refused, lines = rss_kb(fleet, 0), fleet.nodes[0].metric("proxy.members_refused"), said(fleet)
--- a/tests/fleet/test_fleet_routes.py
+++ b/tests/fleet/test_fleet_routes.py
@@ -1,6 +1,6 @@
 """Route versions over a fleet of processes: prepared, decided and switched while some end and links break.
 
-`watched` checks in each that no two nodes followed different versions but for the clock bound around T.
+`under_load` checks in each that no two nodes followed different versions but for the clock bound around T.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.support.faults import Hold
-from tests.support.node_fleet import LIMIT_S, Fleet
+from tests.support.node_fleet import WAIT_LIMIT_S, Fleet
 from tests.support.registry_processes import until
 
 ALL = (0, 1, 2, 3, 4)
@@ -25,7 +25,7 @@
         pending = fleet.routes()["pending"]
         return pending["at"] if pending and pending["number"] == number else None
 
-    return float(until(decided, LIMIT_S, f"version {number} decided"))
+    return float(until(decided, WAIT_LIMIT_S, f"version {number} decided"))
 
 
 def until_voted(fleet: Fleet, number: int, votes: int) -> None:
@@ -34,11 +34,11 @@
         assert pending["number"] == number
         return len(pending["yes"]) == votes
 
-    until(voted, LIMIT_S, f"{votes} votes for {number}")
+    until(voted, WAIT_LIMIT_S, f"{votes} votes for {number}")
 
 
 def until_followed(fleet: Fleet, number: int, *chosen: int) -> None:
-    fleet.until_all(f"version {number} followed", Fleet.following(number), *chosen)
+    fleet.wait_until_all(f"version {number} followed", Fleet.following(number), *chosen)
 
 
 def held_vote(fleet: Fleet, at: int) -> Hold:
@@ -46,7 +46,7 @@
 
 
 def wait_for(hold: Hold) -> None:
-    assert hold.reached.wait(LIMIT_S), "no call came to be held"
+    assert hold.reached.wait(WAIT_LIMIT_S), "no call came to be held"
 
 
 def until_reads_reach(fleet: Fleet, server: str) -> None:
@@ -59,12 +59,12 @@
         def sent() -> list[str]:
             return [name for name, one in outcomes.copy().items() if one.sent_s > start and one.status == 200]
 
-        until(lambda: len(sent()) >= 20, LIMIT_S, "20 reads")
+        until(lambda: len(sent()) >= 20, WAIT_LIMIT_S, "20 reads")
         reads = sent()
         servers = fleet.pool.reached  # asked for last: a read may come in between
         return {uid for name in reads for uid in servers[name]} == {server}
 
-    until(reached, LIMIT_S, f"reads at {server} alone")
+    until(reached, WAIT_LIMIT_S, f"reads at {server} alone")
 
 
 @pytest.mark.parametrize("moment", ["stored, not voted", "voted, not decided", "decided, before T"])
@@ -72,7 +72,7 @@
 def test_a_version_is_switched_to_by_all_though_a_process_ends_on_the_way(
     fleet: Fleet, moment: str, victim: str
 ) -> None:
-    with fleet.watched():
+    with fleet.under_load():
         holder = {"stored, not voted": 0, "voted, not decided": 1}.get(moment)
         held = None if holder is None else held_vote(fleet, holder)
         number = fleet.propose((0.0, 1.0))
@@ -103,7 +103,7 @@
 def test_a_node_cut_off_before_the_decision_and_healed_around_t_follows_no_other_version(
     fleet: Fleet, healed_ms: float
 ) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         held = held_vote(fleet, 0)
         number = fleet.propose()
         wait_for(held)
@@ -119,11 +119,14 @@
         fleet.posts[4].heal()
         fleet.net.heal()
         until_followed(fleet, number, 0, 1, 2, 4)
-        fleet.until_all(
+        fleet.wait_until_all(
             "the lease of n3 at an end", lambda status: status["routes"]["stand"] == "detached", 3
         )
-        assert not knew or number in {sample.run[2] for sample in watch.since(0.0, 3)}
-        assert {sample.run[1:] for sample in watch.since(0.0, 4)} >= {("following", number), ("detached", 0)}
+        assert not knew or number in {sample.followed_version[2] for sample in watch.since(0.0, 3)}
+        assert {sample.followed_version[1:] for sample in watch.since(0.0, 4)} >= {
+            ("following", number),
+            ("detached", 0),
+        }
 
 
 def wait_until(fleet: Fleet, service_ms: float) -> None:
@@ -137,7 +140,7 @@
 def test_of_two_proposals_at_once_one_is_taken_and_what_no_list_can_satisfy_is_voted_down(
     fleet: Fleet,
 ) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         texts = [fleet.table(), fleet.table()]
         with ThreadPoolExecutor(4) as pool:
             said = list(pool.map(lambda text: fleet.service("PUT", "routes", text), [*texts, *texts]))
@@ -149,18 +152,18 @@
         start = time.monotonic()
         status, told = fleet.service("PUT", "routes", b'[[class.read.group]]\nmodel = "m9"\nweight = 1.0\n')
         assert status == 200
-        until(lambda: fleet.phase(told["number"]) == "aborted", LIMIT_S, "voted down")
+        until(lambda: fleet.phase(told["number"]) == "aborted", WAIT_LIMIT_S, "voted down")
         last = {row["number"]: row["why"] for row in fleet.routes()["history"]}[told["number"]]
         assert "no ready server of model m9" in last
-        fleet.until_calm()
-        assert {sample.run[2] for sample in watch.since(start)} == {number}
+        fleet.wait_until_stable()
+        assert {sample.followed_version[2] for sample in watch.since(start)} == {number}
         status, told = fleet.service("PUT", "routes", b'[[class.read.group]]\nmodel = "m9"\nweight = -1.0\n')
         assert (status, "line 3" in told["error"]) == (400, True)
 
 
 def test_a_halt_ends_what_is_not_decided_and_nothing_else_and_a_rollback_brings_back(fleet: Fleet) -> None:
     rng = random.Random(18)
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         first = fleet.propose((0.0, 1.0))
         until_followed(fleet, first)
         for pause_s in (None, 0.0, *(rng.uniform(0.03, 0.3) for _ in range(3))):
@@ -175,10 +178,10 @@
             if held is not None:
                 assert said["phase"] == "aborted"
                 held.release()
-            until(lambda: fleet.routes()["pending"] is None, LIMIT_S, "settled")
+            until(lambda: fleet.routes()["pending"] is None, WAIT_LIMIT_S, "settled")
             if said["phase"] == "aborted":
                 assert fleet.phase(number) == "aborted"
-                assert number not in {sample.run[2] for sample in watch.since(start)}
+                assert number not in {sample.followed_version[2] for sample in watch.since(start)}
             else:
                 assert said["phase"] == "decided"
                 until_followed(fleet, number)
--- a/tests/fleet/test_groups_small.py
+++ b/tests/fleet/test_groups_small.py
@@ -1,8 +1,8 @@
 """Groups of one and of two, as node processes with faults between them, and a node whose service changes at a
 restart. There is no third node that could bridge.
 
-The share rule in each service, every request's answer and the calm after the faults are checked by `watched`
-in each.
+The quotas of each service, every request's answer and the recovery from the faults are checked by
+`under_load` in each.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 import pytest
 
-from tests.support.invariant_sampler import Sample, Status, Watch
-from tests.support.node_fleet import LIMIT_S, TTL_MS, Fleet
+from tests.support.invariant_sampler import Sample, Status, StatusSampler
+from tests.support.node_fleet import TTL_MS, WAIT_LIMIT_S, Fleet
 from tests.support.registry_processes import until
 
 ALONE, FIRST, SECOND = 0, 1, 2  # the only node in front of `pay`, and two in front of `find`
@@ -54,7 +54,7 @@
     def there() -> bool:
         return sorted((row["name"], row["state"]) for row in rows(fleet, service)) == wanted
 
-    until(there, LIMIT_S, f"{wanted} in front of {service}")
+    until(there, WAIT_LIMIT_S, f"{wanted} in front of {service}")
 
 
 def older_and_younger(fleet: Fleet) -> tuple[int, int]:
@@ -64,12 +64,12 @@
     return older, younger
 
 
-def until_samples(watch: Watch, count: int) -> None:
+def until_samples(watch: StatusSampler, count: int) -> None:
     """Until every node has been read so often again."""
     before = [len(samples) for samples in watch.samples]
     until(
         lambda: all(len(now) >= was + count for now, was in zip(watch.samples, before, strict=True)),
-        LIMIT_S,
+        WAIT_LIMIT_S,
         "samples of all nodes",
     )
 
@@ -77,25 +77,25 @@
 def test_one_and_two_keep_serving_without_the_list_service_and_the_older_without_the_other(
     fleet: Fleet,
 ) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         older, younger = older_and_younger(fleet)
         fleet.cut_service(ALONE, FIRST, SECOND)
-        fleet.until_all("leases at an end", lease_ended)
+        fleet.wait_until_all("leases at an end", lease_ended)
         assert fleet.status(ALONE)["standing"] == fleet.status(older)["standing"] == "holding"
         until_samples(watch, 20)
         for at, share in ((ALONE, 1.0), (FIRST, 0.5), (SECOND, 0.5)):
             assert shares(watch.samples[at]) == {share}
         fleet.net.cut(*((at,) for at in PAIR))
-        fleet.until_all("the younger one's yield", takes(0.0), younger)
+        fleet.wait_until_all("the younger one's yield", takes(0.0), younger)
         until_samples(watch, 20)
         assert shares(watch.samples[older]) == {0.5}
         assert shares(watch.samples[ALONE]) == {1.0}
 
 
 def test_two_that_reach_the_list_service_and_not_each_other_keep_their_shares(fleet: Fleet) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         fleet.net.cut(*((at,) for at in PAIR))
-        fleet.until_all(
+        fleet.wait_until_all(
             "neither hearing the other", lambda status: "present" not in verdict_on_others(status), *PAIR
         )
         until_samples(watch, int(2 * TTL_MS / 30))
@@ -105,27 +105,27 @@
 def test_of_two_the_older_takes_all_once_the_other_has_died_and_the_younger_waits_for_it(
     fleet: Fleet,
 ) -> None:
-    with fleet.watched() as watch:
+    with fleet.under_load() as watch:
         older, younger = older_and_younger(fleet)
         fleet.kill(younger)
-        fleet.until_shared(older)
+        fleet.wait_until_shared(older)
         fleet.start(younger)
-        fleet.until_shared(*PAIR)
+        fleet.wait_until_shared(*PAIR)
         fleet.kill(older)
         until_rows(fleet, "find", [(f"n{at}", "lapsed" if at == older else "live") for at in PAIR])
         until_samples_of(watch, younger, 20)
         assert fleet.status(younger)["share"] == 0.5
         before = {row["name"]: row["incarnation"] for row in rows(fleet, "find")}
         fleet.start(older)
-        fleet.until_shared(*PAIR)
+        fleet.wait_until_shared(*PAIR)
         after = {row["name"]: row["incarnation"] for row in rows(fleet, "find")}
         assert after[f"n{older}"] > max(before.values())
         assert after[f"n{younger}"] == before[f"n{younger}"]
 
 
-def until_samples_of(watch: Watch, at: int, count: int) -> None:
+def until_samples_of(watch: StatusSampler, at: int, count: int) -> None:
     before = len(watch.samples[at])
-    until(lambda: len(watch.samples[at]) >= before + count, LIMIT_S, f"samples of n{at}")
+    until(lambda: len(watch.samples[at]) >= before + count, WAIT_LIMIT_S, f"samples of n{at}")
 
 
 def rename_service(fleet: Fleet, at: int, service: str) -> None:
@@ -137,39 +137,39 @@
 def test_a_node_whose_service_changes_at_a_restart_leaves_one_group_and_joins_the_other(
     fleet: Fleet,
 ) -> None:
-    with fleet.watched():
+    with fleet.under_load():
         older, younger = older_and_younger(fleet)
         first = fleet.status(younger)["incarnation"]
         fleet.terminate(younger)
         until_rows(fleet, "find", [(f"n{older}", "live")])
-        fleet.until_shared(older)
+        fleet.wait_until_shared(older)
         rename_service(fleet, younger, "pay")
         fleet.start(younger)
-        fleet.until_shared(ALONE, younger)
+        fleet.wait_until_shared(ALONE, younger)
         second = fleet.status(younger)["incarnation"]
         assert second > first
         fleet.kill(younger)  # and by no word of its own:
         rename_service(fleet, younger, "find")
         fleet.start(younger)
-        fleet.until_shared(older, younger)
+        fleet.wait_until_shared(older, younger)
         assert fleet.status(younger)["incarnation"] > second
-        fleet.until_shared(ALONE)  # the lease of the one before has ended, and n0 is the older of two
+        fleet.wait_until_shared(ALONE)  # the lease of the one before has ended, and n0 is the older of two
 
 
 def test_the_last_node_of_a_service_leaves_nothing_behind_once_it_runs_under_another(fleet: Fleet) -> None:
     """Killed, and nobody of its group is there to say so: its own first renewal elsewhere does."""
-    with fleet.watched():
+    with fleet.under_load():
         first = fleet.status(ALONE)["incarnation"]
         fleet.kill(ALONE)
         rename_service(fleet, ALONE, "find")
         fleet.start(ALONE)
-        fleet.until_shared(ALONE, *PAIR)
+        fleet.wait_until_shared(ALONE, *PAIR)
         until_rows(fleet, "pay", [])
         fleet.terminate(ALONE)
         rename_service(fleet, ALONE, "pay")
         fleet.start(ALONE)
-        fleet.until_shared(ALONE)
-        fleet.until_shared(*PAIR)
+        fleet.wait_until_shared(ALONE)
+        fleet.wait_until_shared(*PAIR)
         until_rows(fleet, "pay", [("n0", "live")])
         until_rows(fleet, "find", [("n1", "live"), ("n2", "live")])
         assert fleet.status(ALONE)["incarnation"] > first + 1
--- a/tests/staleness/test_staleness.py
+++ b/tests/staleness/test_staleness.py
@@ -1,4 +1,4 @@
-"""Staleness: offsets and ages that hold on any link, confidence within its limits, reports decoded strictly."""
+"""Staleness: offsets and ages that hold on any link, confidence within its limits, strict decoding."""
 
 from __future__ import annotations
 
--- a/tests/support/invariant_sampler.py
+++ b/tests/support/invariant_sampler.py
@@ -1,13 +1,14 @@
-"""What every node of a fleet says of itself, read over and over, and the two rules that hold at any moment.
+"""Samples every node's status continually and checks two invariants: quotas sum to 1 at most, and no two
+nodes follow different route versions.
 
-Answers of several nodes are never of one moment, so no sum of them proves anything by itself. A sample is
-known to be of some moment between its request and its answer. The rules are therefore checked on what
-samples on both sides of a moment agree on:
+Answers of several nodes are never of one moment, so their sum alone proves nothing. A sample is of some
+moment between its request and its answer. The invariants are therefore checked on what the samples on both
+sides of a moment agree on:
 
-- A node took at least the least of the samples next to the moment, unless it left that share and came back
-  to it between two of them; the list service frees no share so quickly. Where no two samples stand close
-  enough, it counts for nothing (it may not have run).
-- A node ran a version from the first answer that said so to the last request that was answered so.
+- A node had at least the smallest quota of the samples next to the moment, unless it gave that up and got it
+  back between two of them; the list service frees no quota so quickly. Where no two samples are close enough
+  it counts as 0, as it may not have run.
+- A node followed a version from the first answer that stated it to the last request that was answered so.
 """
 
 from __future__ import annotations
@@ -19,17 +20,19 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-EVERY_S = 0.03
-GAP_S = 0.5  # between two samples that may be taken together
-LEAST = 1e-4
+SAMPLE_PERIOD_S = 0.03
+MAX_GAP_S = 0.5  # between two samples that may be taken together
+SHARE_TOLERANCE = 1e-4
 
 Status = dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    sent: float  # s, this process's monotonic clock
-    came: float
+    """A node's status; times in s of this process's monotonic clock."""
+
+    requested_s: float
+    answered_s: float
     status: Status = field(repr=False)
 
     @property
@@ -37,7 +40,7 @@
         return float(self.status["share"])
 
     @property
-    def run(self) -> tuple[Any, ...]:
+    def followed_version(self) -> tuple[Any, ...]:
         routes = self.status["routes"]
         return self.status["incarnation"], routes["stand"], routes["version"]
 
@@ -45,71 +48,79 @@
         return {row["name"]: row["verdict"] for row in self.status["siblings"]}
 
 
-def least_share(samples: Sequence[Sample], moment: float) -> float:
-    """The least that this node took at the moment, as far as its samples show; `samples` in their order."""
-    before = bisect_right(samples, moment, key=lambda sample: sample.came) - 1
-    after = bisect_left(samples, moment, key=lambda sample: sample.sent)
-    if before < 0 or after >= len(samples) or samples[after].came - samples[before].sent > GAP_S:
+def min_share(samples: Sequence[Sample], moment: float) -> float:
+    """The smallest quota that this node had at the moment, as its samples show; `samples` in their order."""
+    before = bisect_right(samples, moment, key=lambda sample: sample.answered_s) - 1
+    after = bisect_left(samples, moment, key=lambda sample: sample.requested_s)
+    if (
+        before < 0
+        or after >= len(samples)
+        or samples[after].answered_s - samples[before].requested_s > MAX_GAP_S
+    ):
         return 0.0
     return min(sample.share for sample in samples[before : after + 1])
 
 
-def overtaken(nodes: Sequence[Sequence[Sample]]) -> list[str]:
-    """The moments at which nodes took more than 1 together."""
+def quota_violations(nodes: Sequence[Sequence[Sample]]) -> list[str]:
+    """The moments at which the nodes' quotas summed to more than 1."""
     found = []
-    for moment in sorted(sample.came for samples in nodes for sample in samples):
-        shares = [least_share(samples, moment) for samples in nodes]
-        if sum(shares) > 1.0 + LEAST:
+    for moment in sorted(sample.answered_s for samples in nodes for sample in samples):
+        shares = [min_share(samples, moment) for samples in nodes]
+        if sum(shares) > 1.0 + SHARE_TOLERANCE:
             found.append(f"at {moment:.3f}: {shares}")
     return found
 
 
-def runs(samples: Sequence[Sample]) -> Iterator[tuple[float, float, int]]:
-    """From when to when this node surely followed which version."""
+def version_spans(samples: Sequence[Sample]) -> Iterator[tuple[float, float, int]]:
+    """From when to when this node certainly followed which version."""
     start: Sample | None = None
-    for sample, then in zip(samples, [*samples[1:], None], strict=True):
+    for sample, later in zip(samples, [*samples[1:], None], strict=True):
         start = start or sample
-        if then is None or then.run != sample.run or then.came - sample.sent > GAP_S:
-            if sample.run[1] == "following":
-                yield start.came, sample.sent, sample.run[2]
+        if (
+            later is None
+            or later.followed_version != sample.followed_version
+            or later.answered_s - sample.requested_s > MAX_GAP_S
+        ):
+            if sample.followed_version[1] == "following":
+                yield start.answered_s, sample.requested_s, sample.followed_version[2]
             start = None
 
 
-def apart(nodes: Sequence[Sequence[Sample]], bound_s: float) -> list[str]:
+def version_conflicts(nodes: Sequence[Sequence[Sample]], bound_s: float) -> list[str]:
     """The times, longer than the bound, in which two nodes followed different versions."""
-    followed = [(at, *run) for at, samples in enumerate(nodes) for run in runs(samples)]
+    followed = [(at, *run) for at, samples in enumerate(nodes) for run in version_spans(samples)]
     found = []
-    for index, (one, start, end, version) in enumerate(followed):
+    for index, (node, start, end, version) in enumerate(followed):
         for other, its_start, its_end, its_version in followed[:index]:
             both = min(end, its_end) - max(start, its_start)
-            if one != other and version != its_version and both > bound_s:
-                found.append(f"nodes {one} and {other} ran {version} and {its_version} for {both:.3f} s")
+            if node != other and version != its_version and both > bound_s:
+                found.append(f"nodes {node} and {other} ran {version} and {its_version} for {both:.3f} s")
     return found
 
 
-class Watch:
-    """Reads `ask(i)` of each of so many nodes on a thread of its own until it is stopped."""
+class StatusSampler:
+    """Calls `read_status(i)` for each of `count` nodes, on a thread for each, until it is stopped."""
 
-    def __init__(self, count: int, ask: Callable[[int], Status]) -> None:
+    def __init__(self, count: int, read_status: Callable[[int], Status]) -> None:
         self.samples: list[list[Sample]] = [[] for _ in range(count)]
-        self._ask, self._stopping = ask, threading.Event()
+        self._read_status, self._stopping = read_status, threading.Event()
         self._threads = [threading.Thread(target=self._read, args=(at,), daemon=True) for at in range(count)]
         for thread in self._threads:
             thread.start()
 
     def _read(self, at: int) -> None:
-        while not self._stopping.wait(EVERY_S):
-            sent = time.monotonic()
+        while not self._stopping.wait(SAMPLE_PERIOD_S):
+            requested_s = time.monotonic()
             try:
-                status = self._ask(at)
+                status = self._read_status(at)
             except (OSError, ValueError, KeyError):
-                continue  # it does not run, or not now
-            self.samples[at].append(Sample(sent, time.monotonic(), status))
+                continue  # the node is not running
+            self.samples[at].append(Sample(requested_s, time.monotonic(), status))
 
     def since(self, moment: float, *chosen: int) -> list[Sample]:
         """What these nodes, or all, answered after the moment."""
         nodes = [self.samples[at] for at in chosen] if chosen else self.samples
-        return [sample for samples in nodes for sample in list(samples) if sample.came > moment]
+        return [sample for samples in nodes for sample in list(samples) if sample.answered_s > moment]
 
     def stop(self) -> None:
         self._stopping.set()
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -1,5 +1,5 @@
 """A fleet of node processes that know each other: every call between two of them, and between each and the
-list service, passes a place where faults are injected; servers behind them, load through them."""
+list service, passes a relay that injects faults; servers behind them, load through them."""
 
 from __future__ import annotations
 
@@ -14,39 +14,42 @@
 from typing import Any
 
 from tests.support.faults import LoopThread, Net, Post
-from tests.support.invariant_sampler import Status, Watch, apart, overtaken
+from tests.support.invariant_sampler import Status, StatusSampler, quota_violations, version_conflicts
 from tests.support.load import Load, Outcome
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
 from tests.support.registry_processes import Registry, ask, until
 from tests.support.stand_in_servers import ServerPool
 
-LIMIT_S = 120.0  # for anything that should come about: the machine may be slow
+WAIT_LIMIT_S = 120.0  # of every wait: the machine may be slow
 # Leases, elections and the preparing of a version end by the real clock, and on a busy machine a process may
 # get no CPU for two seconds. Each term is so long that only the faults a test injects end one.
 TTL_MS, BOUND_MS = 8_000, 250
 ELECTION_MS = {"election_min_ms": 1_000, "election_max_ms": 1_500}
-PREPARE_MS = int(LIMIT_S * 1000.0)
-ASK_EVERY_MS = 100.0  # a word reaches every sibling in a small part of the lease term
+PREPARE_MS = int(WAIT_LIMIT_S * 1000.0)
+PROBE_PERIOD_MS = 100.0  # a statement reaches every sibling in a small part of the lease term
 CLOCKS_MS = (0.0, 2_000.0, -2_000.0, 0.0, 900.0)  # of nodes; and of instances:
 SERVICE_CLOCKS_MS = (0, 2_000, -2_000)
-ABOUT_TO_SEND_S = 0.2  # a worker's thread may be held up between its clock and its connection
+SEND_MARGIN_S = 0.2  # a worker's thread may be delayed between reading its clock and connecting
 MODELS = ("m1", "m2")  # of servers s0 and s1
 
 
 @dataclass(slots=True)
-class Down:
+class Outage:
     """From a node's SIGKILL or SIGTERM to its next start, on the monotonic clock."""
 
-    start: float
+    start_s: float
     drained: bool
-    end: float = math.inf
+    end_s: float = math.inf
 
     def excuses(self, outcome: Outcome) -> bool:
-        """Whether a request may have gone without an answer. A node that drains answers all that it has
-        accepted, so there only one that was sent (or about to be) once it had been told to end."""
-        since = outcome.sent_s + (ABOUT_TO_SEND_S if self.drained else outcome.took_s)
-        return outcome.status == 0 and self.start < since and outcome.sent_s < self.end
+        """Whether a request may be unanswered.
+
+        A draining node answers all that it has accepted: of its requests only one that was sent, or about to
+        be, after the node was signalled.
+        """
+        since = outcome.sent_s + (SEND_MARGIN_S if self.drained else outcome.took_s)
+        return outcome.status == 0 and self.start_s < since and outcome.sent_s < self.end_s
 
 
 class Fleet:
@@ -66,7 +69,7 @@
         self._loops = LoopThread()
         self.posts = [self._post(at) for at in range(size)]
         self.nodes = [self._node(folder, at) for at in range(size)]
-        self._down: dict[int, list[Down]] = {at: [] for at in range(size)}
+        self._outages: dict[int, list[Outage]] = {at: [] for at in range(size)}
         for node in self.nodes:
             node.launch()
 
@@ -83,7 +86,7 @@
             "listen": f"127.0.0.1:{self._listens[at]}",
             "routes": str(folder / f"routes-{at}"),
             "clock_offset_ms": CLOCKS_MS[at],
-            "ask_every_ms": ASK_EVERY_MS,
+            "ask_every_ms": PROBE_PERIOD_MS,
             "service": self.services[at],
         }
         settings = {"registryMode": "push"}
@@ -99,7 +102,7 @@
             "groups": groups,
         }
 
-    # ------------------------------------------------------------------ what it says
+    # ------------------------------------------------------------------ status
 
     def groups(self) -> list[list[int]]:
         """The nodes of each service."""
@@ -116,13 +119,13 @@
         return found  # type: ignore[no-any-return]
 
     def service(self, method: str, path: str, body: bytes | dict[str, Any] | None = None) -> tuple[int, Any]:
-        """A call of the fleet's, through the agent; said again until it is done or refused."""
+        """A call under /fleet/ through the agent, repeated while it answers 503."""
 
         def said() -> tuple[int, Any] | None:
             status, _, answer = ask(self.agent.port, method, f"/fleet/{path}", body, timeout=5.0)
             return None if status == 503 else (status, answer)
 
-        return until(said, LIMIT_S, f"{method} {path} done")  # type: ignore[no-any-return]
+        return until(said, WAIT_LIMIT_S, f"{method} {path} done")  # type: ignore[no-any-return]
 
     def members_port(self, at: int) -> int:
         """Where siblings call this node, past the relays."""
@@ -134,8 +137,8 @@
     def phase(self, number: int) -> str:
         return {row["number"]: row["phase"] for row in self.routes()["history"]}[number]
 
-    def until_all(self, what: str, check: Any, *chosen: int) -> None:
-        """Until check(status) holds at these nodes, or all, in one round."""
+    def wait_until_all(self, what: str, check: Any, *chosen: int) -> None:
+        """Wait until check(status) holds at the chosen nodes, or at all, in one round of reads."""
         nodes = chosen or tuple(range(self.size))
         seen: list[Status] = []
 
@@ -144,21 +147,21 @@
             return all(check(status) for status in seen)
 
         try:
-            until(hold, LIMIT_S, what)
+            until(hold, WAIT_LIMIT_S, what)
         except AssertionError as error:
             raise AssertionError(f"{what}: {error}; {[_brief(status) for status in seen]}") from error
 
-    def until_shared(self, *takers: int) -> None:
-        """Until these are all that is enrolled and each takes its part."""
+    def wait_until_shared(self, *takers: int) -> None:
+        """Wait until exactly these are enrolled and each has an equal quota."""
         part = 1.0 / len(takers)
-        self.until_all(
+        self.wait_until_all(
             f"a share of {part:.3f} at {takers}",
             lambda status: status["rows"] == len(takers) and abs(status["share"] - part) < 1e-6,
             *takers,
         )
 
-    def until_calm(self) -> None:
-        """Everything runs, every node hears every other and has its part, and routes are settled."""
+    def wait_until_stable(self) -> None:
+        """Restart and heal all; wait until members are present, quotas equal and routes settled."""
         for post in self.posts:
             post.heal()
         self.net.heal()
@@ -169,7 +172,7 @@
             if node.process is None or node.process.poll() is not None:
                 self.start(at)
         in_force = until(
-            lambda: (told := self.routes())["pending"] is None and [told], LIMIT_S, "routes settled"
+            lambda: (told := self.routes())["pending"] is None and [told], WAIT_LIMIT_S, "routes settled"
         )
 
         def calm(status: Status) -> bool:
@@ -178,31 +181,31 @@
             others = self.services.count(status["service"]) - 1
             return heard and following and len(status["siblings"]) == others
 
-        self.until_all("calm", calm)
+        self.wait_until_all("calm", calm)
         for group in self.groups():
-            self.until_shared(*group)
+            self.wait_until_shared(*group)
 
     @staticmethod
     def following(number: int) -> Any:
-        """For `until_all`: it follows this version."""
+        """A check for `wait_until_all`: the node follows this version."""
         return lambda status: (
             (status["routes"]["stand"], status["routes"]["version"]) == ("following", number)
         )
 
-    # ------------------------------------------------------------------ what befalls it
+    # ------------------------------------------------------------------ faults
 
     def kill(self, at: int) -> None:
-        self._down[at].append(Down(time.monotonic(), drained=False))
+        self._outages[at].append(Outage(time.monotonic(), drained=False))
         self.nodes[at].kill()
 
     def start(self, at: int) -> None:
         self.nodes[at].start()
-        if self._down[at] and self._down[at][-1].end == math.inf:
-            self._down[at][-1].end = time.monotonic()
+        if self._outages[at] and self._outages[at][-1].end_s == math.inf:
+            self._outages[at][-1].end_s = time.monotonic()
 
     def terminate(self, at: int) -> None:
-        """As the platform ends a node: it drains and leaves."""
-        self._down[at].append(Down(time.monotonic(), drained=True))
+        """End a node as the platform does: it drains and leaves."""
+        self._outages[at].append(Outage(time.monotonic(), drained=True))
         self.nodes[at].stop()
 
     def freeze(self, at: int) -> None:
@@ -228,7 +231,7 @@
 
     def propose(self, weights: Sequence[float] = (1.0, 1.0)) -> int:
         """Once every node may vote yes: after a change of leaders each has to learn service time anew."""
-        self.until_all("service time known closely", _knows_service_time)
+        self.wait_until_all("service time known closely", _knows_service_time)
         status, told = self.service("PUT", "routes", self.table(weights))
         assert status == 200, told
         return int(told["number"])
@@ -236,73 +239,79 @@
     # ------------------------------------------------------------------ under load
 
     @contextmanager
-    def watched(self) -> Iterator[Watch]:
-        """Load through all nodes and a watch on all, until faults have ended and it is calm again; then both
-        rules, every answer, and nothing done twice. A request may go unanswered only if its node was killed.
+    def under_load(self) -> Iterator[StatusSampler]:
+        """Run load through all nodes and sample them until the fleet is stable again.
+
+        Then check both invariants, every answer, and that no write was executed twice. Only a killed node may
+        leave a request unanswered.
         """
-        self.until_calm()
+        self.wait_until_stable()
         prefix = f"w{time.monotonic_ns()}-"
         loads = [
             Load([node.port for node in self.nodes], f"{prefix}{kind}", workers, kind, 0.04, timeout_s=30.0)
             for kind, workers in (("read", 4), ("post", 2))
         ]
         self.loads = loads
-        watch = Watch(self.size, self.status)
+        sampler = StatusSampler(self.size, self.status)
         try:
-            self._until_seen()
-            yield watch
-            self.until_calm()
-            self._until_each_has_answered(loads)
+            self._wait_until_servers_seen()
+            yield sampler
+            self.wait_until_stable()
+            self._wait_until_each_answers(loads)
         finally:
-            watch.stop()
+            sampler.stop()
             for load in loads:
                 load.finish()
-        assert min(map(len, watch.samples)) > 5, [len(samples) for samples in watch.samples]
-        self._check_shares(watch)
-        assert not (broken := apart(watch.samples, BOUND_MS / 1000.0)), broken[:3]
+        assert min(map(len, sampler.samples)) > 5, [len(samples) for samples in sampler.samples]
+        self._check_quotas(sampler)
+        assert not (broken := version_conflicts(sampler.samples, BOUND_MS / 1000.0)), broken[:3]
         self._check_load(loads, prefix)
 
-    def _check_shares(self, watch: Watch) -> None:
-        """Of each service, whichever its nodes were; those that name none count in every one."""
-        named = {sample.status["service"] for samples in watch.samples for sample in samples}
+    def _check_quotas(self, sampler: StatusSampler) -> None:
+        """For each service, whichever its nodes were; nodes that name none count in every service."""
+        named = {sample.status["service"] for samples in sampler.samples for sample in samples}
         for service in sorted(named):
             nodes = [
                 [sample for sample in samples if sample.status["service"] in ("", service)]
-                for samples in watch.samples
+                for samples in sampler.samples
             ]
-            assert not (broken := overtaken(nodes)), (service, broken[:3])
+            assert not (broken := quota_violations(nodes)), (service, broken[:3])
 
-    def _until_seen(self) -> None:
-        """A version whose servers a node has never heard of is no version for it."""
+    def _wait_until_servers_seen(self) -> None:
+        """Wait until every node has observed every server, without which it votes no."""
 
         def seen() -> bool:
             pages = [node.call_door("/status/routes")[1]["edges"] for node in self.nodes]
             marks = [edge["mark"] for page in pages for edge in page if edge["kind"] == "server"]
             return len(marks) == len(MODELS) * self.size and "blind" not in marks
 
-        until(seen, LIMIT_S, "every server heard of")
+        until(seen, WAIT_LIMIT_S, "every server observed")
 
-    def _until_each_has_answered(self, loads: Sequence[Load]) -> None:
-        """Every node that runs answers requests again, by the end of each test."""
+    def _wait_until_each_answers(self, loads: Sequence[Load]) -> None:
+        """Wait until every running node answers requests again."""
         start = time.monotonic()
         running = {
             node.port for node in self.nodes if node.process is not None and node.process.poll() is None
         }
 
         def answered() -> bool:
-            found = [one for load in loads for one in load.outcomes.copy().values()]
-            return running <= {one.port for one in found if one.sent_s > start and one.status == 200}
+            found = [outcome for load in loads for outcome in load.outcomes.copy().values()]
+            return running <= {
+                outcome.port for outcome in found if outcome.sent_s > start and outcome.status == 200
+            }
 
-        until(answered, LIMIT_S, "every node answering")
+        until(answered, WAIT_LIMIT_S, "every node answering")
 
     def _check_load(self, loads: Sequence[Load], prefix: str) -> None:
-        down = {self.nodes[at].port: spans for at, spans in self._down.items()}
-        outcomes = {name: one for load in loads for name, one in load.outcomes.items()}
+        down = {self.nodes[at].port: spans for at, spans in self._outages.items()}
+        outcomes = {name: outcome for load in loads for name, outcome in load.outcomes.items()}
         excused = {
-            name for name, one in outcomes.items() if any(span.excuses(one) for span in down[one.port])
+            name
+            for name, outcome in outcomes.items()
+            if any(span.excuses(outcome) for span in down[outcome.port])
         }
-        # 503: refused in time, as a node does that has yielded its share
-        answered = {name for name, one in outcomes.items() if one.status in (200, 503)}
+        # 503: rejected in time, as by a node that has yielded its quota
+        answered = {name for name, outcome in outcomes.items() if outcome.status in (200, 503)}
         assert not (lost := {name: outcomes[name] for name in outcomes.keys() - answered - excused}), lost
         for name, servers in self.pool.reached.items():
             if name.startswith(prefix):
