--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -121,7 +121,7 @@
         changed = self._confidence.update(now, self.connectivity())
         if changed:
             self._on_levels(changed)
-        self._timer.schedule(self._clock.loop_time(now + self._update_every_ms))
+        self._timer.schedule(self._clock.to_loop_time(now + self._update_every_ms))
 
     def _follow_list(self) -> None:
         """Pass the endpoint list to the table where it was changed or confirmed."""
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -108,7 +108,7 @@
             self._tasks.spawn(self._send(call))
         due = self.member_lease.next_call_at()
         if due < math.inf:
-            self._timer.schedule(self._clock.loop_time(max(due, now)))
+            self._timer.schedule(self._clock.to_loop_time(max(due, now)))
 
     def _on_registry_change(self) -> None:
         """Members or routes have changed: renew soon, as the answer states the changes."""
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -109,7 +109,7 @@
         now = self._clock.now_ms()
         self.before_tick(now)
         self.execute(self.detector.tick(now))
-        self._timer.schedule(self._clock.loop_time(max(now + MIN_TICK_MS, self.detector.due or now)))
+        self._timer.schedule(self._clock.to_loop_time(max(now + MIN_TICK_MS, self.detector.due or now)))
 
     async def _probe(self, action: Probe | IndirectProbe, path: str) -> None:
         self.probes_sent += 1
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -113,7 +113,7 @@
             self._timer.cancel()
         else:
             self._due_ms = due_ms
-            self._timer.schedule(self._clock.loop_time(due_ms))
+            self._timer.schedule(self._clock.to_loop_time(due_ms))
 
     def _apply(self, action: Apply) -> None:
         self._notify_balancer(action.event)
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -12,18 +12,19 @@
 from __future__ import annotations
 
 import copyreg
+import operator
 import pickle
 import sys
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, fields, is_dataclass
 from enum import Enum
 from gzip import GzipFile
 from types import ModuleType
 from typing import IO, Any
 
-from loadbalancer.membership.quota_ledger import Ledger, Row, State
+from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
 from loadbalancer.registry.fleet_state import FleetState
-from loadbalancer.routing.coordinator import Activations, Pending, Version
+from loadbalancer.routing.coordinator import ActivationCoordinator, PendingActivation, VersionRecord
 
 PROTOCOL = 2  # pysyncobj's
 
@@ -48,12 +49,33 @@
         FleetState,
         {"leader_address": "http", "clock_bound_ms": "bound_ms", "repeated_enrolments": "repeats"},
     ),
-    StoredClass("orchidledge.members.ledger", "Ledger", Ledger),
-    StoredClass("orchidledge.members.ledger", "Row", Row),
-    StoredClass("orchidledge.members.ledger", "State", State),
-    StoredClass("orchidledge.routes.activation", "Activations", Activations),
-    StoredClass("orchidledge.routes.activation", "Version", Version),
-    StoredClass("orchidledge.routes.activation", "Pending", Pending),
+    StoredClass(
+        "orchidledge.members.ledger",
+        "Ledger",
+        QuotaLedger,
+        {"last_incarnation": "incarnations", "records_by_incarnation": "by_incarnation"},
+    ),
+    StoredClass(
+        "orchidledge.members.ledger",
+        "Row",
+        MemberRecord,
+        {
+            "start_id": "start",
+            "enrolled_revision": "enrolled",
+            "quota": "share",
+            "acknowledged_revision": "acked",
+            "renewal_seq": "seq",
+        },
+    ),
+    StoredClass("orchidledge.members.ledger", "State", MemberState),
+    StoredClass(
+        "orchidledge.routes.activation",
+        "Activations",
+        ActivationCoordinator,
+        {"last_number": "last", "active_number": "in_force"},
+    ),
+    StoredClass("orchidledge.routes.activation", "Version", VersionRecord),
+    StoredClass("orchidledge.routes.activation", "Pending", PendingActivation),
 )
 
 
@@ -106,32 +128,41 @@
     if not stored.renamed:
         return present
     names = {old: new for new, old in stored.renamed.items()}
-    set_present_state = getattr(present, "__setstate__", _set_fields)
+    set_present_state = getattr(present, "__setstate__", None)
 
     def set_stored_state(self: Any, state: Any) -> None:
         object.__setattr__(self, "__class__", present)
-        set_present_state(self, _rename(state, names))
+        if set_present_state is not None:
+            set_present_state(self, _rename(state, names))
+            return
+        values = state[1] if isinstance(state, tuple) else state  # of a class with slots: (None, values)
+        for name, value in values.items():
+            setattr(self, names.get(name, name), value)
 
     return type(stored.name, (present,), {"__slots__": (), "__setstate__": set_stored_state})
 
 
-def _set_fields(target: object, state: Any) -> None:
-    """What pickle does with the state of a class that has no `__setstate__`."""
-    fields = state[1] if isinstance(state, tuple) else state
-    for name, value in fields.items():
-        setattr(target, name, value)
-
-
 def _writer(stored: StoredClass) -> Writer:
     """Gives the reduced form of an object of this class, under its stored names."""
-    stand_in, renamed = _register(stored), stored.renamed
+    stand_in = _register(stored)
     if issubclass(stored.present, Enum):
         return lambda member: (stand_in, (member.value,))
     # `copyreg.__newobj__` would demand that the object is an instance of the class that is written. The
     # arguments are the same tuple for each object, so that they are written once.
     create: Callable[..., Any] = copyreg._reconstructor  # type: ignore[attr-defined]
     arguments = (stand_in, object, None)
-    return lambda instance: (create, arguments, _rename(instance.__reduce_ex__(PROTOCOL)[2], renamed))
+    state_of = _state_getter(stored.present, stored.renamed)
+    return lambda instance: (create, arguments, state_of(instance))
+
+
+def _state_getter(present: type[Any], renamed: Mapping[str, str]) -> Callable[[Any], Any]:
+    """Gives the state of an object of this class as pickle would, with its fields renamed."""
+    if is_dataclass(present) and present.__getstate__ is object.__getstate__:
+        names = [one.name for one in fields(present)]
+        stored_names = [renamed.get(name, name) for name in names]
+        values = operator.attrgetter(*names)
+        return lambda instance: (None, dict(zip(stored_names, values(instance), strict=True)))
+    return lambda instance: _rename(instance.__reduce_ex__(PROTOCOL)[2], renamed)
 
 
 class StoredForm:
