--- a/bench/fleet_traffic.py
+++ b/bench/fleet_traffic.py
@@ -19,7 +19,7 @@
 from bench.figures import quantile
 from bench.fleet_world import LIMIT_S, Figures, Plan, World, cpu_ms, spread
 from loadbalancer.endpoints import Confidence
-from loadbalancer.node.http.service_http import call
+from loadbalancer.node.http.service_http import send_request
 from tests.support.faults import LoopThread
 from tests.support.load import Load
 from tests.support.loopback import Message
@@ -58,7 +58,9 @@
     async def _one(self, port: int, name: str) -> None:
         sent = time.monotonic()
         try:
-            reply = await call(("127.0.0.1", port), "GET", f"/read/{name}", b"", 10.0, {"Req-Id": name})
+            reply = await send_request(
+                ("127.0.0.1", port), "GET", f"/read/{name}", b"", 10.0, {"Req-Id": name}
+            )
             self.ended.append((sent, reply.status))
         except (OSError, TimeoutError):
             self.ended.append((sent, 0))
@@ -192,7 +194,7 @@
     async def _read(self, at: int, door: int) -> None:
         while True:
             with suppress(OSError, TimeoutError, ValueError):
-                reply = await call(("127.0.0.1", door), "GET", "/status/routes", timeout_s=2.0)
+                reply = await send_request(("127.0.0.1", door), "GET", "/status/routes", timeout_s=2.0)
                 edges = orjson.loads(reply.body)["edges"]
                 self._marks[at].append({row["to"]: row["mark"] for row in edges if row["kind"] == "server"})
                 self._read_at[at].append(time.monotonic())
--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -17,7 +17,7 @@
 import orjson
 
 from bench.figures import quantile
-from loadbalancer.node.http.service_http import call
+from loadbalancer.node.http.service_http import send_request
 from tests.support.faults import LoopThread, Net, Post
 from tests.support.invariant_sampler import Sample
 from tests.support.node_processes import Node
@@ -230,7 +230,9 @@
     def _send_some(self, node: Node) -> None:
         for number in range(2 * self.plan.servers):
             name = f"warm-{node.port}-{number}-{time.monotonic_ns()}"
-            asyncio.run(call(("127.0.0.1", node.port), "GET", f"/read/{name}", headers={"Req-Id": name}))
+            asyncio.run(
+                send_request(("127.0.0.1", node.port), "GET", f"/read/{name}", headers={"Req-Id": name})
+            )
 
     def _sees_all(self, node: Node) -> bool:
         edges = node.call_door("/status/routes")[1]["edges"]
@@ -260,7 +262,7 @@
         port = self.agents[0].port
 
         def said() -> int | None:
-            reply = asyncio.run(call(("127.0.0.1", port), "PUT", "/fleet/routes", text))
+            reply = asyncio.run(send_request(("127.0.0.1", port), "PUT", "/fleet/routes", text))
             if reply.status == 400:
                 raise AssertionError(reply.body)
             return int(orjson.loads(reply.body)["number"]) if reply.status == 200 else None
@@ -293,7 +295,7 @@
         while True:
             sent = time.monotonic()
             with suppress(OSError, TimeoutError, ValueError):
-                reply = await call(("127.0.0.1", door), "GET", "/status/members", timeout_s=2.0)
+                reply = await send_request(("127.0.0.1", door), "GET", "/status/members", timeout_s=2.0)
                 if reply.status == 200:
                     self.of[at].append(Sample(sent, time.monotonic(), orjson.loads(reply.body)))
             await asyncio.sleep(max(0.0, sent + self._every_s - time.monotonic()))
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -28,7 +28,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bench.figures import quantile, rss_mb
-from loadbalancer.node.http.service_http import call
+from loadbalancer.node.http.service_http import send_request
 from tests.support.node_processes import Node
 from tests.support.registry_processes import Registry, until
 
@@ -39,7 +39,7 @@
     while not stop.is_set():
         target = "/discovery/hosts" if since is None else f"/discovery/hosts?since={since}&timeout_ms=1000"
         try:
-            reply = await call(("127.0.0.1", port), "GET", target, timeout_s=3)
+            reply = await send_request(("127.0.0.1", port), "GET", target, timeout_s=3)
         except (OSError, TimeoutError):
             await asyncio.sleep(0.01)
             continue
@@ -55,7 +55,7 @@
     while not stop.is_set():
         counts["reads"] += 1
         try:
-            reply = await call(("127.0.0.1", port), "GET", "/discovery/hosts", timeout_s=1)
+            reply = await send_request(("127.0.0.1", port), "GET", "/discovery/hosts", timeout_s=1)
             counts["failures"] += reply.status != 200
         except (OSError, TimeoutError):
             counts["failures"] += 1
@@ -75,7 +75,7 @@
 
 async def put(port: int, uid: str, endpoint: str) -> int:
     body = orjson.dumps({"uid": uid, "endpoint": endpoint})
-    reply = await call(("127.0.0.1", port), "PUT", f"/registry/targets/{uid}", body, timeout_s=5)
+    reply = await send_request(("127.0.0.1", port), "PUT", f"/registry/targets/{uid}", body, timeout_s=5)
     return reply.status
 
 
@@ -181,7 +181,7 @@
         timings = []
         for _ in range(20):
             at = time.monotonic()
-            reply = await call(("127.0.0.1", leader), "GET", "/discovery/hosts", timeout_s=10)
+            reply = await send_request(("127.0.0.1", leader), "GET", "/discovery/hosts", timeout_s=10)
             timings.append((time.monotonic() - at) * 1000)
         size = len(reply.body)
         started = [registry.agent() for _ in range(agents)]
--- a/bench/renewals.py
+++ b/bench/renewals.py
@@ -25,7 +25,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bench.figures import cpu_s, quantile
-from loadbalancer.node.http.service_http import call
+from loadbalancer.node.http.service_http import send_request
 from tests.support.registry_processes import Registry
 
 SEED = 7
@@ -39,7 +39,9 @@
 
 
 async def post(port: int, path: str, body: dict[str, Any]) -> tuple[int, Any]:
-    reply = await call(("127.0.0.1", port), "POST", f"/fleet/{path}", orjson.dumps(body), timeout_s=5.0)
+    reply = await send_request(
+        ("127.0.0.1", port), "POST", f"/fleet/{path}", orjson.dumps(body), timeout_s=5.0
+    )
     return reply.status, orjson.loads(reply.body)
 
 
--- a/bench/scale/chain_model.py
+++ b/bench/scale/chain_model.py
@@ -3,7 +3,7 @@
 A tier is some nodes, each a Balancer over all of the tier's servers. A server works on a call, calls the next
 tier through one of its nodes, and answers once that has answered: an error where the call was refused or
 failed, as a server that depends on it must. It passes on the time that it was given, as a node's deadline
-header tells it (loadbalancer/node/listener/requests.py). The same seed gives the same run.
+header tells it (loadbalancer/node/listener/request_translation.py). The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
     TimerFired,
 )
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind
-from loadbalancer.node.listener.requests import WAY_BACK_S
+from loadbalancer.node.listener.request_translation import RESPONSE_MARGIN_S
 from loadbalancer.service_settings import Effect, ServiceClass, Settings
 
 CLASS = "read"
-WAY_BACK_MS = WAY_BACK_S * 1000.0
+WAY_BACK_MS = RESPONSE_MARGIN_S * 1000.0
 NETWORK_MS = 0.25  # one way between a node and a server
 UTILISATION_MS = 1000.0  # smoothing of the utilisation that a server reports
 
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -79,12 +79,12 @@
             if follows and uid.startswith(CHANGE):
                 self.figures.saw_change(uid)
 
-    async def call(self, method: str, target: str, body: bytes, timeout_ms: float) -> web.Reply:
+    async def call(self, method: str, target: str, body: bytes, timeout_ms: float) -> web.ReceivedResponse:
         url = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         async with asyncio.timeout(timeout_ms / 1000.0):
-            answer = await self.handle(web.Call(method, url.path, query, {}, body))
-        return web.Reply(answer.status, answer.headers, answer.body)
+            answer = await self.handle(web.HttpRequest(method, url.path, query, {}, body))
+        return web.ReceivedResponse(answer.status, answer.headers, answer.body)
 
 
 class MeasuredAgent(RegistryClient):
@@ -94,7 +94,7 @@
         super().__init__(address)
         self._node = node
 
-    async def post(self, path: str, body: Any, timeout_ms: float) -> web.Reply:
+    async def post(self, path: str, body: Any, timeout_ms: float) -> web.ReceivedResponse:
         sent = time.monotonic()
         try:
             reply = await self._post(path, body, timeout_ms)
@@ -107,13 +107,13 @@
             self._timed((time.monotonic() - sent) * 1000.0)
         return reply
 
-    async def _post(self, path: str, body: Any, timeout_ms: float) -> web.Reply:
+    async def _post(self, path: str, body: Any, timeout_ms: float) -> web.ReceivedResponse:
         agent = self._address()
         if not isinstance(agent, InnerAgent):
             return await super().post(path, body, timeout_ms)
         return await agent.call("POST", f"/fleet/{path}", orjson.dumps(body), timeout_ms)
 
-    async def get(self, target: str, timeout_ms: float) -> web.Reply:
+    async def get(self, target: str, timeout_ms: float) -> web.ReceivedResponse:
         agent = self._address()
         if not isinstance(agent, InnerAgent):
             return await super().get(target, timeout_ms)
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -21,7 +21,7 @@
 from bench.scale.platform import NodePlace, Platform
 from bench.scale.program import Instances, Program, RealAgent, RealNode
 from bench.scale.shares import RealShare
-from loadbalancer.node.http.service_http import call
+from loadbalancer.node.http.service_http import send_request
 from tests.support.ports import free_port
 
 RAFT_LEADER = 2  # pysyncobj's number of the state
@@ -242,7 +242,7 @@
         while True:
             port = self.random.choice([self.instances.http[at] for at in self.instances.live()])
             try:
-                reply = await call(("127.0.0.1", port), method, f"/registry/targets/{uid}", body, 5.0)
+                reply = await send_request(("127.0.0.1", port), method, f"/registry/targets/{uid}", body, 5.0)
             except (OSError, TimeoutError):
                 continue
             if reply.status == 200:
--- a/loadbalancer/node/attempts.py
+++ b/loadbalancer/node/attempt_dispatcher.py
@@ -11,14 +11,14 @@
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.http.client_connection import Response
-from loadbalancer.node.listener.requests import forwarded
-from loadbalancer.node.request_registry import Job, Jobs
-from loadbalancer.node.upstream.pool import Pool
+from loadbalancer.node.listener.request_translation import encode_forwarded
+from loadbalancer.node.request_registry import ActiveRequest, RequestRegistry
+from loadbalancer.node.upstream.pool import ConnectionPool
 from loadbalancer.service_settings import Settings
-from loadbalancer.settings import report_from
+from loadbalancer.settings import parse_load_report
 
 
-class Attempts:
+class AttemptDispatcher:
     """Makes attempts and tells their outcomes to `on_outcome`, in its order: whoever else is to hear of every
     outcome (server, result, latency in ms, load report) is appended there."""
 
@@ -26,21 +26,21 @@
         self,
         settings: Settings,
         clock: Clock,
-        jobs: Jobs,
-        pool: Pool,
+        requests: RequestRegistry,
+        pool: ConnectionPool,
         counts: Counter[str],
-        tell: Callable[[Event], None],
+        handle_event: Callable[[Event], None],
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._settings = settings
         self._clock = clock
-        self._jobs = jobs
+        self._requests = requests
         self._pool = pool
         self._counts = counts
-        self.on_outcome: list[Callable[[AttemptOutcome], None]] = [self._count, tell]
+        self.outcome_listeners: list[Callable[[AttemptOutcome], None]] = [self._count, handle_event]
 
     def send(self, action: Send) -> None:
-        job = self._jobs.get(action.id)
+        job = self._requests.get(action.id)
         number = len(job.attempts) if job is not None else 0
         began = self._loop.time()
         if job is not None:
@@ -48,24 +48,24 @@
         if job is None or number >= self._settings.max_attempts:
             self._end(action, number, job, AttemptResult.ABANDONED, began)
             return
-        body = job.call.body if job.call.body.whole is None else None
-        left = job.give_up_s if job.call.coming else job.give_up_at - began
+        body = job.inbound.body if job.inbound.body.complete_bytes is None else None
+        left = job.client_timeout_s if job.inbound.receiving else job.deadline - began
         timeout = min(left, action.timeout_ms / 1000.0) if action.timeout_ms > 0.0 else left
-        job.out += 1
+        job.attempts_in_flight += 1
 
         def on_result(result: AttemptResult, response: Response | None) -> None:
-            job.out -= 1
+            job.attempts_in_flight -= 1
             job.attempts[number] = None
             self._end(action, number, job, result, began, response)
 
-        attempt = self._pool.send(
+        attempt = self._pool.start_attempt(
             action.server,
-            lambda wait: forwarded(job.call, wait, body is not None),
+            lambda wait: encode_forwarded(job.inbound, wait, body is not None),
             timeout,
             on_result,
             body,
-            job.call.length is None,
-            lambda: self._jobs.waits(job),
+            job.inbound.content_length is None,
+            lambda: self._requests.awaits_response(job),
             self._clock.loop_time(action.written_by_ms),
         )
         if attempt is None:
@@ -74,7 +74,7 @@
             job.attempts[number] = attempt
 
     def cancel(self, action: Cancel) -> None:
-        job = self._jobs.get(action.id)
+        job = self._requests.get(action.id)
         attempt = job.attempts[action.attempt] if job and action.attempt < len(job.attempts) else None
         if attempt is not None:
             attempt.cancel()
@@ -83,7 +83,7 @@
         self,
         action: Send,
         number: int,
-        job: Job | None,
+        job: ActiveRequest | None,
         result: AttemptResult,
         began: float,
         response: Response | None = None,
@@ -91,24 +91,24 @@
         """The one outcome of a send. The first good answer goes to the client and ends its request."""
         report = self._report(response)
         if job is not None:
-            job.last = result
-            job.may_have_run = job.may_have_run or not result.never_executed
+            job.last_result = result
+            job.possibly_executed = job.possibly_executed or not result.never_executed
             if result is AttemptResult.OK and response is not None:
-                if response.rest is None:
-                    self._jobs.answer(job, 200, bytes(response.body))
+                if response.stream is None:
+                    self._requests.respond(job, 200, bytes(response.body))
                 else:
-                    self._jobs.begin(job, response.length, response.rest)
-            self._jobs.forget(job)
-        done = job is None or job.done
-        since = began if job is None else max(began, job.whole_at)
+                    self._requests.begin_stream(job, response.content_length, response.stream)
+            self._requests.release(job)
+        done = job is None or job.answered
+        since = began if job is None else max(began, job.received_at)
         latency = (self._loop.time() - since) * 1000.0
         outcome = AttemptOutcome(action.id, number, action.server, result, latency, done, report)
-        for hear in self.on_outcome:
+        for hear in self.outcome_listeners:
             hear(outcome)
 
     def _report(self, response: Response | None) -> dict[str, float] | None:
         load = response.headers.get(b"srv-load") if response is not None else None
-        return report_from(load.decode("latin-1"), self._settings.load_report_fields) if load else None
+        return parse_load_report(load.decode("latin-1"), self._settings.load_report_fields) if load else None
 
     def _count(self, outcome: AttemptOutcome) -> None:
         self._counts[outcome.result.value] += 1
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -21,7 +21,7 @@
 )
 from loadbalancer.node.state import ejections, handover
 from loadbalancer.service_settings import Settings, check_within
-from loadbalancer.settings import JsonObject, section, settings_from, text_of
+from loadbalancer.settings import JsonObject, parse_settings, section, text_of
 
 if TYPE_CHECKING:
     from loadbalancer.node.membership_settings import MembershipSettings
@@ -108,7 +108,7 @@
         discovery=_address("discovery", row["discovery"]),
         seed=_seed(row),
         initial_list=_initial_list(row),
-        settings=settings_from(settings),
+        settings=parse_settings(settings),
         admin_address=_address("operator", admin_address) if admin_address else None,
         ejections_folder=_shared_folder(variables, ejections.FOLDER_NAME),
         handover_folder=_shared_folder(variables, handover.FOLDER_NAME),
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -28,7 +28,7 @@
 )
 from loadbalancer.membership.messages import LeaseAnswer, Member
 from loadbalancer.node.admin.messages import AdminResponse, AdminRoutes
-from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.balancer_driver import BalancerDriver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.control import member_status
@@ -68,14 +68,14 @@
         clock: Clock,
         servers: EndpointList,
         watcher: EndpointListWatcher,
-        driver: Driver,
+        driver: BalancerDriver,
     ) -> None:
         """`config.membership` is present; the other arguments are the node's own components."""
         assert config.membership is not None
         self.settings = settings = config.membership
         self.clock = MembershipClock(clock, settings.clock_offset_ms)
         self.clock_offsets = ClockOffsets()
-        self._name, self._servers, self._tell = config.name, servers, driver.tell
+        self._name, self._servers, self._tell = config.name, servers, driver.handle_event
         self._granted: QuotaGrant | None = None  # the last one that the balancer was notified of
         self._client = RegistryClient(lambda: watcher.address)
         rng = Random(int.from_bytes(os.urandom(SEED_BYTES), "big"))  # the balancer's draws are its own
@@ -86,7 +86,7 @@
             settings, self.clock, self.clock_offsets, servers, driver, self._on_levels
         )
         self.freshness.connectivity = lambda: self.connectivity(self.clock.now_ms()).value
-        driver.before.append(self.route_activation.run_if_due)
+        driver.before_event.append(self.route_activation.run_if_due)
 
     def _make_lease(self, rng: Random) -> LeaseClient:
         settings, start = self.settings, secrets.token_hex(NONCE_BYTES)
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -12,7 +12,7 @@
 from loadbalancer.balancing.events import AttemptOutcome
 from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import ViewReceived
-from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.balancer_driver import BalancerDriver
 from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.rejection_log import RejectionLog
 from loadbalancer.node.control.timers import RestartableTimer
@@ -46,7 +46,7 @@
         clock: MembershipClock,
         clock_offsets: ClockOffsets,
         servers: EndpointList,
-        driver: Driver,
+        driver: BalancerDriver,
         on_levels: Callable[[dict[str, Confidence]], None],
     ) -> None:
         self.connectivity: Callable[[], ConnectivityState] = lambda: "alone"
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -115,7 +115,7 @@
             self._on_failure(self._clock.now_ms(), call, f"{type(error).__name__}: {error}")
         self._tick()
 
-    def _on_reply(self, sent_at: float, call: RegistryCall, reply: web.Reply) -> None:
+    def _on_reply(self, sent_at: float, call: RegistryCall, reply: web.ReceivedResponse) -> None:
         """ValueError for a malformed body."""
         now = self._clock.now_ms()
         if reply.status == HTTPStatus.NOT_FOUND and call.path == "renew":
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -66,8 +66,8 @@
         self._call_numbers = count(1)
         self._waiting: dict[int, asyncio.Future[bytes | None]] = {}  # indirect probes by their call's number
         self._rejections = RejectionLog("members: call rejected (%d so far): %s")
-        self._client = web.Client(max_connections)
-        self._limits = web.Limits(body=MAX_BODY_BYTES, connections=max_connections)
+        self._client = web.HttpClient(max_connections)
+        self._limits = web.ServerLimits(body=MAX_BODY_BYTES, connections=max_connections)
 
     @property
     def rejected_calls(self) -> int:
@@ -146,7 +146,7 @@
                 "members: not enrolled until the listen address is free: %s", state.outcome.exception()
             )
 
-    async def _handle(self, call: web.Call) -> web.Answer:
+    async def _handle(self, call: web.HttpRequest) -> web.HttpResponse:
         """Answer a peer's call; raises nothing, and ends within `INDIRECT_TIMEOUT_S`."""
         self.probes_received += 1
         if call.method != "POST" or call.path not in (PROBE_PATH, INDIRECT_PROBE_PATH):
@@ -163,7 +163,7 @@
             return self._reject(HTTPStatus.SERVICE_UNAVAILABLE, "too many indirect probes")
         return await self._handle_indirect_probe(now, call.body)
 
-    async def _handle_indirect_probe(self, now: float, body: bytes) -> web.Answer:
+    async def _handle_indirect_probe(self, now: float, body: bytes) -> web.HttpResponse:
         number = next(self._call_numbers)
         waiting = self._waiting[number] = asyncio.get_running_loop().create_future()
         try:
@@ -176,12 +176,12 @@
             self._waiting.pop(number, None)
         return self._answer(payload)
 
-    def _answer(self, payload: bytes | None) -> web.Answer:
+    def _answer(self, payload: bytes | None) -> web.HttpResponse:
         """The ack, or a rejection where the failure detector could not decode the probe."""
         if payload is None:
             return self._reject(HTTPStatus.BAD_REQUEST, "malformed probe")
-        return web.Answer(HTTPStatus.OK, payload)
+        return web.HttpResponse(HTTPStatus.OK, payload)
 
-    def _reject(self, status: HTTPStatus, reason: str) -> web.Answer:
+    def _reject(self, status: HTTPStatus, reason: str) -> web.HttpResponse:
         self._rejections.add(reason)
-        return web.Answer(status, b"")
+        return web.HttpResponse(status, b"")
--- a/loadbalancer/node/control/registry_client.py
+++ b/loadbalancer/node/control/registry_client.py
@@ -37,13 +37,13 @@
     def __init__(self, address: Callable[[], Address]) -> None:
         """`address`: of the agent; asked at each call, since discovery may move."""
         self._address = address
-        self._client = web.Client(MAX_IDLE_CONNECTIONS)
+        self._client = web.HttpClient(MAX_IDLE_CONNECTIONS)
 
-    async def post(self, path: str, body: Mapping[str, object], timeout_ms: float) -> web.Reply:
+    async def post(self, path: str, body: Mapping[str, object], timeout_ms: float) -> web.ReceivedResponse:
         """POST a JSON object to /fleet/`path`."""
         return await self._call("POST", path, orjson.dumps(body), timeout_ms)
 
-    async def get(self, target: str, timeout_ms: float) -> web.Reply:
+    async def get(self, target: str, timeout_ms: float) -> web.ReceivedResponse:
         """GET /fleet/`target`, a path with its query."""
         return await self._call("GET", target, b"", timeout_ms)
 
@@ -51,7 +51,7 @@
         """Close the idle connections; a later call opens one of its own."""
         self._client.close()
 
-    async def _call(self, method: str, target: str, body: bytes, timeout_ms: float) -> web.Reply:
+    async def _call(self, method: str, target: str, body: bytes, timeout_ms: float) -> web.ReceivedResponse:
         return await self._client.call(
             self._address(), method, f"/fleet/{target}", body, timeout_ms / _MS_PER_S
         )
--- a/loadbalancer/node/control/registry_watch.py
+++ b/loadbalancer/node/control/registry_watch.py
@@ -61,7 +61,7 @@
                 self._on_change()
                 await self._wait_for_renewal()
 
-    async def _poll(self) -> web.Reply:
+    async def _poll(self) -> web.ReceivedResponse:
         known = self.revisions
         target = (
             f"watch?since={known.members}&routes_since={known.routes}"
@@ -78,7 +78,7 @@
                 return
 
 
-def _decode(reply: web.Reply) -> WatchAnswer:
+def _decode(reply: web.ReceivedResponse) -> WatchAnswer:
     """ValueError for anything but a JSON object with status 200."""
     body = orjson.loads(reply.body)
     if reply.status != HTTPStatus.OK or not isinstance(body, dict):
--- a/loadbalancer/node/discovery/client.py
+++ b/loadbalancer/node/discovery/client.py
@@ -23,18 +23,18 @@
     def __init__(self) -> None:
         self.response: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
 
-    def sent(self) -> None:
+    def on_request_sent(self) -> None:
         """Ignored: a poll has no effect that it could have had."""
 
-    def begun(self, response: Response) -> None:
+    def on_stream_begun(self, response: Response) -> None:
         """Never called: lists are received in full."""
 
-    def answered(self, response: Response) -> None:
+    def on_response(self, response: Response) -> None:
         """The answer is complete."""
         if not self.response.done():
             self.response.set_result(response)
 
-    def lost(self, written: bool) -> None:
+    def on_connection_lost(self, written: bool) -> None:
         """The connection has ended without a complete answer."""
         if not self.response.done():
             self.response.set_exception(DiscoveryConnectionError())
--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -11,9 +11,9 @@
 from loadbalancer.node.address import Address
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.discovery.response import DiscoveryResponse
-from loadbalancer.node.listener.server import Server
+from loadbalancer.node.listener.listener import Listener
 from loadbalancer.node.state.ejections import EjectionStore
-from loadbalancer.node.upstream.pool import Pool
+from loadbalancer.node.upstream.pool import ConnectionPool
 
 
 class EndpointList:
@@ -26,8 +26,8 @@
         self,
         ejections: EjectionStore,
         clock: Clock,
-        pool: Pool,
-        server: Server,
+        pool: ConnectionPool,
+        server: Listener,
         event_counts: Counter[str],
         handle_event: Callable[[Event], None],
     ) -> None:
@@ -70,10 +70,10 @@
         available = self._find_available()
         for name in available:
             endpoint, address = self.endpoints[name]
-            self._pool.add(name, address, endpoint.launched_ms)
+            self._pool.set_endpoint(name, address, endpoint.launched_ms)
         self._handle_event(event)
         for name in self.available - available:
-            self._pool.remove(name)
+            self._pool.remove_endpoint(name)
         self.available = available
         self._server.ready = self._server.ready or bool(available)  # ready from the first endpoint on
 
--- a/loadbalancer/node/http/body.py
+++ b/loadbalancer/node/http/body.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-LONGEST = 32 * 1024 * 1024  # of any body, either way
-HIGH_WATER = 64 * 1024  # kept while nobody takes it; the reading then stops
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of any body, either way
+HIGH_WATER_BYTES = 64 * 1024  # kept while nobody takes it; the reading then stops
 
 
 class Source(Protocol):
@@ -15,7 +15,7 @@
 
     def resume(self) -> None: ...
 
-    def abandoned(self) -> None:
+    def abandon(self) -> None:
         """Nobody will take the rest."""
 
 
@@ -26,7 +26,7 @@
 
     def end(self) -> None: ...
 
-    def broken(self) -> None:
+    def fail(self) -> None:
         """The rest will not come."""
 
 
@@ -37,33 +37,33 @@
     def __init__(self, source: Source) -> None:
         self._source = source
         self._sink: Sink | None = None
-        self._first: bytearray | None = bytearray()
+        self._replay_buffer: bytearray | None = bytearray()
         self.size = 0  # of what has come
         self.ended = False
         self.failed = False
-        self.held = False  # by a sink that can't write any more for now
+        self.paused = False  # by a sink that can't write any more for now
 
     @property
-    def whole(self) -> bytes | None:
+    def complete_bytes(self) -> bytes | None:
         """All of it, if it has come and is kept."""
-        return bytes(self._first) if self.ended and self._first is not None else None
+        return bytes(self._replay_buffer) if self.ended and self._replay_buffer is not None else None
 
     @property
-    def open_to_another(self) -> bool:
-        return self._first is not None and self._sink is None and not self.failed
+    def replayable(self) -> bool:
+        return self._replay_buffer is not None and self._sink is None and not self.failed
 
     # ------------------------------------------------------------- for the source
 
-    def put(self, data: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         self.size += len(data)
-        if self._first is not None:
-            if self._sink is not None and self.size > HIGH_WATER:
-                self._first = None
+        if self._replay_buffer is not None:
+            if self._sink is not None and self.size > HIGH_WATER_BYTES:
+                self._replay_buffer = None
             else:
-                self._first += data
+                self._replay_buffer += data
         if self._sink is not None:
             self._sink.write(data)
-        elif self._first is not None and self.size >= HIGH_WATER:
+        elif self._replay_buffer is not None and self.size >= HIGH_WATER_BYTES:
             self._source.pause()
 
     def end(self) -> None:
@@ -76,47 +76,47 @@
         if not self.failed and not self.ended:
             self.failed = True
             if self._sink is not None:
-                self._sink.broken()
+                self._sink.fail()
 
     # --------------------------------------------------------------- for the sink
 
     def attach(self, sink: Sink) -> None:
         """Take what has come and all that will."""
-        assert self.open_to_another
+        assert self.replayable
         self._sink = sink
-        if self._first:
-            sink.write(bytes(self._first))
+        if self._replay_buffer:
+            sink.write(bytes(self._replay_buffer))
         if self.ended:
             sink.end()
-        elif not self.held:
+        elif not self.paused:
             self._source.resume()
 
-    def hold(self) -> None:
-        if not self.held and not self.ended:  # Guard: all that can still come is its caller's leaving
-            self.held = True
+    def pause(self) -> None:
+        if not self.paused and not self.ended:  # Guard: all that can still come is its caller's leaving
+            self.paused = True
             self._source.pause()
 
-    def release(self) -> None:
-        if self.held:
-            self.held = False
+    def resume(self) -> None:
+        if self.paused:
+            self.paused = False
             self._source.resume()
 
-    def leave(self, sink: Sink) -> None:
+    def detach(self, sink: Sink) -> None:
         """This sink takes no more of it."""
         if self._sink is not sink:
             return
         self._sink = None
-        self.release()
+        self.resume()
         if self.ended or self.failed:
             return
-        if self._first is None:
-            self._source.abandoned()
-        elif self.size >= HIGH_WATER:
+        if self._replay_buffer is None:
+            self._source.abandon()
+        elif self.size >= HIGH_WATER_BYTES:
             self._source.pause()
 
-    def abandon(self) -> None:
+    def discard(self) -> None:
         """Nobody takes it at all."""
-        self._first = None
+        self._replay_buffer = None
         self._sink = None
         if not self.ended and not self.failed:
-            self._source.abandoned()
+            self._source.abandon()
--- a/loadbalancer/node/http/client_connection.py
+++ b/loadbalancer/node/http/client_connection.py
@@ -9,11 +9,11 @@
 
 import httptools
 
-from loadbalancer.node.http.body import HIGH_WATER, LONGEST, Body
+from loadbalancer.node.http.body import HIGH_WATER_BYTES, MAX_BODY_BYTES, Body
 from loadbalancer.node.http.socket_buffer import readable
 
-MAX_BODY = HIGH_WATER  # of a body that is held whole
-MAX_HEAD = 16 * 1024
+MAX_BUFFERED_BYTES = HIGH_WATER_BYTES  # of a body that is held whole
+MAX_HEAD_BYTES = 16 * 1024
 LAST_CHUNK = b"0\r\n\r\n"
 
 
@@ -22,8 +22,8 @@
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name
     body: bytearray = field(default_factory=bytearray)
-    length: int | None = None  # as declared
-    rest: Body | None = None  # of an answer too long to be held whole: it, as it comes
+    content_length: int | None = None  # as declared
+    stream: Body | None = None  # of an answer too long to be held whole: it, as it comes
 
     def ends_with_connection(self, version: str) -> bool:
         """Whether the end of the connection is the end of this answer, by its head."""
@@ -38,19 +38,19 @@
 class Exchange(Protocol):
     """What a connection tells of the one request that it carries: `sent` at most once, then its end once."""
 
-    def sent(self) -> None:
+    def on_request_sent(self) -> None:
         """Its last byte has left."""
 
-    def begun(self, response: Response) -> None:
+    def on_stream_begun(self, response: Response) -> None:
         """An answer too long to be held whole has begun; its end is told by one of the others."""
 
-    def answered(self, response: Response) -> None: ...
+    def on_response(self, response: Response) -> None: ...
 
-    def lost(self, written: bool) -> None:
+    def on_connection_lost(self, written: bool) -> None:
         """The connection ended with no whole answer; `written`: its request's last byte had left."""
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -63,15 +63,15 @@
         self._chunked = chunked
 
     def write(self, data: bytes) -> None:
-        self._connection.write(chunk(data) if self._chunked else data)
+        self._connection.write(encode_chunk(data) if self._chunked else data)
 
     def end(self) -> None:
         if self._chunked:
             self._connection.write(LAST_CHUNK)
-        self._connection.written_whole()
+        self._connection.finish_request()
 
-    def broken(self) -> None:
-        self._connection.abandoned()
+    def fail(self) -> None:
+        self._connection.abandon()
 
 
 class ClientConnection(asyncio.Protocol):
@@ -79,28 +79,31 @@
     whatever the loop is given from then on; perhaps more than once."""
 
     def __init__(
-        self, on_closed: Callable[[ClientConnection], None], max_body: int = MAX_BODY, streams: bool = False
+        self,
+        on_closed: Callable[[ClientConnection], None],
+        max_buffered_bytes: int = MAX_BUFFERED_BYTES,
+        streams: bool = False,
     ) -> None:
         self._on_closed = on_closed
-        self._max_body = max_body
+        self._max_buffered_bytes = max_buffered_bytes
         self._streams = streams  # a longer 200 is passed on as it comes
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._exchange: Exchange | None = None
         self._response = Response()
-        self._size = 0
+        self._body_size = 0
         self._in_head = False
         self._head_size = 0  # of head and trailers
-        self._kept_back = 0  # bytes since the last of a body: a line that has not ended is in the parser
-        self._whole = False
-        self._to_the_end = False  # the answer's end is the connection's
-        self._spoilt = False
+        self._unparsed_bytes = 0  # bytes since the last of a body: a line that has not ended is in the parser
+        self._complete = False
+        self._ends_with_connection = False  # the answer's end is the connection's
+        self._unusable = False
         self._written = True
         self._upload: _Upload | None = None  # a long request under way
-        self.unreadable = False  # what came is no answer as HTTP has it, or too long to be one
+        self.malformed = False  # what came is no answer as HTTP has it, or too long to be one
         self.idle_since = 0.0
-        self.taken_at = 0.0  # and since when it has yet to take more of a long request
-        self.heard_at = 0.0  # the loop's time of the last bytes
+        self.upload_progress_at = 0.0  # and since when it has yet to take more of a long request
+        self.last_data_at = 0.0  # the loop's time of the last bytes
 
     # -------------------------------------------------------------- for the owner
 
@@ -111,7 +114,7 @@
         transport = self._transport
         return (
             transport is not None
-            and not self._spoilt
+            and not self._unusable
             and self._exchange is None
             and not transport.is_closing()
             and not readable(transport)
@@ -127,7 +130,12 @@
         assert self._transport is not None
         assert self._exchange is None
         self._exchange = exchange
-        self._response, self._size, self._whole, self._to_the_end = Response(), 0, False, False
+        self._response, self._body_size, self._complete, self._ends_with_connection = (
+            Response(),
+            0,
+            False,
+            False,
+        )
         self._written = False
         # Guard: known before the first write, as that may already be more than the kernel takes.
         upload = self._upload = _Upload(self, body, chunked) if body is not None else None
@@ -135,13 +143,13 @@
         if upload is not None:
             upload.body.attach(upload)
         else:
-            self.written_whole()
+            self.finish_request()
 
     def write(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
-    def written_whole(self) -> None:
+    def finish_request(self) -> None:
         """All of the request has been given; it has left unless some of it is still in the buffer."""
         assert self._transport is not None
         self._upload = None
@@ -150,25 +158,25 @@
             self.resume_writing()
 
     @property
-    def held(self) -> bool:
+    def stream_paused(self) -> bool:
         """Whether what still comes of the answer must wait for the one who takes it."""
-        return self._response.rest is not None and self._response.rest.held
+        return self._response.stream is not None and self._response.stream.paused
 
-    def fail_rest(self) -> None:
+    def fail_stream(self) -> None:
         """What still was to come of the answer won't."""
-        if self._response.rest is not None:
-            self._response.rest.fail()
+        if self._response.stream is not None:
+            self._response.stream.fail()
 
     def abort(self) -> None:
         """Close at once, unsent bytes included. The exchange, if any, hears nothing."""
         self._exchange = None
-        self._spoilt = True
+        self._unusable = True
         upload, self._upload = self._upload, None
         if self._transport is not None:
             self._transport.abort()
         self._on_closed(self)
         if upload is not None:
-            upload.body.leave(upload)
+            upload.body.detach(upload)
 
     # ---------------------------------------------------------- asyncio.Protocol
 
@@ -180,67 +188,69 @@
 
     def pause_writing(self) -> None:
         if self._upload is not None:
-            self.taken_at = asyncio.get_running_loop().time()
-            self._upload.body.hold()
+            self.upload_progress_at = asyncio.get_running_loop().time()
+            self._upload.body.pause()
 
     def resume_writing(self) -> None:
         if self._upload is not None:
-            self.taken_at = asyncio.get_running_loop().time()
-            self._upload.body.release()
+            self.upload_progress_at = asyncio.get_running_loop().time()
+            self._upload.body.resume()
             return
         self._written = True
         if self._exchange is not None:
-            self._exchange.sent()
+            self._exchange.on_request_sent()
 
     def data_received(self, data: bytes) -> None:
         if self._exchange is None:  # nothing was asked: what follows would not belong to the next request
             self.abort()
             return
-        self.heard_at = asyncio.get_running_loop().time()
-        self._kept_back += len(data)
+        self.last_data_at = asyncio.get_running_loop().time()
+        self._unparsed_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._spoilt = self.unreadable = True
-        if self._kept_back > MAX_HEAD + MAX_BODY:  # Guard: the parser tells of a header once it is whole
-            self._spoilt = self.unreadable = True
-        self._go_on()
-
-    def _go_on(self) -> None:
+            self._unusable = self.malformed = True
+        if (
+            self._unparsed_bytes > MAX_HEAD_BYTES + MAX_BUFFERED_BYTES
+        ):  # Guard: the parser tells of a header once it is whole
+            self._unusable = self.malformed = True
+        self._process_received()
+
+    def _process_received(self) -> None:
         """Pass on what has come, and end the exchange if that was the end of it."""
-        if self._response.rest is not None or not self._spoilt:  # nothing is begun that is known to break
-            self._pass_on()
+        if self._response.stream is not None or not self._unusable:  # nothing is begun that is known to break
+            self._stream_body()
         if self._exchange is None:
             return
-        if self._whole:
+        if self._complete:
             exchange, self._exchange = self._exchange, None
             # A server that answers before it has the whole request leaves the rest on the connection.
             if not self._written:
-                self._spoilt = True
-            if self._spoilt:
+                self._unusable = True
+            if self._unusable:
                 self.abort()
-            if self._response.rest is not None:
+            if self._response.stream is not None:
                 # Guard: its taker may have stopped the reading with the last bytes; nobody else would go on.
                 self.resume()
-                self._response.rest.end()
-            exchange.answered(self._response)
-        elif self._spoilt:
-            self._lose(self._written)
+                self._response.stream.end()
+            exchange.on_response(self._response)
+        elif self._unusable:
+            self._end_exchange(self._written)
 
-    def _pass_on(self) -> None:
+    def _stream_body(self) -> None:
         """Begin an answer that is too long to be held whole, and pass on what has come of it."""
         response = self._response
-        if response.rest is None:
-            long = max(response.length or 0, len(response.body)) > self._max_body
-            if not (self._streams and long and response.body) or self._whole:
+        if response.stream is None:
+            long = max(response.content_length or 0, len(response.body)) > self._max_buffered_bytes
+            if not (self._streams and long and response.body) or self._complete:
                 return
-            response.rest = Body(self)
+            response.stream = Body(self)
             assert self._exchange is not None
-            self._exchange.begun(response)
+            self._exchange.on_stream_begun(response)
         piece = bytes(response.body)
         response.body.clear()
         if piece:
-            response.rest.put(piece)
+            response.stream.feed(piece)
 
     # --------------------------------------------------- as the source of an answer
 
@@ -249,78 +259,78 @@
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        self.heard_at = asyncio.get_running_loop().time()  # it could not be heard before
+        self.last_data_at = asyncio.get_running_loop().time()  # it could not be heard before
         if self._transport is not None:
             self._transport.resume_reading()
 
-    def abandoned(self) -> None:
-        self._lose(self._written)
+    def abandon(self) -> None:
+        self._end_exchange(self._written)
 
     def eof_received(self) -> bool:
-        self._spoilt = True
+        self._unusable = True
         if self._exchange is not None:
             # Guard: left to asyncio, what it still holds of the request would be written out first.
-            self._whole = self._to_the_end
-            self._go_on()
+            self._complete = self._ends_with_connection
+            self._process_received()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._lose(self._written)
+        self._end_exchange(self._written)
 
-    def _lose(self, written: bool) -> None:
+    def _end_exchange(self, written: bool) -> None:
         exchange = self._exchange
         self.abort()
         if exchange is not None:
-            exchange.lost(written)
+            exchange.on_connection_lost(written)
 
     # --------------------------------------------------------- httptools callbacks
 
     def on_message_begin(self) -> None:
-        if self._whole:
-            self._spoilt = True  # more than was asked for
-        self._in_head, self._head_size, self._kept_back = not self._whole, 0, 0
+        if self._complete:
+            self._unusable = True  # more than was asked for
+        self._in_head, self._head_size, self._unparsed_bytes = not self._complete, 0, 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._head_size += len(name) + len(value)
-        if self._head_size > MAX_HEAD:
-            self._spoilt = self.unreadable = True
+        if self._head_size > MAX_HEAD_BYTES:
+            self._unusable = self.malformed = True
         if self._in_head:  # a trailer must not pass for a header
             self._response.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        self._size = 0
+        self._body_size = 0
         if self._in_head:
             self._in_head = False
             self._response.status = self._parser.get_status_code()
             length = self._response.headers.get(b"content-length", b"")
-            self._response.length = int(length) if length.isdigit() else None
-            if self._streams and (self._response.length or 0) > LONGEST:
+            self._response.content_length = int(length) if length.isdigit() else None
+            if self._streams and (self._response.content_length or 0) > MAX_BODY_BYTES:
                 # Guard: passed on as it came, it could not be sent again once nothing more came of it.
-                self._spoilt = self.unreadable = True
-            self._to_the_end = self._response.ends_with_connection(self._parser.get_http_version())
+                self._unusable = self.malformed = True
+            self._ends_with_connection = self._response.ends_with_connection(self._parser.get_http_version())
             if self._response.status == 200 and not self._written:
                 # Guard: a server begins once the last byte has come; this is another request's answer, late.
-                self._spoilt = True
+                self._unusable = True
 
     def on_body(self, body: bytes) -> None:
-        self._kept_back = 0
-        self._size += len(body)
+        self._unparsed_bytes = 0
+        self._body_size += len(body)
         if self._streams and self._response.status != 200:
             # The text of an answer that is no 200 goes nowhere; of a long one the rest is not waited for.
-            if self._size > MAX_BODY:
-                self._whole = self._spoilt = True
-        elif self._size > (LONGEST if self._streams else self._max_body):
-            self._spoilt = self.unreadable = True
-        elif not self._spoilt:
+            if self._body_size > MAX_BUFFERED_BYTES:
+                self._complete = self._unusable = True
+        elif self._body_size > (MAX_BODY_BYTES if self._streams else self._max_buffered_bytes):
+            self._unusable = self.malformed = True
+        elif not self._unusable:
             self._response.body += body
 
     def on_message_complete(self) -> None:
         status = self._parser.get_status_code()
-        if self._whole or self._spoilt:
+        if self._complete or self._unusable:
             return
         if status < 200:  # an interim answer: the real one follows
-            self._response, self._size = Response(), 0
+            self._response, self._body_size = Response(), 0
             return
-        self._whole = True
+        self._complete = True
         if not self._parser.should_keep_alive():
-            self._spoilt = True
+            self._unusable = True
--- a/loadbalancer/node/http/service_http.py
+++ b/loadbalancer/node/http/service_http.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class HttpRequest:
     """A request as a handler gets it; `query` holds the first value of each name."""
 
     method: str
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class HttpResponse:
     status: int
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
@@ -53,11 +53,11 @@
         return ("\r\n".join(head) + "\r\n\r\n").encode() + self.body
 
 
-Handler = Callable[[Call], Awaitable[Answer]]
+Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class ServerLimits:
     """What peers may take of a server. Of connections over the most, the oldest is closed."""
 
     body: int = MAX_BODY  # bytes of one request's body
@@ -66,14 +66,14 @@
 
 
 class _Connection(asyncio.Protocol):
-    def __init__(self, handler: Handler, limits: Limits, visits: dict[_Connection, None]) -> None:
+    def __init__(self, handler: Handler, limits: ServerLimits, visits: dict[_Connection, None]) -> None:
         self._handler = handler
         self._limits = limits
         self._visits = visits  # of the same server, the oldest first
         self._size = 0  # bytes since the last whole request
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._queue: asyncio.Queue[Call | None] = asyncio.Queue()
+        self._queue: asyncio.Queue[HttpRequest | None] = asyncio.Queue()
         self._url = b""
         self._headers: dict[str, str] = {}
         self._body = bytearray()
@@ -123,7 +123,7 @@
         fields = parse_qs(url.query, keep_blank_values=True)
         query = {name: values[0] for name, values in fields.items()}
         method = self._parser.get_method().decode("latin-1")
-        self._queue.put_nowait(Call(method, url.path, query, self._headers, bytes(self._body)))
+        self._queue.put_nowait(HttpRequest(method, url.path, query, self._headers, bytes(self._body)))
         self._url, self._headers, self._body, self._size = b"", {}, bytearray(), 0
         if self._queue.qsize() >= QUEUED and self._transport is not None:
             self._transport.pause_reading()  # Guard: a peer that pipelines without end must not grow memory
@@ -140,7 +140,7 @@
             if self._queue.qsize() < QUEUED:
                 self._transport.resume_reading()
             if call is None:
-                self._transport.write(Answer(400, b'{"error":"unreadable request"}').encode(close=True))
+                self._transport.write(HttpResponse(400, b'{"error":"unreadable request"}').encode(close=True))
                 self._transport.close()
                 return
             answer = await self._handler(call)
@@ -149,24 +149,24 @@
             self._transport.write(answer.encode(close=False))
 
 
-async def serve(address: Address, handler: Handler, limits: Limits | None = None) -> asyncio.Server:
+async def serve(address: Address, handler: Handler, limits: ServerLimits | None = None) -> asyncio.Server:
     """Listen at the address (port 0: one the system picks) and answer with the handler."""
     loop = asyncio.get_running_loop()
-    within, visits = limits or Limits(), dict[_Connection, None]()
+    within, visits = limits or ServerLimits(), dict[_Connection, None]()
     return await loop.create_server(
         lambda: _Connection(handler, within, visits), *address, reuse_address=True
     )
 
 
 @dataclass(slots=True)
-class Reply:
+class ReceivedResponse:
     status: int
     headers: dict[str, str]
     body: bytes
 
 
 Headers = Mapping[str, str]
-NONE: Headers = MappingProxyType({})
+NO_HEADERS: Headers = MappingProxyType({})
 
 
 class _Line(asyncio.Protocol):
@@ -177,7 +177,7 @@
         self.on_lost: Callable[[], None] = lambda: None
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: asyncio.Future[Reply] | None = None
+        self._answer: asyncio.Future[ReceivedResponse] | None = None
         self._headers: dict[str, str] = {}
         self._body = bytearray()
 
@@ -211,7 +211,9 @@
     def on_message_complete(self) -> None:
         self.keeps = self._parser.should_keep_alive()
         if self._answer is not None and not self._answer.done():
-            self._answer.set_result(Reply(self._parser.get_status_code(), self._headers, bytes(self._body)))
+            self._answer.set_result(
+                ReceivedResponse(self._parser.get_status_code(), self._headers, bytes(self._body))
+            )
         else:
             self.close()  # nobody has asked
         self._headers, self._body = {}, bytearray()
@@ -221,7 +223,7 @@
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(error)
 
-    async def exchange(self, request: bytes) -> Reply:
+    async def exchange(self, request: bytes) -> ReceivedResponse:
         """ConnectionError if it is closed before the answer's end. Whoever gives up closes it."""
         assert self._transport is not None
         if self._transport.is_closing():
@@ -246,14 +248,14 @@
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-async def call(
+async def send_request(
     address: Address,
     method: str,
     target: str,
     body: bytes = b"",
     timeout_s: float = 5.0,
-    headers: Headers = NONE,
-) -> Reply:
+    headers: Headers = NO_HEADERS,
+) -> ReceivedResponse:
     """One request on a connection of its own; OSError or TimeoutError when it can't be had."""
     async with asyncio.timeout(timeout_s):
         line = await _dial(address)
@@ -265,7 +267,7 @@
             line.close()
 
 
-class Client:
+class HttpClient:
     """Calls on connections that are kept from one to the next, at most `kept` idle ones, each for KEPT_S.
 
     A kept connection may have been closed by the other side meanwhile, so a call may be said twice.
@@ -285,8 +287,8 @@
         target: str,
         body: bytes = b"",
         timeout_s: float = 5.0,
-        headers: Headers = NONE,
-    ) -> Reply:
+        headers: Headers = NO_HEADERS,
+    ) -> ReceivedResponse:
         """As `call`."""
         request = _request(address, method, target, body, headers)
         async with asyncio.timeout(timeout_s):
@@ -296,7 +298,7 @@
                     return await self._on(line, address, request)
             return await self._on(await _dial(address), address, request)
 
-    async def _on(self, line: _Line, address: Address, request: bytes) -> Reply:
+    async def _on(self, line: _Line, address: Address, request: bytes) -> ReceivedResponse:
         try:
             reply = await line.exchange(request)
         except BaseException:
--- a/loadbalancer/node/listener/flow_control.py
+++ b/loadbalancer/node/listener/flow_control.py
@@ -12,11 +12,11 @@
 LINGER_S = (
     1.0  # how long after a fatal answer, and after the last that a caller still sends, that is dropped,
 )
-LINGER_MOST_S = 5.0  # at the most
-UNREAD_S = 10.0  # a caller that takes nothing of its answer for so long has given up reading
+MAX_LINGER_S = 5.0  # at the most
+WRITE_STALL_TIMEOUT_S = 10.0  # a caller that takes nothing of its answer for so long has given up reading
 
 
-class Reading:
+class ReadControl:
     """Whether the connection is read, as the source of its requests' bodies: not while a body has to wait,
     nor while a request stands behind the one being answered."""
 
@@ -32,7 +32,7 @@
         self._unread_since: float | None = None  # what is read next came after this, while nothing was
 
     @property
-    def body_held(self) -> bool:
+    def body_paused(self) -> bool:
         return self._held_at is not None
 
     def pause(self) -> None:
@@ -46,16 +46,16 @@
             self._held_at = None
             self._apply()
 
-    def abandoned(self) -> None:
+    def abandon(self) -> None:
         """The rest is read and dropped."""
         self.resume()
 
-    def set_full(self, full: bool) -> None:
+    def set_backlogged(self, full: bool) -> None:
         """Whether enough has been read to go on with; the rest is left in the kernel."""
         self._full = full
         self._apply()
 
-    def arrival(self, now: float) -> float:
+    def earliest_arrival(self, now: float) -> float:
         """The earliest moment at which what is read now may have come."""
         since, self._unread_since = self._unread_since, None
         return now if since is None else since
@@ -72,7 +72,7 @@
         self._transport.resume_reading()
 
 
-class Writing:
+class WriteControl:
     """What waits for the caller to read it."""
 
     def __init__(self, transport: asyncio.Transport) -> None:
@@ -90,7 +90,7 @@
         unsent = self.unsent
         if unsent != self._unsent or not unsent:
             self._unsent, self._since = unsent, now
-        return now - self._since >= UNREAD_S
+        return now - self._since >= WRITE_STALL_TIMEOUT_S
 
     def set_reset(self, on: bool) -> None:
         """Whether a close, the process's end too, is to reset the connection."""
@@ -98,18 +98,18 @@
         self._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
-class Linger:
+class LingeringClose:
     """The reading on after the end of the sending: to close over unread bytes would reset the answer away."""
 
     def __init__(self, now: float) -> None:
         self._heard_at = now
-        self._until = now + LINGER_MOST_S
+        self._until = now + MAX_LINGER_S
 
-    def heard(self, now: float) -> None:
+    def on_data(self, now: float) -> None:
         self._heard_at = now
 
-    def over(self, now: float, unsent: int) -> bool:
+    def is_over(self, now: float, unsent: int) -> bool:
         """Whether it was enough: all has left, and the caller sends no more, or has for too long."""
         if unsent:
-            self._heard_at, self._until = now, now + LINGER_MOST_S
+            self._heard_at, self._until = now, now + MAX_LINGER_S
         return now >= min(self._heard_at + LINGER_S, self._until)
--- a/loadbalancer/node/listener/server.py
+++ b/loadbalancer/node/listener/listener.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Iterable
 from itertools import islice
 
-from loadbalancer.node.listener.call import Call
 from loadbalancer.node.listener.connection import ServerConnection
 from loadbalancer.node.listener.connection_states import ClosableConnection
+from loadbalancer.node.listener.inbound_request import InboundRequest
 
 log = logging.getLogger("loadbalancer")
 
@@ -19,15 +19,20 @@
 ACCEPT_PAUSE_S = 0.002  # while there is no room: a connection that is closed goes a turn of the loop later
 DRAIN_OPEN_S = 0.5  # connections still come for up to 0.4 s after a drain began
 DRAIN_STEP_S = 0.01
-SWEEP_S = 0.1  # looked at so often, as a peer that sends no request is owed an error or a close within 3 s
+SWEEP_INTERVAL_S = (
+    0.1  # looked at so often, as a peer that sends no request is owed an error or a close within 3 s
+)
 
 # What goes first where callers are too many, and where their descriptors are. Accepting never stops.
 _Ending = Callable[[ClosableConnection], bool]
-_END_FOR_REQUESTS: tuple[_Ending, ...] = (ClosableConnection.close_if_idle, ClosableConnection.turn_away)
-_END_FOR_DESCRIPTORS: tuple[_Ending, ...] = (ClosableConnection.cut_short, *_END_FOR_REQUESTS)
+_END_FOR_REQUESTS: tuple[_Ending, ...] = (
+    ClosableConnection.close_if_idle,
+    ClosableConnection.reject_partial_request,
+)
+_END_FOR_DESCRIPTORS: tuple[_Ending, ...] = (ClosableConnection.close_lingering, *_END_FOR_REQUESTS)
 
 
-def inherited(text: str) -> socket.socket:
+def inherited_socket(text: str) -> socket.socket:
     """The listening socket of this descriptor; OSError if it is nothing of the kind."""
     try:
         found = socket.socket(fileno=int(text))
@@ -43,50 +48,50 @@
     raise OSError(f"descriptor {text!r} is no listening TCP socket")
 
 
-class Server:
+class Listener:
     """Listens, and keeps the callers' connections within their share of the descriptors."""
 
-    def __init__(self, limit: int, on_call: Callable[[Call], None]) -> None:
+    def __init__(self, limit: int, on_call: Callable[[InboundRequest], None]) -> None:
         self.loop = asyncio.get_running_loop()
-        self.limit = limit  # of connections that take requests
+        self.request_limit = limit  # of connections that take requests
         self._burst = max(1, limit // 7)  # of those accepted in one turn of the loop
-        self.most = limit + 3 * limit // 7  # of all, those that are being ended too
-        self.on_call = on_call
+        self.max_connections = limit + 3 * limit // 7  # of all, those that are being ended too
+        self.on_request = on_call
         self.ready = False
         self.shares_socket = False  # another process may accept from the listening socket too
         self.draining = False  # answers end their connections
         self.expired = 0  # connections ended for want of a request
         self.connections: dict[ClosableConnection, None] = {}  # in the order of their opening
-        self._listener: socket.socket | None = None
-        self._coming: set[asyncio.Task[object]] = set()  # accepted, and not yet among the connections
+        self._socket: socket.socket | None = None
+        self._accepting: set[asyncio.Task[object]] = set()  # accepted, and not yet among the connections
         self._short = False  # the last connection could not be accepted for want of a descriptor
         self._accept_timer: asyncio.TimerHandle | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._drain_timer: asyncio.TimerHandle | None = None
 
     @property
-    def takes_clients(self) -> bool:
+    def accepts_clients(self) -> bool:
         """What the front is told: whether new connections are welcome."""
         return self.ready and not self.draining
 
     @property
-    def crowded(self) -> bool:
+    def over_limit(self) -> bool:
         return self._excess() > 0
 
     def _excess(self) -> int:
         """How many of the connections that take requests are over the limit."""
-        many = len(self.connections) - self.limit
-        return many if many <= 0 else sum(not one.ending for one in self.connections) - self.limit
+        many = len(self.connections) - self.request_limit
+        return many if many <= 0 else sum(not one.is_closing for one in self.connections) - self.request_limit
 
     @property
-    def deserted(self) -> bool:
+    def has_no_clients(self) -> bool:
         """Whether no caller is connected, as far as has been accepted."""
-        return not self.connections and not self._coming
+        return not self.connections and not self._accepting
 
     @property
     def address(self) -> tuple[str, int]:
-        assert self._listener is not None
-        host, port = self._listener.getsockname()[:2]
+        assert self._socket is not None
+        host, port = self._socket.getsockname()[:2]
         return host, port
 
     async def listen(self, host: str, port: int, accept_fd: str | None = None) -> None:
@@ -95,22 +100,22 @@
         # Guard: asyncio sets TCP_NODELAY on what comes of a socket that names its protocol, as one made
         # from a descriptor does. Else the last of an answer in pieces is held back, and lost to a reset.
         made = str(socket.create_server((host, port)).detach()) if accept_fd is None else accept_fd
-        raw = inherited(made)
+        raw = inherited_socket(made)
         raw.setblocking(False)
         raw.listen(BACKLOG)
-        self._listener = raw
+        self._socket = raw
         self.loop.add_reader(raw, self._accept)
         self._sweep()
 
     @property
-    def full(self) -> bool:
+    def at_capacity(self) -> bool:
         """Guard: callers may never take the descriptors that servers and discovery need."""
-        return len(self.connections) + len(self._coming) >= self.most
+        return len(self.connections) + len(self._accepting) >= self.max_connections
 
     def _accept(self) -> None:
         """Take in some of what the kernel has accepted; the rest has its turn in the loop's next ones."""
         for _ in range(self._burst):
-            if self.full:
+            if self.at_capacity:
                 self._accept_later()
             elif self._accept_one():
                 continue
@@ -118,19 +123,19 @@
 
     def _accept_later(self) -> None:
         """End connections to make room, and go on with accepting once they have gone."""
-        if self._listener is not None and self.loop.remove_reader(self._listener):
-            self._end(_END_FOR_DESCRIPTORS, self._burst)
+        if self._socket is not None and self.loop.remove_reader(self._socket):
+            self._close_surplus(_END_FOR_DESCRIPTORS, self._burst)
             self._accept_timer = self.loop.call_later(ACCEPT_PAUSE_S, self._accept_again)
 
     def _accept_again(self) -> None:
-        if self._listener is not None:
-            self.loop.add_reader(self._listener, self._accept)
+        if self._socket is not None:
+            self.loop.add_reader(self._socket, self._accept)
 
     def _accept_one(self) -> bool:
         """Whether there was one to take in."""
-        assert self._listener is not None
+        assert self._socket is not None
         try:
-            raw, _ = self._listener.accept()
+            raw, _ = self._socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
         except OSError as error:  # Guard: the platform's limit is lower than the configuration says
@@ -143,19 +148,23 @@
         # Guard: a transport that asyncio.Server makes for a connection fails once that server is closed,
         # and lost the requests of those accepted in the turn before.
         task = asyncio.create_task(self.loop.connect_accepted_socket(lambda: ServerConnection(self), raw))
-        self._coming.add(task)
-        task.add_done_callback(self._coming.discard)
+        self._accepting.add(task)
+        task.add_done_callback(self._accepting.discard)
         return True
 
     def opened(self, connection: ClosableConnection) -> None:
         self.connections[connection] = None
-        self._end(_END_FOR_REQUESTS, self._excess(), connection)
+        self._close_surplus(_END_FOR_REQUESTS, self._excess(), connection)
 
-    def _end(self, ways: Iterable[_Ending], count: int, but: ClosableConnection | None = None) -> None:
+    def _close_surplus(
+        self, ways: Iterable[_Ending], count: int, but: ClosableConnection | None = None
+    ) -> None:
         """End so many connections, the first of these ways first, and those longest at rest. None of them has
         a whole request, as far as has been read."""
         if count > 0:
-            others = sorted((one for one in self.connections if one is not but), key=lambda one: one.since)
+            others = sorted(
+                (one for one in self.connections if one is not but), key=lambda one: one.last_activity_at
+            )
             ended = (one for end in ways for one in others if end(one))
             deque(islice(ended, count), maxlen=0)
 
@@ -169,10 +178,10 @@
             self.draining = True
             self._drain_timer = self.loop.call_later(open_s, self._close_idle, young_s)
 
-    def turn_away(self) -> None:
+    def reject_partial_requests(self) -> None:
         """Refuse what has come in part."""
         for connection in list(self.connections):
-            connection.turn_away()
+            connection.reject_partial_request()
 
     def resume(self) -> None:
         """End the drain."""
@@ -192,9 +201,9 @@
         """Stop listening. What the kernel has accepted is taken in first, unless another process accepts from
         the same socket: the kernel resets what a closed listener leaves behind. It goes on listening while
         there is no room for all of it."""
-        if self._listener is not None:
+        if self._socket is not None:
             while not self.shares_socket:
-                if self.full:
+                if self.at_capacity:
                     return
                 if not self._accept_one():
                     break
@@ -203,10 +212,10 @@
     def _stop_listening(self) -> None:
         if self._accept_timer is not None:
             self._accept_timer.cancel()
-        if self._listener is not None:
-            self.loop.remove_reader(self._listener)
-            self._listener.close()
-            self._listener = None
+        if self._socket is not None:
+            self.loop.remove_reader(self._socket)
+            self._socket.close()
+            self._socket = None
 
     def close(self) -> None:
         self._stop_listening()
@@ -220,7 +229,7 @@
         for connection in list(self.connections):
             connection.sweep(now)
         self.expire(now)
-        self._sweep_timer = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def expire(self, now: float) -> None:
         """End the connections on which a request is overdue by now."""
--- a/loadbalancer/node/listener/requests.py
+++ b/loadbalancer/node/listener/request_translation.py
@@ -7,16 +7,18 @@
 from urllib.parse import unquote_to_bytes
 
 from loadbalancer.balancing.events import Request
-from loadbalancer.node.listener.call import Call
+from loadbalancer.node.listener.inbound_request import InboundRequest
 from loadbalancer.service_settings import Effect, ServiceClass
 
-WAY_BACK_S = 0.015  # an answer leaves this long before the client's time is up
+RESPONSE_MARGIN_S = 0.015  # an answer leaves this long before the client's time is up
 
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect".split()
 ) | {b"content-length", b"req-deadline-ms"}
 
-KEPT = frozenset({b"req-id", b"host"})  # even if a caller names them as hop-by-hop: a server must see them
+ALWAYS_FORWARDED = frozenset(
+    {b"req-id", b"host"}
+)  # even if a caller names them as hop-by-hop: a server must see them
 
 
 class BadRequestError(Exception):
@@ -27,7 +29,9 @@
         self.status = status
 
 
-def parse(call: Call, classes: Mapping[str, ServiceClass], arrived_ms: float) -> tuple[Request, float]:
+def parse_request(
+    call: InboundRequest, classes: Mapping[str, ServiceClass], arrived_ms: float
+) -> tuple[Request, float]:
     """The module's view of a request, and for how many seconds from its last byte its client waits."""
     headers = call.headers
     path = call.target.partition(b"?")[0]
@@ -45,7 +49,7 @@
     if (deadline := _number(headers, b"req-deadline-ms")) is not None:
         give_up_ms = min(deadline, 10.0 * kind.client_timeout_ms)
     cost_us = _number(headers, b"req-cost")
-    give_up_ms -= WAY_BACK_S * 1000.0
+    give_up_ms -= RESPONSE_MARGIN_S * 1000.0
     owner = headers.get(b"req-owner")
     request = Request(
         id=name,
@@ -54,7 +58,7 @@
         tenant=owner.decode("utf-8", "replace") if owner else None,
         cost_hint_ms=None if cost_us is None else cost_us / 1000.0,
         is_retry=headers.get(b"req-retry") == b"1",
-        receiving=call.coming,
+        receiving=call.receiving,
     )
     return request, give_up_ms / 1000.0
 
@@ -73,19 +77,21 @@
     return value
 
 
-def forwarded(call: Call, wait_s: float, streamed: bool) -> bytes:
+def encode_forwarded(call: InboundRequest, wait_s: float, streamed: bool) -> bytes:
     """The request as it goes to a server that is waited for this long, without a body that is streamed."""
     lines = [call.method + b" " + call.target + b" HTTP/1.1"]
     named = {name.strip() for name in call.headers.get(b"connection", b"").lower().split(b",")}
     lines += [
         name + b": " + value
         for name, value in call.headers.items()
-        if name not in HOP_BY_HOP and (name not in named or name in KEPT)
+        if name not in HOP_BY_HOP and (name not in named or name in ALWAYS_FORWARDED)
     ]
     lines.append(b"req-deadline-ms: %d" % max(1, int(wait_s * 1000.0)))
-    body = b"" if streamed else call.body.whole or b""
-    if streamed and call.length is None:
+    body = b"" if streamed else call.body.complete_bytes or b""
+    if streamed and call.content_length is None:
         lines.append(b"transfer-encoding: chunked")
     elif streamed or body or call.method != b"GET":
-        lines.append(b"content-length: %d" % (call.length if streamed and call.length else len(body)))
+        lines.append(
+            b"content-length: %d" % (call.content_length if streamed and call.content_length else len(body))
+        )
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -16,24 +16,24 @@
 from loadbalancer.node.admin.messages import AdminHandler, AdminResponse, ok_or_unavailable
 from loadbalancer.node.admin.metrics import NodeMetrics
 from loadbalancer.node.admin.server import AdminServer
-from loadbalancer.node.attempts import Attempts
-from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.attempt_dispatcher import AttemptDispatcher
+from loadbalancer.node.balancer_driver import BalancerDriver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.component import Component
 from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.discovery.poll_policy import INITIAL_BACKOFF_S, PollPolicy
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from loadbalancer.node.endpoint_list import EndpointList
-from loadbalancer.node.listener.server import Server
+from loadbalancer.node.listener.listener import Listener
 from loadbalancer.node.operator_ejections import OperatorEjections
 from loadbalancer.node.periodic_tasks import PeriodicTasks
-from loadbalancer.node.request_registry import Jobs
+from loadbalancer.node.request_registry import RequestRegistry
 from loadbalancer.node.shutdown import GracefulShutdown
 from loadbalancer.node.sibling_process import SiblingProcess
 from loadbalancer.node.state.ejections import EjectionStore
 from loadbalancer.node.state.handover import HandoverFiles
 from loadbalancer.node.state_writer import StateWriter
-from loadbalancer.node.upstream.pool import Pool
+from loadbalancer.node.upstream.pool import ConnectionPool
 
 if TYPE_CHECKING:
     from loadbalancer.node.control import ControlPlane
@@ -74,17 +74,17 @@
             MIN_CONNECTION_DESCRIPTORS,
             config.max_descriptors - RESERVED_DESCRIPTORS - config.membership_descriptors,
         )
-        self.server = Server(int(usable * INBOUND_SHARE), lambda call: self.request_registry.take(call))
-        self.pool = Pool(
+        self.server = Listener(int(usable * INBOUND_SHARE), lambda call: self.request_registry.receive(call))
+        self.pool = ConnectionPool(
             int(usable * UPSTREAM_SHARE),
             config.connection_idle_ms / 1000.0,
             config.connect_timeout_ms / 1000.0,
             self.metrics.count_attempt_sent,
         )
-        self.request_registry = Jobs(
+        self.request_registry = RequestRegistry(
             config, self.clock, self.server, self.metrics, self.event_counts, self.handle_event
         )
-        self.attempts = Attempts(
+        self.attempts = AttemptDispatcher(
             config.settings,
             self.clock,
             self.request_registry,
@@ -103,7 +103,7 @@
 
     def _build_balancer(self) -> None:
         balancer = Balancer(self.config.settings, self.config.seed, self.clock.ms())
-        self.driver = Driver(
+        self.driver = BalancerDriver(
             balancer, self.clock, self.request_registry, self.attempts, self.watcher, self.event_counts
         )
 
@@ -132,7 +132,7 @@
 
     def _build_admin(self) -> None:
         routes: dict[tuple[bytes, bytes], AdminHandler] = {
-            (b"GET", b"/status"): lambda _: ok_or_unavailable(self.server.takes_clients),
+            (b"GET", b"/status"): lambda _: ok_or_unavailable(self.server.accepts_clients),
             (b"GET", b"/status/metrics"): lambda _: AdminResponse(HTTPStatus.OK, self.render_metrics()),
             (b"PUT", b"/standby"): lambda _: ok_or_unavailable(self.standby()),
             (b"PUT", b"/active"): lambda _: ok_or_unavailable(self.active()),
@@ -163,7 +163,7 @@
         from loadbalancer.node.control import ControlPlane
 
         control_plane = ControlPlane(self.config, self.clock, self.endpoint_list, self.watcher, self.driver)
-        self.attempts.on_outcome.append(control_plane.freshness.record_outcome)
+        self.attempts.outcome_listeners.append(control_plane.freshness.record_outcome)
         return control_plane
 
     def _tasks_of_a_tick(self) -> list[Callable[[], None]]:
@@ -176,12 +176,12 @@
 
     def handle_event(self, event: Event) -> None:
         """Give the balancer an event and carry out its actions."""
-        self.driver.tell(event)
+        self.driver.handle_event(event)
 
     def render_metrics(self) -> bytes:
         """Return the text of GET /status/metrics: the node's own lines, then those of each component."""
         own = self.metrics.render(
-            self.request_registry.under_way,
+            self.request_registry.in_progress,
             len(self.endpoint_list.endpoints),
             self.driver.balancer.ejected_count,
         )
--- a/loadbalancer/node/periodic_tasks.py
+++ b/loadbalancer/node/periodic_tasks.py
@@ -7,10 +7,10 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from loadbalancer.node.balancer_driver import Driver
-from loadbalancer.node.listener.server import Server
-from loadbalancer.node.request_registry import Jobs
-from loadbalancer.node.upstream.pool import Pool
+from loadbalancer.node.balancer_driver import BalancerDriver
+from loadbalancer.node.listener.listener import Listener
+from loadbalancer.node.request_registry import RequestRegistry
+from loadbalancer.node.upstream.pool import ConnectionPool
 
 log = logging.getLogger("loadbalancer")
 
@@ -26,10 +26,10 @@
         name: str,
         tasks: Sequence[Callable[[], None]],
         event_counts: Counter[str],
-        request_registry: Jobs,
-        server: Server,
-        pool: Pool,
-        driver: Driver,
+        request_registry: RequestRegistry,
+        server: Listener,
+        pool: ConnectionPool,
+        driver: BalancerDriver,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._name = name
@@ -70,9 +70,9 @@
             " balancer: %s",
             self._name,
             ", ".join(f"{name} {count}" for name, count in sorted(self._event_counts.items())),
-            self._request_registry.open,
+            self._request_registry.unanswered,
             len(self._server.connections),
-            self._pool.size,
+            self._pool.connection_count,
             self._max_lag_s * 1000.0,
             self._driver.balancer.summary(),
         )
@@ -85,6 +85,6 @@
         if self._server.expired:
             self._event_counts["request timeouts"] += self._server.expired
             self._server.expired = 0
-        if self._pool.unreadable:
-            self._event_counts["malformed responses"] += self._pool.unreadable
-            self._pool.unreadable = 0
+        if self._pool.malformed_responses:
+            self._event_counts["malformed responses"] += self._pool.malformed_responses
+            self._pool.malformed_responses = 0
--- a/loadbalancer/node/shutdown.py
+++ b/loadbalancer/node/shutdown.py
@@ -8,10 +8,10 @@
 from http import HTTPStatus
 
 from loadbalancer.node.component import Component
-from loadbalancer.node.listener.call import Call
-from loadbalancer.node.listener.server import Server
-from loadbalancer.node.request_registry import Jobs
-from loadbalancer.node.upstream.pool import Pool
+from loadbalancer.node.listener.inbound_request import InboundRequest
+from loadbalancer.node.listener.listener import Listener
+from loadbalancer.node.request_registry import RequestRegistry
+from loadbalancer.node.upstream.pool import ConnectionPool
 
 log = logging.getLogger("loadbalancer")
 
@@ -29,9 +29,9 @@
 
     def __init__(
         self,
-        server: Server,
-        pool: Pool,
-        request_registry: Jobs,
+        server: Listener,
+        pool: ConnectionPool,
+        request_registry: RequestRegistry,
         components: Sequence[Component],
         longest_timeout_ms: float,
     ) -> None:
@@ -51,7 +51,7 @@
         while self._loop.time() < deadline and not self._is_drained(began + MIN_DRAIN_S):
             await asyncio.sleep(CHECK_INTERVAL_S)
         self._server.stop_accepting()
-        if not self._server.deserted:
+        if not self._server.has_no_clients:
             await self._reject_remaining()
         await self._stop_components()
 
@@ -59,30 +59,30 @@
         self._server.resume()  # a drain for standby has other times
         if self._server.shares_socket:
             self._server.stop_accepting()
-            self._pool.retire()
+            self._pool.keep_no_idle()
             self._server.drain(open_s=SHARED_SOCKET_DRAIN_S)
         else:
             self._server.drain()
 
     def _is_drained(self, earliest: float) -> bool:
         """Whether no caller is connected nor will come, as none does from `earliest` (loop time) on."""
-        if self._loop.time() < earliest or not self._server.deserted:
+        if self._loop.time() < earliest or not self._server.has_no_clients:
             return False
         self._server.stop_accepting()  # takes in what the kernel has accepted
-        return self._server.deserted
+        return self._server.has_no_clients
 
     async def _reject_remaining(self) -> None:
         """Fail requests in flight and reject new ones until callers have their answers, or time runs out.
 
         What SIGKILL finds unanswered is lost, just as what the process leaves unanswered when it ends.
         """
-        self._server.on_call = _reject
+        self._server.on_request = _reject
         self._server.resume()
         self._server.drain(open_s=0.0)
-        self._server.turn_away()
+        self._server.reject_partial_requests()
         self._request_registry.fail_all()
         deadline = self._loop.time() + REJECTION_TIMEOUT_S
-        while not self._server.deserted and self._loop.time() < deadline:
+        while not self._server.has_no_clients and self._loop.time() < deadline:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self._server.stop_accepting()
 
@@ -100,5 +100,5 @@
                 log.error("a component failed to stop", exc_info=fault)
 
 
-def _reject(call: Call) -> None:
-    call.answer(HTTPStatus.SERVICE_UNAVAILABLE)
+def _reject(call: InboundRequest) -> None:
+    call.respond(HTTPStatus.SERVICE_UNAVAILABLE)
--- a/loadbalancer/node/sibling_process.py
+++ b/loadbalancer/node/sibling_process.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from loadbalancer.balancing.events import SiblingProcessLoad
-from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.balancer_driver import BalancerDriver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.state.handover import HandoverFiles
 
@@ -11,7 +11,7 @@
 class SiblingProcess:
     """Reports this process's state to the node's other process, and that one's state to the balancer."""
 
-    def __init__(self, handover: HandoverFiles, clock: Clock, driver: Driver) -> None:
+    def __init__(self, handover: HandoverFiles, clock: Clock, driver: BalancerDriver) -> None:
         self.handover = handover
         self._clock = clock
         self._driver = driver
@@ -25,9 +25,9 @@
         """
         sibling = self.handover.read_siblings(self._clock.ms())
         if at_start and sibling.learned is not None:
-            self._driver.tell(sibling.learned)
+            self._driver.handle_event(sibling.learned)
         if sibling.in_flight or self._has_load:
-            self._driver.tell(SiblingProcessLoad(sibling.in_flight))
+            self._driver.handle_event(SiblingProcessLoad(sibling.in_flight))
         self._has_load = bool(sibling.in_flight)
         balancer = self._driver.balancer
         self.handover.write(self._clock.ms(), balancer.learned_state(), balancer.in_flight())
--- a/loadbalancer/node/state_writer.py
+++ b/loadbalancer/node/state_writer.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.balancing.events import StateRestored
 from loadbalancer.endpoints import EndpointListKind
-from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.balancer_driver import BalancerDriver
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
@@ -29,7 +29,7 @@
         endpoint_list: EndpointList,
         ejections: OperatorEjections,
         watcher: EndpointListWatcher,
-        driver: Driver,
+        driver: BalancerDriver,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._file = StateFile(path)
@@ -52,7 +52,7 @@
             self._endpoint_list.apply_update(EndpointListKind.CACHED, found.endpoint_list)
             self._watcher.resume_from(found.endpoint_list.revision)
         if found.learned is not None:
-            self._driver.tell(StateRestored(found.learned, found.age_ms))
+            self._driver.handle_event(StateRestored(found.learned, found.age_ms))
 
     async def start(self) -> None:
         """Write the file now and in each interval from now on."""
--- a/loadbalancer/registry/__main__.py
+++ b/loadbalancer/registry/__main__.py
@@ -19,7 +19,7 @@
 import orjson
 import structlog
 
-from loadbalancer.node.http.service_http import call
+from loadbalancer.node.http.service_http import send_request
 from loadbalancer.registry import agent, local, service
 from loadbalancer.registry.addresses import parse_address
 from loadbalancer.registry.errors import ConfigError
@@ -49,7 +49,7 @@
 async def _print_answer(address: str, path: str) -> int:
     """Print the JSON that the program at host:port answers; the exit status."""
     try:
-        reply = await call(parse_address(address), "GET", path)
+        reply = await send_request(parse_address(address), "GET", path)
     except (OSError, TimeoutError, ValueError) as failure:
         print(f"{address}: {type(failure).__name__}: {failure}", file=sys.stderr)
         return 1
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -33,7 +33,13 @@
 import tenacity
 
 from loadbalancer.node.address import Address
-from loadbalancer.node.http.service_http import Answer, Call, Reply, call, serve
+from loadbalancer.node.http.service_http import (
+    HttpRequest,
+    HttpResponse,
+    ReceivedResponse,
+    send_request,
+    serve,
+)
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import format_address
 from loadbalancer.registry.answers import error_answer, json_answer
@@ -150,11 +156,11 @@
         self._empty_since_s = None
         self._apply(received)
 
-    async def _ask_source(self) -> Reply:
+    async def _ask_source(self) -> ReceivedResponse:
         wait_ms = self.config.wait_ms
         since = "" if self.source_revision is None else f"since={self.source_revision}&"
         target = f"/discovery/hosts?{since}timeout_ms={wait_ms}"
-        return await call(self.address, "GET", target, timeout_s=wait_ms / MS_PER_S + ANSWER_MARGIN_S)
+        return await send_request(self.address, "GET", target, timeout_s=wait_ms / MS_PER_S + ANSWER_MARGIN_S)
 
     def _reject_stale(self, received: SourceList) -> None:
         """Raise StaleAnswerError for a list that may be older than the cache's."""
@@ -211,7 +217,7 @@
     def _source_name(self) -> str:
         return format_address(self.address)
 
-    async def handle(self, request: Call) -> Answer:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """The answer to any call of the node; a watch has none until there is a list."""
         if request.path == "/agent/status":
             return json_answer(200, self.status())
@@ -240,7 +246,7 @@
         }
 
 
-def _read_list(reply: Reply) -> SourceList:
+def _read_list(reply: ReceivedResponse) -> SourceList:
     """An instance's answer to a watch; UnusableAnswerError where it holds no list."""
     if reply.status != 200:
         message = f"answered {reply.status}"
--- a/loadbalancer/registry/answers.py
+++ b/loadbalancer/registry/answers.py
@@ -4,14 +4,14 @@
 
 import orjson
 
-from loadbalancer.node.http.service_http import Answer
+from loadbalancer.node.http.service_http import HttpResponse
 
 
-def json_answer(status: int, body: object) -> Answer:
+def json_answer(status: int, body: object) -> HttpResponse:
     """An answer with this body."""
-    return Answer(status, orjson.dumps(body))
+    return HttpResponse(status, orjson.dumps(body))
 
 
-def error_answer(status: int, reason: str) -> Answer:
+def error_answer(status: int, reason: str) -> HttpResponse:
     """An answer that says in one line why a call was not carried out."""
     return json_answer(status, {"error": reason})
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -16,7 +16,7 @@
 import structlog
 
 from loadbalancer.membership.messages import LeaseAnswer
-from loadbalancer.node.http.service_http import Answer, Call, Client
+from loadbalancer.node.http.service_http import HttpClient, HttpRequest, HttpResponse
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import parse_address
 from loadbalancer.registry.commands import EnrolMember
@@ -54,11 +54,11 @@
 B = TypeVar("B")
 
 
-def reply(status: int, body: Any) -> Answer:
-    return Answer(status, orjson.dumps(body))
+def reply(status: int, body: Any) -> HttpResponse:
+    return HttpResponse(status, orjson.dumps(body))
 
 
-def error(status: int, why: str) -> Answer:
+def error(status: int, why: str) -> HttpResponse:
     return reply(status, {"error": why[:300]})
 
 
@@ -70,7 +70,7 @@
         raise ValueError(f"body: {failure}") from failure
 
 
-Handler = Callable[[Call], Awaitable[Answer]]
+Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 class FleetApi:
@@ -87,7 +87,7 @@
     ) -> None:
         self._fleet, self._leader, self._news = fleet, leader, news
         self._max_wait_ms, self._log = max_wait_ms, log
-        self._client = Client()
+        self._client = HttpClient()
         self._relay = RenewalRelay(self._client, self._other_leader, log)
         self._failures = 0
         self.rejected_enrolments = 0  # enrolments refused at a limit
@@ -105,7 +105,7 @@
             ("POST", "routes/rollback"): self._rollback,
         }
 
-    async def handle(self, call: Call) -> Answer:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """The answer to any call under /fleet/."""
         try:
             return await self._answer(call)
@@ -118,7 +118,7 @@
                 )
             return error(503, "no leader with a quorum in time")
 
-    async def _answer(self, call: Call) -> Answer:
+    async def _answer(self, call: HttpRequest) -> HttpResponse:
         path = call.path.removeprefix("/fleet/")
         if (call.method, path) == ("GET", "watch"):
             return await self._watch(call)
@@ -152,26 +152,26 @@
         leader = self._fleet.leader_address()
         return None if leader == self._leader.address else leader
 
-    async def _relay_renewal(self, call: Call) -> Answer:
+    async def _relay_renewal(self, call: HttpRequest) -> HttpResponse:
         try:
             renewal = _read(RenewRequest, call.body)
         except ValueError as failure:
             return self._reject(call, str(failure))
         return await self._relay.renew(renewal)
 
-    async def _forward(self, call: Call) -> Answer:
+    async def _forward(self, call: HttpRequest) -> HttpResponse:
         to = self._other_leader()
         if to is None or HOP_HEADER in call.headers:
             return error(503, self._leader.unavailable_reason())
         return await forward(self._client, parse_address(to), call, FORWARD_TIMEOUT_S, hop=True)
 
-    def _reject(self, call: Call, why: str) -> Answer:
+    def _reject(self, call: HttpRequest, why: str) -> HttpResponse:
         self._log.warning("fleet_call_refused", method=call.method, path=call.path[:100], why=why[:300])
         return error(400, why)
 
     # Members.
 
-    async def _enrol(self, call: Call) -> Answer:
+    async def _enrol(self, call: HttpRequest) -> HttpResponse:
         t2 = self._leader.service_ms()
         body = _read(EnrolRequest, call.body)
         try:
@@ -192,7 +192,7 @@
         )
         return self._lease(grant, t2)
 
-    def _reject_enrolment(self, member: EnrolMember, failure: MemberLimitError) -> Answer:
+    def _reject_enrolment(self, member: EnrolMember, failure: MemberLimitError) -> HttpResponse:
         self.rejected_enrolments += 1
         if self.rejected_enrolments % REJECTIONS_PER_LOG_LINE == 1:
             self._log.warning(
@@ -204,14 +204,14 @@
             )
         return error(409, str(failure))
 
-    async def _renew(self, call: Call) -> Answer:
+    async def _renew(self, call: HttpRequest) -> HttpResponse:
         return await self._renew_lease(_read(RenewRequest, call.body))
 
-    async def _renew_many(self, call: Call) -> Answer:
+    async def _renew_many(self, call: HttpRequest) -> HttpResponse:
         renewals = decode_renewals(call.body)
         return encode_answers(await asyncio.gather(*map(self._renew_lease, renewals)))
 
-    async def _renew_lease(self, body: RenewRequest) -> Answer:
+    async def _renew_lease(self, body: RenewRequest) -> HttpResponse:
         t2 = self._leader.service_ms()
         late = None if body.sent is None else self._leader.out_of_range_by_ms(body.sent)
         if late is not None:
@@ -220,7 +220,7 @@
         grant = await self._leader.renew(renewal, body.delta)
         return error(404, "no such row: enrol anew") if grant is None else self._lease(grant, t2)
 
-    def _lease(self, grant: MemberGrant, t2: float) -> Answer:
+    def _lease(self, grant: MemberGrant, t2: float) -> HttpResponse:
         leader = self._leader
         answer = LeaseAnswer(
             **msgspec.structs.asdict(grant.lease),
@@ -230,19 +230,19 @@
             received_ms=t2,
             answered_ms=leader.service_ms(),
         )
-        return Answer(200, msgspec.json.encode(answer))
+        return HttpResponse(200, msgspec.json.encode(answer))
 
-    async def _leaving(self, call: Call) -> Answer:
+    async def _leaving(self, call: HttpRequest) -> HttpResponse:
         body = _read(MemberRequest, call.body)
         return reply(200, {"ok": await self._leader.execute(self._fleet.leaving, body.incarnation)})
 
-    async def _leave(self, call: Call) -> Answer:
+    async def _leave(self, call: HttpRequest) -> HttpResponse:
         body = _read(MemberRequest, call.body)
         ok = await self._leader.execute(self._fleet.leave, body.incarnation)
         self._log.info("member_left", incarnation=body.incarnation, known=ok)
         return reply(200, {"ok": ok})
 
-    async def _remove(self, call: Call) -> Answer:
+    async def _remove(self, call: HttpRequest) -> HttpResponse:
         name = unquote(call.path.removeprefix("/fleet/members/"))
         if len(name) > 100:
             raise ValueError("name: over 100 characters")
@@ -250,7 +250,7 @@
         self._log.warning("member_removed_by_operator", name=name[:100], incarnations=removed)
         return reply(200, {"removed": removed})
 
-    async def _end_service(self, call: Call) -> Answer:
+    async def _end_service(self, call: HttpRequest) -> HttpResponse:
         service = unquote(call.path.removeprefix("/fleet/services/"))
         if not 0 < len(service) <= 100:
             raise ValueError("service: not of 1 to 100 characters")
@@ -261,10 +261,10 @@
         self._log.warning("service_ended_by_operator", service=service, incarnations=outcome.incarnations)
         return reply(200, {"removed": outcome.incarnations})
 
-    async def _members(self, call: Call) -> Answer:
+    async def _members(self, call: HttpRequest) -> HttpResponse:
         return reply(200, self._fleet.members(call.query.get("service")))
 
-    async def _watch(self, call: Call) -> Answer:
+    async def _watch(self, call: HttpRequest) -> HttpResponse:
         """A hint that something has changed, from what this instance has applied: once the revision of the
         member list that `incarnation` knows is not `since`, or the routes' not `routes_since` (not given:
         what it was at the call)."""
@@ -290,10 +290,10 @@
 
     # Routes.
 
-    async def _routes(self, call: Call) -> Answer:
+    async def _routes(self, call: HttpRequest) -> HttpResponse:
         return reply(200, self._fleet.read(lambda state: state.routes.status()))
 
-    async def _text(self, call: Call) -> Answer:
+    async def _text(self, call: HttpRequest) -> HttpResponse:
         said = call.path.removeprefix("/fleet/routes/")
         if not (said.isascii() and said.isdigit() and len(said) < 16):
             raise ValueError("version: not a whole number")
@@ -301,31 +301,31 @@
         text = self._fleet.read(lambda state: state.routes.text(number))
         if text is None:
             return error(404, f"no version {number}")
-        return Answer(200, text.encode(), {"content-type": "application/toml"})
+        return HttpResponse(200, text.encode(), {"content-type": "application/toml"})
 
-    async def _propose(self, call: Call) -> Answer:
+    async def _propose(self, call: HttpRequest) -> HttpResponse:
         parse_table(0, call.body)  # ValueError names the key and its line
         deadline = self._leader.service_ms() + self._leader.prepare_ms
         return self._proposed(await self._leader.execute(self._fleet.propose, call.body.decode(), deadline))
 
-    async def _rollback(self, call: Call) -> Answer:
+    async def _rollback(self, call: HttpRequest) -> HttpResponse:
         body = _read(RollbackRequest, call.body)
         deadline = self._leader.service_ms() + self._leader.prepare_ms
         return self._proposed(await self._leader.execute(self._fleet.rollback, body.number, deadline))
 
-    def _proposed(self, ruling: ActivationOutcome) -> Answer:
+    def _proposed(self, ruling: ActivationOutcome) -> HttpResponse:
         if ruling.rejected:
             return error(409, ruling.reason)
         self._log.info("route_version_proposed", number=ruling.number, phase=ruling.phase)
         return reply(200, {"number": ruling.number, "phase": ruling.phase})
 
-    async def _vote(self, call: Call) -> Answer:
+    async def _vote(self, call: HttpRequest) -> HttpResponse:
         body = _read(VoteRequest, call.body)
         fields = (body.incarnation, body.number, body.yes, body.why)
         ruling: ActivationOutcome = await self._leader.execute(self._fleet.vote, *fields)
         return reply(200, {"phase": ruling.phase})
 
-    async def _halt(self, call: Call) -> Answer:
+    async def _halt(self, call: HttpRequest) -> HttpResponse:
         body = _read(HaltRequest, call.body)
         ruling: ActivationOutcome = await self._leader.execute(self._fleet.halt, body.number)
         self._log.warning("routes_halted", number=ruling.number, phase=ruling.phase)
--- a/loadbalancer/registry/forwarding.py
+++ b/loadbalancer/registry/forwarding.py
@@ -12,7 +12,7 @@
 import structlog
 
 from loadbalancer.node.address import Address
-from loadbalancer.node.http.service_http import Answer, Call, Client
+from loadbalancer.node.http.service_http import HttpClient, HttpRequest, HttpResponse
 from loadbalancer.registry.errors import InvalidFieldError
 from loadbalancer.registry.watch import parse_query
 
@@ -25,13 +25,15 @@
 MAX_LOGGED_PATH_CHARACTERS = 100
 
 
-async def forward(client: Client, to: Address, request: Call, timeout_s: float, hop: bool = False) -> Answer:
+async def forward(
+    client: HttpClient, to: Address, request: HttpRequest, timeout_s: float, hop: bool = False
+) -> HttpResponse:
     """The answer of the program at `to`; OSError or TimeoutError if there is none in time."""
     target = request.path + (f"?{urlencode(request.query)}" if request.query else "")
     headers = {HOP_HEADER: "1"} if hop else {}
     reply = await client.call(to, request.method, target, request.body, timeout_s, headers)
     returned = {name: reply.headers[name] for name in RETURNED_HEADERS if name in reply.headers}
-    return Answer(reply.status, reply.body, returned)
+    return HttpResponse(reply.status, reply.body, returned)
 
 
 class CallForwarder:
@@ -41,10 +43,10 @@
         self, instances: Sequence[Address], first: Callable[[], int], log: structlog.stdlib.BoundLogger
     ) -> None:
         self._instances, self._first, self._log = instances, first, log
-        self._client = Client()
+        self._client = HttpClient()
         self._failures = 0
 
-    async def answer(self, request: Call) -> Answer:
+    async def answer(self, request: HttpRequest) -> HttpResponse:
         """The first answer that is not 503; 503 where no instance gives one in time."""
         wait_s = self._watch_wait_s(request)
         loop, start = asyncio.get_running_loop(), self._first()
@@ -64,9 +66,9 @@
                 return answer
             reason = "503"
         self._log_failure(request, reason)
-        return Answer(503, b'{"error":"no instance of the list service did it in time"}')
+        return HttpResponse(503, b'{"error":"no instance of the list service did it in time"}')
 
-    def _watch_wait_s(self, request: Call) -> float:
+    def _watch_wait_s(self, request: HttpRequest) -> float:
         if request.path != "/fleet/watch":
             return 0.0
         try:
@@ -74,7 +76,7 @@
         except InvalidFieldError:
             return 0.0  # the instance answers 400
 
-    def _log_failure(self, request: Call, reason: str) -> None:
+    def _log_failure(self, request: HttpRequest, reason: str) -> None:
         self._failures += 1
         if self._failures % FAILURES_PER_LOG_LINE == 1:
             path = request.path[:MAX_LOGGED_PATH_CHARACTERS]
--- a/loadbalancer/registry/local.py
+++ b/loadbalancer/registry/local.py
@@ -21,7 +21,7 @@
 import orjson
 import structlog
 
-from loadbalancer.node.http.service_http import Answer, Call, call, serve
+from loadbalancer.node.http.service_http import HttpRequest, HttpResponse, send_request, serve
 from loadbalancer.registry.signals import wait_for_stop
 
 # The node's settings: three classes of worth, as a small shop has; see BRIEF for the keys.
@@ -76,8 +76,8 @@
         self.port = 0
 
     async def start(self) -> None:
-        async def answer(request: Call) -> Answer:
-            return Answer(200, b'{"done":true}', {"depth": "0"})
+        async def answer(request: HttpRequest) -> HttpResponse:
+            return HttpResponse(200, b'{"done":true}', {"depth": "0"})
 
         server = await serve(("127.0.0.1", 0), answer)
         self.port = server.sockets[0].getsockname()[1]
@@ -89,11 +89,13 @@
             for port in self.registries:
                 with contextlib.suppress(OSError, TimeoutError):
                     if not registered:
-                        reply = await call(("127.0.0.1", port), "PUT", f"/registry/targets/{self.uid}", body)
+                        reply = await send_request(
+                            ("127.0.0.1", port), "PUT", f"/registry/targets/{self.uid}", body
+                        )
                         registered = reply.status == 200
                     else:
                         renew = orjson.dumps({"uids": [self.uid]})
-                        reply = await call(("127.0.0.1", port), "POST", "/registry/renew", renew)
+                        reply = await send_request(("127.0.0.1", port), "POST", "/registry/renew", renew)
                         registered = reply.status == 200 and not orjson.loads(reply.body)["unknown"]
                     if reply.status == 200:
                         failures = 0
--- a/loadbalancer/registry/renewal_relay.py
+++ b/loadbalancer/registry/renewal_relay.py
@@ -13,7 +13,7 @@
 import structlog
 from msgspec import Raw, Struct
 
-from loadbalancer.node.http.service_http import Answer, Client
+from loadbalancer.node.http.service_http import HttpClient, HttpResponse
 from loadbalancer.registry.addresses import parse_address
 from loadbalancer.registry.batch import MAX_BATCH_COUNT, Batcher
 from loadbalancer.registry.errors import InvalidBodyError, NoLeaderError, NotCommittedError
@@ -40,15 +40,15 @@
     """Forwards renewals; `leader` returns the leader's host:port, None where no leader is known."""
 
     def __init__(
-        self, client: Client, leader: Callable[[], str | None], log: structlog.stdlib.BoundLogger
+        self, client: HttpClient, leader: Callable[[], str | None], log: structlog.stdlib.BoundLogger
     ) -> None:
         self._client, self._leader = client, leader
         self._batch: Batcher[RenewRequest, RelayedAnswer] = Batcher("relayed_renewals", self._forward, log)
 
-    async def renew(self, renewal: RenewRequest) -> Answer:
+    async def renew(self, renewal: RenewRequest) -> HttpResponse:
         """The leader's answer; NotCommittedError where there is none in time."""
         answer = await self._batch.add(renewal)
-        return Answer(answer.status, bytes(answer.body))
+        return HttpResponse(answer.status, bytes(answer.body))
 
     async def _forward(self, renewals: list[RenewRequest]) -> list[RelayedAnswer]:
         leader = self._leader()
@@ -81,7 +81,7 @@
     return renewals
 
 
-def encode_answers(answers: list[Answer]) -> Answer:
+def encode_answers(answers: list[HttpResponse]) -> HttpResponse:
     """The answer that `RenewalRelay` reads."""
     rows = [RelayedAnswer(answer.status, Raw(answer.body)) for answer in answers]
-    return Answer(200, msgspec.json.encode(rows))
+    return HttpResponse(200, msgspec.json.encode(rows))
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -15,7 +15,7 @@
 import orjson
 import structlog
 
-from loadbalancer.node.http.service_http import Answer, Call, serve
+from loadbalancer.node.http.service_http import HttpRequest, HttpResponse, serve
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import format_address
 from loadbalancer.registry.answers import error_answer, json_answer
@@ -140,7 +140,7 @@
 
     # HTTP.
 
-    async def handle(self, call: Call) -> Answer:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """The answer to any call."""
         if call.path.startswith("/fleet/"):
             return await self._fleet_api.handle(call)
@@ -150,7 +150,7 @@
             self.log.warning("write_not_committed", path=call.path, why=str(failure) or "timeout")
             return error_answer(503, "not committed: no leader with a quorum in time")
 
-    async def _answer(self, call: Call) -> Answer:
+    async def _answer(self, call: HttpRequest) -> HttpResponse:
         match call.method, call.path:
             case "GET", "/discovery/hosts":
                 return await self._read(call)
@@ -162,7 +162,7 @@
             return await self._write(call, call.path.removeprefix(TARGETS_PATH))
         return error_answer(404, f"no {call.method} {call.path}")
 
-    async def _read(self, call: Call) -> Answer:
+    async def _read(self, call: HttpRequest) -> HttpResponse:
         try:
             query = watch.parse_query(call, self.config.max_wait_ms)
         except InvalidFieldError:
@@ -170,7 +170,7 @@
         page = await watch.page_after_change(self.catalog.page, query, lambda: self._next_change)
         return watch.page_answer(page, {STALE_HEADER: "1"} if self.is_stale() else {})
 
-    async def _write(self, call: Call, uid: str) -> Answer:
+    async def _write(self, call: HttpRequest, uid: str) -> HttpResponse:
         change = new_change_id()
         log = self.log.bind(change=change, uid=uid, method=call.method)
         if call.method == "DELETE":
@@ -189,7 +189,7 @@
         log.info("target_put", rev=revision, state=target["state"], endpoint=target["endpoint"])
         return json_answer(200, {"rev": revision, "change": change})
 
-    async def _renew(self, call: Call) -> Answer:
+    async def _renew(self, call: HttpRequest) -> HttpResponse:
         try:
             uids = orjson.loads(call.body)["uids"]
             if not isinstance(uids, list) or not all(isinstance(uid, str) for uid in uids):
--- a/loadbalancer/registry/watch.py
+++ b/loadbalancer/registry/watch.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from loadbalancer.node.http.service_http import Answer, Call
+from loadbalancer.node.http.service_http import HttpRequest, HttpResponse
 from loadbalancer.registry.errors import InvalidFieldError
 from loadbalancer.registry.target_list import ListPage
 
@@ -23,7 +23,7 @@
     wait_s: float  # how long to wait for a change
 
 
-def optional_integer(call: Call, name: str) -> int | None:
+def optional_integer(call: HttpRequest, name: str) -> int | None:
     """A field of the query; None where it is missing or empty, InvalidFieldError where it is no integer."""
     text = call.query.get(name, "")
     if not text:
@@ -34,7 +34,7 @@
         raise InvalidFieldError(name, text, "not a whole number") from failure
 
 
-def parse_query(call: Call, max_wait_ms: int = MAX_WAIT_MS) -> WatchQuery:
+def parse_query(call: HttpRequest, max_wait_ms: int = MAX_WAIT_MS) -> WatchQuery:
     """The query's `since` and `timeout_ms`, the latter limited to `max_wait_ms`; InvalidFieldError."""
     since = optional_integer(call, "since")
     wait_ms = optional_integer(call, "timeout_ms") or 0
@@ -67,9 +67,9 @@
 
 def page_answer(
     page: ListPage, headers: dict[str, str] | None = None, origin_revision: int | None = None
-) -> Answer:
+) -> HttpResponse:
     """The answer to a watch. `origin_revision`: the service's revision, which an agent adds to its own."""
     body = {"rev": page.revision, "all": page.complete, "targets": page.targets}
     if origin_revision is not None:
         body["origin_rev"] = origin_revision
-    return Answer(200, orjson.dumps(body), headers or {})
+    return HttpResponse(200, orjson.dumps(body), headers or {})
--- a/loadbalancer/service_settings.py
+++ b/loadbalancer/service_settings.py
@@ -26,7 +26,7 @@
     CELL = "cell"
 
 
-MAX_FIGURE = (
+MAX_NUMBER = (
     1e12  # of any figure: products and sums of larger ones overflow, and what they bound never binds again
 )
 
@@ -102,7 +102,7 @@
             _check_unique(key, (item.name for item in names))
 
 
-def check_within(key: str, value: object, low: float, high: float = MAX_FIGURE) -> None:
+def check_within(key: str, value: object, low: float, high: float = MAX_NUMBER) -> None:
     if not isinstance(value, int | float) or isinstance(value, bool) or not low <= value <= high:
         raise ValueError(f"{key}: {value!r} is not a number from {low:g} to {high:g}")
 
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -15,7 +15,7 @@
 EFFECTS = {"free": Effect.IDEMPOTENT, "guarded": Effect.IDEMPOTENCY_KEY, "single_shot": Effect.NON_IDEMPOTENT}
 SCOPES = {scope.value: scope for scope in DeduplicationScope}
 KINDS: dict[type, str] = {dict: "an object", str: "a text"}
-REPORTS = {
+LOAD_REPORT_NAMES = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -33,7 +33,7 @@
     return value or {}
 
 
-def listed(row: JsonObject, key: str, kind: type[T]) -> list[T]:
+def list_of(row: JsonObject, key: str, kind: type[T]) -> list[T]:
     """The list under this key, of items of this type; empty where there is none."""
     value = row.get(key)
     if not isinstance(value, list | None):
@@ -67,10 +67,10 @@
     return {key: value for key, value in row.items() if value is not None}
 
 
-def settings_from(config: JsonObject) -> Settings:
+def parse_settings(config: JsonObject) -> Settings:
     """The settings of a node from its first message; keys that are not known are ignored."""
     bounds, rules = section(config, "bounds"), section(config, "invariants")
-    fields = listed(section(config, "feedback"), "fields", str)
+    fields = list_of(section(config, "feedback"), "fields", str)
     modes = {"registryMode": "push", "valueBy": "request"} | _given(config)
     given: JsonObject = {
         "zone": config.get("locality"),
@@ -79,7 +79,7 @@
         "poll_discovery": choice_of(modes, "registryMode", {"push": False, "ask": True}),
         "weight_by_work": choice_of(modes, "valueBy", {"request": False, "work": True}),
         "over_quota_weight": config.get("overShareWorth"),
-        "load_report_fields": tuple(REPORTS.get(name, name) for name in fields),
+        "load_report_fields": tuple(LOAD_REPORT_NAMES.get(name, name) for name in fields),
         "may_cancel": bounds.get("cancel"),
         "retry_after": bounds.get("retryAfter"),
         "max_retry_after_ms": bounds.get("maxRetryAfterMs"),
@@ -90,10 +90,10 @@
         "overload_factor": rules.get("overloadFactor"),
     }
     return Settings(
-        classes=tuple(_service_class(row) for row in listed(config, "categories", dict)),
+        classes=tuple(_service_class(row) for row in list_of(config, "categories", dict)),
         tenants=tuple(
             Tenant(text_of(row, "name", "accounts."), row["quotaPerS"])
-            for row in listed(config, "accounts", dict)
+            for row in list_of(config, "accounts", dict)
             if row.get("quotaPerS") is not None
         ),
         **_given(given),
@@ -121,12 +121,12 @@
     )
 
 
-def report_from(text: str, fields: tuple[str, ...]) -> dict[str, float] | None:
+def parse_load_report(text: str, fields: tuple[str, ...]) -> dict[str, float] | None:
     """A report's text form, `TEXT name=value, name=value`, cut down to the fields that the settings name."""
     report: dict[str, float] = {}
     for pair in text.removeprefix("TEXT").split(","):
         name, _, figure = pair.strip().partition("=")
-        name = REPORTS.get(name, name)
+        name = LOAD_REPORT_NAMES.get(name, name)
         try:
             value = float(figure)
         except ValueError:
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -26,7 +26,7 @@
     TimerFired,
 )
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
-from loadbalancer.settings import JsonObject, settings_from
+from loadbalancer.settings import JsonObject, parse_settings
 
 RESULTS = {
     0: AttemptResult.OK,
@@ -49,8 +49,8 @@
     """One hosted balancer and the names in which its load reports come."""
 
     def __init__(self, config: JsonObject, seed: int, now_ms: float) -> None:
-        self.settings = settings_from(config)
-        self.brain = Balancer(self.settings, seed, now_ms)
+        self.settings = parse_settings(config)
+        self.balancer = Balancer(self.settings, seed, now_ms)
 
     def report(self, values: list[float | None] | None) -> dict[str, float] | None:
         if not values:
@@ -67,7 +67,7 @@
         self.catalogs: dict[int, tuple[Endpoint, ...]] = {}
         self.now = 0.0
 
-    def event(self, row: JsonObject) -> list[JsonObject]:
+    def handle_event(self, row: JsonObject) -> list[JsonObject]:
         kind = row.get("kind")
         if kind == "CATALOG":
             self.catalogs[row["ref"]] = tuple(_server(line) for line in row["rows"])
@@ -98,7 +98,7 @@
         read = READERS.get(str(kind))
         if read is None:
             raise ValueError("unknown kind of event")
-        return [_written(number, action) for action in node.brain.handle(self.now, read(self, node, row))]
+        return [_written(number, action) for action in node.balancer.handle(self.now, read(self, node, row))]
 
     def members(self, _node: Node, row: JsonObject) -> Event:
         form = EndpointListKind(row["form"])
@@ -116,8 +116,8 @@
 
 
 def _request(_host: Host, node: Node, row: JsonObject) -> Event:
-    if row["lane"] not in node.brain.service_classes:
-        raise ValueError(f"lane: {row['lane']!r} is not one of {', '.join(node.brain.service_classes)}")
+    if row["lane"] not in node.balancer.service_classes:
+        raise ValueError(f"lane: {row['lane']!r} is not one of {', '.join(node.balancer.service_classes)}")
     return Request(
         id=row["txn"],
         service=row["lane"],
@@ -211,7 +211,7 @@
             within = False
         else:
             try:
-                reply.extend(orjson.dumps(action) for action in host.event(row))
+                reply.extend(orjson.dumps(action) for action in host.handle_event(row))
             except (KeyError, TypeError, ValueError) as error:
                 raise WireError(f"{kind!r}: {type(error).__name__}: {error}") from error
     if within:
--- a/tests/node/http/test_service_http.py
+++ b/tests/node/http/test_service_http.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from loadbalancer.node.http.service_http import Client
+from loadbalancer.node.http.service_http import HttpClient
 from tests.support.loopback import Message, Peer, reply, until
 
 
@@ -14,7 +14,7 @@
     return reply(200, message.first[1].encode())
 
 
-async def _ask(client: Client, peer: Peer, target: str, timeout_s: float = 5.0) -> str:
+async def _ask(client: HttpClient, peer: Peer, target: str, timeout_s: float = 5.0) -> str:
     return (await client.call(("127.0.0.1", peer.port), "GET", target, timeout_s=timeout_s)).body.decode()
 
 
@@ -25,7 +25,7 @@
         async def script(message: Message) -> bytes | None:
             return None if closing else await _echo(message)
 
-        peer, client = await Peer(script).start(), Client()
+        peer, client = await Peer(script).start(), HttpClient()
         assert [await _ask(client, peer, f"/{at}") for at in range(3)] == ["/0", "/1", "/2"]
         assert peer.connections == 1
         closing = True  # the kept one ends unanswered, so the call is said on a new one, which ends as well
@@ -51,7 +51,7 @@
                 await late.wait()
             return await _echo(message)
 
-        peer, client = await Peer(script).start(), Client()
+        peer, client = await Peer(script).start(), HttpClient()
         assert await _ask(client, peer, "/0") == "/0"
         with pytest.raises(TimeoutError):
             await _ask(client, peer, "/slow", timeout_s=0.05)
@@ -65,11 +65,11 @@
 
 def test_idle_connections_are_bounded_in_number_and_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        peer, client = await Peer(_echo).start(), Client(kept=2)
+        peer, client = await Peer(_echo).start(), HttpClient(kept=2)
         await asyncio.gather(*(_ask(client, peer, f"/{at}") for at in range(5)))
         assert peer.connections == 5
         assert len(client._idle) == 2
-        monkeypatch.setattr(Client, "KEPT_S", 0.0)
+        monkeypatch.setattr(HttpClient, "KEPT_S", 0.0)
         await _ask(client, peer, "/5")
         assert len(client._idle) == 1  # the one just used: the other has been idle for too long
         client.close()
--- a/tests/node/listener/test_connection_closes.py
+++ b/tests/node/listener/test_connection_closes.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.http.socket_buffer import readable
 from loadbalancer.node.listener import connection_states as closing_module
 from loadbalancer.node.node import Node
@@ -88,8 +88,8 @@
         async with running(server) as node:
             headers = {"Connection": "close"} if end == "said close" else {}
             caller = await last_answer_due(node, server, end, b"", **headers)
-            (job,) = node.request_registry.held.values()
-            node.request_registry.answer(job, 200, ANSWER)
+            (job,) = node.request_registry.active.values()
+            node.request_registry.respond(job, 200, ANSWER)
             caller.sendall(late)  # in the moment of the shutdown
             assert (await read_to_the_end(caller)).endswith(ANSWER)
             assert node.event_counts["taken"] == len(server.seen) == 1
@@ -117,14 +117,14 @@
             caller = connect(node)
             caller.sendall(request(name="q1").replace(b"HTTP/1.1", b"HTTP/1.0"))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.held.values()
+            (job,) = node.request_registry.active.values()
             body = Body(Ends())
-            node.request_registry.begin(job, None, body)
-            body.put(ANSWER)
+            node.request_registry.begin_stream(job, None, body)
+            body.feed(ANSWER)
             body.fail()
             with pytest.raises(ConnectionResetError):
                 await read_to_the_end(caller)
-            assert not node.request_registry.passing_on
+            assert not node.request_registry.streaming
 
     asyncio.run(main())
 
@@ -142,18 +142,18 @@
             caller = connect(node)
             caller.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            node.pool.take_idle = lambda *_: None  # the connection that q1 has left is not used
-            node.pool.open = never
+            node.pool.acquire_idle = lambda *_: None  # the connection that q1 has left is not used
+            node.pool.open_connection = never
             (connection,) = node.server.connections
             caller.setblocking(False)
             sending = loop.create_task(loop.sock_sendall(caller, request("post", "q2", bytes(16 * MIB))))
             await until(lambda: not connection._transport.is_reading())
-            body = connection._requests.call.body
+            body = connection._parser.request.body
             server.release.set()
             await opening.wait()
             await turns()
             assert not connection._transport.is_reading()
-            assert body.size < 8 * HIGH_WATER
+            assert body.size < 8 * HIGH_WATER_BYTES
             sending.cancel()
             caller.close()
 
@@ -166,13 +166,13 @@
         server = Peer()
         async with running(server) as node:
             caller, connection = await slow_reader(node, server)
-            node.server.on_call = lambda call: call.answer(200, ANSWER)  # with no wait for a server
+            node.server.on_request = lambda call: call.respond(200, ANSWER)  # with no wait for a server
             further = [request(name=f"q{2 + at}") for at in range(40)]
             for data in [b"".join(further)] if at_once else further:
                 caller.sendall(data)
                 await turns(20)
             await turns()
-            assert connection._transport.get_write_buffer_size() < 3 * HIGH_WATER
+            assert connection._transport.get_write_buffer_size() < 3 * HIGH_WATER_BYTES
             node.server.expire(node.loop.time() + 60.0)  # what is held back is not overdue
             assert node.server.expired == 0
             assert (await read_to_the_end(caller, answers=41)).count(b"HTTP/1.1 200 ") == 41
@@ -230,7 +230,7 @@
             CLOSES[close](node)
             if "request" in put:
                 if put == "half a request":
-                    await until(lambda: connection._requests.call)
+                    await until(lambda: connection._parser.request)
                     CLOSES["drain"](node)
                     caller.sendall(request(name="q2")[9:])
                 await until(lambda: node.event_counts["answered 200"] == 1 + asked)
@@ -294,8 +294,8 @@
         server = Peer()
         async with running(server) as node:
             served = []
-            node.server.on_call = served.append
-            long = request("post", "q1", bytes(2 * HIGH_WATER))
+            node.server.on_request = served.append
+            long = request("post", "q1", bytes(2 * HIGH_WATER_BYTES))
             caller = connect(node)
             caller.setblocking(False)
             loop = asyncio.get_running_loop()
@@ -304,9 +304,9 @@
             (call,) = served
             call.body.attach(Taken())
             connection = call.connection
-            await until(lambda: call.body.size == 2 * HIGH_WATER - 1)
+            await until(lambda: call.body.size == 2 * HIGH_WATER_BYTES - 1)
             left = ends == "its caller has left"
-            call.on_whole = connection.close_if_left if left else lambda: call.answer(503)
+            call.on_received = connection.close_if_disconnected if left else lambda: call.respond(503)
             node.server.draining = True
             behind = request(name="q2", **headers) + request(name="q3")
             await loop.sock_sendall(caller, long[-1:] + behind)
--- a/tests/node/listener/test_connection_pieces.py
+++ b/tests/node/listener/test_connection_pieces.py
@@ -89,7 +89,7 @@
     loop = asyncio.get_running_loop()
     caller.setblocking(False)
     await loop.sock_sendall(caller, LONG[:PART])
-    await until(lambda: node.request_registry.held)
+    await until(lambda: node.request_registry.active)
     await loop.sock_sendall(caller, LONG[PART:])
 
 
@@ -104,13 +104,13 @@
     async def main():
         server = Held()
         async with running(server) as node:
-            opened = node.pool.open
+            opened = node.pool.open_connection
 
             async def late(endpoint):
                 await asyncio.sleep(0.8)
                 return await opened(endpoint)
 
-            node.pool.open = late
+            node.pool.open_connection = late
             caller = connect(node)
             began = node.loop.time()
             await send_long(caller, node)
@@ -149,7 +149,7 @@
         server = await asyncio.start_server(self._serve, sock=sock, limit=1024)
         endpoint = f"127.0.0.1:{sock.getsockname()[1]}"
         async with running(known=targets(s0=(endpoint, "Ready"))) as node:
-            opened = node.pool.open
+            opened = node.pool.open_connection
 
             async def small(endpoint):
                 connection = await opened(endpoint)
@@ -157,7 +157,7 @@
                 its_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 return connection
 
-            node.pool.open = small
+            node.pool.open_connection = small
             yield node
         server.close()
 
--- a/tests/node/listener/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from loadbalancer.node.http.body import HIGH_WATER, Body
-from loadbalancer.node.listener.flow_control import LINGER_MOST_S, LINGER_S, UNREAD_S
+from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
+from loadbalancer.node.listener.flow_control import LINGER_S, MAX_LINGER_S, WRITE_STALL_TIMEOUT_S
 from tests.support.callers import (
     ANSWER,
     LEAVING,
@@ -31,18 +31,18 @@
         async with running(server) as node:
             caller = connect(node)
             if waits == "a long body":  # of which the server reads none
-                caller.sendall(request("post", "q1", bytes(4 * HIGH_WATER))[: -2 * HIGH_WATER])
+                caller.sendall(request("post", "q1", bytes(4 * HIGH_WATER_BYTES))[: -2 * HIGH_WATER_BYTES])
             else:
                 caller.sendall(request(name="q1"))
-            await until(lambda: node.request_registry.held)
-            (job,) = node.request_registry.held.values()
+            await until(lambda: node.request_registry.active)
+            (job,) = node.request_registry.active.values()
             if waits == "a second request":
                 caller.sendall(request(name="q2") + b"GET /half")
-                await until(lambda: not job.call.connection._transport.is_reading())
+                await until(lambda: not job.inbound.connection._transport.is_reading())
                 caller.sendall(b"unread")
-            assert not job.call.connection.left
+            assert not job.inbound.connection.disconnected
             leave(caller)
-            assert job.call.connection.left
+            assert job.inbound.connection.disconnected
             caller.close()
 
     asyncio.run(main())
@@ -56,13 +56,17 @@
             caller = connect(node)
             caller.sendall(request(name="q1") + request(name="q2"))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.held.values()
-            assert not job.call.connection._transport.is_reading()
+            (job,) = node.request_registry.active.values()
+            assert not job.inbound.connection._transport.is_reading()
             caller.sendall(request(name="q3"))
             leave(caller)
-            job.call.connection.sweep(node.loop.time())
+            job.inbound.connection.sweep(node.loop.time())
             await until(lambda: not node.server.connections)
-            assert (node.event_counts["gone"], node.request_registry.open, node.event_counts["taken"]) == (
+            assert (
+                node.event_counts["gone"],
+                node.request_registry.unanswered,
+                node.event_counts["taken"],
+            ) == (
                 1,
                 0,
                 1,
@@ -86,7 +90,7 @@
                 leave(caller)  # and the loop has no turn before the answers
             node.request_registry.fail_all()
             assert callers[-1].recv(12) == b"HTTP/1.1 504"
-            assert node.request_registry.open == 0
+            assert node.request_registry.unanswered == 0
             await until(lambda: len(node.server.connections) == 1)  # the last one's, until that has read
             for caller in callers:
                 caller.close()
@@ -102,7 +106,7 @@
             caller = connect(node)
             caller.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.held.values()
+            (job,) = node.request_registry.active.values()
             node.server.drain()
             on_result, left = job.attempts[0]._on_result, []
 
@@ -115,9 +119,9 @@
             job.attempts[0]._on_result = result
             server.release.set()
             await until(lambda: left)
-            assert not node.request_registry.held
+            assert not node.request_registry.active
             assert node.driver.balancer.endpoints["s0"].in_flight == 0.0
-            assert node.pool.size == 1
+            assert node.pool.connection_count == 1
             caller.close()
 
     asyncio.run(main())
@@ -132,17 +136,17 @@
             caller = connect(node)
             caller.sendall(b"".join(request(name=f"q{at}") for at in range(50)))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.held.values()
+            (job,) = node.request_registry.active.values()
             body = Body(Ends())
             if first == "passed on":
-                node.request_registry.begin(job, len(ANSWER), body)
-                body.put(ANSWER[:-1])
+                node.request_registry.begin_stream(job, len(ANSWER), body)
+                body.feed(ANSWER[:-1])
             leave(caller)  # much sent at once and gone, and nothing of that read
             if first == "passed on":
-                body.put(ANSWER[-1:])
+                body.feed(ANSWER[-1:])
                 body.end()
             else:
-                node.request_registry.answer(job, 200, b"done")
+                node.request_registry.respond(job, 200, b"done")
             await until(lambda: not node.server.connections)
             assert node.event_counts["taken"] == 1
             if leave is half_close:
@@ -164,7 +168,7 @@
             leave(caller)
             if leave is half_close:
                 assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
-            await until(lambda: not node.server.connections and not node.request_registry.held)
+            await until(lambda: not node.server.connections and not node.request_registry.active)
             assert node.metrics.attempts_sent == server.connections == 0
             assert node.event_counts["taken"] <= 1
 
@@ -202,10 +206,10 @@
             caller = connect(node)
             caller.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.held.values()
+            (job,) = node.request_registry.active.values()
             half_close(caller)
-            job.call.connection.eof_received()  # as the loop will: what else comes in that turn finds it over
-            assert (job.done, node.event_counts["gone"]) == (True, 1)
+            job.inbound.connection.eof_received()  # as the loop will: what else comes then finds it over
+            assert (job.answered, node.event_counts["gone"]) == (True, 1)
             assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
             await until(lambda: not node.server.connections)
 
@@ -235,19 +239,19 @@
             caller = connect(node)
             caller.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.held.values()
+            (job,) = node.request_registry.active.values()
             body = Body(Ends())
-            node.request_registry.begin(job, len(ANSWER), body)
-            body.put(ANSWER[:1000])
-            ended, eof_received = [], job.call.connection.eof_received
-            job.call.connection.eof_received = lambda: ended.append(True) or eof_received()
+            node.request_registry.begin_stream(job, len(ANSWER), body)
+            body.feed(ANSWER[:1000])
+            ended, eof_received = [], job.inbound.connection.eof_received
+            job.inbound.connection.eof_received = lambda: ended.append(True) or eof_received()
             half_close(caller)
             await until(lambda: ended)
-            body.put(ANSWER[1000:])
+            body.feed(ANSWER[1000:])
             body.end()
             assert (await read_to_the_end(caller)).endswith(ANSWER)
             await until(lambda: not node.server.connections)
-            assert not node.request_registry.passing_on
+            assert not node.request_registry.streaming
 
     asyncio.run(main())
 
@@ -273,7 +277,7 @@
         server = Peer()
         async with running(server) as node:
             caller, connection = await slow_reader(node, server, Connection="close")
-            connection.sweep(node.loop.time() + LINGER_MOST_S)  # enough for one whose answer had left
+            connection.sweep(node.loop.time() + MAX_LINGER_S)  # enough for one whose answer had left
             answer = await read_to_the_end(caller, close=False)
             assert answer.endswith(ANSWER)
             assert node.server.connections  # read on for a moment
@@ -296,11 +300,11 @@
             while connection._transport.get_write_buffer_size() == unsent:
                 caller.recv(4096)
                 await asyncio.sleep(0)
-            connection.sweep(now + UNREAD_S)  # it has read since
-            connection.sweep(now + 2 * UNREAD_S - 0.1)
+            connection.sweep(now + WRITE_STALL_TIMEOUT_S)  # it has read since
+            connection.sweep(now + 2 * WRITE_STALL_TIMEOUT_S - 0.1)
             await asyncio.sleep(0)
             assert node.server.connections
-            connection.sweep(now + 2 * UNREAD_S)
+            connection.sweep(now + 2 * WRITE_STALL_TIMEOUT_S)
             await until(lambda: not node.server.connections)
             caller.close()
 
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -130,7 +130,7 @@
                 node.endpoint_list.apply_change(EndpointListUpdate(EndpointListKind.DELTA, (silent_server,)))
                 caller = await Caller.to(node)
                 caller.writer.write(request())
-                await until(lambda: node.pool.size)
+                await until(lambda: node.pool.connection_count)
                 assert await status(node, "PUT", EXIT, b"s0") == 200
                 assert await status(node, "PUT", ENTER, b"quiet") == 200
                 assert (await caller.answer()).status == 200
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -12,7 +12,7 @@
 from loadbalancer.balancing.events import AttemptOutcome, Request, RequestCancelled, RequestReceived
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http import client_connection as http_module
-from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.listener import request_parser as request_parser_module
 from loadbalancer.node.node import Node
 from loadbalancer.node.upstream import pool as upstream_module
@@ -38,7 +38,7 @@
     def resume(self) -> None:
         self.said.append("resume")
 
-    def abandoned(self) -> None:
+    def abandon(self) -> None:
         self.said.append("abandoned")
 
     def write(self, data: bytes) -> None:
@@ -47,39 +47,39 @@
     def end(self) -> None:
         self.said.append("end")
 
-    def broken(self) -> None:
+    def fail(self) -> None:
         self.said.append("broken")
 
 
 def test_reading_stops_at_the_high_water_mark_until_somebody_takes_it():
     source, sink = Ends(), Ends()
     body = Body(source)
-    body.put(b"x" * (HIGH_WATER - 1))
+    body.feed(b"x" * (HIGH_WATER_BYTES - 1))
     assert source.said == []
-    body.put(b"yz")
+    body.feed(b"yz")
     assert source.said == ["pause"]
     body.attach(sink)
     assert source.said == ["pause", "resume"]
-    body.put(b"!")
+    body.feed(b"!")
     body.end()
-    assert sink.data == b"x" * (HIGH_WATER - 1) + b"yz!"
+    assert sink.data == b"x" * (HIGH_WATER_BYTES - 1) + b"yz!"
     assert sink.said == ["end"]
 
 
 def test_what_fits_under_the_mark_may_be_taken_again_and_what_does_not_may_not():
     source = Ends()
     body = Body(source)
-    body.put(b"abc")
+    body.feed(b"abc")
     first, second = Ends(), Ends()
     body.attach(first)
-    body.put(b"def")
-    body.leave(first)
-    assert body.open_to_another
+    body.feed(b"def")
+    body.detach(first)
+    assert body.replayable
     body.attach(second)
     assert second.data == b"abcdef"
-    body.put(b"x" * HIGH_WATER)
-    body.leave(second)
-    assert not body.open_to_another
+    body.feed(b"x" * HIGH_WATER_BYTES)
+    body.detach(second)
+    assert not body.replayable
     assert source.said[-1] == "abandoned"
 
 
@@ -87,10 +87,10 @@
     source, sink = Ends(), Ends()
     body = Body(source)
     body.attach(sink)
-    body.hold()
-    body.hold()
+    body.pause()
+    body.pause()
     assert source.said == ["resume", "pause"]
-    body.release()
+    body.resume()
     assert source.said[-1] == "resume"
 
 
@@ -165,7 +165,7 @@
     ],
 )
 def test_a_long_answer_is_passed_on_whole_and_the_connections_are_kept(serve, monkeypatch):
-    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
         async with behind(serve) as node:
@@ -173,9 +173,9 @@
             for at in range(2):
                 caller.writer.write(request(name=f"q{at}"))
                 assert await body_of(caller.reader) == LONG
-            await until(lambda: not node.request_registry.passing_on)
-            assert node.pool.size == 1
-            assert not node.request_registry.held
+            await until(lambda: not node.request_registry.streaming)
+            assert node.pool.connection_count == 1
+            assert not node.request_registry.active
             caller.writer.close()
 
     asyncio.run(main())
@@ -221,13 +221,13 @@
             assert (outcome.result, outcome.request_ended) == (AttemptResult.OK, True)
             assert (
                 node.metrics.render(
-                    node.request_registry.open + node.request_registry.passing_on, 0, 0
+                    node.request_registry.unanswered + node.request_registry.streaming, 0, 0
                 ).count(b"concurrent=1")
                 == 1
             )
             more.set()
             assert await caller.reader.readexactly(len(LONG) - 1000) == LONG[1000:]
-            await until(lambda: not node.request_registry.passing_on)
+            await until(lambda: not node.request_registry.streaming)
             assert b"proxy.replies.read.success=1" in node.render_metrics()
             caller.writer.close()
 
@@ -253,13 +253,13 @@
             caller.writer.write(request())
             await caller.reader.readuntil(b"\r\n\r\n")
             (connection,) = node.server.connections
-            await until(lambda: connection._answer is not None and connection._answer.rest.held)
+            await until(lambda: connection._stream is not None and connection._stream.body.paused)
             assert connection._transport.get_write_buffer_size() < MIB
             assert written < total
             left = total
             while left:
                 left -= len(await caller.reader.read(MIB))
-            await until(lambda: not node.request_registry.passing_on)
+            await until(lambda: not node.request_registry.streaming)
             caller.writer.close()
 
     asyncio.run(main())
@@ -280,7 +280,7 @@
                 answer = await caller.reader.read()
                 assert not answer.endswith(b"0\r\n\r\n")
                 assert len(answer) < len(LONG)
-            await until(lambda: not node.request_registry.passing_on)
+            await until(lambda: not node.request_registry.streaming)
             assert b"proxy.replies.read.error=1" in node.render_metrics()
 
     asyncio.run(main())
@@ -304,14 +304,14 @@
             caller.writer.transport.abort()
             async with asyncio.timeout(20):
                 await left.wait()
-            await until(lambda: not node.request_registry.passing_on and not node.pool.size)
+            await until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
 
     asyncio.run(main())
 
 
 def test_a_server_that_falls_silent_within_a_long_answer_is_given_up(monkeypatch):
     async def main():
-        monkeypatch.setattr(upstream_module, "SILENT_S", 0.05)
+        monkeypatch.setattr(upstream_module, "STREAM_IDLE_TIMEOUT_S", 0.05)
 
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -323,7 +323,7 @@
             caller.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 assert len(await caller.reader.read()) < len(LONG)
-            await until(lambda: not node.request_registry.passing_on)
+            await until(lambda: not node.request_registry.streaming)
 
     asyncio.run(main())
 
@@ -362,21 +362,21 @@
                 )
             )
             assert (await ask(node, request())).body == b"done"  # of a second attempt
-            assert node.pool.unreadable == 1
+            assert node.pool.malformed_responses == 1
 
     asyncio.run(main())
 
 
 def test_a_chunked_answer_past_the_longest_is_broken_off(monkeypatch):
     async def main():
-        monkeypatch.setattr(http_module, "LONGEST", MIB)
+        monkeypatch.setattr(http_module, "MAX_BODY_BYTES", MIB)
         async with behind(answering(CHUNKED, b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))) as node:
             caller = await Caller.to(node)
             caller.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 assert len(await caller.reader.read()) < len(LONG)
-            await until(lambda: not node.request_registry.passing_on and not node.pool.size)
-            assert node.pool.unreadable == 1
+            await until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
+            assert node.pool.malformed_responses == 1
 
     asyncio.run(main())
 
@@ -385,7 +385,9 @@
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(b"HTTP/1.1 500 Word\r\nContent-Length: 9999999\r\n\r\n" + LONG[: 2 * HIGH_WATER])
+            writer.write(
+                b"HTTP/1.1 500 Word\r\nContent-Length: 9999999\r\n\r\n" + LONG[: 2 * HIGH_WATER_BYTES]
+            )
             await reader.read()
 
         async with behind(serve, settings={"tier": 1}) as node:
@@ -437,7 +439,7 @@
 
 @pytest.mark.parametrize("data", [request("post", "q1", LONG), chunked(LONG)])
 def test_a_long_request_reaches_the_server_whole_and_the_connections_are_kept(data, monkeypatch):
-    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
         server = Taking()
@@ -448,9 +450,9 @@
             assert (await caller.ask(request("post", "q2", b"short"))).status == 200
             assert server.bodies[1:] == [b"short"]
             assert (
-                node.pool.size,
-                node.request_registry.open,
-                node.request_registry.coming,
+                node.pool.connection_count,
+                node.request_registry.unanswered,
+                node.request_registry.receiving,
                 node.metrics.attempts_sent,
             ) == (1, 0, 0, 2)
             caller.writer.close()
@@ -471,47 +473,49 @@
             await until(lambda: scripted.of(Request) and server.heads)
             (early,) = scripted.of(Request)
             assert early.receiving
-            (job,) = node.request_registry.held.values()
-            assert job.backstop is None
+            (job,) = node.request_registry.active.values()
+            assert job.backstop_timer is None
             assert node.metrics.attempts_sent == 0
             caller.writer.write(data[MIB:])
             assert (await caller.answer()).status == 200
             (arrived,) = scripted.of(RequestReceived)
             assert arrived.deadline_ms > early.deadline_ms
             (outcome,) = scripted.of(AttemptOutcome)
-            assert outcome.latency_ms <= (node.loop.time() - job.whole_at) * 1000.0
+            assert outcome.latency_ms <= (node.loop.time() - job.received_at) * 1000.0
             assert node.metrics.attempts_sent == 1
             caller.writer.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("data", [request("post", "q1", LONG[:HIGH_WATER]), chunked(LONG[:HIGH_WATER])])
+@pytest.mark.parametrize(
+    "data", [request("post", "q1", LONG[:HIGH_WATER_BYTES]), chunked(LONG[:HIGH_WATER_BYTES])]
+)
 def test_a_body_that_ends_while_its_attempt_still_connects_is_sent_once(data):
     async def main():
         server = Taking()
         async with behind(server.serve) as node:
-            up, opened = asyncio.Event(), node.pool.open
+            up, opened = asyncio.Event(), node.pool.open_connection
 
             async def slowly(endpoint):
                 await up.wait()
                 return await opened(endpoint)
 
-            node.pool.open = slowly
+            node.pool.open_connection = slowly
             caller = await Caller.to(node)
             end = len(data) - 5  # handed on with the last byte of its body due, or the last chunk
             caller.writer.write(data[:end])
             await until(lambda: node.server.connections)
             (connection,) = node.server.connections
-            coming = connection._requests
-            await until(lambda: coming.call and coming.call.body.size >= HIGH_WATER - 5)
+            coming = connection._parser
+            await until(lambda: coming.request and coming.request.body.size >= HIGH_WATER_BYTES - 5)
             connection._transport.resume_reading()
             caller.writer.write(data[end:])
-            await until(lambda: coming.call is None)
+            await until(lambda: coming.request is None)
             up.set()
             assert (await caller.answer()).status == 200
-            assert server.bodies == [LONG[:HIGH_WATER]]
-            assert node.pool.size == 1
+            assert server.bodies == [LONG[:HIGH_WATER_BYTES]]
+            assert node.pool.connection_count == 1
             caller.writer.close()
 
     asyncio.run(main())
@@ -534,11 +538,11 @@
             # not only its first bytes held back, as they are while the attempt still connects
             await until(
                 lambda: [
-                    c for c in node.server.connections if c._requests.call and c._requests.call.body.held
+                    c for c in node.server.connections if c._parser.request and c._parser.request.body.paused
                 ]
             )
             (connection,) = node.server.connections
-            assert connection._reading.body_held
+            assert connection._read_control.body_paused
             node.server.expire(node.loop.time() + 60.0)  # not the caller's fault
             assert node.server.expired == 0
             go_on.set()
@@ -560,16 +564,20 @@
             if how == "leaves":
                 caller.writer.transport.abort()
             elif how == "stalls":
-                await until(lambda: not node.server.connections or node.request_registry.coming)
+                await until(lambda: not node.server.connections or node.request_registry.receiving)
                 node.server.expire(node.loop.time() + 60.0)
                 assert (await caller.answer()).status == 408
             else:
                 caller.writer.write(b"\r\nnonsense\r\n" * 100_000)
                 assert (await caller.answer()).status == 400
-            await until(lambda: server.lost and not node.request_registry.held)
+            await until(lambda: server.lost and not node.request_registry.active)
             assert not server.bodies
             assert len(server.heads) == 1
-            assert (node.request_registry.open, node.request_registry.coming, node.metrics.attempts_sent) == (
+            assert (
+                node.request_registry.unanswered,
+                node.request_registry.receiving,
+                node.metrics.attempts_sent,
+            ) == (
                 0,
                 0,
                 0,
@@ -585,7 +593,7 @@
         gone._server.close()
         await gone._server.wait_closed()
         async with behind(server.serve) as node:
-            node.pool.add("gone", ("127.0.0.1", gone.port))
+            node.pool.set_endpoint("gone", ("127.0.0.1", gone.port))
 
             def act(event):
                 if isinstance(event, Request):
@@ -613,7 +621,7 @@
         async with behind(serve) as node:
             answer = await ask(node, request("post", "q1", LONG))
             assert answer.status == 503
-            assert not node.request_registry.held
+            assert not node.request_registry.active
 
     asyncio.run(main())
 
@@ -630,7 +638,7 @@
             caller.writer.write(request("post", "q1", LONG)[:MIB])
             answer = await caller.answer()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
-            assert (node.request_registry.open, node.request_registry.coming) == (0, 0)
+            assert (node.request_registry.unanswered, node.request_registry.receiving) == (0, 0)
             caller.writer.close()
 
     asyncio.run(main())
@@ -640,10 +648,10 @@
     async def main():
         server = Taking()
         async with behind(server.serve, limits={"memory_mb": 1, "sockets": 1024}) as node:
-            assert node.request_registry.max_coming == 1
+            assert node.request_registry.max_receiving == 1
             first = await Caller.to(node)
             first.writer.write(request("post", "q1", LONG)[:MIB])
-            await until(lambda: node.request_registry.coming)
+            await until(lambda: node.request_registry.receiving)
             second = await Caller.to(node)
             second.writer.write(request("post", "q2", LONG)[:MIB])
             assert (await second.answer()).status == 503
@@ -657,13 +665,13 @@
 
 def test_a_chunked_request_past_the_limit_gets_413(monkeypatch):
     async def main():
-        monkeypatch.setattr(request_parser_module, "LONGEST", MIB)
+        monkeypatch.setattr(request_parser_module, "MAX_BODY_BYTES", MIB)
         server = Taking()
         async with behind(server.serve) as node:
             caller = await Caller.to(node)
             caller.writer.write(chunked(LONG))
             assert (await caller.answer()).status == 413
-            await until(lambda: not node.request_registry.held)
+            await until(lambda: not node.request_registry.active)
             assert not server.bodies
 
     asyncio.run(main())
--- a/tests/node/test_components.py
+++ b/tests/node/test_components.py
@@ -24,10 +24,10 @@
         self.seen.append(("start", bool(self._node.server.address)))
 
     async def stop(self) -> None:
-        self.seen.append(("stop", bool(self._node.request_registry.under_way)))
+        self.seen.append(("stop", bool(self._node.request_registry.in_progress)))
 
     def close(self) -> None:
-        self.seen.append(("close", bool(self._node.request_registry.under_way)))
+        self.seen.append(("close", bool(self._node.request_registry.in_progress)))
 
     def metrics(self) -> str:
         return "proxy.recorded=1\n"
@@ -43,7 +43,7 @@
         part = Recorded(node)
         node.components.append(part)
         heard: list[tuple[str, AttemptResult, dict[str, float]]] = []
-        node.attempts.on_outcome.append(
+        node.attempts.outcome_listeners.append(
             lambda outcome: heard.append((outcome.server, outcome.result, node.driver.balancer.in_flight()))
         )
         await node.start()
--- a/tests/node/test_long_answers.py
+++ b/tests/node/test_long_answers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from loadbalancer.node.node import Node
-from loadbalancer.node.upstream.pool import SILENT_S
+from loadbalancer.node.upstream.pool import STREAM_IDLE_TIMEOUT_S
 from tests.support.callers import connect
 from tests.support.clocks import run
 from tests.support.loopback import SETTINGS, request, running, targets, until
@@ -81,8 +81,8 @@
             assert DEADLINE_S < took_s < DEADLINE_S + LATE_S
             assert b" 200 " in read
             assert not read.endswith(b"0\r\n\r\n")  # no end of its own
-            await until(lambda: server.left and not node.pool.size)
-            assert node.request_registry.passing_on == 0
+            await until(lambda: server.left and not node.pool.connection_count)
+            assert node.request_registry.streaming == 0
             assert node.event_counts["broken off"] == 1
 
     run(main())
@@ -102,6 +102,6 @@
         kinds = [kind | {"stream": True} for kind in SETTINGS["categories"]]
         async with Hanging(HEADS["by length"]).before(settings={"categories": kinds}) as node:
             took_s, _ = await read_to_an_end(node)
-            assert took_s == pytest.approx(SILENT_S, abs=0.1)
+            assert took_s == pytest.approx(STREAM_IDLE_TIMEOUT_S, abs=0.1)
 
     run(main())
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -27,8 +27,13 @@
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.discovery.poll_policy import PollPolicy
 from loadbalancer.node.discovery.response import DiscoveryResponse
-from loadbalancer.node.listener.request_parser import BODY_S, HEAD_S, PACE, Receiving
-from loadbalancer.node.listener.server import SWEEP_S
+from loadbalancer.node.listener.listener import SWEEP_INTERVAL_S
+from loadbalancer.node.listener.request_parser import (
+    BODY_GRACE_S,
+    HEAD_TIMEOUT_S,
+    MIN_BODY_BYTES_PER_S,
+    ReceiveState,
+)
 from tests.support.loopback import (
     Caller,
     Discovery,
@@ -75,7 +80,7 @@
             assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
             assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
             assert node.driver.balancer.endpoints["s0"].reported_queue == 3
-            assert node.request_registry.held == {}
+            assert node.request_registry.active == {}
 
     asyncio.run(main())
 
@@ -105,7 +110,7 @@
 
 @pytest.mark.parametrize("kind", ["post", "read"])
 def test_nothing_is_sent_again_but_by_the_module(kind, monkeypatch):
-    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
         async def script(message):
@@ -161,7 +166,7 @@
             assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
             assert outcomes[-1].result is AttemptResult.ABANDONED
             node.driver.balancer = scripted = Scripted()
-            node.driver._act(Send("q1", "s0"))
+            node.driver._carry_out(Send("q1", "s0"))
             assert [(event.result, event.request_ended) for event in scripted.of(AttemptOutcome)] == [
                 (AttemptResult.ABANDONED, True)
             ]
@@ -179,9 +184,9 @@
             await until(lambda: server.seen)
             assert node.driver.balancer.endpoints["s0"].in_flight == 1.0
             caller.writer.close()
-            await until(lambda: not node.request_registry.held)
+            await until(lambda: not node.request_registry.active)
             assert node.driver.balancer.endpoints["s0"].in_flight == 0.0
-            assert node.request_registry.open == 0
+            assert node.request_registry.unanswered == 0
 
     asyncio.run(main())
 
@@ -199,7 +204,7 @@
             node.driver.balancer = scripted = Scripted(act)
             assert (await ask(node, request())).body == b"done"
             server.release.set()
-            await until(lambda: not node.request_registry.held)
+            await until(lambda: not node.request_registry.active)
             outcomes = scripted.of(AttemptOutcome)
             assert [(event.attempt, event.request_ended) for event in outcomes] == [(1, True), (0, True)]
 
@@ -219,7 +224,7 @@
             node.driver.balancer = scripted = Scripted(act)
             assert (await ask(node, request())).status == 500
             assert scripted.of(RequestCancelled)
-            assert not node.request_registry.held
+            assert not node.request_registry.active
             assert node.server.ready
 
     asyncio.run(main())
@@ -236,7 +241,7 @@
 
         async with running(Peer()) as node:
             node.driver.balancer = scripted = Scripted(act)
-            node.driver._act(SetTimer(1.0, "tick"))
+            node.driver._carry_out(SetTimer(1.0, "tick"))
             await until(
                 lambda: len([event for event in scripted.of(TimerFired) if event.name == "tick"]) == 2
             )
@@ -298,7 +303,7 @@
             node.driver.balancer = scripted = Scripted()
             assert (await ask(node, data)).status == status
             assert not scripted.of(Request)
-            assert not node.request_registry.held
+            assert not node.request_registry.active
 
     asyncio.run(main())
 
@@ -399,13 +404,15 @@
             caller = await Caller.to(node)
             await until(lambda: node.server.connections)
             connection = next(iter(node.server.connections))
-            opened = connection.since
+            opened = connection.last_activity_at
             caller.writer.write(said)
-            await until(lambda: not said or connection.since > opened)  # what was sent has been read
-            node.server.expire(begun + HEAD_S)  # not due yet
+            await until(
+                lambda: not said or connection.last_activity_at > opened
+            )  # what was sent has been read
+            node.server.expire(begun + HEAD_TIMEOUT_S)  # not due yet
             assert node.server.expired == 0
-            assert HEAD_S + BODY_S + SWEEP_S < 3.0
-            node.server.expire(node.loop.time() + HEAD_S)
+            assert HEAD_TIMEOUT_S + BODY_GRACE_S + SWEEP_INTERVAL_S < 3.0
+            node.server.expire(node.loop.time() + HEAD_TIMEOUT_S)
             answer = await caller.reader.read()
             assert answer == b"" or answer.startswith(b"HTTP/1.1 408 ")
             assert node.server.expired == 1
@@ -434,13 +441,13 @@
             data = request("post", "q1", b"x" * 65_536)
             caller.writer.write(data[: len(data) - 65_536 + size])
             await until(
-                lambda: connection._requests.state is Receiving.BODY and connection._requests.size == size
+                lambda: connection._parser.state is ReceiveState.BODY and connection._parser.size == size
             )
-            connection._requests.head_at = connection._requests.began + head_s
-            now = connection._requests.head_at + after_s
+            connection._parser.head_received_at = connection._parser.started_at + head_s
+            now = connection._parser.head_received_at + after_s
             node.server.expire(now)
             assert node.server.expired == cut_off
-            assert size / after_s < PACE or not cut_off
+            assert size / after_s < MIN_BODY_BYTES_PER_S or not cut_off
             caller.writer.close()
 
     asyncio.run(main())
@@ -482,8 +489,8 @@
     async def main():
         async with running(Peer(), limits={"sockets": 132}) as node:
             callers = [await Caller.to(node) for _ in range(200)]
-            await until(lambda: len(node.server.connections) <= node.server.limit)
-            assert node.server.limit == 45
+            await until(lambda: len(node.server.connections) <= node.server.request_limit)
+            assert node.server.request_limit == 45
             assert (await callers[-1].ask(request())).status == 200
             for caller in callers:
                 caller.writer.close()
@@ -504,7 +511,7 @@
                     peak = max(peak, len(os.listdir("/proc/self/fd")) - before - len(burst))
                     await asyncio.sleep(0)
             assert burst[-1].recv(12) == b"HTTP/1.1 200"
-            assert node.server.limit <= peak <= 100
+            assert node.server.request_limit <= peak <= 100
 
     asyncio.run(main())
 
@@ -513,16 +520,16 @@
     async def main():
         async with running(Peer(), limits={"sockets": 132}) as node:
             node.driver.balancer = scripted = Scripted()  # holds every request
-            callers = [await Caller.to(node) for _ in range(node.server.limit)]
+            callers = [await Caller.to(node) for _ in range(node.server.request_limit)]
             for at, caller in enumerate(callers):
                 caller.writer.write(request(name=f"q{at}"))
-            await until(lambda: node.request_registry.open == len(callers))
+            await until(lambda: node.request_registry.unanswered == len(callers))
             late = await ask(node, request(name="late"))
             assert (late.status, late.headers["connection"]) == (503, "close")
             assert len(scripted.of(Request)) == len(callers)
             await until(lambda: len(node.server.connections) == len(callers))
             for at, caller in enumerate(callers):
-                node.driver._act(Reject(f"q{at}"))
+                node.driver._carry_out(Reject(f"q{at}"))
                 assert (await caller.answer()).status == 503
                 caller.writer.close()
 
@@ -544,7 +551,7 @@
             await until(lambda: len(scripted.of(EndpointListUpdate)) == 3)
             forms = [event.kind for event in scripted.of(EndpointListUpdate)]
             assert forms == [EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED]
-            assert set(node.pool._servers) == {"s2"}
+            assert set(node.pool._endpoints) == {"s2"}
             queries = [message.first[1] for message in discovery.seen]
             assert [query.split("?")[1].split("&")[0] for query in queries] == [
                 "since=1",
@@ -587,7 +594,7 @@
             node.driver.balancer = scripted = Scripted()  # asks for no watch
             await until(lambda: scripted.of(EndpointListUpdate))
             assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.FAILED]
-            assert (set(node.pool._servers), node.server.ready) == ({"s0"}, True)
+            assert (set(node.pool._endpoints), node.server.ready) == ({"s0"}, True)
             assert "the last list stays in use" in caplog.text
             await until(lambda: len(discovery.seen) == 2)  # whatever the module does
 
@@ -602,7 +609,7 @@
             node.driver.balancer = scripted = Scripted()
             await until(lambda: scripted.of(EndpointListUpdate))
             assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.FAILED]
-            assert set(node.pool._servers) == {"s0"}
+            assert set(node.pool._endpoints) == {"s0"}
             assert "the last list stays in use" in caplog.text
 
     asyncio.run(main())
@@ -627,7 +634,7 @@
         monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
         discovery = Discovery(reply(503), listing(5, True, s9=("127.0.0.1:9", "Ready")))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: set(node.pool._servers) == {"s9"})
+            await until(lambda: set(node.pool._endpoints) == {"s9"})
             assert set(node.driver.balancer.endpoints) == {"s9"}
 
     asyncio.run(main())
@@ -654,7 +661,7 @@
     async def main():
         discovery = Deaf(listing(5, True, s9=("127.0.0.1:9", "Ready")), reply(503))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: set(node.pool._servers) == {"s9"})
+            await until(lambda: set(node.pool._endpoints) == {"s9"})
             await until(lambda: len(discovery.seen) == 4)
             assert waits(discovery) == [50, 50, 2750, 50]  # long only while discovery is heard
 
@@ -672,7 +679,7 @@
             await until(lambda: node.event_counts["list failed"])
             node.balancer = Scripted()  # asks for no watch of its own
             node.watcher.change_address(parse_address(elsewhere.endpoint))
-            await until(lambda: "s6" in node.pool._servers and len(elsewhere.seen) == 2)
+            await until(lambda: "s6" in node.pool._endpoints and len(elsewhere.seen) == 2)
             assert waits(elsewhere) == [50, 2750]
         elsewhere.stop()
 
@@ -689,8 +696,8 @@
             listing(6, False, s6=("127.0.0.1:6", "Ready")),
         )
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: "s6" in node.pool._servers)
-            assert set(node.pool._servers) == set(node.driver.balancer.endpoints) == {"s5", "s6"}
+            await until(lambda: "s6" in node.pool._endpoints)
+            assert set(node.pool._endpoints) == set(node.driver.balancer.endpoints) == {"s5", "s6"}
             assert node.event_counts["list failed"] == 2
             assert caplog.text.count("stale list, revision 3 after 5") == 1
             assert caplog.text.count("the last list stays in use") == 1  # once for the stretch
@@ -709,8 +716,8 @@
             listing(4, False, s4=("127.0.0.1:4", "Ready")),
         )
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: "s4" in node.pool._servers)
-            assert set(node.pool._servers) == {"s2", "s3", "s4"}
+            await until(lambda: "s4" in node.pool._endpoints)
+            assert set(node.pool._endpoints) == {"s2", "s3", "s4"}
             assert node.event_counts["list failed"] == 1
             assert caplog.text.count("restarted its revisions (3 after 50)") == 1
 
@@ -723,9 +730,9 @@
         await elsewhere.start()
         discovery = Discovery(listing(5, True, s5=("127.0.0.1:5", "Ready")))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: "s5" in node.pool._servers)
+            await until(lambda: "s5" in node.pool._endpoints)
             node.watcher.change_address(parse_address(elsewhere.endpoint))
-            await until(lambda: set(node.pool._servers) == {"s1"})
+            await until(lambda: set(node.pool._endpoints) == {"s1"})
         elsewhere.stop()
 
     asyncio.run(main())
@@ -750,9 +757,9 @@
             async def never(endpoint):
                 await hold.wait()
 
-            node.pool.open = never  # a connection that does not come up
+            node.pool.open_connection = never  # a connection that does not come up
             caller.writer.write(request())
-            await until(lambda: node.pool.size)
+            await until(lambda: node.pool.connection_count)
             row = DiscoveryResponse(
                 9, False, (Endpoint("s0", state=EndpointStatus.DRAINING),), {"s0": ("", 1)}
             )
@@ -819,7 +826,7 @@
 
 
 def test_connections_from_before_a_servers_restart_are_not_used(monkeypatch):
-    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
         server = Peer()
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.node import shutdown
 from loadbalancer.node.config import NodeConfig
-from loadbalancer.node.listener.server import inherited
+from loadbalancer.node.listener.listener import inherited_socket
 from loadbalancer.node.node import Node
 from tests.support.loopback import Caller, Held, Peer, ask, request, running, until
 
@@ -56,7 +56,7 @@
     ]
     for text in wrong:
         with pytest.raises(OSError, match="descriptor"):
-            inherited(text)
+            inherited_socket(text)
     for what in (plain, unbound, datagrams):
         os.fstat(what.fileno())  # it has not been closed
         what.close()
--- a/tests/node/upstream/test_pooled.py
+++ b/tests/node/upstream/test_pooled.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loadbalancer.endpoints import AttemptResult
-from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.http.client_connection import ClientConnection
 from tests.support.loopback import reply, until
 from tests.support.pooled import ACTS, BIG, DATA, Coming, Full, act, bed, close, heard
@@ -21,15 +21,15 @@
     async def main():
         async with bed() as here:
             peer = await here.asked()
-            peer.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (HIGH_WATER + 1))
-            peer.sendall(bytes(HIGH_WATER))
+            peer.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (HIGH_WATER_BYTES + 1))
+            peer.sendall(bytes(HIGH_WATER_BYTES))
             await here.end()
-            sink = Full(here.answers[0].rest)
+            sink = Full(here.answers[0].stream)
             assert sink.size
-            sink.body.release()  # the reader has taken that
+            sink.body.resume()  # the reader has taken that
             peer.sendall(b"x")
             await until(lambda: sink.said == ["end"])
-            assert sink.size == HIGH_WATER + 1
+            assert sink.size == HIGH_WATER_BYTES + 1
             (connection,) = here.idle
             assert connection._transport.is_reading()
             connection.idle_since -= 1.0
@@ -52,7 +52,7 @@
             peer, connection = await here.rested()
             act(peer, how, connection)
             if seen:
-                await until(lambda: not here.pool.size)
+                await until(lambda: not here.pool.connection_count)
             here.send()
             second = await here.accept()
             assert await heard(second) == DATA
@@ -61,7 +61,7 @@
             assert here.answers[0].body == b"done"
             if how in ("half", "second"):  # of the request nothing was sent here
                 assert await heard(peer) == b""
-            await until(lambda: here.pool.size == 1)
+            await until(lambda: here.pool.connection_count == 1)
 
     asyncio.run(main())
 
@@ -81,11 +81,11 @@
                 act(peer, how, connection)
                 return DATA
 
-            here.pool.send("s", data, 20.0, lambda result, _: here.ends.append(result))
+            here.pool.start_attempt("s", data, 20.0, lambda result, _: here.ends.append(result))
             if how == "half":
                 peer.sendall(reply())
             assert await here.end() == [expected]
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -100,7 +100,7 @@
             if how == "half":
                 close(peer, reset=True)
             assert await here.end() == [AttemptResult.RESET]
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -122,7 +122,7 @@
             monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
             here.send()
             assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
             if how in ("half", "second"):
                 assert await heard(here.peers[0]) == b""
 
@@ -137,8 +137,8 @@
 
             def connection_made(self: ClientConnection, transport: asyncio.BaseTransport) -> None:
                 made(self, transport)
-                (attempt,) = here.pool._servers["s"].waiting
-                here.pool.remove("s") if how == "remove" else attempt.cancel()
+                (attempt,) = here.pool._endpoints["s"].waiting
+                here.pool.remove_endpoint("s") if how == "remove" else attempt.cancel()
 
             monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
             here.send()
@@ -146,7 +146,7 @@
             assert await here.end() == [
                 AttemptResult.CONNECT_FAILED if how == "remove" else AttemptResult.CANCELLED
             ]
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
             assert await heard(peer) == b""
 
     asyncio.run(main())
@@ -168,7 +168,7 @@
                 size += len(data)
             assert size < BIG
             assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -200,14 +200,14 @@
             assert await heard(peer) == DATA
             answer = reply(200, b"stray")
             peer.sendall(answer[:-1] if ends == "before" else answer)
-            await until(lambda: connection.heard_at > connection.taken_at or here.ends)
-            body.put(b"x")
+            await until(lambda: connection.last_data_at > connection.upload_progress_at or here.ends)
+            body.feed(b"x")
             body.end()
             if ends == "before":
                 with contextlib.suppress(OSError):
                     peer.sendall(answer[-1:])
             assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -220,11 +220,11 @@
             assert await heard(peer) == DATA
             peer.sendall(reply(503, Srv_Declined="1"))
             assert await here.end() == [AttemptResult.REJECTED]
-            body.put(b"x")
+            body.feed(b"x")
             body.end()
             assert await heard(peer) == b""
             assert "abandoned" not in source.said  # another server may take it from its start
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -235,7 +235,7 @@
     async def main():
         async with bed() as here:
             body = Body(source := Coming())
-            body.put(b"x")
+            body.feed(b"x")
             here.send(data=bytes(BIG), body=body)
             body.end()  # while the attempt connects
             peer = await here.accept()
@@ -253,12 +253,12 @@
             here.send(body=(body := Body(Coming())))
             peer = await here.accept()
             assert await heard(peer) == DATA
-            (connection,) = here.pool._open
+            (connection,) = here.pool._connections
             peer.sendall(reply(500))
             act(peer, "reset", connection)
-            body.put(b"x")  # fails, and what was there to read goes with it
+            body.feed(b"x")  # fails, and what was there to read goes with it
             body.end()
             assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
--- a/tests/node/upstream/test_pooled_answers.py
+++ b/tests/node/upstream/test_pooled_answers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loadbalancer.endpoints import AttemptResult
-from loadbalancer.node.http.body import HIGH_WATER
+from loadbalancer.node.http.body import HIGH_WATER_BYTES
 from tests.support.loopback import reply, until
 from tests.support.pooled import DATA, HALF, Full, act, bed, heard
 
@@ -67,7 +67,7 @@
             peer.sendall(answer)
             act(peer, "reset" if reset else "end", connection)
             assert await here.end() == [at_reset if reset else at_end]
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
             assert not here.idle
 
     asyncio.run(main())
@@ -83,19 +83,19 @@
             peer, connection = await here.rested()
             here.send()
             assert await heard(peer) == DATA
-            peer.sendall(answer + bytes(HIGH_WATER + 1))
+            peer.sendall(answer + bytes(HIGH_WATER_BYTES + 1))
             await here.end()
-            sink = Full(here.answers[0].rest)
+            sink = Full(here.answers[0].stream)
             assert not connection._transport.is_reading()
             peer.sendall(b"x")
             act(peer, "reset", connection)
             assert sink.said == []
-            sink.body.release()
-            await until(lambda: sink.size == HIGH_WATER + 2)  # what had come before the reset
-            sink.body.release()
+            sink.body.resume()
+            await until(lambda: sink.size == HIGH_WATER_BYTES + 2)  # what had come before the reset
+            sink.body.resume()
             await until(lambda: sink.said == ["broken"])
             assert here.ends == [AttemptResult.OK]
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -108,12 +108,12 @@
             peer, connection = await here.rested()
             here.send()
             assert await heard(peer) == DATA
-            size = HIGH_WATER + 1
+            size = HIGH_WATER_BYTES + 1
             peer.sendall(CHUNKED + b"%x\r\n" % size + bytes(size - 10))
-            await until(lambda: connection._size == size - 10)
+            await until(lambda: connection._body_size == size - 10)
             peer.sendall(bytes(10) + b"\r\nno length\r\n")
             assert await here.end() == [AttemptResult.RESET]
-            assert here.pool.unreadable == 1
+            assert here.pool.malformed_responses == 1
 
     asyncio.run(main())
 
@@ -157,13 +157,13 @@
             _, peak = tracemalloc.get_traced_memory()
             tracemalloc.stop()
             assert await here.end() == [expected]
-            assert here.pool.unreadable == (expected is AttemptResult.RESET)
+            assert here.pool.malformed_responses == (expected is AttemptResult.RESET)
             assert peak < 2_000_000
             if expected is AttemptResult.RESET:
                 assert sent < 2_000_000
             else:
                 assert loop.time() - began >= 0.5
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -180,6 +180,6 @@
             peer.sendall(part)
             assert await here.end() == [AttemptResult.TIMEOUT]
             assert await heard(peer) == b""
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
--- a/tests/node/upstream/test_pooled_limit.py
+++ b/tests/node/upstream/test_pooled_limit.py
@@ -12,7 +12,7 @@
 import pytest
 
 from loadbalancer.endpoints import AttemptResult
-from loadbalancer.node.http.body import HIGH_WATER
+from loadbalancer.node.http.body import HIGH_WATER_BYTES
 from loadbalancer.node.http.client_connection import Response
 from tests.support.loopback import Caller, Peer, never_up, reply, request, running, until
 from tests.support.pooled import DATA, act, bed, heard
@@ -23,14 +23,16 @@
 
     async def main():
         async with bed(limit=1) as here:
-            here.pool.add("other", here.listener.getsockname())
+            here.pool.set_endpoint("other", here.listener.getsockname())
             peer, connection = await here.rested()
             act(peer, "end", connection)
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
             for name in ("other", "other"):
-                here.pool.send(name, lambda wait: DATA, 20.0, lambda result, _: here.ends.append(result))
+                here.pool.start_attempt(
+                    name, lambda wait: DATA, 20.0, lambda result, _: here.ends.append(result)
+                )
             assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            assert here.pool.size == 1
+            assert here.pool.connection_count == 1
 
     asyncio.run(main())
 
@@ -43,7 +45,7 @@
             sizes: list[int] = []
 
             def on_sent() -> None:
-                sizes.append(here.pool.size)
+                sizes.append(here.pool.connection_count)
                 if len(sizes) == 1:
                     here.send()
 
@@ -79,7 +81,7 @@
                 here.send()
                 assert await here.end() == [AttemptResult.CONNECT_FAILED]
             assert not here.pool._opening
-            assert not here.pool._servers["s"].waiting
+            assert not here.pool._endpoints["s"].waiting
             here.ends.clear()
             await here.rested()
 
@@ -109,8 +111,8 @@
             here.pool.connect_timeout_s = 0.1 if how == "connecting" else 20.0
             timeout_s = 0.5 if how == "silent" else 20.0
             with never_up() if how == "connecting" else contextlib.nullcontext(here.listener) as listener:
-                here.pool.add("first", listener.getsockname())
-                here.pool.send("first", lambda wait: DATA, timeout_s, on_result)
+                here.pool.set_endpoint("first", listener.getsockname())
+                here.pool.start_attempt("first", lambda wait: DATA, timeout_s, on_result)
                 if how != "connecting":
                     peer = await here.accept()
                     assert await heard(peer) == DATA
@@ -123,7 +125,7 @@
             assert await heard(peer) == DATA
             peer.sendall(reply())
             assert await here.end() == [AttemptResult.OK]
-            assert here.pool.size == 1
+            assert here.pool.connection_count == 1
 
     asyncio.run(main())
 
@@ -140,16 +142,16 @@
         with never_up() as listener:
             listener.setblocking(False)
             async with bed() as here:
-                here.pool.add("late", listener.getsockname())
+                here.pool.set_endpoint("late", listener.getsockname())
                 loop, before = asyncio.get_running_loop(), descriptors()
-                attempt = here.pool.send(
+                attempt = here.pool.start_attempt(
                     "late", lambda wait: DATA, 20.0, lambda end, _: here.ends.append(end)
                 )
                 await until(lambda: descriptors() > before)
-                assert here.pool.size == 1
+                assert here.pool.connection_count == 1
                 if not wanted:
                     attempt.cancel()
-                    assert here.pool.size == 0
+                    assert here.pool.connection_count == 0
                     await until(lambda: descriptors() == before)
                     assert here.ends == [AttemptResult.CANCELLED]
                     assert not here.pool._opening
@@ -162,8 +164,8 @@
 
                 accepting = asyncio.create_task(serve())
                 with contextlib.ExitStack() as stack:
-                    await until(lambda: here.pool._open)
-                    local = [c._transport.get_extra_info("sockname") for c in here.pool._open]
+                    await until(lambda: here.pool._connections)
+                    local = [c._transport.get_extra_info("sockname") for c in here.pool._connections]
                     await until(lambda: [p for p in peers if p.getpeername() in local])
                     for peer in peers:
                         stack.enter_context(peer)
@@ -172,7 +174,7 @@
                     assert await loop.sock_recv(ours, 1000) == DATA
                     await loop.sock_sendall(ours, reply())
                     assert await here.end() == [AttemptResult.OK]
-                    assert here.pool.size == 1
+                    assert here.pool.connection_count == 1
                     accepting.cancel()
 
     asyncio.run(main())
@@ -189,7 +191,7 @@
         async with running(server) as node:
             caller = await Caller.to(node)
             assert (await caller.ask(request())).status == 200
-            connections = [*node.server.connections, *node.pool._open]
+            connections = [*node.server.connections, *node.pool._connections]
             assert len(connections) == 2
             for connection in connections:
                 raw = connection._transport.get_extra_info("socket")
@@ -212,7 +214,7 @@
     asyncio.run(main())
 
 
-LONG_START = b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + bytes(HIGH_WATER + 1)
+LONG_START = b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + bytes(HIGH_WATER_BYTES + 1)
 
 
 @pytest.mark.parametrize("answer", [reply(), LONG_START, b"no answer\r\n\r\n"])
@@ -225,11 +227,11 @@
             def on_result(result: AttemptResult, response: Response | None) -> None:
                 raise RuntimeError
 
-            here.pool.send("s", lambda wait: DATA, 20.0, on_result)
+            here.pool.start_attempt("s", lambda wait: DATA, 20.0, on_result)
             peer = await here.accept()
             assert await heard(peer) == DATA
             peer.sendall(answer)
-            await until(lambda: not here.pool.size)
+            await until(lambda: not here.pool.connection_count)
             assert [type(error["exception"]) for error in errors] == [RuntimeError]
             await here.rested()
 
@@ -237,7 +239,7 @@
 
 
 def test_an_outcome_may_send_on_the_connection_that_brought_it(monkeypatch):
-    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
         async with bed() as here:
@@ -245,14 +247,14 @@
             def on_result(result: AttemptResult, response: Response | None) -> None:
                 here.ends.append(result)
                 if len(here.ends) < 3:
-                    here.pool.send("s", lambda wait: DATA, 20.0, on_result)
+                    here.pool.start_attempt("s", lambda wait: DATA, 20.0, on_result)
 
-            here.pool.send("s", lambda wait: DATA, 20.0, on_result)
+            here.pool.start_attempt("s", lambda wait: DATA, 20.0, on_result)
             peer = await here.accept()
             for _ in range(3):
                 assert await heard(peer) == DATA
                 peer.sendall(reply())
             assert await here.end(3) == [AttemptResult.OK] * 3
-            assert here.pool.size == 1
+            assert here.pool.connection_count == 1
 
     asyncio.run(main())
