--- a/tests/node/upstream/test_upstream.py
+++ b/tests/node/upstream/test_upstream.py
@@ -12,22 +12,22 @@
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 from loadbalancer.node.http.socket_buffer import readable
-from loadbalancer.node.upstream.pool import Pool
+from loadbalancer.node.upstream.pool import ConnectionPool
 from tests.support.loopback import Held, Message, Peer, never_up, reply, until
 from tests.support.ports import free_port
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 
 
-def pool(**more: float) -> Pool:
+def pool(**more: float) -> ConnectionPool:
     given = {"limit": 10, "server_idle_s": 10.0, "connect_timeout_s": 20.0} | more
-    return Pool(int(given["limit"]), given["server_idle_s"], given["connect_timeout_s"])
+    return ConnectionPool(int(given["limit"]), given["server_idle_s"], given["connect_timeout_s"])
 
 
-async def result(pool: Pool, timeout_s: float = 20.0, data: bytes = DATA) -> AttemptResult:
+async def result(pool: ConnectionPool, timeout_s: float = 20.0, data: bytes = DATA) -> AttemptResult:
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     # set_result raises on a second result, and asyncio's debug mode is not needed to see it
-    pool.send("s", lambda wait: data, timeout_s, lambda result, response: done.set_result(result))
+    pool.start_attempt("s", lambda wait: data, timeout_s, lambda result, response: done.set_result(result))
     return await done
 
 
@@ -57,7 +57,7 @@
 def test_what_comes_back_is_the_outcome_of_the_protocols_table(answer, expected):
     async def main():
         server, servers = await against(answer).start(), pool()
-        servers.add("s", ("127.0.0.1", server.port))
+        servers.set_endpoint("s", ("127.0.0.1", server.port))
         assert await result(servers) is expected
         assert len(server.seen) == 1  # nothing is ever sent again by itself
         servers.close()
@@ -80,9 +80,9 @@
 def test_answers_that_cannot_be_read_may_have_run_and_are_counted(answer, unreadable):
     async def main():
         server, servers = await against(answer).start(), pool()
-        servers.add("s", ("127.0.0.1", server.port))
+        servers.set_endpoint("s", ("127.0.0.1", server.port))
         assert await result(servers) is AttemptResult.RESET
-        assert servers.unreadable == unreadable
+        assert servers.malformed_responses == unreadable
         server.stop()
         servers.close()
 
@@ -97,7 +97,7 @@
             b"HTTP/1.1 503 Word\r\nTransfer-Encoding: chunked\r\n\r\n" + body + trailers
         ).start()
         servers = pool()
-        servers.add("s", ("127.0.0.1", server.port))
+        servers.set_endpoint("s", ("127.0.0.1", server.port))
         assert await result(servers) is AttemptResult.ERROR  # and not turned away
         server.stop()
         servers.close()
@@ -129,9 +129,9 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         servers = pool()
-        servers.add("s", server.sockets[0].getsockname())
+        servers.set_endpoint("s", server.sockets[0].getsockname())
         assert await result(servers) is expected
-        await until(lambda: not servers.size)
+        await until(lambda: not servers.connection_count)
         server.close()
 
     asyncio.run(main())
@@ -146,7 +146,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         servers = pool()
-        servers.add("s", server.sockets[0].getsockname())
+        servers.set_endpoint("s", server.sockets[0].getsockname())
         assert await result(servers) is AttemptResult.RESET
         server.close()
 
@@ -157,9 +157,9 @@
     async def main():
         address = ("127.0.0.1", free_port())
         servers = pool()
-        servers.add("s", address)
+        servers.set_endpoint("s", address)
         assert await result(servers) is AttemptResult.CONNECT_FAILED
-        await until(lambda: not servers.size)
+        await until(lambda: not servers.connection_count)
 
     asyncio.run(main())
 
@@ -168,7 +168,7 @@
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             servers = pool()
-            servers.add("s", listener.getsockname())
+            servers.set_endpoint("s", listener.getsockname())
             assert await result(servers, timeout_s=0.2) is AttemptResult.TIMEOUT
             peer, _ = listener.accept()
             with peer:
@@ -184,7 +184,7 @@
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             servers = pool()
-            servers.add("s", listener.getsockname())
+            servers.set_endpoint("s", listener.getsockname())
             outcome = asyncio.create_task(result(servers, data=b"x" * 30_000_000))
             loop = asyncio.get_running_loop()
             listener.setblocking(False)
@@ -202,10 +202,10 @@
     def __init__(self) -> None:
         self.told: list[object] = []
 
-    def answered(self, response: Response) -> None:
+    def on_response(self, response: Response) -> None:
         self.told.append(response)
 
-    def lost(self, written: bool) -> None:
+    def on_connection_lost(self, written: bool) -> None:
         self.told.append(written)
 
 
@@ -254,7 +254,7 @@
 def test_a_connection_that_closes_or_has_bytes_left_over_is_not_used_again(answer):
     async def main():
         server, servers = await against(answer).start(), pool()
-        servers.add("s", ("127.0.0.1", server.port))
+        servers.set_endpoint("s", ("127.0.0.1", server.port))
         assert [await result(servers) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
         assert server.connections == 2
         servers.close()
@@ -265,16 +265,16 @@
 
 def test_a_connection_settles_before_its_next_request_and_closes_if_more_comes_meanwhile(monkeypatch):
     """Guard: a second answer that came some milliseconds late passed for the next request's."""
-    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 20.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 20.0)
 
     async def main():
         server, servers = await Peer().start(), pool(server_idle_s=100.0)
-        servers.add("s", ("127.0.0.1", server.port))
+        servers.set_endpoint("s", ("127.0.0.1", server.port))
         assert [await result(servers) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
-        assert (server.connections, servers.size) == (2, 2)
+        assert (server.connections, servers.connection_count) == (2, 2)
         server._writers[0].write(reply())  # the second answer
-        await until(lambda: servers.size == 1)
-        for connection in servers._servers["s"].idle:
+        await until(lambda: servers.connection_count == 1)
+        for connection in servers._endpoints["s"].idle:
             connection.idle_since -= 20.0
         assert await result(servers) is AttemptResult.OK
         assert server.connections == 2
@@ -285,17 +285,17 @@
 
 
 def test_the_newest_idle_connection_is_used_first_and_an_old_one_never(monkeypatch):
-    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
         server, servers = await Peer().start(), pool()
-        servers.add("s", ("127.0.0.1", server.port))
+        servers.set_endpoint("s", ("127.0.0.1", server.port))
         await asyncio.gather(result(servers), result(servers))
         assert server.connections == 2
-        idle = servers._servers["s"].idle
+        idle = servers._endpoints["s"].idle
         old, new = idle
-        assert servers.take_idle(servers._servers["s"]) is new
-        servers.give_back(servers._servers["s"], new)
+        assert servers.acquire_idle(servers._endpoints["s"]) is new
+        servers.release(servers._endpoints["s"], new)
         for connection in idle:  # 5 of the server's 10 seconds have passed
             connection.idle_since -= 5.0
         assert await result(servers) is AttemptResult.OK
@@ -311,9 +311,9 @@
 def test_idle_connections_are_closed_by_themselves_in_time():
     async def main():
         server, servers = await Peer().start(), pool(server_idle_s=0.1)
-        servers.add("s", ("127.0.0.1", server.port))
+        servers.set_endpoint("s", ("127.0.0.1", server.port))
         await result(servers)
-        await until(lambda: not servers.size)
+        await until(lambda: not servers.connection_count)
         servers.close()
         server.stop()
 
@@ -324,10 +324,10 @@
     async def main():
         with never_up() as listener:
             servers = pool(connect_timeout_s=0.1)
-            servers.add("s", listener.getsockname())
+            servers.set_endpoint("s", listener.getsockname())
             assert await result(servers) is AttemptResult.CONNECT_FAILED
             servers = pool()
-            servers.add("s", listener.getsockname())
+            servers.set_endpoint("s", listener.getsockname())
             assert await result(servers, timeout_s=0.1) is AttemptResult.CONNECT_FAILED  # nor has it run
 
     asyncio.run(main())
@@ -336,13 +336,13 @@
 def test_a_pool_that_retires_closes_what_is_idle_and_keeps_nothing_more():
     async def main():
         server, servers = await Peer().start(), pool()
-        servers.add("s", ("127.0.0.1", server.port))
+        servers.set_endpoint("s", ("127.0.0.1", server.port))
         assert await result(servers) is AttemptResult.OK
-        assert servers.size == 1
-        servers.retire()
-        await until(lambda: not servers.size)
+        assert servers.connection_count == 1
+        servers.keep_no_idle()
+        await until(lambda: not servers.connection_count)
         assert await result(servers) is AttemptResult.OK  # what is still held may be sent on
-        await until(lambda: not servers.size)
+        await until(lambda: not servers.connection_count)
         server.stop()
         servers.close()
 
@@ -353,13 +353,13 @@
     async def main():
         with never_up() as listener:
             servers = pool()
-            servers.add("s", listener.getsockname())
+            servers.set_endpoint("s", listener.getsockname())
             outcome = asyncio.create_task(result(servers))
-            await until(lambda: servers.size)
-            servers.remove("s")
+            await until(lambda: servers.connection_count)
+            servers.remove_endpoint("s")
             assert await outcome is AttemptResult.CONNECT_FAILED
-            await until(lambda: not servers.size)
-            assert servers.send("s", lambda wait: DATA, 1.0, lambda *_: None) is None
+            await until(lambda: not servers.connection_count)
+            assert servers.start_attempt("s", lambda wait: DATA, 1.0, lambda *_: None) is None
 
     asyncio.run(main())
 
@@ -368,14 +368,14 @@
     async def main():
         server, servers = Held(), pool()
         await server.start()
-        servers.add("s", ("127.0.0.1", server.port))
+        servers.set_endpoint("s", ("127.0.0.1", server.port))
         outcome = asyncio.create_task(result(servers))
         await until(lambda: server.seen)
-        servers.remove("s")
+        servers.remove_endpoint("s")
         server.release.set()
         assert await outcome is AttemptResult.OK
         await asyncio.sleep(0)
-        assert servers.size == 0  # its connection is not kept
+        assert servers.connection_count == 0  # its connection is not kept
         server.stop()
 
     asyncio.run(main())
@@ -385,13 +385,13 @@
     async def main():
         quiet, busy, servers = await Peer().start(), Held(), pool(limit=2)
         await busy.start()
-        servers.add("s", ("127.0.0.1", quiet.port))
+        servers.set_endpoint("s", ("127.0.0.1", quiet.port))
         assert await result(servers) is AttemptResult.OK
-        servers.add("s2", ("127.0.0.1", busy.port))
+        servers.set_endpoint("s2", ("127.0.0.1", busy.port))
         ends: list[AttemptResult] = []
         for _ in range(3):
-            servers.send("s2", lambda wait: DATA, 20.0, lambda result, _: ends.append(result))
-        assert servers._servers["s"].idle == []
+            servers.start_attempt("s2", lambda wait: DATA, 20.0, lambda result, _: ends.append(result))
+        assert servers._endpoints["s"].idle == []
         await until(lambda: ends)
         assert ends == [AttemptResult.CONNECT_FAILED]  # the third: all are busy
         busy.release.set()
--- a/tests/node/upstream/test_writes.py
+++ b/tests/node/upstream/test_writes.py
@@ -15,10 +15,10 @@
 from loadbalancer.balancing.actions import Send
 from loadbalancer.balancing.events import AttemptOutcome, Request
 from loadbalancer.endpoints import AttemptResult
-from loadbalancer.node.http.body import HIGH_WATER, Body
+from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.http.client_connection import ClientConnection
 from loadbalancer.node.node import Node
-from loadbalancer.node.upstream.pool import Attempt, Pool
+from loadbalancer.node.upstream.pool import Attempt, ConnectionPool
 from tests.support.loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
@@ -52,7 +52,7 @@
     def __init__(self, node: Node, just_before: Callable[[], None] = lambda: None) -> None:
         self.ready = 0
         self.up = asyncio.Event()
-        opened = node.pool.open
+        opened = node.pool.open_connection
 
         async def late(endpoint):
             connection = await opened(endpoint)
@@ -62,13 +62,13 @@
                 just_before()
             return connection
 
-        node.pool.open = late
+        node.pool.open_connection = late
 
 
 async def is_over(node: Node) -> None:
     """Nothing of any request is left, and its caller's connection is closed."""
-    await until(lambda: not node.request_registry.held and not node.server.connections)
-    assert node.request_registry.open == 0
+    await until(lambda: not node.request_registry.active and not node.server.connections)
+    assert node.request_registry.unanswered == 0
     assert sum(peer.in_flight for peer in node.driver.balancer.endpoints.values()) == 0.0
 
 
@@ -91,7 +91,7 @@
 @CANCELS
 @pytest.mark.parametrize("how", LEAVINGS)
 def test_a_client_that_left_before_its_request_was_read_is_not_sent_on(how, cancel, monkeypatch):
-    monkeypatch.setattr("loadbalancer.node.upstream.pool.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
         async with running(Peer(), bounds=can(cancel)) as node:
@@ -163,17 +163,17 @@
 
 @CANCELS
 @pytest.mark.parametrize("how", LEAVINGS)
-@pytest.mark.parametrize("size", [HIGH_WATER, HIGH_WATER + 8192])
+@pytest.mark.parametrize("size", [HIGH_WATER_BYTES, HIGH_WATER_BYTES + 8192])
 def test_a_client_that_left_while_its_long_body_is_not_read_is_not_sent_on(size, how, cancel):
     async def main():
         server = Peer()
         async with running(server, bounds=can(cancel)) as node:
-            data = request("post", "q1", bytes(8 * HIGH_WATER))
+            data = request("post", "q1", bytes(8 * HIGH_WATER_BYTES))
             late = LateConnections(node)
-            client = Leaver(node, data[: len(data) - 8 * HIGH_WATER + size], how)
+            client = Leaver(node, data[: len(data) - 8 * HIGH_WATER_BYTES + size], how)
             await until(lambda: late.ready)
             (connection,) = node.server.connections
-            assert connection._reading.body_held  # so the loop will see no end
+            assert connection._read_control.body_paused  # so the loop will see no end
             client.leave()
             late.up.set()
             await is_over(node)
@@ -201,7 +201,7 @@
             late = LateConnections(node, all_leave)
             await until(lambda: late.ready + node.event_counts["answered 503"] == 24)
             late.up.set()
-            await until(lambda: not node.request_registry.held)
+            await until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 0
             assert late.ready > 1
 
@@ -218,7 +218,7 @@
                 return both if isinstance(event, Request) else []
 
             node.driver.balancer = scripted = Scripted(act)
-            opened, up = node.pool.open, asyncio.Event()
+            opened, up = node.pool.open_connection, asyncio.Event()
             addresses = {server: address for server, (_, address) in node.endpoint_list.endpoints.items()}
 
             async def late(endpoint):
@@ -226,10 +226,10 @@
                     await up.wait()
                 return await opened(endpoint)
 
-            node.pool.open = late
+            node.pool.open_connection = late
             assert (await ask(node, request())).status == 200
             up.set()
-            await until(lambda: not node.request_registry.held)
+            await until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 2
             results = {event.attempt: event.result for event in scripted.of(AttemptOutcome)}
             assert results == {0: AttemptResult.ABANDONED, 1: AttemptResult.OK}
@@ -246,7 +246,7 @@
             await until(lambda: server.seen)
             caller.writer.close()
             await until(lambda: node.event_counts["gone"])
-            assert node.request_registry.held
+            assert node.request_registry.active
             server.release.set()
             await is_over(node)
             assert node.event_counts["ok"] == 1
@@ -288,16 +288,16 @@
     class Source:
         def pause(self) -> None: ...
         def resume(self) -> None: ...
-        def abandoned(self) -> None: ...
+        def abandon(self) -> None: ...
 
     async def main():
         clock, loop, body = Jump(), asyncio.get_running_loop(), Body(Source())
-        server, pool = await Peer().start(), Pool(10, 10.0, 20.0)
-        pool.add("s", ("127.0.0.1", server.port))
+        server, pool = await Peer().start(), ConnectionPool(10, 10.0, 20.0)
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
-        body.put(b"half of it")
+        body.feed(b"half of it")
         head = b"POST /move/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: 20\r\n\r\n"
-        pool.send(
+        pool.start_attempt(
             "s", lambda wait: head, 20.0, lambda result, _: results.put_nowait(result), body,
             written_by=loop.time() + 9.0,
         )  # fmt: skip
@@ -305,9 +305,9 @@
         clock.forward(9.0)
         await until(lambda: not results.empty())
         assert results.get_nowait() is AttemptResult.CONNECT_FAILED
-        body.put(b"other half")
+        body.feed(b"other half")
         body.end()
-        await until(lambda: not pool.size)
+        await until(lambda: not pool.connection_count)
         assert (server.seen, results.empty()) == ([], True)
         pool.close()
         server.stop()
@@ -315,10 +315,12 @@
     asyncio.run(main())
 
 
-MEANWHILE: dict[str, Callable[[Pool, Attempt, Jump], None]] = {
-    "its server is drained": lambda pool, attempt, clock: pool.remove("s"),
-    "its server moves": lambda pool, attempt, clock: pool.add("s", ("127.0.0.1", 1)),
-    "its server was restarted": lambda pool, attempt, clock: pool.add("s", pool._servers["s"].endpoint, 5.0),
+MEANWHILE: dict[str, Callable[[ConnectionPool, Attempt, Jump], None]] = {
+    "its server is drained": lambda pool, attempt, clock: pool.remove_endpoint("s"),
+    "its server moves": lambda pool, attempt, clock: pool.set_endpoint("s", ("127.0.0.1", 1)),
+    "its server was restarted": lambda pool, attempt, clock: pool.set_endpoint(
+        "s", pool._endpoints["s"].address, 5.0
+    ),
     "it is cancelled": lambda pool, attempt, clock: attempt.cancel(),
     "it is withdrawn": lambda pool, attempt, clock: attempt.withdraw(),
     "its time is up": lambda pool, attempt, clock: clock.forward(5.0),
@@ -330,12 +332,14 @@
 def test_what_happens_in_the_turn_in_which_a_connection_comes_up_keeps_it_unwritten(what, when, monkeypatch):
     async def main():
         clock, loop = Jump(), asyncio.get_running_loop()
-        server, pool = await Peer().start(), Pool(10, 10.0, 20.0)
-        pool.add("s", ("127.0.0.1", server.port))
+        server, pool = await Peer().start(), ConnectionPool(10, 10.0, 20.0)
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
-        attempt = pool.send("s", lambda wait: DATA, 5.0, lambda result, _: results.put_nowait(result))
+        attempt = pool.start_attempt(
+            "s", lambda wait: DATA, 5.0, lambda result, _: results.put_nowait(result)
+        )
         assert attempt is not None
-        made, opened = ClientConnection.connection_made, pool.open
+        made, opened = ClientConnection.connection_made, pool.open_connection
         crossed = []
 
         def cross() -> None:
@@ -356,12 +360,12 @@
             return connection
 
         monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
-        monkeypatch.setattr(pool, "open", open_)
+        monkeypatch.setattr(pool, "open_connection", open_)
         expected = {"it is cancelled": {"cancelled"}, "its time is up": {"moot", "connect_failed"}}
         await until(lambda: not results.empty())
         assert results.get_nowait().value in expected.get(what, {"connect_failed"})
-        pool.retire()
-        await until(lambda: not pool.size)
+        pool.keep_no_idle()
+        await until(lambda: not pool.connection_count)
         await until(lambda: not any(writer.transport.is_reading() for writer in server._writers))
         assert (server.connections, crossed, server.seen) == (1, [what], [])
         assert results.empty()
@@ -378,13 +382,13 @@
     async def main():
         server = Peer()
         async with running(server) as node:
-            opened = node.pool.open
+            opened = node.pool.open_connection
 
             async def failing(endpoint):
-                node.pool.open = opened
+                node.pool.open_connection = opened
                 raise fault
 
-            node.pool.open = failing
+            node.pool.open_connection = failing
             async with asyncio.timeout(15):  # its own time is 30 s
                 assert (await ask(node, request("post", "q1"))).status == 503
             assert node.event_counts["connect_failed"] == 1
@@ -397,9 +401,9 @@
 def test_a_new_connection_that_its_server_ends_at_once_is_not_written_to(how):
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            pool, accepted = Pool(10, 10.0, 20.0), []
-            pool.add("s", listener.getsockname())
-            opened, results = pool.open, asyncio.Queue[AttemptResult]()
+            pool, accepted = ConnectionPool(10, 10.0, 20.0), []
+            pool.set_endpoint("s", listener.getsockname())
+            opened, results = pool.open_connection, asyncio.Queue[AttemptResult]()
 
             async def ended(endpoint):
                 connection = await opened(endpoint)
@@ -409,11 +413,11 @@
                 accepted[0].sendall(b"HTTP/1.1 400 x\r\n") if how == "speaks" else accepted[0].close()
                 return connection
 
-            pool.open = ended  # type: ignore[method-assign]
-            pool.send("s", lambda wait: DATA, 5.0, lambda result, _: results.put_nowait(result))
+            pool.open_connection = ended  # type: ignore[method-assign]
+            pool.start_attempt("s", lambda wait: DATA, 5.0, lambda result, _: results.put_nowait(result))
             await until(lambda: not results.empty())
             assert results.get_nowait() is AttemptResult.CONNECT_FAILED
-            await until(lambda: not pool.size)
+            await until(lambda: not pool.connection_count)
             pool.close()
             accepted[0].close()
 
@@ -466,7 +470,7 @@
             server.script = None
             assert (await again.answer()).status == statuses[cancel]
             server.release.set()
-            await until(lambda: not node.request_registry.held)
+            await until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 1 + (statuses[cancel] == 200)
             again.writer.close()
 
@@ -517,9 +521,9 @@
 @pytest.mark.parametrize("then", ["cancel", "withdraw"])
 def test_an_attempt_for_which_there_is_no_room_has_one_result_whatever_comes_before_it_is_told(then):
     async def main():
-        pool, results = Pool(0, 10.0, 20.0), []
-        pool.add("s", ("127.0.0.1", 1))
-        attempt = pool.send("s", lambda wait: DATA, 5.0, lambda result, _: results.append(result))
+        pool, results = ConnectionPool(0, 10.0, 20.0), []
+        pool.set_endpoint("s", ("127.0.0.1", 1))
+        attempt = pool.start_attempt("s", lambda wait: DATA, 5.0, lambda result, _: results.append(result))
         assert attempt is not None
         assert results == []
         getattr(attempt, then)()
--- a/tests/registry/test_groups_crowd.py
+++ b/tests/registry/test_groups_crowd.py
@@ -13,7 +13,7 @@
 import orjson
 import pytest
 
-from loadbalancer.node.http.service_http import Client
+from loadbalancer.node.http.service_http import HttpClient
 from loadbalancer.registry.fleet_state import MAX_GROUP_MEMBERS
 from tests.support.group_registry import LIMIT_S, GroupRegistry
 from tests.support.hollow_members import Hollows
@@ -69,7 +69,7 @@
 
 async def fill(port: int, service: str, many: int) -> None:
     """Enrol so many processes of which nothing more is heard."""
-    client, slots = Client(), asyncio.Semaphore(AT_ONCE)
+    client, slots = HttpClient(), asyncio.Semaphore(AT_ONCE)
 
     async def enrol(number: int) -> None:
         about = {"name": f"f{number}", "address": f"127.0.0.1:{30_000 + number}", "start": f"f{number}"}
--- a/tests/registry/test_groups_faults.py
+++ b/tests/registry/test_groups_faults.py
@@ -14,7 +14,7 @@
 import orjson
 import pytest
 
-from loadbalancer.node.http.service_http import Reply
+from loadbalancer.node.http.service_http import ReceivedResponse
 from tests.support.group_registry import LIMIT_S, GroupRegistry
 from tests.support.hollow_members import Hollow, Hollows, Post
 from tests.support.registry_processes import until
@@ -240,10 +240,12 @@
     def __init__(self) -> None:
         self.kind = "none"
         self.held = self.waiting = False
-        self.given: list[Reply] = []  # all answers so far, as they came
+        self.given: list[ReceivedResponse] = []  # all answers so far, as they came
         self.injected = 0
 
-    async def post(self, path: str, body: dict[str, Any], timeout_ms: float, through: Post) -> Reply:
+    async def post(
+        self, path: str, body: dict[str, Any], timeout_ms: float, through: Post
+    ) -> ReceivedResponse:
         while self.held:
             self.waiting = True
             await asyncio.sleep(0.01)
@@ -265,7 +267,7 @@
             case "gap" if changes and told["rev"] > told["since"] + 1 and self.injected < 1:
                 self.injected += 1
                 later = {"since": told["since"] + 1, "members": told["members"][1:]}
-                return Reply(reply.status, reply.headers, orjson.dumps(told | later))
+                return ReceivedResponse(reply.status, reply.headers, orjson.dumps(told | later))
             case "older" if self.injected < 1:
                 older = next((one for one in self.given if _begins_elsewhere(one, body["acked"])), None)
                 if older is not None:
@@ -274,7 +276,7 @@
         return reply
 
 
-def _begins_elsewhere(reply: Reply, acked: int) -> bool:
+def _begins_elsewhere(reply: ReceivedResponse, acked: int) -> bool:
     told = orjson.loads(reply.body)
     return told.get("since") is not None and told["since"] != acked
 
--- a/tests/registry/test_groups_upgrade.py
+++ b/tests/registry/test_groups_upgrade.py
@@ -15,7 +15,7 @@
 
 from loadbalancer.membership import MemberLease
 from loadbalancer.node.control.registry_client import decode_lease_answer
-from loadbalancer.node.http.service_http import Reply
+from loadbalancer.node.http.service_http import ReceivedResponse
 from tests.registry.test_registry_fleet import Member
 from tests.support.group_registry import LIMIT_S, GroupRegistry, GroupSampler
 from tests.support.hollow_members import Hollow, Hollows, Post
@@ -127,14 +127,16 @@
 # ------------------------------------------------------------------ one by one
 
 
-async def as_first_release(path: str, body: dict[str, Any], timeout_ms: float, through: Post) -> Reply:
+async def as_first_release(
+    path: str, body: dict[str, Any], timeout_ms: float, through: Post
+) -> ReceivedResponse:
     """A call as a node of the first release makes it, and its answer as that understands it."""
     said = {key: value for key, value in body.items() if key not in ("service", "delta")}
     reply = await through(path, said, timeout_ms)
     if path not in ("enrol", "renew") or reply.status != 200:
         return reply
     told = {key: value for key, value in orjson.loads(reply.body).items() if key not in ADDED}
-    return Reply(reply.status, reply.headers, orjson.dumps(told))
+    return ReceivedResponse(reply.status, reply.headers, orjson.dumps(told))
 
 
 def takes(members: list[Hollow], share: float) -> Callable[[float], bool]:
--- a/tests/registry/test_registry_parts.py
+++ b/tests/registry/test_registry_parts.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.node.http.service_http import MAX_HEAD, Answer, Call, Limits, serve
+from loadbalancer.node.http.service_http import MAX_HEAD, HttpRequest, HttpResponse, ServerLimits, serve
 from loadbalancer.registry import watch
 from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.errors import ConfigError
@@ -71,10 +71,10 @@
 
 def test_peers_that_send_nothing_garbage_a_head_without_end_or_come_too_often_are_closed() -> None:
     async def main() -> tuple[bytes, ...]:
-        async def never(call: Call) -> Answer:
+        async def never(call: HttpRequest) -> HttpResponse:
             raise AssertionError("no request should reach the handler")
 
-        limits = Limits(body=10, idle_s=0.05, connections=3)
+        limits = ServerLimits(body=10, idle_s=0.05, connections=3)
         server = await serve(("127.0.0.1", 0), never, limits)
         address = server.sockets[0].getsockname()[:2]
         silent_reader, _ = await asyncio.open_connection(*address)
@@ -100,4 +100,4 @@
 
 @pytest.mark.parametrize("fields", [{}, {"since": "", "timeout_ms": ""}, {"timeout_ms": "0"}])
 def test_a_field_of_a_watch_that_is_empty_is_as_one_that_is_not_there(fields: dict[str, str]) -> None:
-    assert watch.parse_query(Call("GET", "/discovery/hosts", fields, {}, b"")) == (None, 0.0)
+    assert watch.parse_query(HttpRequest("GET", "/discovery/hosts", fields, {}, b"")) == (None, 0.0)
--- a/tests/registry/test_renewal_relay.py
+++ b/tests/registry/test_renewal_relay.py
@@ -10,13 +10,13 @@
 import pytest
 import structlog
 
-from loadbalancer.node.http.service_http import Answer, Call, Client, serve
+from loadbalancer.node.http.service_http import HttpClient, HttpRequest, HttpResponse, serve
 from loadbalancer.registry.batch import MAX_BATCH_COUNT
 from loadbalancer.registry.errors import NotCommittedError
 from loadbalancer.registry.messages import RenewRequest
 from loadbalancer.registry.renewal_relay import RENEW_MANY_PATH, RenewalRelay, decode_renewals, encode_answers
 
-Handler = Callable[[Call], Awaitable[Answer]]
+Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 LOG = structlog.stdlib.get_logger()
 
 
@@ -24,11 +24,11 @@
     return RenewRequest(incarnation=incarnation, seq=1, acked=0, using=0.5, delta=True)
 
 
-async def relayed(handler: Handler, count: int) -> list[Answer | BaseException]:
+async def relayed(handler: Handler, count: int) -> list[HttpResponse | BaseException]:
     """What each of so many renewals at once is answered."""
     server = await serve(("127.0.0.1", 0), handler)
     host, port = server.sockets[0].getsockname()
-    client = Client()
+    client = HttpClient()
     relay = RenewalRelay(client, lambda: f"{host}:{port}", LOG)
     try:
         calls = (relay.renew(renewal(number)) for number in range(count))
@@ -39,12 +39,14 @@
 
 
 def test_renewals_of_one_moment_are_few_calls_and_each_gets_its_own_answer() -> None:
-    calls: list[Call] = []
+    calls: list[HttpRequest] = []
 
-    async def lead(call: Call) -> Answer:
+    async def lead(call: HttpRequest) -> HttpResponse:
         calls.append(call)
         renewals = decode_renewals(call.body)
-        rows = [Answer(404 if row.incarnation == 7 else 200, b"%d" % row.incarnation) for row in renewals]
+        rows = [
+            HttpResponse(404 if row.incarnation == 7 else 200, b"%d" % row.incarnation) for row in renewals
+        ]
         return encode_answers(rows)
 
     answers = asyncio.run(relayed(lead, MAX_BATCH_COUNT + 20))
@@ -60,16 +62,18 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        Answer(503, b"{}"),
-        Answer(200, b"{}"),
-        Answer(200, b"[]"),
-        Answer(200, b'[{"status":"x","body":1}]'),
-        Answer(200, b"\xff"),
+        HttpResponse(503, b"{}"),
+        HttpResponse(200, b"{}"),
+        HttpResponse(200, b"[]"),
+        HttpResponse(200, b'[{"status":"x","body":1}]'),
+        HttpResponse(200, b"\xff"),
     ],
     ids=["refused", "no list", "too few", "a wrong type", "no text"],
 )
-def test_a_leader_that_does_not_answer_as_it_should_fails_every_renewal_of_the_batch(answer: Answer) -> None:
-    async def lead(call: Call) -> Answer:
+def test_a_leader_that_does_not_answer_as_it_should_fails_every_renewal_of_the_batch(
+    answer: HttpResponse,
+) -> None:
+    async def lead(call: HttpRequest) -> HttpResponse:
         return answer
 
     failures = asyncio.run(relayed(lead, 3))
@@ -78,7 +82,7 @@
 
 def test_without_a_leader_renewals_fail_at_once() -> None:
     async def main() -> None:
-        relay = RenewalRelay(Client(), lambda: None, LOG)
+        relay = RenewalRelay(HttpClient(), lambda: None, LOG)
         with pytest.raises(ConnectionError):
             await asyncio.wait_for(relay.renew(renewal(1)), 5.0)
 
@@ -105,7 +109,7 @@
     """Guard: a fault other than an OSError left them waiting for good."""
 
     async def main() -> None:
-        relay = RenewalRelay(Client(), lambda: "no address", LOG)
+        relay = RenewalRelay(HttpClient(), lambda: "no address", LOG)
         with pytest.raises(ConnectionError):
             await asyncio.wait_for(relay.renew(renewal(1)), 5.0)
 
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -39,7 +39,7 @@
     def resume(self) -> None:
         """So too."""
 
-    def abandoned(self) -> None:
+    def abandon(self) -> None:
         """Nobody else is told."""
 
 
@@ -52,7 +52,7 @@
     def end(self) -> None:
         """Nothing waits for it."""
 
-    def broken(self) -> None:
+    def fail(self) -> None:
         """Nor for this."""
 
 
--- a/tests/support/faults/post.py
+++ b/tests/support/faults/post.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from loadbalancer.node.http.service_http import Answer, Call, call, serve
+from loadbalancer.node.http.service_http import HttpRequest, HttpResponse, send_request, serve
 from tests.support.faults.link import Address
 from tests.support.faults.loops import LoopThread
 
@@ -64,17 +64,17 @@
         for held in self._loops.call(lambda: [self._holds.pop() for _ in list(self._holds)]):
             held.release()
 
-    async def _handle(self, request: Call) -> Answer:
+    async def _handle(self, request: HttpRequest) -> HttpResponse:
         await self._pass(request.path, answers=False)
         try:
             target = request.path + (f"?{urlencode(request.query)}" if request.query else "")
-            reply = await call(self._agent, request.method, target, request.body, PATIENCE_S)
+            reply = await send_request(self._agent, request.method, target, request.body, PATIENCE_S)
         except (OSError, TimeoutError):
-            return Answer(503)
+            return HttpResponse(503)
         body = self._renamed(reply.body) if request.path in ("/fleet/enrol", "/fleet/renew") else reply.body
         await self._pass(request.path, answers=True)
         kept = {name: value for name, value in reply.headers.items() if name != "content-length"}
-        return Answer(reply.status, body, kept)
+        return HttpResponse(reply.status, body, kept)
 
     async def _pass(self, path: str, answers: bool) -> None:
         await asyncio.sleep(self._delay_s[answers])
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -23,7 +23,7 @@
 from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.lease_client import LeaseClient
 from loadbalancer.node.control.registry_client import RegistryClient
-from loadbalancer.node.http.service_http import Reply
+from loadbalancer.node.http.service_http import ReceivedResponse
 from loadbalancer.staleness import ClockOffsets
 from tests.support.faults import LoopThread
 from tests.support.group_registry import LIMIT_S, MOST
@@ -32,7 +32,7 @@
 SAMPLE_S = 0.02
 WORDS_S = 0.1  # how often siblings hear of each other
 
-Post = Callable[[str, dict[str, Any], float], Awaitable[Reply]]
+Post = Callable[[str, dict[str, Any], float], Awaitable[ReceivedResponse]]
 
 
 class Line(RegistryClient):
@@ -45,7 +45,7 @@
         super().__init__(self._next)
         self.instances = list(instances)
         self.reached: Callable[[int], bool] = lambda index: True
-        self.on_post: Callable[[str, dict[str, Any], float, Post], Awaitable[Reply]] | None = None
+        self.on_post: Callable[[str, dict[str, Any], float, Post], Awaitable[ReceivedResponse]] | None = None
         self.answers: Counter[tuple[str, int]] = Counter()  # by path and status
         self._turn = count()
 
@@ -56,7 +56,7 @@
                 return self.instances[index]
         raise ConnectionError("cut off from every instance")
 
-    async def post(self, path: str, body: dict[str, Any], timeout_ms: float) -> Reply:
+    async def post(self, path: str, body: dict[str, Any], timeout_ms: float) -> ReceivedResponse:
         through = super().post
         reply = await (
             through(path, body, timeout_ms)
--- a/tests/support/pooled.py
+++ b/tests/support/pooled.py
@@ -12,7 +12,7 @@
 from loadbalancer.node.http.body import Body
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 from loadbalancer.node.http.socket_buffer import readable
-from loadbalancer.node.upstream.pool import Pool
+from loadbalancer.node.upstream.pool import ConnectionPool
 from tests.support.loopback import reply, until
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
@@ -26,8 +26,8 @@
 
     def __init__(self, listener: socket.socket, limit: int) -> None:
         self.listener = listener
-        self.pool = Pool(limit, 100.0, 20.0)
-        self.pool.add("s", listener.getsockname())
+        self.pool = ConnectionPool(limit, 100.0, 20.0)
+        self.pool.set_endpoint("s", listener.getsockname())
         self.ends: list[AttemptResult] = []
         self.answers: list[Response] = []
         self.peers: list[socket.socket] = []
@@ -38,7 +38,7 @@
             if response is not None:
                 self.answers.append(response)
 
-        self.pool.send("s", lambda wait: data, timeout_s, on_result, body)
+        self.pool.start_attempt("s", lambda wait: data, timeout_s, on_result, body)
 
     async def accept(self) -> socket.socket:
         async with asyncio.timeout(20):
@@ -68,7 +68,7 @@
 
     @property
     def idle(self) -> list[ClientConnection]:
-        return self.pool._servers["s"].idle
+        return self.pool._endpoints["s"].idle
 
     async def end(self, count: int = 1) -> list[AttemptResult]:
         await until(lambda: len(self.ends) >= count)
@@ -106,12 +106,12 @@
 
     def write(self, data: bytes) -> None:
         self.size += len(data)
-        self.body.hold()
+        self.body.pause()
 
     def end(self) -> None:
         self.said.append("end")
 
-    def broken(self) -> None:
+    def fail(self) -> None:
         self.said.append("broken")
 
 
@@ -145,5 +145,5 @@
     def resume(self) -> None:
         self.said.append("resume")
 
-    def abandoned(self) -> None:
+    def abandon(self) -> None:
         self.said.append("abandoned")
--- a/tests/test_settings_kinds.py
+++ b/tests/test_settings_kinds.py
@@ -77,7 +77,7 @@
 def sound(node: Node) -> None:
     assert not node.event_counts["faults"]
     assert not node.event_counts["backstop"]
-    assert not node.request_registry.held
+    assert not node.request_registry.active
 
 
 @pytest.mark.parametrize("kind", list(KINDS))
@@ -161,7 +161,7 @@
             for _ in range(50):  # periods go by, each of which might send another
                 node.handle_event(TimerFired("period"))
             assert sum(len(server.seen) for server in servers) == 1
-            assert node.request_registry.held["q1"].out == 1
+            assert node.request_registry.active["q1"].attempts_in_flight == 1
             for server in servers:
                 server.release.set()
             assert (await caller.answer()).status == 200
@@ -197,7 +197,7 @@
                 answer = await ask(node, asked("post", "q1"))
                 assert answer.status == 503  # never written, so a refusal
                 sound(node)
-                await until(lambda: not node.pool.size)
+                await until(lambda: not node.pool.connection_count)
 
     asyncio.run(main())
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 
-from loadbalancer.settings import settings_from
+from loadbalancer.settings import parse_settings
 from loadbalancer.simulator_adapter import Host, WireError, run
 
 ROOT = Path(__file__).parents[1]
@@ -124,28 +124,32 @@
 def test_each_outcome_of_each_kind(lane, rc, answer):
     host = Host()
     host.now = 1000.0
-    rows = [row for event in (catalog(), *start(), request("q", lane=lane)) for row in host.event(event)]
+    rows = [
+        row for event in (catalog(), *start(), request("q", lane=lane)) for row in host.handle_event(event)
+    ]
     server = of(rows, "ISSUE")[0]["server"]
-    assert [row["kind"] for row in host.event(returned("q", server, rc, False))] == [answer]
+    assert [row["kind"] for row in host.handle_event(returned("q", server, rc, False))] == [answer]
 
 
 def test_an_outcome_of_an_ended_request_and_a_lapse_of_one_are_quiet():
     host = Host()
     host.now = 1000.0
-    rows = [row for event in (catalog(), *start(), request("q")) for row in host.event(event)]
+    rows = [row for event in (catalog(), *start(), request("q")) for row in host.handle_event(event)]
     server = of(rows, "ISSUE")[0]["server"]
-    assert [row["kind"] for row in host.event({"kind": "LAPSED", "node": 0, "txn": "q"})] == ["RETRACT"]
-    assert host.event({"kind": "LAPSED", "node": 0, "txn": "q"}) == []
-    assert host.event(returned("q", server, 0, True, telemetry=[3, 0.5])) == []
+    assert [row["kind"] for row in host.handle_event({"kind": "LAPSED", "node": 0, "txn": "q"})] == [
+        "RETRACT"
+    ]
+    assert host.handle_event({"kind": "LAPSED", "node": 0, "txn": "q"}) == []
+    assert host.handle_event(returned("q", server, 0, True, telemetry=[3, 0.5])) == []
 
 
 def test_reports_reach_the_module_in_the_order_of_the_settings():
     host = Host()
     host.now = 1000.0
-    rows = [row for event in (catalog(), *start(), request("q")) for row in host.event(event)]
+    rows = [row for event in (catalog(), *start(), request("q")) for row in host.handle_event(event)]
     server = of(rows, "ISSUE")[0]["server"]
-    host.event(returned("q", server, 0, True, telemetry=[3, None]))
-    peer = host.nodes[0].brain.endpoints[server]
+    host.handle_event(returned("q", server, 0, True, telemetry=[3, None]))
+    peer = host.nodes[0].balancer.endpoints[server]
     assert peer.reported_queue == 3
     assert peer.utilisation is None
 
@@ -154,38 +158,40 @@
     host = Host()
     host.now = 1000.0
     for event in (catalog(0, 2), *start(0), catalog(0, 5), *start(1)):
-        host.event(event)
-    assert [len(host.nodes[node].brain.endpoints) for node in (0, 1)] == [2, 5]
+        host.handle_event(event)
+    assert [len(host.nodes[node].balancer.endpoints) for node in (0, 1)] == [2, 5]
 
 
 def test_a_stop_and_a_start_within_a_batch_leave_nothing_behind():
     host = Host()
     host.now = 1000.0
     for event in (catalog(), *start(), request("q"), {"kind": "STOP", "node": 0}, *start()):
-        host.event(event)
-    assert host.nodes[0].brain.pending == {}
+        host.handle_event(event)
+    assert host.nodes[0].balancer.pending == {}
 
 
 def test_membership_forms():
     host = Host()
     host.now = 1000.0
     for event in (catalog(), *start()):
-        host.event(event)
-    failed = host.event({"kind": "MEMBERSHIP", "node": 0, "form": "failed", "generation": 2, "ref": None})
+        host.handle_event(event)
+    failed = host.handle_event(
+        {"kind": "MEMBERSHIP", "node": 0, "form": "failed", "generation": 2, "ref": None}
+    )
     assert [row["kind"] for row in failed] == ["SLEEP"]
-    host.event(catalog(1, 1, stageState="removed"))
-    host.event({"kind": "MEMBERSHIP", "node": 0, "form": "delta", "generation": 3, "ref": 1})
-    assert len(host.nodes[0].brain.endpoints) == 2
-    host.event(catalog(2, 1))
-    host.event({"kind": "MEMBERSHIP", "node": 0, "form": "full", "generation": 4, "ref": 2})
-    assert list(host.nodes[0].brain.endpoints) == ["10.0.0.0:1"]
+    host.handle_event(catalog(1, 1, stageState="removed"))
+    host.handle_event({"kind": "MEMBERSHIP", "node": 0, "form": "delta", "generation": 3, "ref": 1})
+    assert len(host.nodes[0].balancer.endpoints) == 2
+    host.handle_event(catalog(2, 1))
+    host.handle_event({"kind": "MEMBERSHIP", "node": 0, "form": "full", "generation": 4, "ref": 2})
+    assert list(host.nodes[0].balancer.endpoints) == ["10.0.0.0:1"]
 
 
 def test_other_events_are_taken():
     host = Host()
     host.now = 1000.0
     for event in (catalog(), *start()):
-        host.event(event)
+        host.handle_event(event)
     quiet = [
         {"kind": "PEER", "node": 0, "by": 1, "contents": "aGk="},
         {
@@ -206,12 +212,12 @@
         },
         {"kind": "ALARM", "node": 0, "name": "not ours"},
     ]
-    assert [host.event(event) for event in quiet] == [[], [], [], []]
-    assert host.nodes[0].brain.endpoints["10.0.0.1:1"].reported_queue == 4
+    assert [host.handle_event(event) for event in quiet] == [[], [], [], []]
+    assert host.nodes[0].balancer.endpoints["10.0.0.1:1"].reported_queue == 4
 
 
 def test_absent_settings_take_their_defaults():
-    settings = settings_from({"categories": CONFIG["categories"][:1]})
+    settings = parse_settings({"categories": CONFIG["categories"][:1]})
     assert settings.siblings == 1
     assert settings.tenants == ()
     assert settings.max_attempts == 1
@@ -227,7 +233,7 @@
     ],
 )
 def test_what_goes_wrong_at_a_node_is_its_panic(event, capsys):
-    rows = Host().event(event)
+    rows = Host().handle_event(event)
     assert [(row["kind"], row["node"]) for row in rows] == [("PANIC", 3)]
     assert rows[0]["bodyText"]
     assert capsys.readouterr().out == ""
@@ -236,15 +242,15 @@
 def test_unknown_kind_at_a_running_node_is_its_panic():
     host = Host()
     for event in (catalog(), *start()):
-        host.event(event)
-    assert host.event({"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
+        host.handle_event(event)
+    assert host.handle_event({"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
 
 
 def test_a_request_of_an_unknown_class_is_a_panic_not_a_guess():
     host = Host()
     for event in (catalog(), *start()):
-        host.event(event)
-    assert host.event(request("q", lane="unheard of"))[0]["kind"] == "PANIC"
+        host.handle_event(event)
+    assert host.handle_event(request("q", lane="unheard of"))[0]["kind"] == "PANIC"
 
 
 @pytest.mark.parametrize(
@@ -285,7 +291,7 @@
         host = Host()
         host.now = 1000.0
         mixed = [row for rows in zip(*(events(node) for node in nodes), strict=True) for row in rows]
-        acts = [act for event in mixed for act in host.event(event)]
+        acts = [act for event in mixed for act in host.handle_event(event)]
         return {node: [act for act in acts if act["node"] == node] for node in nodes}
 
     together = played([0, 1, 2])
@@ -302,8 +308,8 @@
 def test_a_panic_names_the_event_and_the_bad_value(event, said):
     host = Host()
     for one in (catalog(), *start()):
-        host.event(one)
-    (row,) = host.event(event)
+        host.handle_event(one)
+    (row,) = host.handle_event(event)
     assert row["kind"] == "PANIC"
     assert event["kind"] in row["bodyText"]
     assert said in row["bodyText"]
@@ -313,4 +319,4 @@
 def test_a_missing_setting_is_named(key):
     lane = {name: value for name, value in CONFIG["categories"][0].items() if name != key}
     with pytest.raises(ValueError, match=f"categories.{key}: missing"):
-        settings_from({"categories": [lane]})
+        parse_settings({"categories": [lane]})
--- a/tests/wire/test_golden_registry.py
+++ b/tests/wire/test_golden_registry.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 
-from loadbalancer.node.http.service_http import Call, Client
+from loadbalancer.node.http.service_http import HttpClient, HttpRequest
 from loadbalancer.registry.forwarding import forward
 from loadbalancer.registry.renewal_relay import RenewalRelay, decode_renewals, encode_answers
 from tests.support.golden import PRESENT
@@ -33,5 +33,5 @@
 
 
 def test_an_instance_passes_calls_and_renewals_on_to_the_one_that_leads() -> None:
-    played = play(Functions(Client, Call, forward, RenewalRelay, decode_renewals, encode_answers))
+    played = play(Functions(HttpClient, HttpRequest, forward, RenewalRelay, decode_renewals, encode_answers))
     assert orjson.loads(orjson.dumps(played)) == orjson.loads((DATA / "relay.json").read_bytes())
