--- a/loadbalancer/node/attempt_dispatcher.py
+++ b/loadbalancer/node/attempt_dispatcher.py
@@ -1,10 +1,11 @@
-"""Sends of the module: each becomes an attempt at a server, or none, and has exactly one outcome."""
+"""Carries out the balancer's Send actions: each has one outcome, whether or not an attempt is made."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
 from collections.abc import Callable
+from http import HTTPStatus
 
 from loadbalancer.balancing.actions import Cancel, Send
 from loadbalancer.balancing.events import AttemptOutcome, Event
@@ -17,10 +18,14 @@
 from loadbalancer.service_settings import Settings
 from loadbalancer.settings import parse_load_report
 
+LOAD_REPORT_HEADER = b"srv-load"
+
 
 class AttemptDispatcher:
-    """Makes attempts and tells their outcomes to `on_outcome`, in its order: whoever else is to hear of every
-    outcome (server, result, latency in ms, load report) is appended there."""
+    """Makes attempts, and calls `outcome_listeners` in their order with each outcome.
+
+    A further component that needs the outcomes appends its listener.
+    """
 
     def __init__(
         self,
@@ -40,75 +45,80 @@
         self.outcome_listeners: list[Callable[[AttemptOutcome], None]] = [self._count, handle_event]
 
     def send(self, action: Send) -> None:
-        job = self._requests.get(action.id)
-        number = len(job.attempts) if job is not None else 0
-        began = self._loop.time()
-        if job is not None:
-            job.attempts.append(None)  # a moot send has a number too
-        if job is None or number >= self._settings.max_attempts:
-            self._end(action, number, job, AttemptResult.ABANDONED, began)
+        """Start an attempt. One without an active request or over the limit of attempts is abandoned."""
+        active = self._requests.get(action.id)
+        number = len(active.attempts) if active is not None else 0
+        started_at = self._loop.time()
+        if active is not None:
+            active.attempts.append(None)  # an abandoned attempt has a number too
+        if active is None or number >= self._settings.max_attempts:
+            self._finish(action, number, active, AttemptResult.ABANDONED, started_at)
             return
-        body = job.inbound.body if job.inbound.body.complete_bytes is None else None
-        left = job.client_timeout_s if job.inbound.receiving else job.deadline - began
-        timeout = min(left, action.timeout_ms / 1000.0) if action.timeout_ms > 0.0 else left
-        job.attempts_in_flight += 1
+        inbound = active.inbound
+        body = inbound.body if inbound.body.complete_bytes is None else None
+        left_s = active.client_timeout_s if inbound.receiving else active.deadline - started_at
+        timeout_s = min(left_s, action.timeout_ms / 1000.0) if action.timeout_ms > 0.0 else left_s
+        active.attempts_in_flight += 1
 
         def on_result(result: AttemptResult, response: Response | None) -> None:
-            job.attempts_in_flight -= 1
-            job.attempts[number] = None
-            self._end(action, number, job, result, began, response)
+            active.attempts_in_flight -= 1
+            active.attempts[number] = None
+            self._finish(action, number, active, result, started_at, response)
 
         attempt = self._pool.start_attempt(
             action.server,
-            lambda wait: encode_forwarded(job.inbound, wait, body is not None),
-            timeout,
+            lambda wait_s: encode_forwarded(inbound, wait_s, body is not None),
+            timeout_s,
             on_result,
             body,
-            job.inbound.content_length is None,
-            lambda: self._requests.awaits_response(job),
+            inbound.content_length is None,
+            lambda: self._requests.awaits_response(active),
             self._clock.loop_time(action.written_by_ms),
         )
         if attempt is None:
             on_result(AttemptResult.CONNECT_FAILED, None)
         else:
-            job.attempts[number] = attempt
+            active.attempts[number] = attempt
 
     def cancel(self, action: Cancel) -> None:
-        job = self._requests.get(action.id)
-        attempt = job.attempts[action.attempt] if job and action.attempt < len(job.attempts) else None
+        """Cancel an attempt that is in flight."""
+        active = self._requests.get(action.id)
+        if active is None or action.attempt >= len(active.attempts):
+            return
+        attempt = active.attempts[action.attempt]
         if attempt is not None:
             attempt.cancel()
 
-    def _end(
+    def _finish(
         self,
         action: Send,
         number: int,
-        job: ActiveRequest | None,
+        active: ActiveRequest | None,
         result: AttemptResult,
-        began: float,
+        started_at: float,
         response: Response | None = None,
     ) -> None:
-        """The one outcome of a send. The first good answer goes to the client and ends its request."""
-        report = self._report(response)
-        if job is not None:
-            job.last_result = result
-            job.possibly_executed = job.possibly_executed or not result.never_executed
+        """Pass on the one outcome of a send. The first successful response answers its request."""
+        report = self._load_report(response)
+        if active is not None:
+            active.last_result = result
+            active.possibly_executed = active.possibly_executed or not result.never_executed
             if result is AttemptResult.OK and response is not None:
                 if response.stream is None:
-                    self._requests.respond(job, 200, bytes(response.body))
+                    self._requests.respond(active, HTTPStatus.OK, bytes(response.body))
                 else:
-                    self._requests.begin_stream(job, response.content_length, response.stream)
-            self._requests.release(job)
-        done = job is None or job.answered
-        since = began if job is None else max(began, job.received_at)
-        latency = (self._loop.time() - since) * 1000.0
-        outcome = AttemptOutcome(action.id, number, action.server, result, latency, done, report)
-        for hear in self.outcome_listeners:
-            hear(outcome)
+                    self._requests.begin_stream(active, response.content_length, response.stream)
+            self._requests.release(active)
+        answered = active is None or active.answered
+        since = started_at if active is None else max(started_at, active.received_at)
+        latency_ms = (self._loop.time() - since) * 1000.0
+        outcome = AttemptOutcome(action.id, number, action.server, result, latency_ms, answered, report)
+        for listener in self.outcome_listeners:
+            listener(outcome)
 
-    def _report(self, response: Response | None) -> dict[str, float] | None:
-        load = response.headers.get(b"srv-load") if response is not None else None
-        return parse_load_report(load.decode("latin-1"), self._settings.load_report_fields) if load else None
+    def _load_report(self, response: Response | None) -> dict[str, float] | None:
+        text = response.headers.get(LOAD_REPORT_HEADER) if response is not None else None
+        return parse_load_report(text.decode("latin-1"), self._settings.load_report_fields) if text else None
 
     def _count(self, outcome: AttemptOutcome) -> None:
         self._counts[outcome.result.value] += 1
--- a/loadbalancer/node/balancer_driver.py
+++ b/loadbalancer/node/balancer_driver.py
@@ -1,4 +1,4 @@
-"""The decision module's driver: events go in one at a time, actions that come out are carried out."""
+"""Drives the balancer: gives it one event at a time and carries out the actions that it returns."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import logging
 from collections import Counter, deque
 from collections.abc import Callable
+from http import HTTPStatus
 
 from loadbalancer.balancing import Balancer
 from loadbalancer.balancing.actions import Action, Cancel, Fail, Reject, Send, SetTimer, Watch
@@ -17,11 +18,11 @@
 
 log = logging.getLogger("loadbalancer")
 
-FAULT_PAUSE_S = 0.5  # before an alarm is tried again that a fault of the module has lost
+TIMER_RETRY_DELAY_S = 0.5  # before a timer is fired again whose event the balancer failed to handle
 
 
 class BalancerDriver:
-    """Owns the module, the events that wait for it and the alarms that it has asked for."""
+    """Owns the balancer, the events that are queued for it and the timers that it has set."""
 
     def __init__(
         self,
@@ -39,16 +40,16 @@
         self._attempts = attempts
         self._watcher = watcher
         self._counts = counts
-        self.before_event: list[Callable[[], None]] = []  # what has to be on time before an event is decided
+        self.before_event: list[Callable[[], None]] = []  # called before an event that is not nested
         self._events: deque[Event] = deque()
         self._is_handling = False
         self._timers: dict[str, asyncio.TimerHandle] = {}
 
     def handle_event(self, event: Event) -> None:
-        """Give the module an event and carry out what it says; events that come of that wait their turn."""
+        """Give the balancer an event and carry out its actions; events that these cause are queued."""
         if not self._is_handling:
-            for be_on_time in self.before_event:
-                be_on_time()
+            for hook in self.before_event:
+                hook()
         self._events.append(event)
         if self._is_handling:
             return
@@ -62,28 +63,30 @@
             self._is_handling = False
 
     def close(self) -> None:
-        for alarm in self._timers.values():
-            alarm.cancel()
+        """Cancel the timers."""
+        for timer in self._timers.values():
+            timer.cancel()
 
     def _decide(self, event: Event) -> list[Action]:
+        """Return the balancer's actions; a fault of it neither leaves a client without a response nor stops
+        its timers."""
         try:
             return self.balancer.handle(self._clock.ms(), event)
         except Exception:
-            # Guard: a fault of the module must leave no caller without an answer, nor stop its clockwork.
-            log.exception("the decision module failed on %s", type(event).__name__)
-            self._counts["faults"] += 1
+            log.exception("the balancer failed to handle %s", type(event).__name__)
+            self._counts["balancer faults"] += 1
             self._recover_from(event)
             return []
 
     def _recover_from(self, event: Event) -> None:
-        """Do in the module's place what nobody else would do after it has lost this event."""
+        """Do what is due for an event that the balancer has failed to handle."""
         if isinstance(event, Request | AttemptOutcome):
-            job = self._requests.get(event.id)
-            if job is not None and not job.answered and not job.attempts_in_flight:
-                self._requests.respond(job, 500)
+            active = self._requests.get(event.id)
+            if active is not None and not active.answered and not active.attempts_in_flight:
+                self._requests.respond(active, HTTPStatus.INTERNAL_SERVER_ERROR)
                 self._events.append(RequestCancelled(event.id))
         elif isinstance(event, TimerFired):
-            self._set_timer(FAULT_PAUSE_S, event.name)
+            self._set_timer(TIMER_RETRY_DELAY_S, event.name)
 
     def _carry_out(self, action: Action) -> None:
         match action:
--- a/loadbalancer/node/request_registry.py
+++ b/loadbalancer/node/request_registry.py
@@ -1,4 +1,4 @@
-"""Requests that the module knows of: how they are taken in, answered once, and forgotten."""
+"""The registry of requests that the balancer knows of: accepted, answered exactly once, and released."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from http import HTTPStatus
 
 from loadbalancer.balancing.actions import Fail, Reject
 from loadbalancer.balancing.events import Event, Request, RequestCancelled, RequestReceived
@@ -14,225 +15,239 @@
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.http.body import Body
+from loadbalancer.node.listener.errors import BadRequestError
 from loadbalancer.node.listener.inbound_request import InboundRequest
 from loadbalancer.node.listener.listener import Listener
-from loadbalancer.node.listener.request_translation import BadRequestError, parse_request
-from loadbalancer.node.upstream.pool import Attempt
+from loadbalancer.node.listener.request_translation import parse_request
+from loadbalancer.node.upstream.attempt import Attempt
 from loadbalancer.service_settings import Effect
 
-BACKSTOP_S = 0.005  # after which a request that the module left unanswered is answered for it
-CUT_OFF_S = 0.25  # past its caller's time a long answer is given up at a silence of its server of so long
-BODIES_SHARE = 0.25  # of the memory: requests still coming in,
-BODY_COST = 256 * 1024  # each of which may have so much on its way
+BACKSTOP_DELAY_S = 0.005  # past its deadline, a request without a response gets one from the registry
+STREAM_OVERRUN_S = 0.25  # past its deadline, a streamed response may be silent for so long at most
+RECEIVING_MEMORY_RATIO = 0.25  # of the node's memory: for requests that are being received
+MAX_RECEIVING_BYTES = 256 * 1024  # of memory that one of these may take
+BYTES_PER_MB = 1024 * 1024
 
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A request that the module knows of, until it is over and all its attempts have ended."""
+    """A request that the balancer knows of, until it is answered and none of its attempts is in flight."""
 
     id: str
-    service: str  # its class's name
+    service: str  # the name of its service class
     inbound: InboundRequest
-    deadline: float  # by the loop's clock
+    deadline: float  # loop time (s)
     client_timeout_s: float  # from its last byte on
-    received_at: float  # the loop's time when that came, of its being handed on until then
+    received_at: float  # loop time (s) of its last byte; of its dispatch until that has come
     backstop_timer: asyncio.TimerHandle | None = None
     answered: bool = False
-    attempts: list[Attempt | None] = field(default_factory=list)
+    attempts: list[Attempt | None] = field(default_factory=list)  # None for one that has ended
     attempts_in_flight: int = 0
     last_result: AttemptResult | None = None
-    possibly_executed: bool = False  # by the outcomes so far
-    cancelled: bool = False  # its caller went before it had an answer
+    possibly_executed: bool = False  # by the results so far
+    cancelled: bool = False  # its client disconnected before the response
 
 
 class RequestRegistry:
-    """All of them, by id. Each is answered exactly once; what is over the node's limits never gets here."""
+    """All active requests by id. A request over the node's limits is rejected and never becomes active."""
 
     def __init__(
         self,
         config: NodeConfig,
         clock: Clock,
-        server: Listener,
+        listener: Listener,
         metrics: NodeMetrics,
         counts: Counter[str],
         handle_event: Callable[[Event], None],
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._clock = clock
-        self._server = server
+        self._listener = listener
         self._metrics = metrics
         self._counts = counts
         self._handle_event = handle_event
-        self._classes = {kind.name: kind for kind in config.settings.classes}
-        self._max_open = config.max_open_requests
-        self.max_receiving = max(1, int(config.memory_mb * BODIES_SHARE * 1024 * 1024 / BODY_COST))
+        self._classes = {service_class.name: service_class for service_class in config.settings.classes}
+        self._max_in_progress = config.max_open_requests
+        receiving_bytes = config.memory_mb * RECEIVING_MEMORY_RATIO * BYTES_PER_MB
+        self.max_receiving = max(1, int(receiving_bytes / MAX_RECEIVING_BYTES))
         self.active: dict[str, ActiveRequest] = {}
-        # Requests that may have run when their callers left, for as long as these might still come again.
+        # Ids of cancelled requests that may have been executed, until their deadlines.
         self._cancelled_ids: set[str] = set()
-        self.unanswered = 0  # requests without a final answer
-        self.receiving = 0  # those of them whose last byte has yet to come
-        self.streaming = 0  # long answers under way
+        self.unanswered = 0
+        self.receiving = 0  # unanswered requests whose last byte has yet to come
+        self.streaming = 0  # responses that are being streamed
 
     @property
     def in_progress(self) -> int:
-        """Requests that a caller still waits for, wholly or for the rest of the answer."""
+        """The number of requests whose client waits for a response or for the rest of it."""
         return self.unanswered + self.streaming
 
-    def get(self, name: str) -> ActiveRequest | None:
-        return self.active.get(name)
+    def get(self, request_id: str) -> ActiveRequest | None:
+        """Return the active request of this id, if there is one."""
+        return self.active.get(request_id)
 
-    def awaits_response(self, job: ActiveRequest) -> bool:
-        """Whether its caller still waits for an answer; one whose end waits in the kernel has gone now."""
-        if not job.answered and job.inbound.connection.close_if_disconnected():
-            self._on_client_disconnected(job)
-        return not job.answered
+    def awaits_response(self, active: ActiveRequest) -> bool:
+        """Whether its client still waits; a disconnect that only the kernel has seen is handled now."""
+        if not active.answered and active.inbound.connection.close_if_disconnected():
+            self._on_client_disconnected(active)
+        return not active.answered
 
-    # ------------------------------------------------------------------ from callers
+    # ---------------------------------------------------------------- from clients
 
-    def receive(self, call: InboundRequest) -> None:
-        """A request has come in: the whole of it, or its head while the body still comes."""
-        self._counts["taken"] += 1
+    def receive(self, inbound: InboundRequest) -> None:
+        """Accept a request, of which perhaps only the head has come, or answer it with an error."""
+        self._counts["requests"] += 1
         try:
-            request, give_up_s = parse_request(call, self._classes, self._clock.ms(call.received_at))
-            self._check_new(request)
+            parsed = parse_request(inbound, self._classes, self._clock.ms(inbound.received_at))
+            self._check_new(parsed.request)
         except BadRequestError as error:
-            self._counts[f"bad {error.status}"] += 1
-            call.respond(error.status)
+            self._counts[f"bad requests {error.status}"] += 1
+            inbound.respond(error.status)
             return
-        many = call.receiving and self.receiving >= self.max_receiving
-        if many or self.in_progress >= self._max_open or self._server.over_limit:
-            # Guard: too many to hold. None of it has gone anywhere, so it is a refusal.
-            self._counts["over the limit"] += 1
-            self._metrics.count_response(request.service, 503)
-            call.respond(503)
+        request = parsed.request
+        # A request over a limit has gone to no endpoint, so a rejection is safe.
+        too_many_receiving = inbound.receiving and self.receiving >= self.max_receiving
+        if too_many_receiving or self.in_progress >= self._max_in_progress or self._listener.over_limit:
+            self._counts["over-limit rejections"] += 1
+            self._metrics.count_response(request.service, HTTPStatus.SERVICE_UNAVAILABLE)
+            inbound.respond(HTTPStatus.SERVICE_UNAVAILABLE)
             return
-        job = ActiveRequest(
-            request.id, request.service, call, call.received_at + give_up_s, give_up_s, call.received_at
+        received_at, timeout_s = inbound.received_at, parsed.client_timeout_s
+        active = ActiveRequest(
+            request.id, request.service, inbound, received_at + timeout_s, timeout_s, received_at
         )
-        self.active[request.id] = job
+        self.active[request.id] = active
         self.unanswered += 1
-        call.on_disconnected = lambda: self._on_client_disconnected(job)
-        if call.receiving:
+        inbound.on_disconnected = lambda: self._on_client_disconnected(active)
+        if inbound.receiving:
             self.receiving += 1
-            call.on_received = lambda: self._on_received(job)
+            inbound.on_received = lambda: self._on_received(active)
         else:
-            self._set_backstop(job)
+            self._set_backstop(active)
         self._handle_event(request)
 
     def _check_new(self, request: Request) -> None:
-        """Raises BadRequestError for an id that came before and may have run, or may yet."""
+        """Raise BadRequestError if the id is that of a request that waits, or that may have an effect yet."""
         earlier = self.active.get(request.id)
         if earlier is not None and self.awaits_response(earlier):
-            raise BadRequestError(400)
+            raise BadRequestError(HTTPStatus.BAD_REQUEST)
         if request.id in self.active or request.id in self._cancelled_ids:
-            # Guard: it must not be sent again as if new, nor be refused as harmless to try again unless
-            # its class is; while an attempt is out, even that would be a second copy.
-            safe = self._classes[request.service].effect is Effect.IDEMPOTENT
-            raise BadRequestError(503 if safe else 502)
-
-    def _on_received(self, job: ActiveRequest) -> None:
-        """The last byte has come of a request that was handed on before."""
-        if job.answered:
+            # An attempt of the earlier request may have been executed or still be in flight, so a further
+            # attempt could execute it twice. A rejection invites a retry, which only idempotence allows.
+            idempotent = self._classes[request.service].effect is Effect.IDEMPOTENT
+            raise BadRequestError(HTTPStatus.SERVICE_UNAVAILABLE if idempotent else HTTPStatus.BAD_GATEWAY)
+
+    def _on_received(self, active: ActiveRequest) -> None:
+        """Begin the time of a request at its last byte, which has come after its dispatch."""
+        if active.answered:
             return
         self.receiving -= 1
-        # Guard: what its server was slow to take had waited unread here, and its caller's time ran meanwhile.
-        job.received_at = job.inbound.received_at
-        job.deadline = job.received_at + job.client_timeout_s
-        self._set_backstop(job)
-        for attempt in job.attempts:
+        # The client's time runs while bytes wait unread here for an endpoint that is slow to take them.
+        active.received_at = active.inbound.received_at
+        active.deadline = active.received_at + active.client_timeout_s
+        self._set_backstop(active)
+        for attempt in active.attempts:
             if attempt is not None:
-                attempt.start_timeout(job.deadline - self._loop.time())
-        self._handle_event(RequestReceived(job.id, self._clock.ms(job.deadline)))
-
-    def _on_client_disconnected(self, job: ActiveRequest) -> None:
-        if not job.answered:
-            self._counts["gone"] += 1
-            job.cancelled = True
-            self._mark_answered(job)
-            self._handle_event(RequestCancelled(job.id))
-
-    def _set_backstop(self, job: ActiveRequest) -> None:
-        job.backstop_timer = self._loop.call_at(job.deadline + BACKSTOP_S, self._on_backstop, job)
+                attempt.start_timeout(active.deadline - self._loop.time())
+        self._handle_event(RequestReceived(active.id, self._clock.ms(active.deadline)))
+
+    def _on_client_disconnected(self, active: ActiveRequest) -> None:
+        if not active.answered:
+            self._counts["client disconnects"] += 1
+            active.cancelled = True
+            self._mark_answered(active)
+            self._handle_event(RequestCancelled(active.id))
+
+    def _set_backstop(self, active: ActiveRequest) -> None:
+        active.backstop_timer = self._loop.call_at(
+            active.deadline + BACKSTOP_DELAY_S, self._on_backstop, active
+        )
 
-    def _on_backstop(self, job: ActiveRequest) -> None:
-        # Guard: whatever the module does, the client gets an answer while it still waits.
-        if not job.answered:
-            self._counts["backstop"] += 1
-            self.respond(job, 504)
-            self._handle_event(RequestCancelled(job.id))
+    def _on_backstop(self, active: ActiveRequest) -> None:
+        """Answer a request that the balancer has left without a response."""
+        if not active.answered:
+            self._counts["backstop responses"] += 1
+            self.respond(active, HTTPStatus.GATEWAY_TIMEOUT)
+            self._handle_event(RequestCancelled(active.id))
 
-    # ----------------------------------------------------------------------- answers
+    # ------------------------------------------------------------------- responses
 
     def reject(self, action: Reject) -> None:
-        job = self.active.get(action.id)
-        if job is not None:
-            self.respond(job, 503, retry_after_ms=action.retry_after_ms)
+        """Respond 503, with the action's Retry-After."""
+        active = self.active.get(action.id)
+        if active is not None:
+            self.respond(active, HTTPStatus.SERVICE_UNAVAILABLE, retry_after_ms=action.retry_after_ms)
 
     def fail(self, action: Fail) -> None:
-        job = self.active.get(action.id)
-        if job is not None:
-            self.respond(job, 504 if job.last_result is AttemptResult.TIMEOUT else 502)
+        """Respond 504 if the last attempt has timed out, else 502."""
+        active = self.active.get(action.id)
+        if active is not None:
+            timed_out = active.last_result is AttemptResult.TIMEOUT
+            self.respond(active, HTTPStatus.GATEWAY_TIMEOUT if timed_out else HTTPStatus.BAD_GATEWAY)
 
     def fail_all(self) -> None:
-        """The process ends: nobody will answer what is still open."""
-        for job in [job for job in self.active.values() if not job.answered]:
-            self.respond(job, 504)
+        """Respond 504 to all that are unanswered, as the process is about to exit."""
+        for active in [active for active in self.active.values() if not active.answered]:
+            self.respond(active, HTTPStatus.GATEWAY_TIMEOUT)
 
     def respond(
-        self, job: ActiveRequest, status: int, body: bytes = b"", retry_after_ms: float = 0.0
+        self, active: ActiveRequest, status: int, body: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """The final answer, unless the request has had one or its caller has gone."""
-        if not job.answered:
-            self._counts[f"answered {status}"] += 1
-            self._metrics.count_response(job.service, status)
-            self._mark_answered(job)
-            job.inbound.respond(status, body, retry_after_ms)
-
-    def begin_stream(self, job: ActiveRequest, length: int | None, rest: Body) -> None:
-        """A long answer: for the module and the clock its first bytes are the whole of it."""
-        if job.answered:
-            rest.discard()
+        """Send the response, unless the request has had one or its client has disconnected."""
+        if not active.answered:
+            self._counts[f"responses {status}"] += 1
+            self._metrics.count_response(active.service, status)
+            self._mark_answered(active)
+            active.inbound.respond(status, body, retry_after_ms)
+
+    def begin_stream(self, active: ActiveRequest, content_length: int | None, body: Body) -> None:
+        """Begin a streamed response, whose first bytes are the answer for the balancer and the timers."""
+        if active.answered:
+            body.discard()
             return
-        self._counts["answered 200"] += 1
-        self._mark_answered(job)
+        self._counts["responses 200"] += 1
+        self._mark_answered(active)
         self.streaming += 1
-        over = False
+        ended = False
 
-        def on_end(whole: bool) -> None:
-            nonlocal over
-            over = True
+        def on_end(complete: bool) -> None:
+            nonlocal ended
+            ended = True
             self.streaming -= 1
-            if not whole:
-                self._counts["broken off"] += 1
-            self._metrics.count_response(job.service, 200 if whole else 502)
-
-        def cut_off() -> None:
-            # Guard: a server that hung held its caller for 10 s, past the time by which it is owed an end.
-            if not over and not job.inbound.abort_if_silent(CUT_OFF_S):
-                self._loop.call_later(CUT_OFF_S, cut_off)
-
-        if not job.inbound.receiving and not self._classes[job.service].stream:
-            self._loop.call_at(job.deadline + CUT_OFF_S, cut_off)
-        job.inbound.begin_stream(length, rest, on_end)
-
-    def _mark_answered(self, job: ActiveRequest) -> None:
-        job.answered = True
+            if not complete:
+                self._counts["aborted streams"] += 1
+            self._metrics.count_response(
+                active.service, HTTPStatus.OK if complete else HTTPStatus.BAD_GATEWAY
+            )
+
+        def abort_if_silent() -> None:
+            if not ended and not active.inbound.abort_if_silent(STREAM_OVERRUN_S):
+                self._loop.call_later(STREAM_OVERRUN_S, abort_if_silent)
+
+        # The client is owed an end by its deadline, which an endpoint that hangs would put off. A class whose
+        # responses are streams by nature has no such bound.
+        if not active.inbound.receiving and not self._classes[active.service].stream:
+            self._loop.call_at(active.deadline + STREAM_OVERRUN_S, abort_if_silent)
+        active.inbound.begin_stream(content_length, body, on_end)
+
+    def _mark_answered(self, active: ActiveRequest) -> None:
+        active.answered = True
         self.unanswered -= 1
-        if job.inbound.receiving:
+        if active.inbound.receiving:
             self.receiving -= 1
-        if job.backstop_timer is not None:
-            job.backstop_timer.cancel()
-        for attempt in job.attempts:
+        if active.backstop_timer is not None:
+            active.backstop_timer.cancel()
+        for attempt in active.attempts:
             if attempt is not None:
-                # Guard: where cancelling is not allowed the module gives up none, and one that still
-                # connected was written after its caller had gone. Nothing that was written is cancelled.
+                # Where cancelling is not allowed, the balancer cancels no attempt. One that has been written
+                # goes on; one that still connects must not be written after its client has disconnected.
                 attempt.withdraw(AttemptResult.ABANDONED)
-        self.release(job)
-
-    def release(self, job: ActiveRequest) -> None:
-        """Let go of it, if it is over and no attempt is out."""
-        if job.answered and not job.attempts_in_flight and self.active.pop(job.id, None) is not None:
-            safe = self._classes[job.service].effect is Effect.IDEMPOTENT
-            if job.cancelled and job.possibly_executed and not safe:
-                self._cancelled_ids.add(job.id)
-                self._loop.call_at(job.deadline, self._cancelled_ids.discard, job.id)
+        self.release(active)
+
+    def release(self, active: ActiveRequest) -> None:
+        """Forget the request if it is answered and none of its attempts is in flight."""
+        if active.answered and not active.attempts_in_flight and self.active.pop(active.id, None) is not None:
+            idempotent = self._classes[active.service].effect is Effect.IDEMPOTENT
+            if active.cancelled and active.possibly_executed and not idempotent:
+                self._cancelled_ids.add(active.id)
+                self._loop.call_at(active.deadline, self._cancelled_ids.discard, active.id)
--- /dev/null
+++ b/loadbalancer/node/upstream/attempt.py
@@ -0,0 +1,261 @@
+"""One attempt to have a request executed by one endpoint. It ends with exactly one result."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Protocol
+
+from loadbalancer.endpoints import AttemptResult
+from loadbalancer.node.address import Address
+from loadbalancer.node.http.body import Body
+from loadbalancer.node.http.client_connection import ClientConnection, Response
+from loadbalancer.node.upstream.endpoint import PooledEndpoint
+
+log = logging.getLogger("loadbalancer")
+
+STREAM_IDLE_TIMEOUT_S = 10.0  # without progress for so long, a streamed body is given up
+REJECTION_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+REJECTION_HEADER, REJECTION_VALUE = b"srv-declined", b"1"  # marks a response as a rejection
+
+
+class ConnectionSource(Protocol):
+    """What an attempt needs of the pool."""
+
+    malformed_responses: int
+    connect_timeout_s: float
+    on_sent: Callable[[], None]
+
+    def acquire_idle(self, endpoint: PooledEndpoint) -> ClientConnection | None:
+        """Take an idle connection out of the pool, if one is usable."""
+
+    def release(self, endpoint: PooledEndpoint, connection: ClientConnection) -> None:
+        """Give a connection back."""
+
+    def ensure_capacity(self) -> bool:
+        """Whether a connection may be opened."""
+        ...
+
+    def track_opening(self, task: asyncio.Task[None]) -> None:
+        """Count the connection that this task opens."""
+
+    async def open_connection(self, address: Address) -> ClientConnection:
+        """Open a connection."""
+        ...
+
+
+def classify_response(response: Response) -> AttemptResult:
+    """Return the result that an endpoint's complete response stands for."""
+    if response.status == HTTPStatus.OK:
+        return AttemptResult.OK
+    rejected = response.headers.get(REJECTION_HEADER) == REJECTION_VALUE
+    if rejected and response.status in REJECTION_STATUSES:
+        return AttemptResult.REJECTED
+    return AttemptResult.ERROR
+
+
+class Attempt:
+    """A request on its way to an endpoint, and the response on its way back.
+
+    `encode_request` returns the bytes to send, given the seconds left to wait. `body` follows them, if it is
+    streamed. `is_awaited` returns whether the client still waits. `written_by` is the loop time (s) by which
+    the last byte has to have been written. `on_result` is called once; the result of a streamed response is
+    that of its first bytes.
+    """
+
+    def __init__(
+        self,
+        pool: ConnectionSource,
+        encode_request: Callable[[float], bytes],
+        timeout_s: float,
+        on_result: Callable[[AttemptResult, Response | None], None],
+        body: Body | None = None,
+        chunked: bool = False,
+        is_awaited: Callable[[], bool] = lambda: True,
+        written_by: float = math.inf,
+    ) -> None:
+        self._pool = pool
+        self._is_awaited = is_awaited
+        self._chunked = chunked
+        self._body = body
+        self._timeout_s = timeout_s
+        # Where an endpoint stops taking a streamed body, the last byte may have come and wait unread. From
+        # then on the client waits for no longer than the timeout.
+        self._upload_timeout_s = min(STREAM_IDLE_TIMEOUT_S, timeout_s)
+        self._encode_request = encode_request
+        self._on_result = on_result
+        self._ended = False
+        self._endpoint: PooledEndpoint | None = None
+        self._connection: ClientConnection | None = None
+        self._connect_task: asyncio.Task[None] | None = None
+        loop = asyncio.get_running_loop()
+        self._deadline = loop.time() + timeout_s
+        self._written_by = written_by
+        bounded = written_by < math.inf
+        self._write_timer = loop.call_at(written_by, self.withdraw) if bounded else None
+        if body is None or body.ended:
+            self._timer = loop.call_at(self._deadline, self._time_out)
+        else:
+            self._timer = loop.call_later(self._upload_timeout_s, self._watch_upload)
+
+    def start(self, endpoint: PooledEndpoint) -> None:
+        """Write the request to an idle connection or open one.
+
+        Every result comes in a later turn of the loop, when the action that started the attempt is over.
+        """
+        self._endpoint = endpoint
+        loop = asyncio.get_running_loop()
+        if not self._may_write():
+            loop.call_soon(self.withdraw, AttemptResult.ABANDONED)
+        elif (connection := self._pool.acquire_idle(endpoint)) is not None:
+            self._write(connection)
+        elif self._pool.ensure_capacity():
+            endpoint.waiting.add(self)
+            self._connect_task = asyncio.create_task(self._open(endpoint))
+            self._pool.track_opening(self._connect_task)
+        else:
+            loop.call_soon(self.withdraw)
+
+    def start_timeout(self, limit_s: float) -> None:
+        """Begin the timeout, as the request's last byte has been received; at most so long from now."""
+        if not self._ended:
+            self._timer.cancel()
+            loop = asyncio.get_running_loop()
+            self._deadline = loop.time() + min(self._timeout_s, limit_s)
+            self._timer = loop.call_at(self._deadline, self._time_out)
+
+    def cancel(self) -> None:
+        """End the attempt, whether or not it has been written."""
+        self._finish(AttemptResult.CANCELLED)
+
+    def withdraw(self, result: AttemptResult = AttemptResult.CONNECT_FAILED) -> None:
+        """End the attempt, unless it has been written completely and may be executed."""
+        if self._connection is None or not self._connection.written:
+            self._finish(result)
+
+    # ---------------------------------------------------------------- Exchange
+
+    def on_request_sent(self) -> None:
+        """Count the attempt as sent."""
+        self._pool.on_sent()
+
+    def on_response(self, response: Response) -> None:
+        """Return the connection to the pool and end with the response's result."""
+        connection, self._connection = self._connection, None
+        if connection is not None and self._endpoint is not None:
+            self._pool.release(self._endpoint, connection)
+        if self._ended:  # with the first bytes of a streamed response
+            self._timer.cancel()
+        else:
+            self._finish(classify_response(response), response)
+
+    def on_stream_begun(self, response: Response) -> None:
+        """End with the result of a streamed response; only its connection is watched from here on."""
+        self._ended = True
+        self._timer.cancel()
+        self._watch_stream()
+        self._on_result(classify_response(response), response)
+
+    def on_connection_lost(self, written: bool) -> None:
+        """End the attempt, or the stream that it has begun."""
+        connection, self._connection = self._connection, None
+        if connection is not None and connection.malformed:
+            self._pool.malformed_responses += 1
+        if self._ended and connection is not None:
+            self._timer.cancel()
+            connection.fail_stream()
+        self._finish(AttemptResult.RESET if written else AttemptResult.CONNECT_FAILED)
+
+    # ---------------------------------------------------------------- internals
+
+    def _may_write(self) -> bool:
+        """Whether the first byte may be written in this turn of the loop.
+
+        It is asked in the turn that would write it: at once on an idle connection, and again when a new one
+        is up. By then the client may have disconnected, the request have been answered, its time be over or a
+        retry no longer be safe. An endpoint that has left the list ends the attempt (`remove_endpoint`).
+        """
+        receiving = self._body is not None and not self._body.ended
+        now = asyncio.get_running_loop().time()
+        in_time = (receiving or now < self._deadline) and now < self._written_by
+        replayable = self._body is None or self._body.replayable
+        return not self._ended and in_time and replayable and self._is_awaited()
+
+    async def _open(self, endpoint: PooledEndpoint) -> None:
+        try:
+            async with asyncio.timeout(self._pool.connect_timeout_s):
+                connection = await self._pool.open_connection(endpoint.address)
+        except Exception as error:
+            # A refusal or a timeout, an OSError, is an ordinary result. Any other error, as of an address
+            # that is not valid, appears nowhere else.
+            if not isinstance(error, OSError):
+                log.exception("failed to connect to %s", endpoint.address)
+            self._connect_task = None
+            self.withdraw()
+            return
+        self._connect_task = None
+        endpoint.waiting.discard(self)
+        if not connection.usable:
+            # A request written after the endpoint has closed would be reset and count as possibly executed,
+            # which it can't have been.
+            connection.abort()
+            self.withdraw()
+        elif self._may_write():
+            self._write(connection)
+        else:
+            self._pool.release(endpoint, connection)
+            self.withdraw(AttemptResult.ABANDONED)
+
+    def _write(self, connection: ClientConnection) -> None:
+        self._connection = connection
+        now = asyncio.get_running_loop().time()
+        receiving = self._body is not None and not self._body.ended
+        left_s = self._timeout_s if receiving else self._deadline - now
+        connection.upload_progress_at = now
+        connection.start(self._encode_request(left_s), self, self._body, self._chunked)
+
+    def _watch_upload(self) -> None:
+        """End the attempt if the endpoint takes nothing of the body; the listener watches the client."""
+        loop = asyncio.get_running_loop()
+        connection, due = self._connection, loop.time() + self._upload_timeout_s
+        if connection is not None and self._body is not None and self._body.paused:
+            due = connection.upload_progress_at + self._upload_timeout_s
+        if due <= loop.time():
+            self._finish(AttemptResult.CONNECT_FAILED)
+        else:
+            self._timer = loop.call_at(due, self._watch_upload)
+
+    def _watch_stream(self) -> None:
+        """Give a streamed response up if the endpoint sends nothing though the client would take it."""
+        connection = self._connection
+        if connection is None:
+            return
+        loop = asyncio.get_running_loop()
+        due = (loop.time() if connection.stream_paused else connection.last_data_at) + STREAM_IDLE_TIMEOUT_S
+        if due <= loop.time():
+            connection.abandon()
+        else:
+            self._timer = loop.call_at(due, self._watch_stream)
+
+    def _time_out(self) -> None:
+        # What has not been written completely can't have been executed, so a rejection is safe.
+        sent = self._connection is not None and self._connection.written
+        self._finish(AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
+
+    def _finish(self, result: AttemptResult, response: Response | None = None) -> None:
+        if self._ended:
+            return
+        self._ended = True
+        self._timer.cancel()
+        if self._write_timer is not None:
+            self._write_timer.cancel()
+        if self._endpoint is not None:
+            self._endpoint.waiting.discard(self)
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+        if self._connection is not None:  # HTTP/1.1 has no other way to cancel a request
+            self._connection.abort()
+        self._on_result(result, response)
--- /dev/null
+++ b/loadbalancer/node/upstream/endpoint.py
@@ -0,0 +1,32 @@
+"""What the pool holds for one endpoint."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from loadbalancer.node.address import Address
+from loadbalancer.node.http.client_connection import ClientConnection
+
+
+class ConnectingAttempt(Protocol):
+    """An attempt that waits for a new connection."""
+
+    def withdraw(self) -> None:
+        """End it, as nothing has been written."""
+
+
+@dataclass(slots=True, eq=False)
+class PooledEndpoint:
+    """One endpoint's idle connections, and the attempts that wait for a new one."""
+
+    address: Address
+    launched_ms: float | None  # Unix time of its process's start, where that is known
+    idle: list[ClientConnection] = field(default_factory=list)  # the most recently used last
+    waiting: set[ConnectingAttempt] = field(default_factory=set)
+
+    def close_idle(self) -> None:
+        """Close the idle connections."""
+        for connection in self.idle:
+            connection.abort()
+        self.idle.clear()
--- a/tests/node/listener/test_connection_closes.py
+++ b/tests/node/listener/test_connection_closes.py
@@ -92,7 +92,7 @@
             node.request_registry.respond(job, 200, ANSWER)
             caller.sendall(late)  # in the moment of the shutdown
             assert (await read_to_the_end(caller)).endswith(ANSWER)
-            assert node.event_counts["taken"] == len(server.seen) == 1
+            assert node.event_counts["requests"] == len(server.seen) == 1
 
     asyncio.run(main())
 
@@ -105,7 +105,7 @@
             server.release.set()
             answers = await read_to_the_end(caller)
             assert answers.count(b"HTTP/1.1 ") == answers.count(b"HTTP/1.1 200 ") == 1
-            assert node.event_counts["taken"] == 1
+            assert node.event_counts["requests"] == 1
 
     asyncio.run(main())
 
@@ -207,7 +207,7 @@
     await until(lambda: node.server.connections)
     if asked:
         caller.sendall(request(name="q1"))
-        await until(lambda: node.event_counts["answered 200"])
+        await until(lambda: node.event_counts["responses 200"])
         caller.recv(65_536)
     return caller
 
@@ -233,7 +233,7 @@
                     await until(lambda: connection._parser.request)
                     CLOSES["drain"](node)
                     caller.sendall(request(name="q2")[9:])
-                await until(lambda: node.event_counts["answered 200"] == 1 + asked)
+                await until(lambda: node.event_counts["responses 200"] == 1 + asked)
                 assert caller.recv(12) == b"HTTP/1.1 200"
             elif put != "a reset":
                 if asked and close == "overdue" and put != "an end":
@@ -244,7 +244,7 @@
                     assert caller.recv(12) == b""
             caller.close()
             await until(lambda: not node.server.connections)
-            assert node.event_counts["taken"] == asked + ("request" in put)
+            assert node.event_counts["requests"] == asked + ("request" in put)
 
     asyncio.run(main())
 
@@ -275,7 +275,7 @@
             if caller.fileno() >= 0:
                 with contextlib.suppress(ConnectionResetError):
                     assert caller.recv(12) == b""  # so it asks again
-            assert node.event_counts["taken"] == asked
+            assert node.event_counts["requests"] == asked
             assert await asked_anew(node) == 200
             assert len(server.seen) == 1 + asked
             caller.close()
--- a/tests/node/listener/test_connection_pieces.py
+++ b/tests/node/listener/test_connection_pieces.py
@@ -66,7 +66,7 @@
             await until(lambda: server.seen)
             await asyncio.sleep(0.8 * DEADLINE_S)
             server.release.set()  # nothing has come meanwhile: the reading goes on, and then comes the rest
-            await until(lambda: node.event_counts["answered 200"])
+            await until(lambda: node.event_counts["responses 200"])
             (connection,) = node.server.connections
             await until(connection._transport.is_reading)
             await loop.sock_sendall(caller, DATA[CUT:])
--- a/tests/node/listener/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -63,9 +63,9 @@
             job.inbound.connection.sweep(node.loop.time())
             await until(lambda: not node.server.connections)
             assert (
-                node.event_counts["gone"],
+                node.event_counts["client disconnects"],
                 node.request_registry.unanswered,
-                node.event_counts["taken"],
+                node.event_counts["requests"],
             ) == (
                 1,
                 0,
@@ -148,7 +148,7 @@
             else:
                 node.request_registry.respond(job, 200, b"done")
             await until(lambda: not node.server.connections)
-            assert node.event_counts["taken"] == 1
+            assert node.event_counts["requests"] == 1
             if leave is half_close:
                 assert (await read_to_the_end(caller)).count(b"HTTP/1.1 400 ") == 1
             caller.close()
@@ -170,7 +170,7 @@
                 assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
             await until(lambda: not node.server.connections and not node.request_registry.active)
             assert node.metrics.attempts_sent == server.connections == 0
-            assert node.event_counts["taken"] <= 1
+            assert node.event_counts["requests"] <= 1
 
     asyncio.run(main())
 
@@ -194,7 +194,7 @@
             caller.sendall(sent)
             half_close(caller)
             assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
-            assert node.event_counts["taken"] == 0
+            assert node.event_counts["requests"] == 0
 
     asyncio.run(main())
 
@@ -209,7 +209,7 @@
             (job,) = node.request_registry.active.values()
             half_close(caller)
             job.inbound.connection.eof_received()  # as the loop will: what else comes then finds it over
-            assert (job.answered, node.event_counts["gone"]) == (True, 1)
+            assert (job.answered, node.event_counts["client disconnects"]) == (True, 1)
             assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
             await until(lambda: not node.server.connections)
 
@@ -226,7 +226,7 @@
             caller.sendall(request(name="q2"))
             await until(lambda: len(server.seen) == 2)
             half_close(caller)
-            await until(lambda: node.event_counts["gone"])
+            await until(lambda: node.event_counts["client disconnects"])
             assert b"HTTP/1.1 400 " in (await read_to_the_end(caller)).partition(ANSWER)[2]
 
     asyncio.run(main())
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -15,7 +15,7 @@
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.listener import request_parser as request_parser_module
 from loadbalancer.node.node import Node
-from loadbalancer.node.upstream import pool as upstream_module
+from loadbalancer.node.upstream import attempt as upstream_module
 from tests.support.builders import Bed, sent
 from tests.support.loopback import Caller, Peer, Scripted, ask, reply, request, running, targets, until
 
--- a/tests/node/test_long_answers.py
+++ b/tests/node/test_long_answers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from loadbalancer.node.node import Node
-from loadbalancer.node.upstream.pool import STREAM_IDLE_TIMEOUT_S
+from loadbalancer.node.upstream.attempt import STREAM_IDLE_TIMEOUT_S
 from tests.support.callers import connect
 from tests.support.clocks import run
 from tests.support.loopback import SETTINGS, request, running, targets, until
@@ -83,7 +83,7 @@
             assert not read.endswith(b"0\r\n\r\n")  # no end of its own
             await until(lambda: server.left and not node.pool.connection_count)
             assert node.request_registry.streaming == 0
-            assert node.event_counts["broken off"] == 1
+            assert node.event_counts["aborted streams"] == 1
 
     run(main())
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -232,7 +232,7 @@
 
 def test_a_fault_on_an_alarm_does_not_stop_the_modules_clockwork(monkeypatch):
     async def main():
-        monkeypatch.setattr(driver_module, "FAULT_PAUSE_S", 0.01)
+        monkeypatch.setattr(driver_module, "TIMER_RETRY_DELAY_S", 0.01)
 
         def act(event):
             if isinstance(event, TimerFired) and len(scripted.of(TimerFired)) == 1:
--- a/tests/node/upstream/test_writes.py
+++ b/tests/node/upstream/test_writes.py
@@ -18,7 +18,8 @@
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.http.client_connection import ClientConnection
 from loadbalancer.node.node import Node
-from loadbalancer.node.upstream.pool import Attempt, ConnectionPool
+from loadbalancer.node.upstream.attempt import Attempt
+from loadbalancer.node.upstream.pool import ConnectionPool
 from tests.support.loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
@@ -98,7 +99,7 @@
             assert (await ask(node, request(name="q0"))).status == 200  # its connection is kept
             client = Leaver(node, request(), how)
             client.leave()  # request and end are there before the connection is accepted
-            await until(lambda: node.event_counts["gone"])
+            await until(lambda: node.event_counts["client disconnects"])
             await is_over(node)
             assert node.metrics.attempts_sent == 1
             client.close()
@@ -117,10 +118,14 @@
             await until(lambda: late.ready)
             if seen:
                 client.leave()
-                await until(lambda: node.event_counts["gone"])
+                await until(lambda: node.event_counts["client disconnects"])
             late.up.set()
             await is_over(node)
-            assert (node.metrics.attempts_sent, node.event_counts["gone"], node.event_counts["moot"]) == (
+            assert (
+                node.metrics.attempts_sent,
+                node.event_counts["client disconnects"],
+                node.event_counts["moot"],
+            ) == (
                 0,
                 1,
                 1,
@@ -148,7 +153,7 @@
                 return balancer.handle(node.clock.ms(), event)
 
             node.driver.balancer = Scripted(act)
-            await until(lambda: node.event_counts["gone"])
+            await until(lambda: node.event_counts["client disconnects"])
             node.driver.balancer = balancer
             await is_over(node)
             assert (node.metrics.attempts_sent, node.event_counts["full"], node.event_counts["error"]) == (
@@ -177,7 +182,11 @@
             client.leave()
             late.up.set()
             await is_over(node)
-            assert (node.metrics.attempts_sent, node.event_counts["gone"], node.event_counts["moot"]) == (
+            assert (
+                node.metrics.attempts_sent,
+                node.event_counts["client disconnects"],
+                node.event_counts["moot"],
+            ) == (
                 0,
                 1,
                 1,
@@ -199,7 +208,7 @@
                     clients.pop().leave()
 
             late = LateConnections(node, all_leave)
-            await until(lambda: late.ready + node.event_counts["answered 503"] == 24)
+            await until(lambda: late.ready + node.event_counts["responses 503"] == 24)
             late.up.set()
             await until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 0
@@ -245,7 +254,7 @@
             caller.writer.write(request())
             await until(lambda: server.seen)
             caller.writer.close()
-            await until(lambda: node.event_counts["gone"])
+            await until(lambda: node.event_counts["client disconnects"])
             assert node.request_registry.active
             server.release.set()
             await is_over(node)
@@ -465,7 +474,7 @@
             again = await Caller.to(node)
             client.leave()
             if seen:
-                await until(lambda: node.event_counts["gone"])
+                await until(lambda: node.event_counts["client disconnects"])
             again.writer.write(data)
             server.script = None
             assert (await again.answer()).status == statuses[cancel]
@@ -485,7 +494,7 @@
             await until(lambda: late.ready)
             client.leave()
             late.up.set()
-            await until(lambda: node.event_counts["gone"])
+            await until(lambda: node.event_counts["client disconnects"])
             assert (await ask(node, request("post", "q1"))).status == 200
             assert node.metrics.attempts_sent == 1
 
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -76,7 +76,7 @@
     (connection,) = node.server.connections
     connection._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     caller.sendall(request(**headers))
-    await until(lambda: node.event_counts["answered 200"])
+    await until(lambda: node.event_counts["responses 200"])
     assert connection._transport.get_write_buffer_size() > 20_000
     return caller, connection
 
--- a/tests/test_settings_kinds.py
+++ b/tests/test_settings_kinds.py
@@ -75,8 +75,8 @@
 
 
 def sound(node: Node) -> None:
-    assert not node.event_counts["faults"]
-    assert not node.event_counts["backstop"]
+    assert not node.event_counts["balancer faults"]
+    assert not node.event_counts["backstop responses"]
     assert not node.request_registry.active
 
 
