--- a/loadbalancer/registry/__main__.py
+++ b/loadbalancer/registry/__main__.py
@@ -14,6 +14,7 @@
 import argparse
 import asyncio
 import sys
+from http import HTTPStatus
 from pathlib import Path
 
 import orjson
@@ -56,7 +57,7 @@
     stale = reply.headers.get("registry-stale") == "1"
     row = orjson.loads(reply.body) | ({"stale": True} if stale else {})
     sys.stdout.write(orjson.dumps(row, option=orjson.OPT_INDENT_2).decode() + "\n")
-    return 0 if reply.status == 200 else 1
+    return 0 if reply.status == HTTPStatus.OK else 1
 
 
 async def _run(arguments: argparse.Namespace, log: structlog.stdlib.BoundLogger) -> int:
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -26,6 +26,7 @@
 import zlib
 from collections.abc import Sequence
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 import orjson
@@ -214,15 +215,15 @@
     async def handle(self, request: Call) -> Answer:
         """The answer to any call of the node; a watch has none until there is a list."""
         if request.path == "/agent/status":
-            return json_answer(200, self.status())
+            return json_answer(HTTPStatus.OK, self.status())
         if request.path.startswith("/fleet/"):
             return await self._forwarder.answer(request)
         if request.path != "/discovery/hosts" or request.method != "GET":
-            return error_answer(404, "no such path")
+            return error_answer(HTTPStatus.NOT_FOUND, "no such path")
         try:
             query = watch.parse_query(request)
         except InvalidFieldError:
-            return error_answer(400, "since and timeout_ms are whole numbers")
+            return error_answer(HTTPStatus.BAD_REQUEST, "since and timeout_ms are whole numbers")
         while not self.cache.filled:
             await asyncio.shield(self._list_changed)
         page = await watch.page_after_change(self.cache.page, query, lambda: self._list_changed)
@@ -242,7 +243,7 @@
 
 def _read_list(reply: Reply) -> SourceList:
     """An instance's answer to a watch; UnusableAnswerError where it holds no list."""
-    if reply.status != 200:
+    if reply.status != HTTPStatus.OK:
         message = f"answered {reply.status}"
         raise UnusableAnswerError(message)
     row: Any = orjson.loads(reply.body)
--- a/loadbalancer/registry/errors.py
+++ b/loadbalancer/registry/errors.py
@@ -37,6 +37,14 @@
         self.text = text
 
 
+class BatchTooLargeError(InvalidBodyError):
+    """A batch has more renewals than an instance forwards in one call."""
+
+    def __init__(self, count: int, limit: int) -> None:
+        super().__init__(f"{count} renewals, over {limit}")
+        self.count, self.limit = count, limit
+
+
 class ConfigError(RegistryError, ValueError):
     """A configuration that can't be used: the message names the file, the key and its line."""
 
@@ -78,6 +86,13 @@
     """Raft or the leader gave no result for a request, which may have been committed nevertheless."""
 
 
+class UnusableLeaderAnswerError(NotCommittedError):
+    """The leader answered a batch of renewals in a way that tells nothing of them."""
+
+    def __init__(self, problem: object) -> None:
+        super().__init__(f"the leader's answer: {problem}")
+
+
 class NoLeaderError(RegistryError, ConnectionError):
     """No instance is known that leads."""
 
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -1,96 +1,86 @@
-"""The fleet's calls over HTTP (docs/fleet.md): checked, passed on to the instance that leads, answered there.
+"""The fleet's calls over HTTP (docs/fleet.md): checked, forwarded to the instance that leads, answered there.
 
-200 done, and what a body says is in the log; 400 a call that is not as it has to be, with one line saying
-why; 404 no such row, version or path; 409 refused, or too late; 503 not done, as far as known: say it again.
+200: done, and what the body says is committed. 400: a malformed call, with one line that says why. 404: no
+such record, version or path. 409: rejected, or too late. 503: not done, as far as known; the caller tries
+again.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import Any, TypeVar
+from http import HTTPStatus
 from urllib.parse import unquote
 
 import msgspec
-import orjson
 import structlog
 
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.http.service_http import Answer, Call, Client
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import parse_address
+from loadbalancer.registry.answers import error_answer, json_answer
 from loadbalancer.registry.commands import EnrolMember
-from loadbalancer.registry.errors import InvalidFieldError, MemberLimitError
+from loadbalancer.registry.errors import InvalidAddressError, InvalidFieldError, MemberLimitError
 from loadbalancer.registry.fleet_catalog import FleetCatalog, MemberGrant, MembersRemoved, Rejected, Renewal
 from loadbalancer.registry.fleet_leader import FleetLeader
 from loadbalancer.registry.forwarding import HOP_HEADER, forward
 from loadbalancer.registry.messages import (
+    MAX_NAME_CHARACTERS,
     EnrolRequest,
     HaltRequest,
     MemberRequest,
     RenewRequest,
     RollbackRequest,
     VoteRequest,
+    decode_body,
 )
 from loadbalancer.registry.renewal_relay import (
     FORWARD_TIMEOUT_S,
+    MAX_BATCH_BODY_BYTES,
     RenewalRelay,
     decode_renewals,
     encode_answers,
 )
-from loadbalancer.registry.renewal_relay import MAX_BATCH_BODY_BYTES as MAX_BATCH_BODY
 from loadbalancer.routing.coordinator import ActivationOutcome
 from loadbalancer.routing.route_table import MAX_TEXT_BYTES, parse_table
 
 MAX_BODY_BYTES = 8 * 1024
 MAX_BODY_BYTES_BY_CALL = {
     ("PUT", "routes"): MAX_TEXT_BYTES,
-    ("POST", "renew-many"): MAX_BATCH_BODY,
-}  # of bodies, in bytes
-REJECTIONS_PER_LOG_LINE = (
-    1_000  # enrolments refused at a limit: one line for the first, then for each so many
-)
-
-B = TypeVar("B")
-
-
-def reply(status: int, body: Any) -> Answer:
-    return Answer(status, orjson.dumps(body))
-
-
-def error(status: int, why: str) -> Answer:
-    return reply(status, {"error": why[:300]})
-
-
-def _read(kind: type[B], body: bytes) -> B:
-    """The body as `kind`; ValueError names the field that is wrong, in one line."""
-    try:
-        return msgspec.json.decode(body or b"{}", type=kind)
-    except (msgspec.MsgspecError, RecursionError) as failure:
-        raise ValueError(f"body: {failure}") from failure
-
+    ("POST", "renew-many"): MAX_BATCH_BODY_BYTES,
+}
+MAX_ERROR_CHARACTERS = 300
+MAX_LOGGED_PATH_CHARACTERS = 100
+MAX_LOGGED_CHARACTERS = 200
+MAX_VERSION_DIGITS = 15
+FAILURES_PER_LOG_LINE = 100  # a call without a leader is repeated by every member
+REJECTIONS_PER_LOG_LINE = 1_000  # of enrolments at a limit
 
 Handler = Callable[[Call], Awaitable[Answer]]
 
 
 class FleetApi:
-    """The handlers; `news` gives the future that is done at the next change of a group's member list, or of
-    the routes."""
+    """Answers the calls under /fleet/.
+
+    `next_change` returns the future that is done at the next change of a group's member list or of the
+    routes.
+    """
 
     def __init__(
         self,
         fleet: FleetCatalog,
         leader: FleetLeader,
-        news: Callable[[str], asyncio.Future[None]],
+        next_change: Callable[[str], asyncio.Future[None]],
         max_wait_ms: int,
         log: structlog.stdlib.BoundLogger,
     ) -> None:
-        self._fleet, self._leader, self._news = fleet, leader, news
+        self._fleet, self._leader, self._next_change = fleet, leader, next_change
         self._max_wait_ms, self._log = max_wait_ms, log
         self._client = Client()
         self._relay = RenewalRelay(self._client, self._other_leader, log)
         self._failures = 0
-        self.rejected_enrolments = 0  # enrolments refused at a limit
+        self.rejected_enrolments = 0  # at a limit
         self._handlers: dict[tuple[str, str], Handler] = {
             ("POST", "enrol"): self._enrol,
             ("POST", "renew"): self._renew,
@@ -110,13 +100,15 @@
         try:
             return await self._answer(call)
         except (OSError, TimeoutError) as failure:
-            self._failures += 1
-            if self._failures % 100 == 1:  # every member says it again until there is a leader
-                said = f"{type(failure).__name__}: {failure}"[:200]
-                self._log.warning(
-                    "fleet_call_failed", path=call.path[:100], failures=self._failures, why=said
-                )
-            return error(503, "no leader with a quorum in time")
+            self._log_failure(call, failure)
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no leader with a quorum in time")
+
+    def _log_failure(self, call: Call, failure: Exception) -> None:
+        self._failures += 1
+        if self._failures % FAILURES_PER_LOG_LINE == 1:
+            reason = f"{type(failure).__name__}: {failure}"[:MAX_LOGGED_CHARACTERS]
+            path = call.path[:MAX_LOGGED_PATH_CHARACTERS]
+            self._log.warning("fleet_call_failed", path=path, failures=self._failures, why=reason)
 
     async def _answer(self, call: Call) -> Answer:
         path = call.path.removeprefix("/fleet/")
@@ -124,18 +116,19 @@
             return await self._watch(call)
         handler = self._handler(call.method, path)
         if handler is None:
-            return error(404, f"no {call.method} {call.path}")
-        limit = MAX_BODY_BYTES_BY_CALL.get((call.method, path), MAX_BODY_BYTES)
+            return _error(HTTPStatus.NOT_FOUND, f"no {call.method} {call.path}")
+        limit_bytes = MAX_BODY_BYTES_BY_CALL.get((call.method, path), MAX_BODY_BYTES)
+        is_too_large = len(call.body) > limit_bytes
         if not self._leader.is_leading:
             self._leader.request_leadership()
-            if path == "renew" and self._leader.groups and len(call.body) <= limit:
+            if path == "renew" and self._leader.groups and not is_too_large:
                 return await self._relay_renewal(call)
             return await self._forward(call)
-        if len(call.body) > limit:
-            return self._reject(call, f"body: {len(call.body)} bytes, over {limit}")
+        if is_too_large:
+            return self._reject(call, f"body: {len(call.body)} bytes, over {limit_bytes}")
         try:
             return await handler(call)
-        except ValueError as failure:  # orjson's error is one too
+        except ValueError as failure:  # this package's errors of wrong calls, and orjson's
             return self._reject(call, str(failure))
 
     def _handler(self, method: str, path: str) -> Handler | None:
@@ -154,7 +147,7 @@
 
     async def _relay_renewal(self, call: Call) -> Answer:
         try:
-            renewal = _read(RenewRequest, call.body)
+            renewal = decode_body(RenewRequest, call.body)
         except ValueError as failure:
             return self._reject(call, str(failure))
         return await self._relay.renew(renewal)
@@ -162,22 +155,27 @@
     async def _forward(self, call: Call) -> Answer:
         to = self._other_leader()
         if to is None or HOP_HEADER in call.headers:
-            return error(503, self._leader.unavailable_reason())
+            return _error(HTTPStatus.SERVICE_UNAVAILABLE, self._leader.unavailable_reason())
         return await forward(self._client, parse_address(to), call, FORWARD_TIMEOUT_S, hop=True)
 
     def _reject(self, call: Call, why: str) -> Answer:
-        self._log.warning("fleet_call_refused", method=call.method, path=call.path[:100], why=why[:300])
-        return error(400, why)
+        self._log.warning(
+            "fleet_call_rejected",
+            method=call.method,
+            path=call.path[:MAX_LOGGED_PATH_CHARACTERS],
+            why=why[:MAX_ERROR_CHARACTERS],
+        )
+        return _error(HTTPStatus.BAD_REQUEST, why)
 
     # Members.
 
     async def _enrol(self, call: Call) -> Answer:
-        t2 = self._leader.service_ms()
-        body = _read(EnrolRequest, call.body)
+        received_ms = self._leader.service_ms()
+        body = decode_body(EnrolRequest, call.body)
         try:
             parse_address(body.address)
-        except ValueError as failure:
-            raise ValueError(f"address: {failure}") from failure
+        except InvalidAddressError as failure:
+            raise InvalidFieldError(field="address", value=body.address, problem=str(failure)) from failure
         member = EnrolMember(body.name, body.address, body.zone, body.start, body.service)
         try:
             grant = await self._leader.enrol(member)
@@ -190,7 +188,7 @@
             address=body.address,
             incarnation=grant.lease.incarnation,
         )
-        return self._lease(grant, t2)
+        return self._lease(grant, received_ms)
 
     def _reject_enrolment(self, member: EnrolMember, failure: MemberLimitError) -> Answer:
         self.rejected_enrolments += 1
@@ -202,106 +200,114 @@
                 why=str(failure),
                 refusals=self.rejected_enrolments,
             )
-        return error(409, str(failure))
+        return _error(HTTPStatus.CONFLICT, str(failure))
 
     async def _renew(self, call: Call) -> Answer:
-        return await self._renew_lease(_read(RenewRequest, call.body))
+        return await self._renew_lease(decode_body(RenewRequest, call.body))
 
     async def _renew_many(self, call: Call) -> Answer:
         renewals = decode_renewals(call.body)
         return encode_answers(await asyncio.gather(*map(self._renew_lease, renewals)))
 
     async def _renew_lease(self, body: RenewRequest) -> Answer:
-        t2 = self._leader.service_ms()
-        late = None if body.sent is None else self._leader.out_of_range_by_ms(body.sent)
-        if late is not None:
-            return error(409, f"sent {late:.0f} ms ago by service time")
+        received_ms = self._leader.service_ms()
+        age_ms = None if body.sent is None else self._leader.out_of_range_by_ms(body.sent)
+        if age_ms is not None:
+            return _error(HTTPStatus.CONFLICT, f"sent {age_ms:.0f} ms ago by service time")
         renewal = Renewal(body.incarnation, body.seq, body.answered, body.acked, body.using)
         grant = await self._leader.renew(renewal, body.delta)
-        return error(404, "no such row: enrol anew") if grant is None else self._lease(grant, t2)
+        return (
+            _error(HTTPStatus.NOT_FOUND, "no such row: enrol anew")
+            if grant is None
+            else self._lease(grant, received_ms)
+        )
 
-    def _lease(self, grant: MemberGrant, t2: float) -> Answer:
+    def _lease(self, grant: MemberGrant, received_ms: float) -> Answer:
         leader = self._leader
         answer = LeaseAnswer(
             **msgspec.structs.asdict(grant.lease),
             routes=grant.routes,
             ttl_ms=leader.ttl_ms,
             term=leader.term or 0,
-            received_ms=t2,
+            received_ms=received_ms,
             answered_ms=leader.service_ms(),
         )
-        return Answer(200, msgspec.json.encode(answer))
+        return Answer(HTTPStatus.OK, msgspec.json.encode(answer))
 
     async def _leaving(self, call: Call) -> Answer:
-        body = _read(MemberRequest, call.body)
-        return reply(200, {"ok": await self._leader.execute(self._fleet.leaving, body.incarnation)})
+        body = decode_body(MemberRequest, call.body)
+        return json_answer(
+            HTTPStatus.OK, {"ok": await self._leader.execute(self._fleet.leaving, body.incarnation)}
+        )
 
     async def _leave(self, call: Call) -> Answer:
-        body = _read(MemberRequest, call.body)
+        body = decode_body(MemberRequest, call.body)
         ok = await self._leader.execute(self._fleet.leave, body.incarnation)
         self._log.info("member_left", incarnation=body.incarnation, known=ok)
-        return reply(200, {"ok": ok})
+        return json_answer(HTTPStatus.OK, {"ok": ok})
 
     async def _remove(self, call: Call) -> Answer:
         name = unquote(call.path.removeprefix("/fleet/members/"))
-        if len(name) > 100:
-            raise ValueError("name: over 100 characters")
+        if len(name) > MAX_NAME_CHARACTERS:
+            problem = f"over {MAX_NAME_CHARACTERS} characters"
+            raise InvalidFieldError(field="name", value=name, problem=problem)
         removed = await self._leader.remove(name, call.query.get("service"))
-        self._log.warning("member_removed_by_operator", name=name[:100], incarnations=removed)
-        return reply(200, {"removed": removed})
+        self._log.warning("member_removed_by_operator", name=name, incarnations=removed)
+        return json_answer(HTTPStatus.OK, {"removed": removed})
 
     async def _end_service(self, call: Call) -> Answer:
         service = unquote(call.path.removeprefix("/fleet/services/"))
-        if not 0 < len(service) <= 100:
-            raise ValueError("service: not of 1 to 100 characters")
+        if not 0 < len(service) <= MAX_NAME_CHARACTERS:
+            problem = f"not of 1 to {MAX_NAME_CHARACTERS} characters"
+            raise InvalidFieldError(field="service", value=service, problem=problem)
         outcome = await self._leader.end_service(service)
         if isinstance(outcome, Rejected):
-            return error(409, outcome.reason)
+            return _error(HTTPStatus.CONFLICT, outcome.reason)
         assert isinstance(outcome, MembersRemoved)
         self._log.warning("service_ended_by_operator", service=service, incarnations=outcome.incarnations)
-        return reply(200, {"removed": outcome.incarnations})
+        return json_answer(HTTPStatus.OK, {"removed": outcome.incarnations})
 
     async def _members(self, call: Call) -> Answer:
-        return reply(200, self._fleet.members(call.query.get("service")))
+        return json_answer(HTTPStatus.OK, self._fleet.members(call.query.get("service")))
 
     async def _watch(self, call: Call) -> Answer:
-        """A hint that something has changed, from what this instance has applied: once the revision of the
-        member list that `incarnation` knows is not `since`, or the routes' not `routes_since` (not given:
-        what it was at the call)."""
+        """Answer once the process of `incarnation` has something new to read, or the wait is over.
+
+        That is so once the revision of its member list is not `since`, or the routes' not `routes_since` (by
+        default what it is at the call), by what this instance has applied.
+        """
         try:
-            since, wait_s = watch.parse_query(call, self._max_wait_ms)
+            query = watch.parse_query(call, self._max_wait_ms)
             routes_since = watch.optional_integer(call, "routes_since")
             incarnation = watch.optional_integer(call, "incarnation") or 0
         except InvalidFieldError:
-            return error(400, "since, routes_since, incarnation and timeout_ms are whole numbers")
+            return _error(
+                HTTPStatus.BAD_REQUEST, "since, routes_since, incarnation and timeout_ms are whole numbers"
+            )
         revisions = self._fleet.read(lambda state: state.revisions(incarnation))
-        known = (since, revisions[1] if routes_since is None else routes_since)
+        known = (query.since, revisions.routes if routes_since is None else routes_since)
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + wait_s
-        while revisions == known and loop.time() < deadline:
-            news = self._news(self._fleet.read(lambda state: state.service_of(incarnation)))
-            try:
-                async with asyncio.timeout(deadline - loop.time()):
-                    await asyncio.shield(news)
-            except TimeoutError:
-                pass
+        deadline_s = loop.time() + query.wait_s
+        while revisions == known and loop.time() < deadline_s:
+            group = self._fleet.read(lambda state: state.service_of(incarnation))
+            await watch.wait_until(self._next_change(group), deadline_s)
             revisions = self._fleet.read(lambda state: state.revisions(incarnation))
-        return reply(200, {"rev": revisions[0], "routes_rev": revisions[1]})
+        return json_answer(HTTPStatus.OK, {"rev": revisions.members, "routes_rev": revisions.routes})
 
     # Routes.
 
     async def _routes(self, call: Call) -> Answer:
-        return reply(200, self._fleet.read(lambda state: state.routes.status()))
+        return json_answer(HTTPStatus.OK, self._fleet.read(lambda state: state.routes.status()))
 
     async def _text(self, call: Call) -> Answer:
-        said = call.path.removeprefix("/fleet/routes/")
-        if not (said.isascii() and said.isdigit() and len(said) < 16):
-            raise ValueError("version: not a whole number")
-        number = int(said)
+        number_text = call.path.removeprefix("/fleet/routes/")
+        if not (number_text.isascii() and number_text.isdigit() and len(number_text) <= MAX_VERSION_DIGITS):
+            raise InvalidFieldError(field="version", value=number_text, problem="not a whole number")
+        number = int(number_text)
         text = self._fleet.read(lambda state: state.routes.text(number))
         if text is None:
-            return error(404, f"no version {number}")
-        return Answer(200, text.encode(), {"content-type": "application/toml"})
+            return _error(HTTPStatus.NOT_FOUND, f"no version {number}")
+        return Answer(HTTPStatus.OK, text.encode(), {"content-type": "application/toml"})
 
     async def _propose(self, call: Call) -> Answer:
         parse_table(0, call.body)  # ValueError names the key and its line
@@ -309,24 +315,28 @@
         return self._proposed(await self._leader.execute(self._fleet.propose, call.body.decode(), deadline))
 
     async def _rollback(self, call: Call) -> Answer:
-        body = _read(RollbackRequest, call.body)
+        body = decode_body(RollbackRequest, call.body)
         deadline = self._leader.service_ms() + self._leader.prepare_ms
         return self._proposed(await self._leader.execute(self._fleet.rollback, body.number, deadline))
 
-    def _proposed(self, ruling: ActivationOutcome) -> Answer:
-        if ruling.rejected:
-            return error(409, ruling.reason)
-        self._log.info("route_version_proposed", number=ruling.number, phase=ruling.phase)
-        return reply(200, {"number": ruling.number, "phase": ruling.phase})
+    def _proposed(self, outcome: ActivationOutcome) -> Answer:
+        if outcome.rejected:
+            return _error(HTTPStatus.CONFLICT, outcome.reason)
+        self._log.info("route_version_proposed", number=outcome.number, phase=outcome.phase)
+        return json_answer(HTTPStatus.OK, {"number": outcome.number, "phase": outcome.phase})
 
     async def _vote(self, call: Call) -> Answer:
-        body = _read(VoteRequest, call.body)
+        body = decode_body(VoteRequest, call.body)
         fields = (body.incarnation, body.number, body.yes, body.why)
-        ruling: ActivationOutcome = await self._leader.execute(self._fleet.vote, *fields)
-        return reply(200, {"phase": ruling.phase})
+        outcome: ActivationOutcome = await self._leader.execute(self._fleet.vote, *fields)
+        return json_answer(HTTPStatus.OK, {"phase": outcome.phase})
 
     async def _halt(self, call: Call) -> Answer:
-        body = _read(HaltRequest, call.body)
-        ruling: ActivationOutcome = await self._leader.execute(self._fleet.halt, body.number)
-        self._log.warning("routes_halted", number=ruling.number, phase=ruling.phase)
-        return reply(200, {"number": ruling.number, "phase": ruling.phase})
+        body = decode_body(HaltRequest, call.body)
+        outcome: ActivationOutcome = await self._leader.execute(self._fleet.halt, body.number)
+        self._log.warning("routes_halted", number=outcome.number, phase=outcome.phase)
+        return json_answer(HTTPStatus.OK, {"number": outcome.number, "phase": outcome.phase})
+
+
+def _error(status: int, reason: str) -> Answer:
+    return error_answer(status, reason[:MAX_ERROR_CHARACTERS])
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -118,7 +118,7 @@
             return f"the leader waits for service time: leases given before it led end in {left_ms:.0f} ms"
         return "the leader begins its term"
 
-    async def execute(self, command: Callable[..., Any], *args: Any) -> Any:
+    async def execute(self, command: Callable[..., object], *args: object) -> Any:  # noqa: ANN401  # the command's
         """Commit a command in the term that this instance leads in, and return its result.
 
         ConnectionError or TimeoutError without a result; the command may have been carried out nevertheless.
--- a/loadbalancer/registry/forwarding.py
+++ b/loadbalancer/registry/forwarding.py
@@ -7,6 +7,7 @@
 
 import asyncio
 from collections.abc import Callable, Sequence
+from http import HTTPStatus
 from urllib.parse import urlencode
 
 import structlog
@@ -60,11 +61,13 @@
             except (OSError, TimeoutError) as failure:
                 reason = f"{type(failure).__name__}: {failure}"[:MAX_LOGGED_CHARACTERS]
                 continue
-            if answer.status != 503:
+            if answer.status != HTTPStatus.SERVICE_UNAVAILABLE:
                 return answer
             reason = "503"
         self._log_failure(request, reason)
-        return Answer(503, b'{"error":"no instance of the list service did it in time"}')
+        return Answer(
+            HTTPStatus.SERVICE_UNAVAILABLE, b'{"error":"no instance of the list service did it in time"}'
+        )
 
     def _watch_wait_s(self, request: Call) -> float:
         if request.path != "/fleet/watch":
--- a/loadbalancer/registry/local.py
+++ b/loadbalancer/registry/local.py
@@ -16,6 +16,7 @@
 import sys
 from collections.abc import Sequence
 from dataclasses import dataclass
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -75,7 +76,7 @@
         """Listen on a free port."""
 
         async def answer(request: Call) -> Answer:
-            return Answer(200, b'{"done":true}', {"depth": "0"})
+            return Answer(HTTPStatus.OK, b'{"done":true}', {"depth": "0"})
 
         server = await serve((LOOPBACK, 0), answer)
         self._port = server.sockets[0].getsockname()[1]
@@ -96,7 +97,7 @@
         """Whether an instance has accepted a registration or renewal; each is asked in turn."""
         for port in self._registry_ports:
             with contextlib.suppress(OSError, TimeoutError):
-                if (await self._renew_at(port)).status == 200:
+                if (await self._renew_at(port)).status == HTTPStatus.OK:
                     return True
         return False
 
@@ -104,11 +105,11 @@
         if self._registered:
             body = orjson.dumps({"uids": [self.uid]})
             reply = await call((LOOPBACK, port), "POST", "/registry/renew", body)
-            self._registered = reply.status == 200 and not orjson.loads(reply.body)["unknown"]
+            self._registered = reply.status == HTTPStatus.OK and not orjson.loads(reply.body)["unknown"]
         else:
             body = orjson.dumps({"uid": self.uid, "endpoint": f"{LOOPBACK}:{self._port}", "az": "a"})
             reply = await call((LOOPBACK, port), "PUT", f"/registry/targets/{self.uid}", body)
-            self._registered = reply.status == 200
+            self._registered = reply.status == HTTPStatus.OK
         return reply
 
 
--- a/loadbalancer/registry/renewal_relay.py
+++ b/loadbalancer/registry/renewal_relay.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 import structlog
@@ -16,7 +17,12 @@
 from loadbalancer.node.http.service_http import Answer, Client
 from loadbalancer.registry.addresses import parse_address
 from loadbalancer.registry.batch import MAX_BATCH_COUNT, Batcher
-from loadbalancer.registry.errors import InvalidBodyError, NoLeaderError, NotCommittedError
+from loadbalancer.registry.errors import (
+    BatchTooLargeError,
+    InvalidBodyError,
+    NoLeaderError,
+    UnusableLeaderAnswerError,
+)
 from loadbalancer.registry.forwarding import HOP_HEADER
 from loadbalancer.registry.messages import RenewRequest
 
@@ -59,14 +65,15 @@
         reply = await self._client.call(
             address, "POST", RENEW_MANY_PATH, body, FORWARD_TIMEOUT_S, {HOP_HEADER: "1"}
         )
-        if reply.status != 200:
-            raise NotCommittedError(f"the leader answered {reply.status}")
+        if reply.status != HTTPStatus.OK:
+            raise UnusableLeaderAnswerError(reply.status)
         try:
             answers = _answers.decode(reply.body)
         except msgspec.MsgspecError as failure:
-            raise NotCommittedError(f"the leader's answer: {failure}") from failure
+            raise UnusableLeaderAnswerError(failure) from failure
         if len(answers) != len(renewals):
-            raise NotCommittedError(f"{len(answers)} answers to {len(renewals)} renewals")
+            problem = f"{len(answers)} answers to {len(renewals)} renewals"
+            raise UnusableLeaderAnswerError(problem)
         return answers
 
 
@@ -77,11 +84,11 @@
     except (msgspec.MsgspecError, RecursionError) as failure:
         raise InvalidBodyError(failure) from failure
     if len(renewals) > MAX_BATCH_COUNT:
-        raise InvalidBodyError(f"{len(renewals)} renewals, over {MAX_BATCH_COUNT}")
+        raise BatchTooLargeError(len(renewals), MAX_BATCH_COUNT)
     return renewals
 
 
 def encode_answers(answers: list[Answer]) -> Answer:
     """The answer that `RenewalRelay` reads."""
     rows = [RelayedAnswer(answer.status, Raw(answer.body)) for answer in answers]
-    return Answer(200, msgspec.json.encode(rows))
+    return Answer(HTTPStatus.OK, msgspec.json.encode(rows))
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -10,6 +10,7 @@
 
 import asyncio
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import orjson
@@ -85,14 +86,14 @@
                 change.set_result(None)
         self.leader.wake()
 
-    async def commit(self, command: Callable[..., Any], *args: Any) -> Any:
+    async def commit(self, command: Callable[..., object], *args: object) -> Any:  # noqa: ANN401  # the command's
         """Propose a command and return its result once it is committed.
 
         NotCommittedError where Raft refuses the command, TimeoutError where it is not committed in time.
         """
-        done: asyncio.Future[Any] = self._loop.create_future()
+        done: asyncio.Future[object] = self._loop.create_future()
 
-        def settle(result: Any, failure: int) -> None:
+        def settle(result: object, failure: int) -> None:
             if done.done():
                 return
             if failure:
@@ -100,7 +101,7 @@
             else:
                 done.set_result(result)
 
-        def on_committed(result: Any, failure: int) -> None:  # called in Raft's thread
+        def on_committed(result: object, failure: int) -> None:  # called in Raft's thread
             self._loop.call_soon_threadsafe(settle, result, failure)
 
         command(*args, callback=on_committed)
@@ -148,25 +149,27 @@
             return await self._answer(call)
         except (TimeoutError, ConnectionError) as failure:
             self.log.warning("write_not_committed", path=call.path, why=str(failure) or "timeout")
-            return error_answer(503, "not committed: no leader with a quorum in time")
+            return error_answer(
+                HTTPStatus.SERVICE_UNAVAILABLE, "not committed: no leader with a quorum in time"
+            )
 
     async def _answer(self, call: Call) -> Answer:
         match call.method, call.path:
             case "GET", "/discovery/hosts":
                 return await self._read(call)
             case "GET", "/registry/status":
-                return json_answer(200, self.status())
+                return json_answer(HTTPStatus.OK, self.status())
             case "POST", "/registry/renew":
                 return await self._renew(call)
         if call.path.startswith(TARGETS_PATH):
             return await self._write(call, call.path.removeprefix(TARGETS_PATH))
-        return error_answer(404, f"no {call.method} {call.path}")
+        return error_answer(HTTPStatus.NOT_FOUND, f"no {call.method} {call.path}")
 
     async def _read(self, call: Call) -> Answer:
         try:
             query = watch.parse_query(call, self.config.max_wait_ms)
         except InvalidFieldError:
-            return error_answer(400, "since and timeout_ms are whole numbers")
+            return error_answer(HTTPStatus.BAD_REQUEST, "since and timeout_ms are whole numbers")
         page = await watch.page_after_change(self.catalog.page, query, lambda: self._next_change)
         return watch.page_answer(page, {STALE_HEADER: "1"} if self.is_stale() else {})
 
@@ -176,28 +179,28 @@
         if call.method == "DELETE":
             revision = await self.commit(self.catalog.remove, uid, unix_ms())
             log.info("target_removed", rev=revision)
-            return json_answer(200, {"rev": revision, "change": change})
+            return json_answer(HTTPStatus.OK, {"rev": revision, "change": change})
         if call.method != "PUT":
-            return error_answer(405, "PUT or DELETE")
+            return error_answer(HTTPStatus.METHOD_NOT_ALLOWED, "PUT or DELETE")
         try:
             target = _target_in(call.body, uid)
         except ValueError as failure:  # orjson's error is one too
             reason = str(failure)[:MAX_ERROR_CHARACTERS]
             log.warning("target_rejected", why=reason)
-            return error_answer(400, reason)
+            return error_answer(HTTPStatus.BAD_REQUEST, reason)
         revision = await self.commit(self.catalog.put, target, unix_ms())
         log.info("target_put", rev=revision, state=target["state"], endpoint=target["endpoint"])
-        return json_answer(200, {"rev": revision, "change": change})
+        return json_answer(HTTPStatus.OK, {"rev": revision, "change": change})
 
     async def _renew(self, call: Call) -> Answer:
         try:
             uids = orjson.loads(call.body)["uids"]
             if not isinstance(uids, list) or not all(isinstance(uid, str) for uid in uids):
-                raise InvalidFieldError("uids", uids, "not a list of texts")
+                raise InvalidFieldError(field="uids", value=uids, problem="not a list of texts")
         except (ValueError, KeyError, TypeError) as failure:
             reason = f"renew wants {{'uids': [...]}}: {failure}"
-            return error_answer(400, reason[:MAX_ERROR_CHARACTERS])
-        return json_answer(200, {"unknown": await self.leases.renew(uids)})
+            return error_answer(HTTPStatus.BAD_REQUEST, reason[:MAX_ERROR_CHARACTERS])
+        return json_answer(HTTPStatus.OK, {"unknown": await self.leases.renew(uids)})
 
 
 def _target_in(body: bytes, uid: str) -> Target:
@@ -207,7 +210,7 @@
         row.setdefault("uid", uid)
     target = validate_target(row)
     if target["uid"] != uid:
-        raise InvalidFieldError("uid", target["uid"], "not the one in the path")
+        raise InvalidFieldError(field="uid", value=target["uid"], problem="not the one in the path")
     return target
 
 
--- a/loadbalancer/registry/settings.py
+++ b/loadbalancer/registry/settings.py
@@ -101,11 +101,11 @@
     least = raft.positive("election_min_ms", default["election_min_ms"])
     most = raft.positive("election_max_ms", default["election_max_ms"])
     if least <= MIN_APPEND_PERIODS * append_period_ms:
-        raise raft.error("election_min_ms", f"not above {MIN_APPEND_PERIODS} x append_period_ms")
+        raise raft.error(key="election_min_ms", problem=f"not above {MIN_APPEND_PERIODS} x append_period_ms")
     if least >= most:
-        raise raft.error("election_max_ms", "not above election_min_ms")
+        raise raft.error(key="election_max_ms", problem="not above election_min_ms")
     if most > CONNECTION_TIMEOUT_MS:
-        raise raft.error("election_max_ms", f"{most} is over {CONNECTION_TIMEOUT_MS}")
+        raise raft.error(key="election_max_ms", problem=f"{most} is over {CONNECTION_TIMEOUT_MS}")
     return least, most
 
 
@@ -113,7 +113,9 @@
     default = _defaults(MemberSettings)
     ttl_ms = members.positive("ttl_ms", default["ttl_ms"])
     if not MIN_MEMBER_LEASE_MS <= ttl_ms <= MAX_MEMBER_LEASE_MS:
-        raise members.error("ttl_ms", f"{ttl_ms} is not from {MIN_MEMBER_LEASE_MS} to {MAX_MEMBER_LEASE_MS}")
+        raise members.error(
+            key="ttl_ms", problem=f"{ttl_ms} is not from {MIN_MEMBER_LEASE_MS} to {MAX_MEMBER_LEASE_MS}"
+        )
     return MemberSettings(
         ttl_ms=ttl_ms,
         clock_bound_ms=members.positive("clock_bound_ms", default["clock_bound_ms"]),
@@ -129,7 +131,7 @@
     default = _defaults(AgentSettings)
     registries = agent.addresses("registries")
     if not registries:
-        raise agent.error("registries", "empty")
+        raise agent.error(key="registries", problem="empty")
     return AgentSettings(
         listen=agent.address("listen"),
         registries=registries,
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -30,6 +30,7 @@
 
 Reduced = tuple[Any, ...]  # of `object.__reduce__`: a callable, its arguments and, mostly, a state
 Writer = Callable[[Any], Reduced]
+State = tuple[None, dict[str, object]] | dict[str, object]  # of a class with or without slots
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,10 +87,10 @@
     the stored constructor arguments and state.
     """
 
-    def __init__(self, *args: Any) -> None:
+    def __init__(self, *args: object) -> None:
         self.args = args
 
-    def __setstate__(self, state: Any) -> None:
+    def __setstate__(self, state: object) -> None:
         self.state = state
 
 
@@ -104,7 +105,7 @@
     return stand_in
 
 
-def _rename(state: Any, names: Mapping[str, str]) -> Any:
+def _rename(state: object, names: Mapping[str, str]) -> object:
     """A pickled state with its fields renamed, in whichever form its class is pickled in."""
     if not names:
         return state
@@ -130,12 +131,12 @@
     names = {old: new for new, old in stored.renamed.items()}
     set_present_state = getattr(present, "__setstate__", None)
 
-    def set_stored_state(self: Any, state: Any) -> None:
+    def set_stored_state(self: object, state: State) -> None:
         object.__setattr__(self, "__class__", present)
         if set_present_state is not None:
             set_present_state(self, _rename(state, names))
             return
-        values = state[1] if isinstance(state, tuple) else state  # of a class with slots: (None, values)
+        values = state[1] if isinstance(state, tuple) else state
         for name, value in values.items():
             setattr(self, names.get(name, name), value)
 
@@ -177,7 +178,7 @@
         """Write one object."""
         _Pickler(file, self._writers).dump(value)
 
-    def load(self, file: IO[bytes] | GzipFile) -> Any:
+    def load(self, file: IO[bytes] | GzipFile) -> Any:  # noqa: ANN401  # of whichever type was written
         """Read one object; AttributeError or ImportError where it names a class that is not there."""
         return _Unpickler(file, self._readers).load()
 
@@ -187,7 +188,7 @@
         super().__init__(file, PROTOCOL)
         self._writers = writers
 
-    def reducer_override(self, value: Any) -> Any:
+    def reducer_override(self, value: object) -> Any:  # noqa: ANN401  # as pickle calls it
         writer = self._writers.get(type(value))
         return NotImplemented if writer is None else writer(value)
 
@@ -197,7 +198,7 @@
         super().__init__(file)
         self._readers = readers
 
-    def find_class(self, module: str, name: str) -> Any:
+    def find_class(self, module: str, name: str) -> Any:  # noqa: ANN401  # as pickle calls it
         reader = self._readers.get((module, name))
         return super().find_class(module, name) if reader is None else reader
 
--- a/loadbalancer/registry/target.py
+++ b/loadbalancer/registry/target.py
@@ -22,15 +22,19 @@
         raise InvalidTargetError
     uid, endpoint, state = row.get("uid"), row.get("endpoint"), row.get("state", READY)
     if not isinstance(uid, str) or not 0 < len(uid) <= MAX_UID_CHARACTERS:
-        raise InvalidFieldError("uid", uid, f"not a text of 1 to {MAX_UID_CHARACTERS} characters")
+        raise InvalidFieldError(
+            field="uid", value=uid, problem=f"not a text of 1 to {MAX_UID_CHARACTERS} characters"
+        )
     if not isinstance(endpoint, str) or ":" not in endpoint:
-        raise InvalidFieldError("endpoint", endpoint, "not host:port")
+        raise InvalidFieldError(field="endpoint", value=endpoint, problem="not host:port")
     if state not in REGISTERED_STATES:
-        raise InvalidFieldError("state", state, f"{state!r} is not one of {', '.join(REGISTERED_STATES)}")
+        raise InvalidFieldError(
+            field="state", value=state, problem=f"{state!r} is not one of {', '.join(REGISTERED_STATES)}"
+        )
     hint, boot_ms, group = row.get("capacity_hint", 1.0), row.get("boot_ms", 0), row.get("pod_group", 0)
     if not isinstance(hint, int | float) or not isinstance(boot_ms, int) or not isinstance(group, int):
         fields = "capacity_hint, boot_ms or pod_group"
-        raise InvalidFieldError(fields, (hint, boot_ms, group), "not a number")
+        raise InvalidFieldError(field=fields, value=(hint, boot_ms, group), problem="not a number")
     return {
         "uid": uid,
         "endpoint": endpoint,
--- a/loadbalancer/registry/toml_table.py
+++ b/loadbalancer/registry/toml_table.py
@@ -77,7 +77,7 @@
         """An integer above 0."""
         value = self.integer(key, default)
         if value <= 0:
-            raise self.error(key, f"{value} is not above 0")
+            raise self.error(key=key, problem=f"{value} is not above 0")
         return value
 
     def address(self, key: str) -> Address:
@@ -87,7 +87,7 @@
         except ConfigError:
             raise
         except ValueError as failure:
-            raise self.error(key, failure) from failure
+            raise self.error(key=key, problem=failure) from failure
 
     def addresses(self, key: str) -> tuple[Address, ...]:
         """A list of loopback host:port."""
@@ -95,13 +95,13 @@
         try:
             return tuple(parse_address(text) for text in texts)
         except (ValueError, TypeError, AttributeError) as failure:
-            raise self.error(key, f"not a list of loopback host:port: {failure}") from failure
+            raise self.error(key=key, problem=f"not a list of loopback host:port: {failure}") from failure
 
     def _value(self, key: str, kind: type[Value], default: Value | None) -> Value:
         value = self._row.get(key, default)
         if value is None:
-            raise self.error(key, "missing")
+            raise self.error(key=key, problem="missing")
         # bool is a subclass of int, and true is not a number here
         if not isinstance(value, kind) or isinstance(value, bool) is not (kind is bool):
-            raise self.error(key, f"{value!r} is not a {kind.__name__}")
+            raise self.error(key=key, problem=f"{value!r} is not a {kind.__name__}")
         return value
--- a/loadbalancer/registry/watch.py
+++ b/loadbalancer/registry/watch.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import NamedTuple
 
 import orjson
@@ -31,7 +32,7 @@
     try:
         return int(text)
     except ValueError as failure:
-        raise InvalidFieldError(name, text, "not a whole number") from failure
+        raise InvalidFieldError(field=name, value=text, problem="not a whole number") from failure
 
 
 def parse_query(call: Call, max_wait_ms: int = MAX_WAIT_MS) -> WatchQuery:
@@ -72,4 +73,4 @@
     body = {"rev": page.revision, "all": page.complete, "targets": page.targets}
     if origin_revision is not None:
         body["origin_rev"] = origin_revision
-    return Answer(200, orjson.dumps(body), headers or {})
+    return Answer(HTTPStatus.OK, orjson.dumps(body), headers or {})
