--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -42,8 +42,8 @@
     decode_renewals,
     encode_answers,
 )
-from loadbalancer.routing.coordinator import ActivationOutcome
 from loadbalancer.routing.route_table import MAX_TEXT_BYTES, parse_table
+from loadbalancer.routing.version_record import ActivationOutcome
 
 MAX_BODY_BYTES = 8 * 1024
 MAX_BODY_BYTES_BY_CALL = {
