--- a/loadbalancer/node/membership_settings.py
+++ b/loadbalancer/node/membership_settings.py
@@ -9,6 +9,7 @@
 from msgspec import Meta
 
 from loadbalancer.node.address import Address, parse_address
+from loadbalancer.node.errors import InvalidSettingError, MalformedSettingError
 
 MIN_INTERVAL_MS: Final = 1.0
 MAX_INTERVAL_MS: Final = 60_000.0
@@ -57,28 +58,21 @@
         return Path(self.routes_folder) if self.routes_folder else None
 
 
-class MembershipSettingsError(ValueError):
-    """The configuration's section `members` has a wrong value; the text names the key."""
-
-    def __init__(self, problem: str) -> None:
-        """`problem`: the key, its value and the range it has to be in."""
-        super().__init__(f"members: {problem}")
-
-
 def parse_membership_settings(section: object) -> MembershipSettings:
-    """The settings in the section `members`; MembershipSettingsError says in one line which key is wrong."""
+    """The settings in the section `members`; ConfigError says in one line which key is wrong."""
     try:
         settings = msgspec.convert(section, MembershipSettings)
         _, port = settings.address
-    except ValueError as error:  # of msgspec's validation, too
-        raise MembershipSettingsError(str(error)) from error
+    except ValueError as error:  # msgspec's errors are ValueErrors
+        raise MalformedSettingError(setting="members", reason=error) from error
     if not port:
-        raise MembershipSettingsError("listen: port 0 is no address that siblings could call")
+        raise InvalidSettingError(
+            setting="members: listen", value=settings.listen, expected="an address that siblings can call"
+        )
     for name in _INTERVALS:
         value = getattr(settings, name)
         if not MIN_INTERVAL_MS <= value <= MAX_INTERVAL_MS:
-            key = _CONFIGURATION_KEYS[name]
-            raise MembershipSettingsError(
-                f"{key}: {value!r} is not from {MIN_INTERVAL_MS:g} to {MAX_INTERVAL_MS:g}"
-            )
+            setting = f"members: {_CONFIGURATION_KEYS[name]}"
+            expected = f"from {MIN_INTERVAL_MS:g} to {MAX_INTERVAL_MS:g}"
+            raise InvalidSettingError(setting, value, expected)
     return settings
