--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -46,7 +46,7 @@
 
 log = logging.getLogger("loadbalancer")
 
-NONCE_BYTES: Final = 8  # tells one start of a process from another
+NONCE_BYTES: Final = 8  # distinguishes one start of a process from another
 SEED_BYTES: Final = 8
 
 
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -84,7 +84,7 @@
         self._tick()
 
     async def leave(self) -> None:
-        """Give the quota up, after the last request has been answered, and tell the service."""
+        """Give the quota up, after the last request has been answered, and notify the service."""
         if self.member_lease.incarnation is None:
             return
         self.member_lease.leave(self._clock.now_ms())
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -1,5 +1,4 @@
-"""Transport of the failure detector: the listener for probes, the calls that carry probes, and the timer of
-its ticks."""
+"""Transport of the failure detector: the listener for probes, the outgoing probes, and the tick timer."""
 
 from __future__ import annotations
 
@@ -53,7 +52,7 @@
     def __init__(
         self, detector: FailureDetector, clock: MembershipClock, max_connections: int = MAX_CONNECTIONS
     ) -> None:
-        """`max_connections`: accepted from any peers, and as many again kept open to members."""
+        """`max_connections`: accepted from any peers, and as many again held open to members."""
         self.detector = detector
         self.before_tick: Callable[[float], None] = lambda now: None
         self.on_report: Callable[[ViewReceived], None] = lambda viewed: None
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -38,7 +38,7 @@
         store: RouteStore | None,
         notify: Callable[[Event], None],
     ) -> None:
-        """`store` is None where the node prepares no versions; `tell` passes events to the balancer."""
+        """`store` is None where the node prepares no versions; `notify` passes events to the balancer."""
         self.participant = participant
         self.switches = 0
         self.last_delay_ms = 0.0  # between the last switch and its moment
--- a/loadbalancer/node/control/route_store.py
+++ b/loadbalancer/node/control/route_store.py
@@ -53,7 +53,7 @@
         return self._worker.submit(self._write, number, text)
 
     def remove(self, number: int) -> Future[None]:
-        """Done once the version is gone from the disk."""
+        """Done once the version is deleted from the disk."""
         return self._worker.submit(self._remove, number)
 
     def close(self) -> None:
--- a/loadbalancer/node/control/status_bodies.py
+++ b/loadbalancer/node/control/status_bodies.py
@@ -1,6 +1,6 @@
 """What operators see of the control plane: the bodies of GET /status/members and GET /status/routes.
 
-Fields are named by the field's terms; `rename` maps them to the keys that operators read.
+Attributes have the standard terms; `rename` maps them to the keys that operators read.
 """
 
 from __future__ import annotations
--- a/loadbalancer/staleness/clock_offsets.py
+++ b/loadbalancer/staleness/clock_offsets.py
@@ -20,7 +20,7 @@
 # Between two clocks: each is off its rate by up to 500 ppm, the most that a kernel's clock discipline steers
 # by (MAXFREQ in RFC 5905, appendix A), in opposite directions.
 MAX_DRIFT_PPM: Final = 1000.0
-MAX_SAMPLES: Final = 8  # kept of each peer, as the stages of the clock filter in RFC 5905
+MAX_SAMPLES: Final = 8  # retained of each peer, as the stages of the clock filter in RFC 5905
 MAX_PEERS: Final = 1024  # of more, the one sampled longest ago is dropped
 MAX_ROUND_TRIP_MS: Final = 60_000.0  # the sample of a longer call bounds the offset too loosely to keep
 MAX_TIMESTAMP_MS: Final = 4e12  # the year 2096; doubles below it are 0.0005 ms apart
--- a/loadbalancer/staleness/gossip_reports.py
+++ b/loadbalancer/staleness/gossip_reports.py
@@ -12,7 +12,7 @@
 from loadbalancer.staleness.clock_offsets import Interval, OffsetReading
 from loadbalancer.staleness.wire import ServerObservation
 
-MAX_ORIGINS: Final = 3  # siblings whose reports are kept of one server: those that heard it last
+MAX_ORIGINS: Final = 3  # siblings whose reports on one server are retained: those it answered last
 _NO_FAILURE: Final = (None, AttemptResult.OK, AttemptResult.REJECTED)
 
 
