--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -271,7 +271,7 @@
         return json_answer(HTTPStatus.OK, self._fleet.members(call.query.get("service")))
 
     async def _watch(self, call: HttpRequest) -> HttpResponse:
-        """HttpResponse once the process of `incarnation` has something new to read, or the wait is over.
+        """Answer once the process of `incarnation` has something new to read, or the wait is over.
 
         That is so once the revision of its member list is not `since`, or the routes' not `routes_since` (by
         default what it is at the call), by what this instance has applied.
