--- a/loadbalancer/node/clock.py
+++ b/loadbalancer/node/clock.py
@@ -13,10 +13,10 @@
         self._time = loop.time
         self._anchor_s = time.time() - loop.time()
 
-    def unix_ms(self, at: float | None = None) -> float:
+    def unix_ms(self, loop_time_s: float | None = None) -> float:
         """Return the Unix time in ms, now or at a time of the event loop (s)."""
-        return ((self._time() if at is None else at) + self._anchor_s) * 1000.0
+        return ((self._time() if loop_time_s is None else loop_time_s) + self._anchor_s) * 1000.0
 
-    def to_loop_time(self, ms: float) -> float:
+    def to_loop_time(self, unix_ms: float) -> float:
         """Return the event loop's time (s) at a Unix time in ms."""
-        return ms / 1000.0 - self._anchor_s
+        return unix_ms / 1000.0 - self._anchor_s
