--- a/loadbalancer/membership/__init__.py
+++ b/loadbalancer/membership/__init__.py
@@ -30,11 +30,13 @@
     ViewReceived,
 )
 from loadbalancer.membership.failure_detector import FailureDetector
+from loadbalancer.membership.lease_calls import QuotaLease, RegistryCall, SiblingReport
 from loadbalancer.membership.lease_clock import LeaseClock
-from loadbalancer.membership.member_lease import MemberLease, QuotaLease, RegistryCall, SiblingReport
+from loadbalancer.membership.member_lease import MemberLease
+from loadbalancer.membership.member_record import MemberRecord, MemberState
 from loadbalancer.membership.messages import LeaseGrant, Member
 from loadbalancer.membership.payload import QuotaStatus
-from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
+from loadbalancer.membership.quota_ledger import QuotaLedger
 from loadbalancer.membership.verdict import (
     VERDICTS,
     Connectivity,
--- a/loadbalancer/membership/member_lease.py
+++ b/loadbalancer/membership/member_lease.py
@@ -24,16 +24,16 @@
 
 import math
 from collections.abc import Mapping
-from dataclasses import dataclass
 from random import Random
 from typing import Any
 
 from msgspec import UNSET
 
+from loadbalancer.membership.lease_calls import QuotaLease, RegistryCall, SiblingReport
 from loadbalancer.membership.lease_clock import ATTACHED_TERM_FRACTION, MAX_DELAY_TERM_FRACTION
+from loadbalancer.membership.member_record import is_majority
 from loadbalancer.membership.messages import LeaseGrant, Member
 from loadbalancer.membership.payload import QuotaStatus
-from loadbalancer.membership.quota_ledger import is_majority
 
 RENEWAL_TERM_FRACTION = 0.2  # of the term: from one renewal to the next
 RETRY_TERM_FRACTION = 0.1  # after a failure, drawn from half of it up
@@ -50,34 +50,6 @@
 QUOTA_TOLERANCE = 1e-9  # shares nearer than this are the same
 
 
-@dataclass(slots=True, frozen=True)
-class RegistryCall:
-    """A call to the list service, which `answered` or `failed` has to follow with the same number."""
-
-    number: int
-    path: str  # under /fleet/
-    body: dict[str, Any]
-    timeout_ms: float
-
-
-@dataclass(slots=True, frozen=True)
-class QuotaLease:
-    """What the node may take of what all siblings share: `share` before `until_ms` of its clock, 0 from
-    then on."""
-
-    quota: float
-    members: int
-    until_ms: float
-
-
-@dataclass(slots=True, frozen=True)
-class SiblingReport:
-    """A sibling's last word on itself, made no earlier than `at_ms` of this node's clock."""
-
-    status: QuotaStatus
-    made_at_ms: float
-
-
 class MemberLease:
     def __init__(
         self, name: str, address: str, zone: str, start: str, rng: Random, service: str = ""
--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -20,8 +20,8 @@
 from msgspec import Struct
 from pysyncobj import SyncObjConsumer, replicated
 
+from loadbalancer.membership.member_record import MemberRecord
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import MemberRecord
 from loadbalancer.registry.commands import EndService, EnrolMember, RemoveMembers, decode
 from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
 from loadbalancer.registry.fleet_state import Expired, FleetState, TermStart
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -27,8 +27,9 @@
 
 from msgspec.structs import replace
 
+from loadbalancer.membership.member_record import MemberRecord, MemberState
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import ExternalQuota, MemberRecord, MemberState, QuotaLedger
+from loadbalancer.membership.quota_ledger import ExternalQuota, QuotaLedger
 from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
 from loadbalancer.routing.coordinator import ActivationCoordinator
 from loadbalancer.routing.version_record import ActivationOutcome
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -22,7 +22,8 @@
 from types import ModuleType
 from typing import IO, Any
 
-from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
+from loadbalancer.membership.member_record import MemberRecord, MemberState
+from loadbalancer.membership.quota_ledger import QuotaLedger
 from loadbalancer.registry.fleet_state import FleetState
 from loadbalancer.routing.coordinator import ActivationCoordinator
 from loadbalancer.routing.version_record import PendingActivation, VersionRecord
--- a/loadbalancer/routing/announcement.py
+++ b/loadbalancer/routing/announcement.py
@@ -9,8 +9,6 @@
 from loadbalancer.routing.errors import MalformedAnnouncementError
 from loadbalancer.routing.version_record import DECIDED, PREPARING
 
-MAX_ERROR_CHARS = 300
-
 
 class VersionRef(NamedTuple):
     """Names a version's text: its number, and the digest that shows which text has the number."""
@@ -34,7 +32,7 @@
         try:
             return cls._read(routes)
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise MalformedAnnouncementError(error, MAX_ERROR_CHARS) from error
+            raise MalformedAnnouncementError(error) from error
 
     @classmethod
     def _read(cls, routes: dict[str, Any]) -> Announcement:
--- a/loadbalancer/routing/coordinator.py
+++ b/loadbalancer/routing/coordinator.py
@@ -166,7 +166,8 @@
         if pending.yes_voters or not pending.voters:
             at_ms = log_ms + ttl_ms + bound_ms
             self.pending = replace(pending, activates_at_ms=at_ms)
-            self._update(pending.number, phase=DECIDED, activates_at_ms=at_ms)
+            version = self._kept_version(pending.number)
+            self._update(replace(version, phase=DECIDED, activates_at_ms=at_ms))
 
     # Reads.
 
@@ -264,20 +265,20 @@
                     f"not prepared by its deadline, waiting for {late[:MAX_NAMED_VOTERS] or 'anyone'}"
                 )
         elif log_ms >= pending.activates_at_ms:
-            self._update(self.active_number, phase=PAST)
-            self._update(pending.number, phase=IN_FORCE)
+            self._update(replace(self._kept_version(self.active_number), phase=PAST))
+            self._update(replace(self._kept_version(pending.number), phase=IN_FORCE))
             self.active_number, self.pending = pending.number, None
             self._store(self.versions)
 
     def _abort(self, reason: str) -> None:
         if self.pending is not None:
-            self._update(self.pending.number, phase=ABORTED, reason=reason[:MAX_REASON_LENGTH])
+            version = self._kept_version(self.pending.number)
+            self._update(replace(version, phase=ABORTED, reason=reason[:MAX_REASON_LENGTH]))
             self.pending = None
 
-    def _update(self, number: int, **changes: Any) -> None:
-        self._store(
-            tuple(replace(row, **changes) if row.number == number else row for row in self.versions),
-        )
+    def _update(self, version: VersionRecord) -> None:
+        """Replace the version of this number."""
+        self._store(tuple(version if row.number == version.number else row for row in self.versions))
 
     def _store(self, versions: tuple[VersionRecord, ...]) -> None:
         """Keep version 0, the one in force and the last MAX_VERSIONS, in the order of their numbers."""
--- a/loadbalancer/routing/error_position.py
+++ b/loadbalancer/routing/error_position.py
@@ -19,7 +19,7 @@
     """The first lines of the text that parse on their own."""
 
     line_count: int
-    table: Any
+    table: dict[str, Any]
 
 
 def find_line(text: str, path: Path) -> int:
@@ -51,12 +51,12 @@
     return None
 
 
-def _has(table: Any, path: Path) -> bool:
+def _has(table: object, path: Path) -> bool:
     for part in path:
-        if isinstance(part, int):
-            if not isinstance(table, list) or part >= len(table):
-                return False
-        elif not isinstance(table, dict) or part not in table:
+        if isinstance(part, int) and isinstance(table, list) and part < len(table):
+            table = table[part]
+        elif isinstance(part, str) and isinstance(table, dict) and part in table:
+            table = table[part]
+        else:
             return False
-        table = table[part]
     return True
--- a/loadbalancer/routing/route_table.py
+++ b/loadbalancer/routing/route_table.py
@@ -23,9 +23,11 @@
 
 from loadbalancer.endpoints import Endpoint, EndpointStatus, TrafficSplit
 from loadbalancer.routing.error_position import Path, find_line
-from loadbalancer.routing.errors import RouteTableError
+from loadbalancer.routing.errors import RouteTableError, as_one_line
 
 DEFAULT = "default"
+TEXT = "text"  # names the whole text in an error
+CLASS = "class"  # the key of the classes
 NEUTRAL = "neutral = true\n"
 MAX_TEXT_BYTES = 16 * 1024  # some 300 groups; bounds the time of a parse
 MAX_LINE_CHARS = 400  # tomllib's time is quadratic in the parts of a dotted key
@@ -33,7 +35,6 @@
 MAX_GROUPS = 64
 MAX_WEIGHT = 1e6
 MAX_NAME_CHARS = 128
-MAX_ERROR_CHARS = 300
 
 Name = Annotated[str, Field(min_length=1, max_length=MAX_NAME_CHARS)]
 
@@ -56,7 +57,7 @@
     model_config = ConfigDict(extra="forbid", strict=True)
 
     neutral: bool = False
-    classes: Annotated[dict[Name, _Class], Field(alias="class", max_length=MAX_CLASSES)] = {}
+    classes: Annotated[dict[Name, _Class], Field(alias=CLASS, max_length=MAX_CLASSES)] = {}
 
 
 @dataclass(slots=True, frozen=True)
@@ -82,16 +83,16 @@
     try:
         data = tomllib.loads(text)
     except RecursionError as error:
-        raise RouteTableError("text: nested too deep") from error
+        raise RouteTableError(TEXT, "nested too deep") from error
     except ValueError as error:
         message = str(error).replace("at end of document", f"at its end, line {len(text.splitlines())}")
-        raise RouteTableError(_one_line(f"text: {message}")) from error
+        raise RouteTableError(TEXT, message) from error
     try:
         parsed = _Text.model_validate(data)
     except ValidationError as error:
         raise _from_validation(text, error) from error
     if parsed.neutral == bool(parsed.classes):
-        raise RouteTableError("class: a table names classes, or says neutral = true and nothing else")
+        raise RouteTableError(CLASS, "a table names classes, or says neutral = true and nothing else")
     return RouteTable(number, tuple((name, _groups(text, name, row)) for name, row in parsed.classes.items()))
 
 
@@ -112,7 +113,7 @@
         if name != DEFAULT and name not in classes:
             objections.append(f"class {name!r}: not one of this node's")
         objections += _unservable_groups(name, groups, kinds)
-    return [_one_line(objection) for objection in objections]
+    return [as_one_line(objection) for objection in objections]
 
 
 class _Kind(NamedTuple):
@@ -153,24 +154,24 @@
         raw = text if isinstance(text, bytes) else text.encode()
         text = raw.decode()
     except UnicodeError as error:
-        raise RouteTableError(_one_line(f"text: not UTF-8: {error}")) from error
+        raise RouteTableError(TEXT, f"not UTF-8: {error}") from error
     if len(raw) > MAX_TEXT_BYTES:
-        raise RouteTableError(f"text: {len(raw)} bytes, over {MAX_TEXT_BYTES}")
-    for at, line in enumerate(text.split("\n"), 1):
+        raise RouteTableError(TEXT, f"{len(raw)} bytes, over {MAX_TEXT_BYTES}")
+    for number, line in enumerate(text.split("\n"), 1):
         if len(line) > MAX_LINE_CHARS:
-            raise RouteTableError(f"text (line {at}): {len(line)} characters, over {MAX_LINE_CHARS}")
+            raise RouteTableError(TEXT, f"{len(line)} characters, over {MAX_LINE_CHARS}", number)
     return text
 
 
 def _groups(text: str, name: str, row: _Class) -> tuple[TrafficSplit, ...]:
     groups = tuple(TrafficSplit(item.model, item.az, item.weight) for item in row.group)
     if not any(group.weight > 0 for group in groups):
-        raise _error_at(text, ("class", name), "no weight is above 0")
+        raise _error_at(text, (CLASS, name), "no weight is above 0")
     for at, group in enumerate(groups):
         for before, earlier in enumerate(groups[:at]):
             if earlier.model in (None, group.model) and earlier.zone in (None, group.zone):
                 problem = f"takes no server: group[{before}] takes all of them"
-                raise _error_at(text, ("class", name, "group", at), problem)
+                raise _error_at(text, (CLASS, name, "group", at), problem)
     return groups
 
 
@@ -192,8 +193,4 @@
     """The error of the key at `path`, with the line that defines `position` (by default the key itself)."""
     key = "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in path).lstrip(".")
     line = find_line(text, path if position is None else position)
-    return RouteTableError(_one_line(f"{key} (line {line}): {problem}"))
-
-
-def _one_line(message: str) -> str:
-    return "".join(char if char.isprintable() else " " for char in message)[:MAX_ERROR_CHARS]
+    return RouteTableError(key, problem, line)
--- a/tests/membership/test_shares.py
+++ b/tests/membership/test_shares.py
@@ -14,10 +14,12 @@
 
 import pytest
 
+from loadbalancer.membership.lease_calls import SiblingReport
 from loadbalancer.membership.lease_clock import MAX_DELAY_TERM_FRACTION, LeaseClock
-from loadbalancer.membership.member_lease import MemberLease, SiblingReport
+from loadbalancer.membership.member_lease import MemberLease
+from loadbalancer.membership.member_record import MemberRecord, MemberState, is_majority
 from loadbalancer.membership.payload import QuotaStatus
-from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger, is_majority
+from loadbalancer.membership.quota_ledger import QuotaLedger
 
 TTL = 1000.0
 STEP = 10.0
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -13,8 +13,9 @@
 
 from loadbalancer.membership.change_log import ChangeLog
 from loadbalancer.membership.member_lease import MemberLease
+from loadbalancer.membership.member_record import MemberRecord, MemberState
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
+from loadbalancer.membership.quota_ledger import QuotaLedger
 from loadbalancer.registry import fleet_state
 from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState
--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -7,10 +7,12 @@
 
 from msgspec import UNSET
 
+from loadbalancer.membership.lease_calls import RegistryCall
 from loadbalancer.membership.lease_clock import ATTACHED_TERM_FRACTION
-from loadbalancer.membership.member_lease import FULL_LIST_REVISION, RegistryCall
+from loadbalancer.membership.member_lease import FULL_LIST_REVISION
+from loadbalancer.membership.member_record import MemberRecord
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import MemberRecord, QuotaLedger
+from loadbalancer.membership.quota_ledger import QuotaLedger
 from loadbalancer.registry.fleet_state import NO_SERVICE, DueExpiry
 from tests.support.orders.parts import TTL, Bounds, Node, Service, members_key, past
 
--- a/tests/support/orders/mistakes.py
+++ b/tests/support/orders/mistakes.py
@@ -10,9 +10,12 @@
 from msgspec import UNSET
 from msgspec.structs import replace as replace_fields
 
-from loadbalancer.membership.member_lease import FULL_LIST_REVISION, MemberLease, QuotaStatus, SiblingReport
+from loadbalancer.membership.lease_calls import SiblingReport
+from loadbalancer.membership.member_lease import FULL_LIST_REVISION, MemberLease
+from loadbalancer.membership.member_record import MemberRecord
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import ExternalQuota, MemberRecord, QuotaLedger
+from loadbalancer.membership.payload import QuotaStatus
+from loadbalancer.membership.quota_ledger import ExternalQuota, QuotaLedger
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState, superseded_by
 from loadbalancer.routing.actions import Action, Store
 from loadbalancer.routing.coordinator import ActivationCoordinator
--- a/tests/support/orders/parts.py
+++ b/tests/support/orders/parts.py
@@ -7,10 +7,12 @@
 from random import Random
 from typing import Any, NamedTuple
 
+from loadbalancer.membership.lease_calls import RegistryCall, SiblingReport
 from loadbalancer.membership.lease_clock import LeaseClock
-from loadbalancer.membership.member_lease import MemberLease, RegistryCall, SiblingReport
+from loadbalancer.membership.member_lease import MemberLease
+from loadbalancer.membership.member_record import MemberRecord, MemberState
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import MemberRecord, MemberState, QuotaLedger
+from loadbalancer.membership.quota_ledger import QuotaLedger
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState
 
 TTL = 1000.0
--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -24,9 +24,9 @@
 from msgspec.structs import asdict
 
 from loadbalancer.endpoints import Endpoint, EndpointStatus
-from loadbalancer.membership.member_lease import RegistryCall
+from loadbalancer.membership.lease_calls import RegistryCall
+from loadbalancer.membership.member_record import MemberRecord
 from loadbalancer.membership.messages import LeaseAnswer, LeaseGrant
-from loadbalancer.membership.quota_ledger import MemberRecord
 from loadbalancer.registry.fleet_state import FleetState
 from loadbalancer.routing.actions import Action, Apply, CastVote, Delete, Fetch, Store
 from loadbalancer.routing.participant import RouteParticipant
--- a/tests/support/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -38,16 +38,12 @@
 from typing import Any
 
 from loadbalancer.membership.change_log import ChangeLog
+from loadbalancer.membership.lease_calls import RegistryCall, SiblingReport
 from loadbalancer.membership.lease_clock import MAX_DELAY_TERM_FRACTION, LeaseClock, _Lease
-from loadbalancer.membership.member_lease import (
-    HOLD_TERM_FRACTION,
-    MemberLease,
-    QuotaStatus,
-    RegistryCall,
-    SiblingReport,
-)
+from loadbalancer.membership.member_lease import HOLD_TERM_FRACTION, MemberLease
+from loadbalancer.membership.member_record import MemberRecord
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import MemberRecord
+from loadbalancer.membership.payload import QuotaStatus
 from loadbalancer.registry.fleet_state import NO_SERVICE, DueExpiry, FleetState
 from tests.support.orders.keys import Keyed
 from tests.support.orders.parts import NEVER, RNG, TTL, Bounds, LateWord, Node, Sent, Service, copied, waits
