--- a/loadbalancer/membership/actions.py
+++ b/loadbalancer/membership/actions.py
@@ -1,66 +1,94 @@
-"""Inputs and outputs of the failure detector: its settings, the members it is told of, and its actions."""
+"""Inputs and outputs of the failure detector: its settings, the other members, and its actions."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from loadbalancer.membership.errors import DetectorSettingError
 from loadbalancer.membership.payload import MAX_ACCUSERS, MAX_UPDATES
 from loadbalancer.membership.verdict import Reachability
 
+MAX_SETTING_MS = 1e9
+MAX_SETTING_COUNT = 1000
+MAX_RETRANSMIT_MULTIPLIER = 100.0
+
 
 @dataclass(frozen=True, slots=True)
 class DetectorConfig:
-    """Settings of the failure detector; times in ms. Raises ValueError for figures it could not work with."""
+    """Settings of the failure detector; raises DetectorSettingError for a value out of its range.
+
+    Suspicion timeouts grow with log10 of the group's size past ten members (Lifeguard, section IV.B).
+    """
 
-    period_ms: float = 1000.0  # the protocol period: one member is probed each
+    period_ms: float = 1000.0  # the protocol period: one member is probed in each
     urgent_period_ms: float = 100.0  # while this node is not attached, or knows of a suspect
-    probe_timeout_ms: float = 500.0  # over a round trip between the furthest nodes
-    helpers: int = 3  # members asked for an indirect probe
-    tick_ms: float = 50.0  # the longest wait between ticks, so that a pause of this process shows,
-    idle_tick_ms: float = 100.0  # and while attached with no probe under way and no suspect known
-    late_ms: float = 100.0  # a tick this late means that this process was paused
-    suspicion_min_ms: float = (
-        1000.0  # after timeouts: once enough accusers agree; grows as log10 of the group past ten
-    )
-    suspicion_max_ms: float = 6000.0  # after timeouts: with a single accuser; grows alike
+    probe_timeout_ms: float = 500.0  # above a round trip between the most distant nodes
+    helpers: int = 3  # members that are asked for an indirect probe
+    tick_ms: float = 50.0  # the longest time between ticks, so that a pause of this process is noticed
+    idle_tick_ms: float = 100.0  # as tick_ms, while attached without a probe under way or a suspect
+    late_ms: float = 100.0  # a tick so late means that this process was paused
+    suspicion_min_ms: float = 1000.0  # after probe timeouts, once enough accusers agree
+    suspicion_max_ms: float = 6000.0  # after probe timeouts, with a single accuser
     accusers: int = 3  # further accusers that bring the suspicion timeout down to the minimum
-    connection_refused_suspicion_ms: float = (
-        300.0  # a refused connection: the machine answers, the process is gone
-    )
+    connection_refused_suspicion_ms: float = 300.0  # the machine answers, but the process is gone
     max_health: int = 4  # the local health multiplier lengthens own timeouts up to 1 + this
     indirect_after: int = 4  # direct probes in a row that failed while indirect ones were acked
-    retransmit_multiplier: float = 3.0  # an update is sent this many times log2 of the group
+    retransmit_multiplier: float = 3.0  # an update is sent this many times log2 of the group's size
     updates: int = 12  # in one payload
-    max_ahead_ms: float = 1000.0  # a statement's service time may be this far ahead of one's own estimate
-    relayed_probes: int = 64  # probes on behalf of others under way at once
+    max_ahead_ms: float = 1000.0  # a report's service time may be this far ahead of the own estimate
+    relayed_probes: int = 64  # on behalf of other members, under way at once
 
     def __post_init__(self) -> None:
-        times = (
-            self.period_ms,
-            self.urgent_period_ms,
-            self.probe_timeout_ms,
-            self.tick_ms,
-            self.idle_tick_ms,
-            self.late_ms,
-            self.connection_refused_suspicion_ms,
-            self.suspicion_min_ms,
-        )
-        if not all(0 < value < 1e9 for value in times):
-            raise ValueError("a time of the failure detector is not a positive number of ms")
-        if not self.suspicion_min_ms <= self.suspicion_max_ms < 1e9:
-            raise ValueError("suspicion_max_ms is under suspicion_min_ms or absurd")
-        accusers = all(0 <= value < MAX_ACCUSERS for value in (self.helpers, self.accusers))
-        counts = (self.max_health, self.relayed_probes, self.indirect_after - 1)
-        counts_in_range = all(0 <= value <= 1000 for value in counts)
-        if not accusers or not counts_in_range or not 1 <= self.updates <= MAX_UPDATES:
-            raise ValueError("a count of the failure detector is out of range")
-        if not 0 < self.retransmit_multiplier < 100 or not 0 <= self.max_ahead_ms < 1e9:
-            raise ValueError("retransmit_multiplier or max_ahead_ms is out of range")
+        """Check every range."""
+        self._check_times()
+        self._check_counts()
+        if not 0 < self.retransmit_multiplier < MAX_RETRANSMIT_MULTIPLIER:
+            allowed = f"above 0 and under {MAX_RETRANSMIT_MULTIPLIER}"
+            raise DetectorSettingError(RETRANSMIT_MULTIPLIER, self.retransmit_multiplier, allowed)
+
+    def _check_times(self) -> None:
+        for name in POSITIVE_TIMES:
+            value = getattr(self, name)
+            if not 0 < value < MAX_SETTING_MS:
+                raise DetectorSettingError(name, value, f"above 0 and under {MAX_SETTING_MS} ms")
+        if not self.suspicion_min_ms <= self.suspicion_max_ms < MAX_SETTING_MS:
+            allowed = f"from suspicion_min_ms to under {MAX_SETTING_MS} ms"
+            raise DetectorSettingError(SUSPICION_MAX, self.suspicion_max_ms, allowed)
+        if not 0 <= self.max_ahead_ms < MAX_SETTING_MS:
+            raise DetectorSettingError(MAX_AHEAD, self.max_ahead_ms, f"from 0 to under {MAX_SETTING_MS} ms")
+
+    def _check_counts(self) -> None:
+        for name, (least, most) in COUNT_RANGES.items():
+            value = getattr(self, name)
+            if not least <= value <= most:
+                raise DetectorSettingError(name, value, f"from {least} to {most}")
+
+
+POSITIVE_TIMES = (
+    "period_ms",
+    "urgent_period_ms",
+    "probe_timeout_ms",
+    "tick_ms",
+    "idle_tick_ms",
+    "late_ms",
+    "connection_refused_suspicion_ms",
+    "suspicion_min_ms",
+)
+SUSPICION_MAX, MAX_AHEAD = "suspicion_max_ms", "max_ahead_ms"
+RETRANSMIT_MULTIPLIER = "retransmit_multiplier"
+COUNT_RANGES = {  # the lowest and the highest value
+    "helpers": (0, MAX_ACCUSERS - 1),
+    "accusers": (0, MAX_ACCUSERS - 1),
+    "max_health": (0, MAX_SETTING_COUNT),
+    "relayed_probes": (0, MAX_SETTING_COUNT),
+    "indirect_after": (1, MAX_SETTING_COUNT + 1),
+    "updates": (1, MAX_UPDATES),
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Sibling:
-    """A row of the list service's members, this node's own left out or not."""
+    """A member as the list service lists it; the list may include this node itself."""
 
     incarnation: int
     name: str
--- a/loadbalancer/routing/error_position.py
+++ b/loadbalancer/routing/error_position.py
@@ -53,10 +53,12 @@
 
 def _has(table: object, path: Path) -> bool:
     for part in path:
-        if isinstance(part, int) and isinstance(table, list) and part < len(table):
-            table = table[part]
-        elif isinstance(part, str) and isinstance(table, dict) and part in table:
+        if isinstance(part, int):
+            if not isinstance(table, list) or part >= len(table):
+                return False
             table = table[part]
         else:
-            return False
+            if not isinstance(table, dict) or part not in table:
+                return False
+            table = table[part]
     return True
