--- a/loadbalancer/node/http/body.py
+++ b/loadbalancer/node/http/body.py
@@ -4,57 +4,66 @@
 
 from typing import Protocol
 
-MAX_BODY_BYTES = 32 * 1024 * 1024  # of any body, either way
-HIGH_WATER_BYTES = 64 * 1024  # kept while nobody takes it; the reading then stops
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request or a response
+HIGH_WATER_BYTES = 64 * 1024  # buffered without a sink; reading pauses then
 
 
 class Source(Protocol):
-    """The end that reads."""
+    """The end that reads the body."""
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Stop reading."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Read on."""
 
     def abandon(self) -> None:
-        """Nobody will take the rest."""
+        """Provide no more, as nothing will take it."""
 
 
 class Sink(Protocol):
-    """The end that writes."""
+    """The end that writes the body."""
 
-    def write(self, data: bytes) -> None: ...
+    def write(self, data: bytes) -> None:
+        """Write the next bytes."""
 
-    def end(self) -> None: ...
+    def end(self) -> None:
+        """The body is complete."""
 
     def fail(self) -> None:
-        """The rest will not come."""
+        """The rest of the body will not come."""
 
 
 class Body:
-    """Passed on as it comes. As long as all that has come fits under the high-water mark it is kept, and may
-    be taken by one sink after another; past that by none but the one that has it."""
+    """Passes bytes from its source to its sink as they come.
+
+    While all that has come fits under the high-water mark it is kept, so that one sink after another may take
+    the body from its start. Past that, only the sink that has it gets the rest.
+    """
 
     def __init__(self, source: Source) -> None:
         self._source = source
         self._sink: Sink | None = None
         self._replay_buffer: bytearray | None = bytearray()
-        self.size = 0  # of what has come
+        self.size = 0  # bytes that have come
         self.ended = False
         self.failed = False
-        self.paused = False  # by a sink that can't write any more for now
+        self.paused = False  # by a sink that can't write at present
 
     @property
     def complete_bytes(self) -> bytes | None:
-        """All of it, if it has come and is kept."""
+        """The complete body, if it has come and is kept."""
         return bytes(self._replay_buffer) if self.ended and self._replay_buffer is not None else None
 
     @property
     def replayable(self) -> bool:
+        """Whether a sink may take it from its start."""
         return self._replay_buffer is not None and self._sink is None and not self.failed
 
-    # ------------------------------------------------------------- for the source
+    # ---------------------------------------------------------------- for the source
 
     def feed(self, data: bytes) -> None:
+        """Take the next bytes."""
         self.size += len(data)
         if self._replay_buffer is not None:
             if self._sink is not None and self.size > HIGH_WATER_BYTES:
@@ -67,21 +76,23 @@
             self._source.pause()
 
     def end(self) -> None:
+        """Mark the body as complete."""
         if not self.failed and not self.ended:
             self.ended = True
             if self._sink is not None:
                 self._sink.end()
 
     def fail(self) -> None:
+        """Mark the body as one whose rest will not come."""
         if not self.failed and not self.ended:
             self.failed = True
             if self._sink is not None:
                 self._sink.fail()
 
-    # --------------------------------------------------------------- for the sink
+    # ---------------------------------------------------------------- for the sink
 
     def attach(self, sink: Sink) -> None:
-        """Take what has come and all that will."""
+        """Pass all that has come and will come to this sink; the body has to be replayable."""
         assert self.replayable
         self._sink = sink
         if self._replay_buffer:
@@ -92,17 +103,19 @@
             self._source.resume()
 
     def pause(self) -> None:
-        if not self.paused and not self.ended:  # Guard: all that can still come is its caller's leaving
+        """Stop the source. At the end of the body it reads on: only a disconnect can still come."""
+        if not self.paused and not self.ended:
             self.paused = True
             self._source.pause()
 
     def resume(self) -> None:
+        """Let the source go on after `pause`."""
         if self.paused:
             self.paused = False
             self._source.resume()
 
     def detach(self, sink: Sink) -> None:
-        """This sink takes no more of it."""
+        """Pass nothing more to this sink."""
         if self._sink is not sink:
             return
         self._sink = None
@@ -115,7 +128,7 @@
             self._source.pause()
 
     def discard(self) -> None:
-        """Nobody takes it at all."""
+        """Drop the body: no sink will take it."""
         self._replay_buffer = None
         self._sink = None
         if not self.ended and not self.failed:
