--- a/loadbalancer/node/attempt_dispatcher.py
+++ b/loadbalancer/node/attempt_dispatcher.py
@@ -73,7 +73,7 @@
             body,
             inbound.content_length is None,
             lambda: self._requests.awaits_response(active),
-            self._clock.loop_time(action.written_by_ms),
+            self._clock.to_loop_time(action.written_by_ms),
         )
         if attempt is None:
             on_result(AttemptResult.CONNECT_FAILED, None)
--- a/loadbalancer/node/balancer_driver.py
+++ b/loadbalancer/node/balancer_driver.py
@@ -71,7 +71,7 @@
         """Return the balancer's actions; a fault of it neither leaves a client without a response nor stops
         its timers."""
         try:
-            return self.balancer.handle(self._clock.ms(), event)
+            return self.balancer.handle(self._clock.unix_ms(), event)
         except Exception:
             log.exception("the balancer failed to handle %s", type(event).__name__)
             self._counts["balancer faults"] += 1
--- a/loadbalancer/node/listener/request_parser.py
+++ b/loadbalancer/node/listener/request_parser.py
@@ -58,7 +58,7 @@
         self._partial_head_size = 0  # bytes that have come of a head that is not complete
 
     def feed(self, data: bytes, now: float, arrival: float) -> None:
-        """Parse these bytes, read at the loop time `now` (s), which may have arrived as early as `arrival`."""
+        """Parse these bytes, read at loop time `now` (s), which may have arrived as early as `arrival`."""
         self._now, self._arrival = now, arrival
         if self.state is ReceiveState.ERROR:
             return
--- a/loadbalancer/node/request_registry.py
+++ b/loadbalancer/node/request_registry.py
@@ -98,7 +98,7 @@
         """Accept a request, of which perhaps only the head has come, or answer it with an error."""
         self._counts["requests"] += 1
         try:
-            parsed = parse_request(inbound, self._classes, self._clock.ms(inbound.received_at))
+            parsed = parse_request(inbound, self._classes, self._clock.unix_ms(inbound.received_at))
             self._check_new(parsed.request)
         except BadRequestError as error:
             self._counts[f"bad requests {error.status}"] += 1
@@ -149,7 +149,7 @@
         for attempt in active.attempts:
             if attempt is not None:
                 attempt.start_timeout(active.deadline - self._loop.time())
-        self._handle_event(RequestReceived(active.id, self._clock.ms(active.deadline)))
+        self._handle_event(RequestReceived(active.id, self._clock.unix_ms(active.deadline)))
 
     def _on_client_disconnected(self, active: ActiveRequest) -> None:
         if not active.answered:
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -19,6 +19,7 @@
 from loadbalancer.registry.commands import Command, EndService, EnrolMember, RemoveMembers, encode
 from loadbalancer.registry.errors import (
     GroupsDisabledError,
+    LeaderReplacedError,
     MemberLimitError,
     NotLeadingError,
 )
@@ -97,7 +98,7 @@
     def service_ms(self) -> float:
         """Service time now; NotLeadingError on an instance that does not lead."""
         if self._term is None:
-            raise NotLeadingError("not the leader")  # the error has several short reasons
+            raise NotLeadingError
         return self._clock.service_ms(self._clocks.monotonic_ms())
 
     def out_of_range_by_ms(self, sent_ms: float) -> float | None:
@@ -117,17 +118,17 @@
             return f"the leader waits for service time: leases given before it led end in {left_ms:.0f} ms"
         return "the leader begins its term"
 
-    async def execute(self, command: Callable[..., Any], *args: Any) -> Any:
+    async def execute(self, command: Callable[..., object], *args: object) -> Any:  # noqa: ANN401  # the command's
         """Commit a command in the term that this instance leads in, and return its result.
 
         ConnectionError or TimeoutError without a result; the command may have been carried out nevertheless.
         """
         term = self._term
         if term is None or self._fleet.leader_term != term:
-            raise NotLeadingError("not the leader")
+            raise NotLeadingError
         result = await self._commit(command, self.service_ms(), term, *args)
         if result is None:
-            raise NotLeadingError("replaced as leader")
+            raise LeaderReplacedError
         return result
 
     async def renew(self, renewal: Renewal, takes_delta: bool) -> MemberGrant | None:
@@ -150,7 +151,8 @@
         fields = (member.name, member.address, member.zone, member.start)
         grants: list[MemberGrant | None] = await self.execute(self._fleet.enrol, *fields)
         if grants[0] is None:
-            raise MemberLimitError("too many members")
+            message = "too many members"
+            raise MemberLimitError(message)
         return grants[0]
 
     async def remove(self, name: str, service: str | None) -> list[int]:
@@ -247,7 +249,7 @@
         if not continues:
             await self._wait_for_leases_to_end(begun)
             if self._fleet.leader_term != term:
-                raise NotLeadingError("replaced as leader")
+                raise LeaderReplacedError
         now_ms, unix_ms = self._clocks.monotonic_ms(), self._clocks.unix_ms()
         self._fleet.read(lambda state: self._clock.start_leading(now_ms, unix_ms, begun.log_ms, begun.epoch))
         self._leases = LeaseClock(begun.ttl_ms)
@@ -265,7 +267,7 @@
             self._fleet.lead, 0.0, term, self.address, epoch, *settings
         )
         if begun is None:
-            raise NotLeadingError("replaced as leader")
+            raise LeaderReplacedError
         return begun
 
     async def _wait_for_leases_to_end(self, begun: TermStart) -> None:
@@ -280,8 +282,8 @@
 
     async def _expire_leases(self) -> None:
         for renewal in self._fleet.take_applied_renewals():
-            self._leases.record_renewal(renewal.at_ms, renewal.incarnation, renewal.seq, renewal.answered)
-        self._leases.retain(self._fleet.read(lambda state: {row.incarnation for row in state.rows()}))
+            self._leases.record_renewal(renewal.at_ms, renewal.incarnation, renewal.seq, renewal.answered_seq)
+        self._leases.retain(self._fleet.read(lambda state: {row.incarnation for row in state.records()}))
         lapsed, support = self._leases.expired_and_attached(self._clocks.monotonic_ms())
         if not lapsed:
             return
