--- a/loadbalancer/node/http/client_connection.py
+++ b/loadbalancer/node/http/client_connection.py
@@ -1,10 +1,11 @@
-"""HTTP/1.1 for the node's outgoing calls: one connection, one exchange at a time, nothing sent twice."""
+"""The upstream side of HTTP/1.1: one connection, one exchange at a time; no request is ever sent twice."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from typing import Protocol
 
 import httptools
@@ -12,50 +13,60 @@
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, MAX_BODY_BYTES, Body
 from loadbalancer.node.http.socket_buffer import readable
 
-MAX_BUFFERED_BYTES = HIGH_WATER_BYTES  # of a body that is held whole
+MAX_BUFFERED_BYTES = HIGH_WATER_BYTES  # of a body that is held completely
 MAX_HEAD_BYTES = 16 * 1024
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 @dataclass(slots=True)
 class Response:
+    """A response: with its complete body, or with the stream of a body that is too long for that."""
+
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name
     body: bytearray = field(default_factory=bytearray)
     content_length: int | None = None  # as declared
-    stream: Body | None = None  # of an answer too long to be held whole: it, as it comes
+    stream: Body | None = None
 
     def ends_with_connection(self, version: str) -> bool:
-        """Whether the end of the connection is the end of this answer, by its head."""
-        if self.status < 200 or self.headers.keys() & {b"content-length", b"transfer-encoding"}:
+        """Whether the end of the connection is the end of this response, by its head and HTTP version.
+
+        A response without a length ends so (RFC 9112, section 6.3), but only a server that has announced the
+        close means it by an end; any other end is a failure. HTTP/1.0 closes unless it says otherwise.
+        """
+        has_length = self.headers.keys() & {b"content-length", b"transfer-encoding"}
+        if self.status < HTTPStatus.OK or has_length:
             return False
-        # Guard: an answer of no length ends with its connection, but only a server that has said it will
-        # close means that by an end; any other end is a break. HTTP/1.0 closes unless it says otherwise.
-        said = self.headers.get(b"connection", b"").lower()
-        return b"close" in said or (version == "1.0" and b"keep-alive" not in said)
+        connection = self.headers.get(b"connection", b"").lower()
+        return b"close" in connection or (version == "1.0" and b"keep-alive" not in connection)
 
 
 class Exchange(Protocol):
-    """What a connection tells of the one request that it carries: `sent` at most once, then its end once."""
+    """The user of a connection, for one request and its response.
+
+    `on_request_sent` is called at most once, and one of `on_response` and `on_connection_lost` once.
+    """
 
     def on_request_sent(self) -> None:
-        """Its last byte has left."""
+        """The request's last byte has left."""
 
     def on_stream_begun(self, response: Response) -> None:
-        """An answer too long to be held whole has begun; its end is told by one of the others."""
+        """A response has begun that is too long to be held; one of the next two calls follows at its end."""
 
-    def on_response(self, response: Response) -> None: ...
+    def on_response(self, response: Response) -> None:
+        """The response is complete."""
 
     def on_connection_lost(self, written: bool) -> None:
-        """The connection ended with no whole answer; `written`: its request's last byte had left."""
+        """The connection has ended before the response; `written`: the request's last byte had left."""
 
 
 def encode_chunk(data: bytes) -> bytes:
+    """Return these bytes as one chunk."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 class _Upload:
-    """A request's body on its way to a server."""
+    """The sink of a request's body, which writes it to the server's connection."""
 
     def __init__(self, connection: ClientConnection, body: Body, chunked: bool) -> None:
         self.body = body
@@ -75,8 +86,11 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """The calling end of a connection. `on_closed` is told when it is gone, or will be before
-    whatever the loop is given from then on; perhaps more than once."""
+    """The client's end of a connection, and the source of the bodies that it streams.
+
+    `on_closed` is called when it is closed, or will be before anything that the loop is given from then on;
+    perhaps more than once. With `streams`, a 200 with a body of over `max_buffered_bytes` is streamed.
+    """
 
     def __init__(
         self,
@@ -86,31 +100,30 @@
     ) -> None:
         self._on_closed = on_closed
         self._max_buffered_bytes = max_buffered_bytes
-        self._streams = streams  # a longer 200 is passed on as it comes
+        self._streams = streams
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._exchange: Exchange | None = None
         self._response = Response()
-        self._body_size = 0
+        self._body_size = 0  # bytes
         self._in_head = False
-        self._head_size = 0  # of head and trailers
-        self._unparsed_bytes = 0  # bytes since the last of a body: a line that has not ended is in the parser
+        self._head_size = 0  # bytes of head and trailers
+        self._unparsed_bytes = 0  # since the last of a body; the parser holds a line that has not ended
         self._complete = False
-        self._ends_with_connection = False  # the answer's end is the connection's
-        self._unusable = False
+        self._ends_with_connection = False  # as does the response
+        self._unusable = False  # for another exchange
         self._written = True
-        self._upload: _Upload | None = None  # a long request under way
-        self.malformed = False  # what came is no answer as HTTP has it, or too long to be one
-        self.idle_since = 0.0
-        self.upload_progress_at = 0.0  # and since when it has yet to take more of a long request
-        self.last_data_at = 0.0  # the loop's time of the last bytes
+        self._upload: _Upload | None = None  # while a body is sent
+        self.malformed = False  # what came is no valid response, or too long
+        self.idle_since = 0.0  # loop time (s), set by the pool
+        self.upload_progress_at = 0.0  # loop time (s) when the upload was last paused or resumed
+        self.last_data_at = 0.0  # loop time (s) of the last bytes received
 
-    # -------------------------------------------------------------- for the owner
+    # ---------------------------------------------------------------- for the owner
 
     @property
     def usable(self) -> bool:
-        """Whether a new request may go out on it."""
-        # Guard: an end that has come but not been read yet would turn the request into a reset.
+        """Whether a request may be sent on it. With an end in the kernel, a request would be reset."""
         transport = self._transport
         return (
             transport is not None
@@ -130,14 +143,11 @@
         assert self._transport is not None
         assert self._exchange is None
         self._exchange = exchange
-        self._response, self._body_size, self._complete, self._ends_with_connection = (
-            Response(),
-            0,
-            False,
-            False,
-        )
+        self._response = Response()
+        self._body_size = 0
+        self._complete = self._ends_with_connection = False
         self._written = False
-        # Guard: known before the first write, as that may already be more than the kernel takes.
+        # Set before the first write, which may already pause the writing.
         upload = self._upload = _Upload(self, body, chunked) if body is not None else None
         self._transport.write(data)
         if upload is not None:
@@ -146,29 +156,32 @@
             self.finish_request()
 
     def write(self, data: bytes) -> None:
+        """Write a part of the request's body."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     def finish_request(self) -> None:
-        """All of the request has been given; it has left unless some of it is still in the buffer."""
+        """Take the request as given completely; it has left unless some of it is still in the buffer.
+
+        A write that fails at once empties the buffer and closes; nothing of it has left then.
+        """
         assert self._transport is not None
         self._upload = None
-        # Guard: a write that fails at once empties the buffer and closes; nothing of it has left.
         if not self._transport.is_closing() and not self._transport.get_write_buffer_size():
             self.resume_writing()
 
     @property
     def stream_paused(self) -> bool:
-        """Whether what still comes of the answer must wait for the one who takes it."""
+        """Whether the rest of the streamed response has to wait for its sink."""
         return self._response.stream is not None and self._response.stream.paused
 
     def fail_stream(self) -> None:
-        """What still was to come of the answer won't."""
+        """Mark the streamed response as one whose rest will not come."""
         if self._response.stream is not None:
             self._response.stream.fail()
 
     def abort(self) -> None:
-        """Close at once, unsent bytes included. The exchange, if any, hears nothing."""
+        """Close at once, unsent bytes included. The exchange, if any, gets no further call."""
         self._exchange = None
         self._unusable = True
         upload, self._upload = self._upload, None
@@ -178,20 +191,26 @@
         if upload is not None:
             upload.body.detach(upload)
 
-    # ---------------------------------------------------------- asyncio.Protocol
+    # ---------------------------------------------------------------- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport.
+
+        asyncio drops its write buffer before `connection_lost`; with limits of 0, `resume_writing` says when
+        all bytes have left.
+        """
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # Guard: asyncio drops its buffer before connection_lost; with limits of 0 it tells when all has left.
         transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
+        """Pause the upload."""
         if self._upload is not None:
             self.upload_progress_at = asyncio.get_running_loop().time()
             self._upload.body.pause()
 
     def resume_writing(self) -> None:
+        """Go on with the upload, or take the request as sent."""
         if self._upload is not None:
             self.upload_progress_at = asyncio.get_running_loop().time()
             self._upload.body.resume()
@@ -201,7 +220,9 @@
             self._exchange.on_request_sent()
 
     def data_received(self, data: bytes) -> None:
-        if self._exchange is None:  # nothing was asked: what follows would not belong to the next request
+        """Parse a part of the response. What comes without a request ends the connection, as a response to the
+        next request can't be told from what follows."""
+        if self._exchange is None:
             self.abort()
             return
         self.last_data_at = asyncio.get_running_loop().time()
@@ -210,27 +231,28 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._unusable = self.malformed = True
-        if (
-            self._unparsed_bytes > MAX_HEAD_BYTES + MAX_BUFFERED_BYTES
-        ):  # Guard: the parser tells of a header once it is whole
+        # httptools reports a header only once it is complete, and holds any number of bytes until then.
+        if self._unparsed_bytes > MAX_HEAD_BYTES + MAX_BUFFERED_BYTES:
             self._unusable = self.malformed = True
         self._process_received()
 
     def _process_received(self) -> None:
-        """Pass on what has come, and end the exchange if that was the end of it."""
-        if self._response.stream is not None or not self._unusable:  # nothing is begun that is known to break
+        """Pass on what has come, and end the exchange if that was the end of the response."""
+        if (
+            self._response.stream is not None or not self._unusable
+        ):  # no stream is begun that is known to fail
             self._stream_body()
         if self._exchange is None:
             return
         if self._complete:
             exchange, self._exchange = self._exchange, None
-            # A server that answers before it has the whole request leaves the rest on the connection.
+            # A server that responds before it has the complete request leaves the rest on the connection.
             if not self._written:
                 self._unusable = True
             if self._unusable:
                 self.abort()
             if self._response.stream is not None:
-                # Guard: its taker may have stopped the reading with the last bytes; nobody else would go on.
+                # Its sink may have paused the reading with the last bytes, and won't resume it.
                 self.resume()
                 self._response.stream.end()
             exchange.on_response(self._response)
@@ -238,7 +260,7 @@
             self._end_exchange(self._written)
 
     def _stream_body(self) -> None:
-        """Begin an answer that is too long to be held whole, and pass on what has come of it."""
+        """Begin to stream a response that is too long to be held, and pass on what has come of it."""
         response = self._response
         if response.stream is None:
             long = max(response.content_length or 0, len(response.body)) > self._max_buffered_bytes
@@ -252,29 +274,16 @@
         if piece:
             response.stream.feed(piece)
 
-    # --------------------------------------------------- as the source of an answer
-
-    def pause(self) -> None:
-        if self._transport is not None:
-            self._transport.pause_reading()
-
-    def resume(self) -> None:
-        self.last_data_at = asyncio.get_running_loop().time()  # it could not be heard before
-        if self._transport is not None:
-            self._transport.resume_reading()
-
-    def abandon(self) -> None:
-        self._end_exchange(self._written)
-
     def eof_received(self) -> bool:
+        """End the exchange at once; asyncio would first write what it still holds of the request."""
         self._unusable = True
         if self._exchange is not None:
-            # Guard: left to asyncio, what it still holds of the request would be written out first.
             self._complete = self._ends_with_connection
             self._process_received()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the exchange."""
         self._end_exchange(self._written)
 
     def _end_exchange(self, written: bool) -> None:
@@ -283,40 +292,61 @@
         if exchange is not None:
             exchange.on_connection_lost(written)
 
-    # --------------------------------------------------------- httptools callbacks
+    # ---------------------------------------------------------------- Source
+
+    def pause(self) -> None:
+        """Stop reading the streamed response."""
+        if self._transport is not None:
+            self._transport.pause_reading()
+
+    def resume(self) -> None:
+        """Read on; the time without bytes counts from here."""
+        self.last_data_at = asyncio.get_running_loop().time()
+        if self._transport is not None:
+            self._transport.resume_reading()
+
+    def abandon(self) -> None:
+        """End the connection, as nothing will take the rest of a body."""
+        self._end_exchange(self._written)
+
+    # ---------------------------------------------------------------- httptools callbacks
 
     def on_message_begin(self) -> None:
+        """Begin a response; a second one makes the connection unusable."""
         if self._complete:
-            self._unusable = True  # more than was asked for
+            self._unusable = True
         self._in_head, self._head_size, self._unparsed_bytes = not self._complete, 0, 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header; a trailer is dropped."""
         self._head_size += len(name) + len(value)
         if self._head_size > MAX_HEAD_BYTES:
             self._unusable = self.malformed = True
-        if self._in_head:  # a trailer must not pass for a header
+        if self._in_head:
             self._response.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
+        """Complete the head."""
         self._body_size = 0
         if self._in_head:
             self._in_head = False
-            self._response.status = self._parser.get_status_code()
-            length = self._response.headers.get(b"content-length", b"")
-            self._response.content_length = int(length) if length.isdigit() else None
-            if self._streams and (self._response.content_length or 0) > MAX_BODY_BYTES:
-                # Guard: passed on as it came, it could not be sent again once nothing more came of it.
+            response = self._response
+            response.status = self._parser.get_status_code()
+            length = response.headers.get(b"content-length", b"")
+            response.content_length = int(length) if length.isdigit() else None
+            if self._streams and (response.content_length or 0) > MAX_BODY_BYTES:
+                # Refused at its head: once a stream has begun, its request can't be retried.
                 self._unusable = self.malformed = True
-            self._ends_with_connection = self._response.ends_with_connection(self._parser.get_http_version())
-            if self._response.status == 200 and not self._written:
-                # Guard: a server begins once the last byte has come; this is another request's answer, late.
+            self._ends_with_connection = response.ends_with_connection(self._parser.get_http_version())
+            if response.status == HTTPStatus.OK and not self._written:
+                # A server succeeds only with the complete request; this is a late response to another one.
                 self._unusable = True
 
     def on_body(self, body: bytes) -> None:
+        """Add a part of the body. That of an error goes nowhere, so the rest of a long one is not read."""
         self._unparsed_bytes = 0
         self._body_size += len(body)
-        if self._streams and self._response.status != 200:
-            # The text of an answer that is no 200 goes nowhere; of a long one the rest is not waited for.
+        if self._streams and self._response.status != HTTPStatus.OK:
             if self._body_size > MAX_BUFFERED_BYTES:
                 self._complete = self._unusable = True
         elif self._body_size > (MAX_BODY_BYTES if self._streams else self._max_buffered_bytes):
@@ -325,10 +355,11 @@
             self._response.body += body
 
     def on_message_complete(self) -> None:
+        """End the response; after an interim one, the final one follows."""
         status = self._parser.get_status_code()
         if self._complete or self._unusable:
             return
-        if status < 200:  # an interim answer: the real one follows
+        if status < HTTPStatus.OK:
             self._response, self._body_size = Response(), 0
             return
         self._complete = True
