--- a/loadbalancer/registry/__main__.py
+++ b/loadbalancer/registry/__main__.py
@@ -3,7 +3,7 @@
     serve --config registry.toml     one instance of the list service
     agent --config agent.toml        the per-machine agent a node asks ($PROXY_DISCOVERY)
     status HOST:PORT                 an instance's Raft state, revision and counts, as JSON
-    list HOST:PORT                   the whole list an instance or agent has, as JSON
+    list HOST:PORT                   the complete list of an instance or agent, as JSON
     local [--dir D --port P]         a node, three instances, an agent and stand-in servers on loopback
 
 Exit status: 0, 1 when what was asked could not be reached, 2 on a bad configuration.
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -164,9 +164,8 @@
             raise StaleAnswerError(message)
         if self.source_revision is not None and received.revision < self.source_revision:
             self._answers_behind += 1
-            if self._answers_behind < len(
-                self.config.registries
-            ):  # until every instance has said so: a rebuild
+            # Every instance answering so is a service that has been rebuilt.
+            if self._answers_behind < len(self.config.registries):
                 message = f"rev {received.revision} behind {self.source_revision}"
                 raise StaleAnswerError(message)
         self._answers_behind = 0
--- a/loadbalancer/registry/batch.py
+++ b/loadbalancer/registry/batch.py
@@ -20,7 +20,7 @@
 class Batcher(Generic[Request, Result]):
     """Commits the requests added within BATCH_WINDOW_S together.
 
-    `commit` returns a result for each request, in their order. `name` stands in log events and errors.
+    `commit` returns a result for each request, in their order. `name` is part of log events and errors.
     """
 
     def __init__(
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -22,8 +22,9 @@
 from loadbalancer.registry.answers import error_answer, json_answer
 from loadbalancer.registry.commands import EnrolMember
 from loadbalancer.registry.errors import InvalidAddressError, InvalidFieldError, MemberLimitError
-from loadbalancer.registry.fleet_catalog import FleetCatalog, MemberGrant, MembersRemoved, Rejected, Renewal
+from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.fleet_leader import FleetLeader
+from loadbalancer.registry.fleet_results import MemberGrant, MembersRemoved, Rejected, Renewal
 from loadbalancer.registry.forwarding import HOP_HEADER, forward
 from loadbalancer.registry.messages import (
     MAX_NAME_CHARACTERS,
--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -14,76 +14,34 @@
 
 import threading
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from typing import Any, NamedTuple, TypeVar
+from typing import Any, TypeVar
 
-from msgspec import Struct
 from pysyncobj import SyncObjConsumer, replicated
 
-from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import MemberRecord
 from loadbalancer.registry.commands import EndService, EnrolMember, RemoveMembers, decode
 from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
-from loadbalancer.registry.fleet_state import Expired, FleetState, TermStart
+from loadbalancer.registry.fleet_results import (
+    AppliedRenewal,
+    AppliedRequest,
+    Expired,
+    MemberGrant,
+    MembersRemoved,
+    Outcome,
+    Rejected,
+    Renewal,
+    TermStart,
+)
+from loadbalancer.registry.fleet_state import FleetState
 from loadbalancer.registry.raft import RAFT_LEADER
 from loadbalancer.registry.service_clock import ServiceClock
 from loadbalancer.routing.version_record import ActivationOutcome
 
-PlainRenewal = tuple[int, int, int, int, float]  # a `Renewal` as it stands in the log
+PlainRenewal = tuple[int, int, int, int, float]  # a `Renewal` in the log
 T = TypeVar("T")
 R = TypeVar("R")
 
 
-class Renewal(NamedTuple):
-    """A request to renew a lease."""
-
-    incarnation: int
-    seq: int
-    answered_seq: int  # the last renewal whose answer the process has used
-    acknowledged_revision: int  # the revision of the member list that it acts on
-    quota_in_use: float
-
-
-class AppliedRequest(NamedTuple):
-    """An enrolment or renewal that was applied: its record, if there is one, and what its process knows."""
-
-    row: MemberRecord | None
-    acknowledged_revision: int = -1
-    takes_delta: bool = False
-
-
-class MemberGrant(Struct, frozen=True):
-    """The answer to a process: its lease, and the route versions (`ActivationCoordinator.announcement`)."""
-
-    lease: LeaseGrant
-    routes: dict[str, Any]
-
-
-class Rejected(Struct, frozen=True):
-    """Why a command was not carried out; nothing has changed."""
-
-    reason: str
-
-
-class MembersRemoved(Struct, frozen=True):
-    """The incarnations that an operator has ended."""
-
-    incarnations: list[int]
-
-
-Outcome = MemberGrant | Rejected | MembersRemoved
-
-
-@dataclass(slots=True, frozen=True)
-class AppliedRenewal:
-    """A renewal or enrolment that was applied: the leader counts the lease from it."""
-
-    at_ms: float  # ms of the monotonic clock
-    incarnation: int
-    seq: int
-    answered_seq: int
-
-
 class FleetCatalog(SyncObjConsumer):  # type: ignore[misc]  # pysyncobj ships no types
     """The fleet's state under one lock: Raft's thread changes it, the event loop reads it.
 
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -23,15 +23,16 @@
     MemberLimitError,
     NotLeadingError,
 )
-from loadbalancer.registry.fleet_catalog import (
-    FleetCatalog,
+from loadbalancer.registry.fleet_catalog import FleetCatalog
+from loadbalancer.registry.fleet_results import (
+    Expired,
     MemberGrant,
     MembersRemoved,
     Outcome,
     Rejected,
     Renewal,
+    TermStart,
 )
-from loadbalancer.registry.fleet_state import Expired, TermStart
 from loadbalancer.registry.service_clock import ClockBound, ServiceClock
 from loadbalancer.registry.settings import MemberSettings
 
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -23,13 +23,19 @@
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field, fields
-from typing import Any, NamedTuple
+from typing import Any
 
 from msgspec.structs import replace
 
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import ExternalQuota, MemberRecord, MemberState, QuotaLedger
 from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
+from loadbalancer.registry.fleet_results import (
+    DueExpiry,
+    Expired,
+    Revisions,
+    TermStart,
+)
 from loadbalancer.routing.coordinator import ActivationCoordinator
 from loadbalancer.routing.version_record import ActivationOutcome
 
@@ -41,39 +47,6 @@
 NO_SERVICE = ""  # the group of members that name no service
 
 
-@dataclass(slots=True, frozen=True)
-class TermStart:
-    """What the log held when a leader's term began."""
-
-    log_ms: float  # the highest stamp
-    epoch: int  # of service time
-    ttl_ms: float  # of the leases in force
-    renewals: list[tuple[int, int]]  # each record's incarnation and the seq of its last renewal
-
-
-@dataclass(slots=True, frozen=True)
-class DueExpiry:
-    """The arguments of `FleetState.expire`."""
-
-    lapsed: list[tuple[int, int]]  # incarnation and seq of the last renewal of leases that have expired
-    support: list[int]  # incarnations that are attached for certain
-    repeated_enrolments: int  # the state's when this was decided
-
-
-class Expired(NamedTuple):
-    """What an expiry changed, as incarnations."""
-
-    lapsed: list[int]
-    removed: list[int]
-
-
-class Revisions(NamedTuple):
-    """What a member's process watches."""
-
-    members: int  # of the member list of its group
-    routes: int
-
-
 @dataclass(slots=True)
 class FleetState:
     """The state and its changes; `ledger` is the group without a service, and issues all incarnations.
--- a/loadbalancer/registry/settings.py
+++ b/loadbalancer/registry/settings.py
@@ -60,7 +60,7 @@
     """The per-machine agent: `[agent]` of its file."""
 
     listen: Address  # what the node knows as $PROXY_DISCOVERY
-    registries: tuple[Address, ...]  # the instances, tried in turn
+    registries: tuple[Address, ...]  # the instances, asked in turn
     wait_ms: int = (
         2_000  # of each watch on an instance, and so the longest time a silent partition goes unseen
     )
--- a/loadbalancer/registry/snapshot_file.py
+++ b/loadbalancer/registry/snapshot_file.py
@@ -1,6 +1,6 @@
 """The snapshot file of an instance (`raft.dump`), in pysyncobj's layout but read across releases.
 
-pysyncobj's own reader requires a part for each consumer and gives up on a file with fewer, after which the
+pysyncobj's own reader requires a part for each consumer and fails on a file with fewer, after which the
 instance applies nothing more. Here a consumer without a part keeps its initial state (a file written before
 the fleet existed), and surplus parts are ignored (a file of a later release).
 """
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -1,7 +1,7 @@
 """The stored form of the replicated state: maps the names in a snapshot to the present ones, both ways.
 
 pysyncobj snapshots are pickles, which name a class by its module path and a field by its attribute name. The
-names in use when the format was first released stay in the files for good, so that every release reads the
+names in use when the format was first released stay in the files, so that every release reads the
 snapshots of every other one (instances are upgraded one at a time, and send one another their snapshots):
 
 - A class that moves or is renamed keeps its row in `STORED_CLASSES`; only `present` changes.
--- a/loadbalancer/registry/target_list.py
+++ b/loadbalancer/registry/target_list.py
@@ -26,7 +26,7 @@
     def __init__(self, max_tombstones: int, revision: int = 0) -> None:
         self._max_tombstones = max_tombstones
         self.revision = revision
-        self.horizon = revision  # what changed after an earlier revision is no longer known
+        self.horizon = revision  # changes since an earlier revision are unknown
         self.targets: dict[str, Target] = {}
         self.tombstones: dict[str, Target] = {}  # in the order of their removal
         self.change_revisions: dict[str, int] = {}  # of targets and tombstones, in the order of their changes
--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -11,7 +11,8 @@
 from loadbalancer.membership.member_lease import FULL_LIST_REVISION, RegistryCall
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import MemberRecord, QuotaLedger
-from loadbalancer.registry.fleet_state import NO_SERVICE, DueExpiry
+from loadbalancer.registry.fleet_results import DueExpiry
+from loadbalancer.registry.fleet_state import NO_SERVICE
 from tests.support.orders.parts import TTL, Bounds, Node, Service, members_key, past
 
 
--- a/tests/support/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -48,7 +48,8 @@
 )
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import MemberRecord
-from loadbalancer.registry.fleet_state import NO_SERVICE, DueExpiry, FleetState
+from loadbalancer.registry.fleet_results import DueExpiry
+from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState
 from tests.support.orders.keys import Keyed
 from tests.support.orders.parts import NEVER, RNG, TTL, Bounds, LateWord, Node, Sent, Service, copied, waits
 
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -21,7 +21,8 @@
 from loadbalancer.node.state import frame
 from loadbalancer.node.state.state_file import StateFile
 from loadbalancer.registry.catalog import TargetCatalog
-from loadbalancer.registry.fleet_catalog import AppliedRenewal, FleetCatalog
+from loadbalancer.registry.fleet_catalog import FleetCatalog
+from loadbalancer.registry.fleet_results import AppliedRenewal
 from loadbalancer.registry.service_clock import ServiceClock
 from loadbalancer.registry.target_list import ListPage
 
