--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -84,7 +84,7 @@
         self._tick()
 
     async def leave(self) -> None:
-        """Give the quota up, after the last request has been answered, and tell the service."""
+        """Give the quota up, after the last request has been answered, and notify the service."""
         if self.member_lease.incarnation is None:
             return
         self.member_lease.leave(self._clock.now_ms())
@@ -124,7 +124,7 @@
             self._on_failure(self._clock.now_ms(), call, f"{type(error).__name__}: {one_line(error)}")
         self._tick()
 
-    def _on_reply(self, sent_at: float, call: RegistryCall, reply: web.Reply) -> None:
+    def _on_reply(self, sent_at: float, call: RegistryCall, reply: web.ReceivedResponse) -> None:
         """ValueError for a malformed body."""
         now = self._clock.now_ms()
         if reply.status == HTTPStatus.NOT_FOUND and call.path == RENEWAL:
--- a/loadbalancer/node/http/body.py
+++ b/loadbalancer/node/http/body.py
@@ -4,119 +4,132 @@
 
 from typing import Protocol
 
-LONGEST = 32 * 1024 * 1024  # of any body, either way
-HIGH_WATER = 64 * 1024  # kept while nobody takes it; the reading then stops
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request or a response
+HIGH_WATER_BYTES = 64 * 1024  # buffered without a sink; reading pauses then
 
 
 class Source(Protocol):
-    """The end that reads."""
+    """The end that reads the body."""
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Stop reading."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Read on."""
 
-    def abandoned(self) -> None:
-        """Nobody will take the rest."""
+    def abandon(self) -> None:
+        """Provide no more, as nothing will take it."""
 
 
 class Sink(Protocol):
-    """The end that writes."""
+    """The end that writes the body."""
 
-    def write(self, data: bytes) -> None: ...
+    def write(self, data: bytes) -> None:
+        """Write the next bytes."""
 
-    def end(self) -> None: ...
+    def end(self) -> None:
+        """The body is complete."""
 
-    def broken(self) -> None:
-        """The rest will not come."""
+    def fail(self) -> None:
+        """The rest of the body will not come."""
 
 
 class Body:
-    """Passed on as it comes. As long as all that has come fits under the high-water mark it is kept, and may
-    be taken by one sink after another; past that by none but the one that has it."""
+    """Passes bytes from its source to its sink as they come.
+
+    While all that has come fits under the high-water mark it is kept, so that one sink after another may take
+    the body from its start. Past that, only the sink that has it gets the rest.
+    """
 
     def __init__(self, source: Source) -> None:
         self._source = source
         self._sink: Sink | None = None
-        self._first: bytearray | None = bytearray()
-        self.size = 0  # of what has come
+        self._replay_buffer: bytearray | None = bytearray()
+        self.size = 0  # bytes that have come
         self.ended = False
         self.failed = False
-        self.held = False  # by a sink that can't write any more for now
+        self.paused = False  # by a sink that can't write at present
 
     @property
-    def whole(self) -> bytes | None:
-        """All of it, if it has come and is kept."""
-        return bytes(self._first) if self.ended and self._first is not None else None
+    def complete_bytes(self) -> bytes | None:
+        """The complete body, if it has come and is kept."""
+        return bytes(self._replay_buffer) if self.ended and self._replay_buffer is not None else None
 
     @property
-    def open_to_another(self) -> bool:
-        return self._first is not None and self._sink is None and not self.failed
+    def replayable(self) -> bool:
+        """Whether a sink may take it from its start."""
+        return self._replay_buffer is not None and self._sink is None and not self.failed
 
-    # ------------------------------------------------------------- for the source
+    # ---------------------------------------------------------------- for the source
 
-    def put(self, data: bytes) -> None:
+    def feed(self, data: bytes) -> None:
+        """Take the next bytes."""
         self.size += len(data)
-        if self._first is not None:
-            if self._sink is not None and self.size > HIGH_WATER:
-                self._first = None
+        if self._replay_buffer is not None:
+            if self._sink is not None and self.size > HIGH_WATER_BYTES:
+                self._replay_buffer = None
             else:
-                self._first += data
+                self._replay_buffer += data
         if self._sink is not None:
             self._sink.write(data)
-        elif self._first is not None and self.size >= HIGH_WATER:
+        elif self._replay_buffer is not None and self.size >= HIGH_WATER_BYTES:
             self._source.pause()
 
     def end(self) -> None:
+        """Mark the body as complete."""
         if not self.failed and not self.ended:
             self.ended = True
             if self._sink is not None:
                 self._sink.end()
 
     def fail(self) -> None:
+        """Mark the body as one whose rest will not come."""
         if not self.failed and not self.ended:
             self.failed = True
             if self._sink is not None:
-                self._sink.broken()
+                self._sink.fail()
 
-    # --------------------------------------------------------------- for the sink
+    # ---------------------------------------------------------------- for the sink
 
     def attach(self, sink: Sink) -> None:
-        """Take what has come and all that will."""
-        assert self.open_to_another
+        """Pass all that has come and will come to this sink; the body has to be replayable."""
+        assert self.replayable
         self._sink = sink
-        if self._first:
-            sink.write(bytes(self._first))
+        if self._replay_buffer:
+            sink.write(bytes(self._replay_buffer))
         if self.ended:
             sink.end()
-        elif not self.held:
+        elif not self.paused:
             self._source.resume()
 
-    def hold(self) -> None:
-        if not self.held and not self.ended:  # Guard: all that can still come is its caller's leaving
-            self.held = True
+    def pause(self) -> None:
+        """Stop the source. At the end of the body it reads on: only a disconnect can still come."""
+        if not self.paused and not self.ended:
+            self.paused = True
             self._source.pause()
 
-    def release(self) -> None:
-        if self.held:
-            self.held = False
+    def resume(self) -> None:
+        """Let the source go on after `pause`."""
+        if self.paused:
+            self.paused = False
             self._source.resume()
 
-    def leave(self, sink: Sink) -> None:
-        """This sink takes no more of it."""
+    def detach(self, sink: Sink) -> None:
+        """Pass nothing more to this sink."""
         if self._sink is not sink:
             return
         self._sink = None
-        self.release()
+        self.resume()
         if self.ended or self.failed:
             return
-        if self._first is None:
-            self._source.abandoned()
-        elif self.size >= HIGH_WATER:
+        if self._replay_buffer is None:
+            self._source.abandon()
+        elif self.size >= HIGH_WATER_BYTES:
             self._source.pause()
 
-    def abandon(self) -> None:
-        """Nobody takes it at all."""
-        self._first = None
+    def discard(self) -> None:
+        """Drop the body: no sink will take it."""
+        self._replay_buffer = None
         self._sink = None
         if not self.ended and not self.failed:
-            self._source.abandoned()
+            self._source.abandon()
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -16,7 +16,7 @@
 import structlog
 
 from loadbalancer.membership.messages import LeaseAnswer
-from loadbalancer.node.http.service_http import Answer, Call, Client
+from loadbalancer.node.http.service_http import HttpClient, HttpRequest, HttpResponse
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import parse_address
 from loadbalancer.registry.answers import error_answer, json_answer
@@ -58,7 +58,7 @@
 FAILURES_PER_LOG_LINE = 100  # a call without a leader is repeated by every member
 REJECTIONS_PER_LOG_LINE = 1_000  # of enrolments at a limit
 
-Handler = Callable[[Call], Awaitable[Answer]]
+Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 class FleetApi:
@@ -78,7 +78,7 @@
     ) -> None:
         self._fleet, self._leader, self._next_change = fleet, leader, next_change
         self._max_wait_ms, self._log = max_wait_ms, log
-        self._client = Client()
+        self._client = HttpClient()
         self._relay = RenewalRelay(self._client, self._other_leader, log)
         self._failures = 0
         self.rejected_enrolments = 0  # at a limit
@@ -96,7 +96,7 @@
             ("POST", "routes/rollback"): self._rollback,
         }
 
-    async def handle(self, call: Call) -> Answer:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """The answer to any call under /fleet/."""
         try:
             return await self._answer(call)
@@ -104,14 +104,14 @@
             self._log_failure(call, failure)
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no leader with a quorum in time")
 
-    def _log_failure(self, call: Call, failure: Exception) -> None:
+    def _log_failure(self, call: HttpRequest, failure: Exception) -> None:
         self._failures += 1
         if self._failures % FAILURES_PER_LOG_LINE == 1:
             reason = f"{type(failure).__name__}: {failure}"[:MAX_LOGGED_CHARACTERS]
             path = call.path[:MAX_LOGGED_PATH_CHARACTERS]
             self._log.warning("fleet_call_failed", path=path, failures=self._failures, why=reason)
 
-    async def _answer(self, call: Call) -> Answer:
+    async def _answer(self, call: HttpRequest) -> HttpResponse:
         path = call.path.removeprefix("/fleet/")
         if (call.method, path) == ("GET", "watch"):
             return await self._watch(call)
@@ -146,20 +146,20 @@
         leader = self._fleet.leader_address()
         return None if leader == self._leader.address else leader
 
-    async def _relay_renewal(self, call: Call) -> Answer:
+    async def _relay_renewal(self, call: HttpRequest) -> HttpResponse:
         try:
             renewal = decode_body(RenewRequest, call.body)
         except ValueError as failure:
             return self._reject(call, str(failure))
         return await self._relay.renew(renewal)
 
-    async def _forward(self, call: Call) -> Answer:
+    async def _forward(self, call: HttpRequest) -> HttpResponse:
         to = self._other_leader()
         if to is None or HOP_HEADER in call.headers:
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, self._leader.unavailable_reason())
         return await forward(self._client, parse_address(to), call, FORWARD_TIMEOUT_S, hop=True)
 
-    def _reject(self, call: Call, why: str) -> Answer:
+    def _reject(self, call: HttpRequest, why: str) -> HttpResponse:
         self._log.warning(
             "fleet_call_rejected",
             method=call.method,
@@ -170,7 +170,7 @@
 
     # Members.
 
-    async def _enrol(self, call: Call) -> Answer:
+    async def _enrol(self, call: HttpRequest) -> HttpResponse:
         received_ms = self._leader.service_ms()
         body = decode_body(EnrolRequest, call.body)
         try:
@@ -191,7 +191,7 @@
         )
         return self._lease(grant, received_ms)
 
-    def _reject_enrolment(self, member: EnrolMember, failure: MemberLimitError) -> Answer:
+    def _reject_enrolment(self, member: EnrolMember, failure: MemberLimitError) -> HttpResponse:
         self.rejected_enrolments += 1
         if self.rejected_enrolments % REJECTIONS_PER_LOG_LINE == 1:
             self._log.warning(
@@ -203,14 +203,14 @@
             )
         return _error(HTTPStatus.CONFLICT, str(failure))
 
-    async def _renew(self, call: Call) -> Answer:
+    async def _renew(self, call: HttpRequest) -> HttpResponse:
         return await self._renew_lease(decode_body(RenewRequest, call.body))
 
-    async def _renew_many(self, call: Call) -> Answer:
+    async def _renew_many(self, call: HttpRequest) -> HttpResponse:
         renewals = decode_renewals(call.body)
         return encode_answers(await asyncio.gather(*map(self._renew_lease, renewals)))
 
-    async def _renew_lease(self, body: RenewRequest) -> Answer:
+    async def _renew_lease(self, body: RenewRequest) -> HttpResponse:
         received_ms = self._leader.service_ms()
         age_ms = None if body.sent is None else self._leader.out_of_range_by_ms(body.sent)
         if age_ms is not None:
@@ -223,7 +223,7 @@
             else self._lease(grant, received_ms)
         )
 
-    def _lease(self, grant: MemberGrant, received_ms: float) -> Answer:
+    def _lease(self, grant: MemberGrant, received_ms: float) -> HttpResponse:
         leader = self._leader
         answer = LeaseAnswer(
             **msgspec.structs.asdict(grant.lease),
@@ -233,21 +233,21 @@
             received_ms=received_ms,
             answered_ms=leader.service_ms(),
         )
-        return Answer(HTTPStatus.OK, msgspec.json.encode(answer))
+        return HttpResponse(HTTPStatus.OK, msgspec.json.encode(answer))
 
-    async def _leaving(self, call: Call) -> Answer:
+    async def _leaving(self, call: HttpRequest) -> HttpResponse:
         body = decode_body(MemberRequest, call.body)
         return json_answer(
             HTTPStatus.OK, {"ok": await self._leader.execute(self._fleet.leaving, body.incarnation)}
         )
 
-    async def _leave(self, call: Call) -> Answer:
+    async def _leave(self, call: HttpRequest) -> HttpResponse:
         body = decode_body(MemberRequest, call.body)
         ok = await self._leader.execute(self._fleet.leave, body.incarnation)
         self._log.info("member_left", incarnation=body.incarnation, known=ok)
         return json_answer(HTTPStatus.OK, {"ok": ok})
 
-    async def _remove(self, call: Call) -> Answer:
+    async def _remove(self, call: HttpRequest) -> HttpResponse:
         name = unquote(call.path.removeprefix("/fleet/members/"))
         if len(name) > MAX_NAME_CHARACTERS:
             problem = f"over {MAX_NAME_CHARACTERS} characters"
@@ -256,7 +256,7 @@
         self._log.warning("member_removed_by_operator", name=name, incarnations=removed)
         return json_answer(HTTPStatus.OK, {"removed": removed})
 
-    async def _end_service(self, call: Call) -> Answer:
+    async def _end_service(self, call: HttpRequest) -> HttpResponse:
         service = unquote(call.path.removeprefix("/fleet/services/"))
         if not 0 < len(service) <= MAX_NAME_CHARACTERS:
             problem = f"not of 1 to {MAX_NAME_CHARACTERS} characters"
@@ -268,10 +268,10 @@
         self._log.warning("service_ended_by_operator", service=service, incarnations=outcome.incarnations)
         return json_answer(HTTPStatus.OK, {"removed": outcome.incarnations})
 
-    async def _members(self, call: Call) -> Answer:
+    async def _members(self, call: HttpRequest) -> HttpResponse:
         return json_answer(HTTPStatus.OK, self._fleet.members(call.query.get("service")))
 
-    async def _watch(self, call: Call) -> Answer:
+    async def _watch(self, call: HttpRequest) -> HttpResponse:
         """Answer once the process of `incarnation` has something new to read, or the wait is over.
 
         That is so once the revision of its member list is not `since`, or the routes' not `routes_since` (by
@@ -297,10 +297,10 @@
 
     # Routes.
 
-    async def _routes(self, call: Call) -> Answer:
+    async def _routes(self, call: HttpRequest) -> HttpResponse:
         return json_answer(HTTPStatus.OK, self._fleet.read(lambda state: state.routes.status()))
 
-    async def _text(self, call: Call) -> Answer:
+    async def _text(self, call: HttpRequest) -> HttpResponse:
         number_text = call.path.removeprefix("/fleet/routes/")
         if not (number_text.isascii() and number_text.isdigit() and len(number_text) <= MAX_VERSION_DIGITS):
             raise InvalidFieldError(field="version", value=number_text, problem="not a whole number")
@@ -308,36 +308,36 @@
         text = self._fleet.read(lambda state: state.routes.text(number))
         if text is None:
             return _error(HTTPStatus.NOT_FOUND, f"no version {number}")
-        return Answer(HTTPStatus.OK, text.encode(), {"content-type": "application/toml"})
+        return HttpResponse(HTTPStatus.OK, text.encode(), {"content-type": "application/toml"})
 
-    async def _propose(self, call: Call) -> Answer:
+    async def _propose(self, call: HttpRequest) -> HttpResponse:
         parse_table(0, call.body)  # ValueError names the key and its line
         deadline = self._leader.service_ms() + self._leader.prepare_ms
         return self._proposed(await self._leader.execute(self._fleet.propose, call.body.decode(), deadline))
 
-    async def _rollback(self, call: Call) -> Answer:
+    async def _rollback(self, call: HttpRequest) -> HttpResponse:
         body = decode_body(RollbackRequest, call.body)
         deadline = self._leader.service_ms() + self._leader.prepare_ms
         return self._proposed(await self._leader.execute(self._fleet.rollback, body.number, deadline))
 
-    def _proposed(self, outcome: ActivationOutcome) -> Answer:
+    def _proposed(self, outcome: ActivationOutcome) -> HttpResponse:
         if outcome.rejected:
             return _error(HTTPStatus.CONFLICT, outcome.reason)
         self._log.info("route_version_proposed", number=outcome.number, phase=outcome.phase)
         return json_answer(HTTPStatus.OK, {"number": outcome.number, "phase": outcome.phase})
 
-    async def _vote(self, call: Call) -> Answer:
+    async def _vote(self, call: HttpRequest) -> HttpResponse:
         body = decode_body(VoteRequest, call.body)
         fields = (body.incarnation, body.number, body.yes, body.why)
         outcome: ActivationOutcome = await self._leader.execute(self._fleet.vote, *fields)
         return json_answer(HTTPStatus.OK, {"phase": outcome.phase})
 
-    async def _halt(self, call: Call) -> Answer:
+    async def _halt(self, call: HttpRequest) -> HttpResponse:
         body = decode_body(HaltRequest, call.body)
         outcome: ActivationOutcome = await self._leader.execute(self._fleet.halt, body.number)
         self._log.warning("routes_halted", number=outcome.number, phase=outcome.phase)
         return json_answer(HTTPStatus.OK, {"number": outcome.number, "phase": outcome.phase})
 
 
-def _error(status: int, reason: str) -> Answer:
+def _error(status: int, reason: str) -> HttpResponse:
     return error_answer(status, reason[:MAX_ERROR_CHARACTERS])
--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -18,7 +18,7 @@
 
 from pysyncobj import SyncObjConsumer, replicated
 
-from loadbalancer.membership.quota_ledger import MemberRecord
+from loadbalancer.membership.member_record import MemberRecord
 from loadbalancer.registry.commands import EndService, EnrolMember, RemoveMembers, decode
 from loadbalancer.registry.errors import MemberLimitError, ServiceInUseError
 from loadbalancer.registry.fleet_results import (
--- a/loadbalancer/registry/fleet_results.py
+++ b/loadbalancer/registry/fleet_results.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
+from loadbalancer.membership.member_record import MemberRecord
 from loadbalancer.membership.messages import LeaseGrant
-from loadbalancer.membership.quota_ledger import MemberRecord
 
 
 @dataclass(slots=True, frozen=True)
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -16,7 +16,7 @@
 import orjson
 import structlog
 
-from loadbalancer.node.http.service_http import Answer, Call, serve
+from loadbalancer.node.http.service_http import HttpRequest, HttpResponse, serve
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import format_address
 from loadbalancer.registry.answers import error_answer, json_answer
@@ -141,7 +141,7 @@
 
     # HTTP.
 
-    async def handle(self, call: Call) -> Answer:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """The answer to any call."""
         if call.path.startswith("/fleet/"):
             return await self._fleet_api.handle(call)
@@ -153,7 +153,7 @@
                 HTTPStatus.SERVICE_UNAVAILABLE, "not committed: no leader with a quorum in time"
             )
 
-    async def _answer(self, call: Call) -> Answer:
+    async def _answer(self, call: HttpRequest) -> HttpResponse:
         match call.method, call.path:
             case "GET", "/discovery/hosts":
                 return await self._read(call)
@@ -165,7 +165,7 @@
             return await self._write(call, call.path.removeprefix(TARGETS_PATH))
         return error_answer(HTTPStatus.NOT_FOUND, f"no {call.method} {call.path}")
 
-    async def _read(self, call: Call) -> Answer:
+    async def _read(self, call: HttpRequest) -> HttpResponse:
         try:
             query = watch.parse_query(call, self.config.max_wait_ms)
         except InvalidFieldError:
@@ -173,7 +173,7 @@
         page = await watch.page_after_change(self.catalog.page, query, lambda: self._next_change)
         return watch.page_answer(page, {STALE_HEADER: "1"} if self.is_stale() else {})
 
-    async def _write(self, call: Call, uid: str) -> Answer:
+    async def _write(self, call: HttpRequest, uid: str) -> HttpResponse:
         change = new_change_id()
         log = self.log.bind(change=change, uid=uid, method=call.method)
         if call.method == "DELETE":
@@ -192,7 +192,7 @@
         log.info("target_put", rev=revision, state=target["state"], endpoint=target["endpoint"])
         return json_answer(HTTPStatus.OK, {"rev": revision, "change": change})
 
-    async def _renew(self, call: Call) -> Answer:
+    async def _renew(self, call: HttpRequest) -> HttpResponse:
         try:
             uids = orjson.loads(call.body)["uids"]
             if not isinstance(uids, list) or not all(isinstance(uid, str) for uid in uids):
--- a/loadbalancer/routing/error_position.py
+++ b/loadbalancer/routing/error_position.py
@@ -19,7 +19,7 @@
     """The first lines of the text that parse on their own."""
 
     line_count: int
-    table: Any
+    table: dict[str, Any]
 
 
 def find_line(text: str, path: Path) -> int:
@@ -51,12 +51,14 @@
     return None
 
 
-def _has(table: Any, path: Path) -> bool:
+def _has(table: object, path: Path) -> bool:
     for part in path:
         if isinstance(part, int):
             if not isinstance(table, list) or part >= len(table):
                 return False
-        elif not isinstance(table, dict) or part not in table:
-            return False
-        table = table[part]
+            table = table[part]
+        else:
+            if not isinstance(table, dict) or part not in table:
+                return False
+            table = table[part]
     return True
