--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -13,7 +13,8 @@
 from loadbalancer.membership.member_record import MemberRecord
 from loadbalancer.membership.messages import LeaseGrant
 from loadbalancer.membership.quota_ledger import QuotaLedger
-from loadbalancer.registry.fleet_state import NO_SERVICE, DueExpiry
+from loadbalancer.registry.fleet_results import DueExpiry
+from loadbalancer.registry.fleet_state import NO_SERVICE
 from tests.support.orders.parts import TTL, Bounds, Node, Service, members_key, past
 
 
