--- a/bench/failure_detector.py
+++ b/bench/failure_detector.py
@@ -85,7 +85,7 @@
 def _attached(size: int, seed: int, delay: tuple[float, float] = FAST, loss: float = 0.0) -> World:
     world = World(size, seed, delay=delay, loss=loss)
     for node in world.nodes.values():
-        node.standing = QuotaStatus.ATTACHED
+        node.quota_status = QuotaStatus.ATTACHED
     world.run(3000)
     return world
 
--- a/loadbalancer/membership/change_log.py
+++ b/loadbalancer/membership/change_log.py
@@ -1,22 +1,22 @@
 """Which members changed at which revision, kept for a bounded number of changes.
 
-Each instance of the list service keeps its own from the commands that it applies. It is no part of the
-replicated state: after a restart or a snapshot it begins at the revision reached, and processes that know an
-older one are told the whole list once.
+Each instance of the list service keeps its own log, from the commands that it applies. It is not part of the
+replicated state: after a restart or a snapshot it begins at the present revision, and processes that know an
+older one are sent the complete list once.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-MAX_CHANGES = 512  # a process that is further behind is told the whole list
+MAX_CHANGES = 512  # a process that is further behind is sent the complete list
 
 
 class ChangeLog:
     """The changes of one member list. Grows with the changes kept, not with the members."""
 
     def __init__(self, revision: int, kept: int = MAX_CHANGES) -> None:
-        self._floor = revision  # changes after this revision are known in full
+        self._floor = revision  # all changes after this revision are kept
         self._last = revision
         self._kept = kept
         self._changes: deque[tuple[int, int]] = deque()  # revision, incarnation; rising
@@ -30,13 +30,13 @@
             self._floor = max(self._floor, dropped)
 
     def since(self, revision: int) -> frozenset[int] | None:
-        """The members that changed after this revision; None where that is not known in full."""
+        """The members that changed after this revision; None where the log does not reach back so far."""
         if not self._floor <= revision <= self._last:
             return None
         return frozenset(incarnation for at, incarnation in self._changes if at > revision)
 
     def copy(self) -> ChangeLog:
-        """One that goes on apart from this one."""
+        """A log that changes independently of this one."""
         twin = ChangeLog(self._floor, self._kept)
         twin._last = self._last
         twin._changes = self._changes.copy()
--- a/loadbalancer/membership/failure_detector.py
+++ b/loadbalancer/membership/failure_detector.py
@@ -18,6 +18,7 @@
 from loadbalancer.membership.member_list import MemberList
 from loadbalancer.membership.payload import QuotaStatus, decode
 from loadbalancer.membership.probing import Probing
+from loadbalancer.membership.quota_reports import ReportedStatus
 from loadbalancer.membership.verdict import Reachability
 
 
@@ -26,8 +27,8 @@
 
     Facts go in through `set_members`, `tick`, `on_ack`, `on_failure`, `on_probe` and `on_indirect_probe`;
     each returns the actions that follow. The caller calls `tick` no later than `due`, and ends every Probe
-    and IndirectProbe with `on_ack` or `on_failure`. Nothing that another member sends raises; `ignored` tells
-    what was ignored, by reason.
+    and IndirectProbe with `on_ack` or `on_failure`. Nothing that another member sends raises; `ignored`
+    counts what was ignored, by reason.
     """
 
     def __init__(self, incarnation: int, rng: random.Random, config: DetectorConfig | None = None) -> None:
@@ -46,26 +47,26 @@
         """This process was given a new incarnation; a lower or equal one is ignored."""
         if incarnation > self._local.incarnation:
             self._local.incarnation, self._local.count = incarnation, 0
-            self._gossip.quota_reports.clear_own()
+            self._gossip.quota_reports.clear_local()
             self._members.set_members([peer.sibling for peer in self._members.peers.values()])
 
     def set_members(self, now: float, siblings: Iterable[Sibling]) -> list[Action]:
-        """The whole list of members; this node's own row is left out, and those not in it are forgotten."""
+        """Set the complete member list, without regard to this node's own entry; drop members not in it."""
         self._record_wakeup(now)
         self._probing.order.add(self._members.set_members(siblings))
         self._gossip.quota_reports.retain(self._members.peers)
         return [*self._members.take_changes()]
 
-    def set_quota_status(self, now: float, standing: QuotaStatus, s_ms: float) -> None:
-        """What this node states of its own share, at this service time.
+    def set_quota_status(self, now: float, status: QuotaStatus, service_ms: float) -> None:
+        """Set what this node reports of its own quota, at this service time.
 
-        A node that is no longer attached has to tell the others, and to hear from them, before its lease
-        ends: its next probe is due at once, and further ones at the urgent pace.
+        A node that is no longer attached has to report that, and to receive reports, before its lease ends:
+        its next probe is due at once, and further ones at the urgent pace.
         """
-        self._gossip.quota_reports.set_own(now, standing, s_ms)
-        if standing is not self._quota_status and standing is not QuotaStatus.ATTACHED:
+        self._gossip.quota_reports.set_local(now, status, service_ms)
+        if status is not self._quota_status and status is not QuotaStatus.ATTACHED:
             self._probed_at = None
-        self._quota_status = standing
+        self._quota_status = status
 
     def set_view(self, view: bytes) -> None:
         """The opaque entry that goes with every payload from now on; one over 16 KiB is not sent."""
@@ -151,7 +152,7 @@
         return self._config.idle_tick_ms
 
     def _is_urgent(self) -> bool:
-        """Whether statements or suspicions have to spread."""
+        """Whether quota reports or suspicions have to spread."""
         return self._quota_status is not QuotaStatus.ATTACHED or self._members.has_suspects
 
     def _period_ms(self) -> float:
@@ -192,8 +193,8 @@
         peer = self._members.peers.get(incarnation)
         return None if peer is None else peer.last_ack_at
 
-    def quota_reports(self) -> dict[int, tuple[QuotaStatus, float]]:
-        """The newest known statement of each node, this one included: (standing, its service time)."""
+    def quota_reports(self) -> dict[int, ReportedStatus]:
+        """The newest known report of each node, this one included: its status and service time."""
         return self._gossip.quota_reports.latest()
 
     def _record_wakeup(self, now: float) -> None:
--- a/loadbalancer/membership/gossip.py
+++ b/loadbalancer/membership/gossip.py
@@ -19,7 +19,7 @@
 
 
 class Gossip:
-    """Encodes outgoing messages from, and merges incoming ones into, the member list and the standings."""
+    """Encodes outgoing messages, and merges incoming ones into the member list and the quota reports."""
 
     def __init__(self, local: LocalState, members: MemberList, rng: random.Random) -> None:
         self.quota_reports = QuotaReports(local)
@@ -54,7 +54,7 @@
         return encode(message)
 
     def receive(self, now: float, message: Message, sent: float | None = None) -> list[ViewReceived]:
-        """Merge a message; nothing is accepted from a sender that the list service has not named.
+        """Merge a message; nothing is accepted from a sender that the list service has not listed.
 
         `sent` is when this node sent the probe if the message is an ack, which shows where it came from.
         """
@@ -62,7 +62,7 @@
             self._local.ignored["message of an unknown incarnation"] += 1
             return []
         header = MemberUpdate(message.sender, message.count, MemberStatus.ALIVE)
-        self._members.merge(now, header, first_hand=sent is not None)
+        self._members.merge(now, header, is_ack=sent is not None)
         for update in message.updates:
             if update.incarnation == self._local.incarnation:
                 self._local.refute(update)
--- a/loadbalancer/membership/member_list.py
+++ b/loadbalancer/membership/member_list.py
@@ -43,8 +43,8 @@
     least, most = config.suspicion_min_ms * scale, config.suspicion_max_ms * scale
     if config.accusers == 0:
         return least
-    share = math.log(confirmations + 1) / math.log(config.accusers + 1)
-    return max(least, most - (most - least) * share)
+    progress = math.log(confirmations + 1) / math.log(config.accusers + 1)
+    return max(least, most - (most - least) * progress)
 
 
 @dataclass(slots=True)
@@ -73,12 +73,12 @@
                 self.peers[incarnation] = Peer(sibling)
         return new
 
-    def merge(self, now: float, update: MemberUpdate, first_hand: bool = False) -> None:
+    def merge(self, now: float, update: MemberUpdate, is_ack: bool = False) -> None:
         """Merge an update about another member; `first_hand`: that member itself acked a probe with it."""
         peer = self.peers.get(update.incarnation)
         if peer is None:
             self.local.ignored["rumour of an unknown incarnation"] += 1
-        elif update.count > peer.count + MAX_COUNT_JUMP and not first_hand:
+        elif update.count > peer.count + MAX_COUNT_JUMP and not is_ack:
             self.local.ignored["absurd count"] += 1
         elif (update.count, update.status) > (peer.count, peer.status):
             self._override(now, peer, update)
--- a/loadbalancer/membership/messages.py
+++ b/loadbalancer/membership/messages.py
@@ -1,8 +1,8 @@
-"""What the list service tells the process of a member: typed, checked where it is read from the wire.
+"""The list service's answers to a member's process: typed, and checked where they are read from the wire.
 
 A grant is the answer to an enrolment or a renewal. Its members are the member list of the process's group
-(the nodes in front of one service): whole, or as the changes since a revision that the process has
-acknowledged. The field names are those of the JSON body.
+(the nodes in front of one service): complete, or as the changes since a revision that the process has
+acknowledged. Where a field differs from its key in the JSON body, `field(name=)` gives the key.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Member(Struct, frozen=True):
-    """A row of the member list."""
+    """An entry of the member list."""
 
     name: str
     address: str  # host:port where the other members call it
@@ -31,8 +31,8 @@
 class LeaseGrant(Struct, frozen=True, kw_only=True):
     """What a lease grants. `members` is absent where the process knows the revision already.
 
-    With `since` the members are only those that were added or changed after that revision, and `removed`
-    names the incarnations that went; without it the list is whole.
+    With `since_revision` the members are only those that were added or changed after it, and `removed` has
+    the incarnations that were removed; without it the list is complete.
     """
 
     incarnation: Incarnation
@@ -40,7 +40,7 @@
     quota: QuotaFraction = field(name="share")
     elector: bool
     state: str = ""
-    service: str = ""  # the group in which the row stands; "": members that name no service
+    service: str = ""  # the group of the member; "" for members that name no service
     target_quota: Annotated[float, Meta(gt=0.0, le=1.0)] | UnsetType = field(default=UNSET, name="aim")
     members: tuple[Member, ...] | UnsetType = UNSET
     since_revision: Revision | UnsetType = field(default=UNSET, name="since")
--- a/loadbalancer/membership/verdict.py
+++ b/loadbalancer/membership/verdict.py
@@ -9,7 +9,7 @@
 
 
 class LeaseStatus(Enum):
-    """What the list service last told of a member's lease; `UNKNOWN` where this node's view is stale."""
+    """What the list service last stated of a member's lease; `UNKNOWN` where that is stale."""
 
     LIVE = "live"
     EXPIRED = "lapsed"
@@ -72,8 +72,8 @@
     """This node's own connectivity.
 
     `renewed` is when the last renewal that was answered was sent, `last_ack` when any member last acked a
-    probe (ms on the clock of `now`; None: never). Past half a term without a renewal the view of leases is
-    stale.
+    probe (ms on the clock of `now`; None: never). After half a term without a renewal, what the node knows of
+    leases is stale.
     """
     if renewed is not None and now - renewed < ttl_ms / 2:
         return Connectivity.ATTACHED
--- a/tests/membership/test_detector_paces.py
+++ b/tests/membership/test_detector_paces.py
@@ -25,7 +25,7 @@
     for seed in range(runs):
         world = World(size, seed, config, **links)
         for node in world.nodes.values():
-            node.standing = QuotaStatus.ATTACHED
+            node.quota_status = QuotaStatus.ATTACHED
         world.run(3000.0)
         world.cut_from_service(term_ms)
         waits += world.majority_waits(2 * term_ms)
--- a/tests/support/detector_simulation.py
+++ b/tests/support/detector_simulation.py
@@ -55,7 +55,7 @@
     sent_bytes: int = 0
     ack_bytes_received: int = 0
     viewed: list[ViewReceived] = field(default_factory=list)
-    standing: QuotaStatus | None = None  # stated anew before each tick
+    quota_status: QuotaStatus | None = None  # stated anew before each tick
     held_at: float | None = None  # when it began to hold
 
 
@@ -117,7 +117,7 @@
             self.after(self.rng.uniform(0.0, RENEWAL * ttl_ms), lambda node=node: self._hold(node))  # type: ignore[misc]
 
     def _hold(self, node: Node) -> None:
-        node.standing, node.held_at = QuotaStatus.HOLDING, self.now
+        node.quota_status, node.held_at = QuotaStatus.HOLDING, self.now
 
     def cut_between(self, left: Iterable[int], right: Iterable[int]) -> None:
         for one, other in itertools.product(list(left), list(right)):
@@ -192,9 +192,9 @@
     def _tick(self, node: Node) -> None:
         def tick() -> None:
             self.before_tick(node)
-            if node.standing is not None:
+            if node.quota_status is not None:
                 service_ms = self.now + SERVICE_OFFSET_MS
-                node.detector.set_quota_status(self.clock(node), node.standing, service_ms)
+                node.detector.set_quota_status(self.clock(node), node.quota_status, service_ms)
             self._do(node, node.detector.tick(self.clock(node)))
             assert node.detector.due is not None
             self.after(max(0.1, node.detector.due - self.clock(node)), lambda: self._tick(node))
