--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -12,7 +12,7 @@
 from loadbalancer.balancing.events import AttemptOutcome
 from loadbalancer.endpoints import Confidence
 from loadbalancer.membership import ViewReceived
-from loadbalancer.node.balancer_driver import Driver
+from loadbalancer.node.balancer_driver import BalancerDriver
 from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.rejection_log import RejectionLog
 from loadbalancer.node.control.timers import RestartableTimer
@@ -46,7 +46,7 @@
         clock: MembershipClock,
         clock_offsets: ClockOffsets,
         servers: EndpointList,
-        driver: Driver,
+        driver: BalancerDriver,
         on_levels: Callable[[dict[str, Confidence]], None],
     ) -> None:
         self.connectivity: Callable[[], ConnectivityState] = lambda: "alone"
@@ -121,7 +121,7 @@
         changed = self._confidence.update(now, self.connectivity())
         if changed:
             self._on_levels(changed)
-        self._timer.schedule(self._clock.loop_time(now + self._update_every_ms))
+        self._timer.schedule(self._clock.to_loop_time(now + self._update_every_ms))
 
     def _follow_list(self) -> None:
         """Pass the endpoint list to the table where it was changed or confirmed."""
--- a/loadbalancer/registry/__main__.py
+++ b/loadbalancer/registry/__main__.py
@@ -14,12 +14,13 @@
 import argparse
 import asyncio
 import sys
+from http import HTTPStatus
 from pathlib import Path
 
 import orjson
 import structlog
 
-from loadbalancer.node.http.service_http import call
+from loadbalancer.node.http.service_http import send_request
 from loadbalancer.registry import agent, local, service
 from loadbalancer.registry.addresses import parse_address
 from loadbalancer.registry.errors import ConfigError
@@ -49,14 +50,14 @@
 async def _print_answer(address: str, path: str) -> int:
     """Print the JSON that the program at host:port answers; the exit status."""
     try:
-        reply = await call(parse_address(address), "GET", path)
+        reply = await send_request(parse_address(address), "GET", path)
     except (OSError, TimeoutError, ValueError) as failure:
         print(f"{address}: {type(failure).__name__}: {failure}", file=sys.stderr)
         return 1
     stale = reply.headers.get("registry-stale") == "1"
     row = orjson.loads(reply.body) | ({"stale": True} if stale else {})
     sys.stdout.write(orjson.dumps(row, option=orjson.OPT_INDENT_2).decode() + "\n")
-    return 0 if reply.status == 200 else 1
+    return 0 if reply.status == HTTPStatus.OK else 1
 
 
 async def _run(arguments: argparse.Namespace, log: structlog.stdlib.BoundLogger) -> int:
--- a/loadbalancer/registry/local.py
+++ b/loadbalancer/registry/local.py
@@ -16,13 +16,20 @@
 import sys
 from collections.abc import Sequence
 from dataclasses import dataclass
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
 import orjson
 import structlog
 
-from loadbalancer.node.http.service_http import Answer, Call, Reply, call, serve
+from loadbalancer.node.http.service_http import (
+    HttpRequest,
+    HttpResponse,
+    ReceivedResponse,
+    send_request,
+    serve,
+)
 from loadbalancer.registry.signals import wait_for_stop
 
 LOOPBACK = "127.0.0.1"
@@ -74,8 +81,8 @@
     async def start(self) -> None:
         """Listen on a free port."""
 
-        async def answer(request: Call) -> Answer:
-            return Answer(200, b'{"done":true}', {"depth": "0"})
+        async def answer(request: HttpRequest) -> HttpResponse:
+            return HttpResponse(HTTPStatus.OK, b'{"done":true}', {"depth": "0"})
 
         server = await serve((LOOPBACK, 0), answer)
         self._port = server.sockets[0].getsockname()[1]
@@ -96,19 +103,19 @@
         """Whether an instance has accepted a registration or renewal; each is asked in turn."""
         for port in self._registry_ports:
             with contextlib.suppress(OSError, TimeoutError):
-                if (await self._renew_at(port)).status == 200:
+                if (await self._renew_at(port)).status == HTTPStatus.OK:
                     return True
         return False
 
-    async def _renew_at(self, port: int) -> Reply:
+    async def _renew_at(self, port: int) -> ReceivedResponse:
         if self._registered:
             body = orjson.dumps({"uids": [self.uid]})
-            reply = await call((LOOPBACK, port), "POST", "/registry/renew", body)
-            self._registered = reply.status == 200 and not orjson.loads(reply.body)["unknown"]
+            reply = await send_request((LOOPBACK, port), "POST", "/registry/renew", body)
+            self._registered = reply.status == HTTPStatus.OK and not orjson.loads(reply.body)["unknown"]
         else:
             body = orjson.dumps({"uid": self.uid, "endpoint": f"{LOOPBACK}:{self._port}", "az": "a"})
-            reply = await call((LOOPBACK, port), "PUT", f"/registry/targets/{self.uid}", body)
-            self._registered = reply.status == 200
+            reply = await send_request((LOOPBACK, port), "PUT", f"/registry/targets/{self.uid}", body)
+            self._registered = reply.status == HTTPStatus.OK
         return reply
 
 
--- a/loadbalancer/registry/renewal_relay.py
+++ b/loadbalancer/registry/renewal_relay.py
@@ -8,15 +8,21 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 import structlog
 from msgspec import Raw, Struct
 
-from loadbalancer.node.http.service_http import Answer, Client
+from loadbalancer.node.http.service_http import HttpClient, HttpResponse
 from loadbalancer.registry.addresses import parse_address
 from loadbalancer.registry.batch import MAX_BATCH_COUNT, Batcher
-from loadbalancer.registry.errors import InvalidBodyError, NoLeaderError, NotCommittedError
+from loadbalancer.registry.errors import (
+    BatchTooLargeError,
+    InvalidBodyError,
+    NoLeaderError,
+    UnusableLeaderAnswerError,
+)
 from loadbalancer.registry.forwarding import HOP_HEADER
 from loadbalancer.registry.messages import RenewRequest
 
@@ -40,15 +46,15 @@
     """Forwards renewals; `leader` returns the leader's host:port, None where no leader is known."""
 
     def __init__(
-        self, client: Client, leader: Callable[[], str | None], log: structlog.stdlib.BoundLogger
+        self, client: HttpClient, leader: Callable[[], str | None], log: structlog.stdlib.BoundLogger
     ) -> None:
         self._client, self._leader = client, leader
         self._batch: Batcher[RenewRequest, RelayedAnswer] = Batcher("relayed_renewals", self._forward, log)
 
-    async def renew(self, renewal: RenewRequest) -> Answer:
+    async def renew(self, renewal: RenewRequest) -> HttpResponse:
         """The leader's answer; NotCommittedError where there is none in time."""
         answer = await self._batch.add(renewal)
-        return Answer(answer.status, bytes(answer.body))
+        return HttpResponse(answer.status, bytes(answer.body))
 
     async def _forward(self, renewals: list[RenewRequest]) -> list[RelayedAnswer]:
         leader = self._leader()
@@ -59,14 +65,15 @@
         reply = await self._client.call(
             address, "POST", RENEW_MANY_PATH, body, FORWARD_TIMEOUT_S, {HOP_HEADER: "1"}
         )
-        if reply.status != 200:
-            raise NotCommittedError(f"the leader answered {reply.status}")
+        if reply.status != HTTPStatus.OK:
+            raise UnusableLeaderAnswerError(reply.status)
         try:
             answers = _answers.decode(reply.body)
         except msgspec.MsgspecError as failure:
-            raise NotCommittedError(f"the leader's answer: {failure}") from failure
+            raise UnusableLeaderAnswerError(failure) from failure
         if len(answers) != len(renewals):
-            raise NotCommittedError(f"{len(answers)} answers to {len(renewals)} renewals")
+            problem = f"{len(answers)} answers to {len(renewals)} renewals"
+            raise UnusableLeaderAnswerError(problem)
         return answers
 
 
@@ -77,11 +84,11 @@
     except (msgspec.MsgspecError, RecursionError) as failure:
         raise InvalidBodyError(failure) from failure
     if len(renewals) > MAX_BATCH_COUNT:
-        raise InvalidBodyError(f"{len(renewals)} renewals, over {MAX_BATCH_COUNT}")
+        raise BatchTooLargeError(len(renewals), MAX_BATCH_COUNT)
     return renewals
 
 
-def encode_answers(answers: list[Answer]) -> Answer:
+def encode_answers(answers: list[HttpResponse]) -> HttpResponse:
     """The answer that `RenewalRelay` reads."""
     rows = [RelayedAnswer(answer.status, Raw(answer.body)) for answer in answers]
-    return Answer(200, msgspec.json.encode(rows))
+    return HttpResponse(HTTPStatus.OK, msgspec.json.encode(rows))
