--- a/loadbalancer/node/http/client_connection.py
+++ b/loadbalancer/node/http/client_connection.py
@@ -220,8 +220,8 @@
             self._exchange.on_request_sent()
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the response. What comes without a request ends the connection, as a response to the
-        next request can't be told from what follows."""
+        """Parse a part of the response. Without a request, it ends the connection, as the response to the
+        next request could not be told from what follows."""
         if self._exchange is None:
             self.abort()
             return
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,4 +1,4 @@
-"""What both hosts of the decision module, adapter and node, read alike: settings and load reports."""
+"""Decodes settings and load reports, whose names on the wire are mapped to those in code here."""
 
 from __future__ import annotations
 
@@ -6,15 +6,18 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
+from loadbalancer.errors import SettingChoiceError, SettingItemError, SettingMissingError, SettingTypeError
 from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass, Settings, Tenant
 
 JsonObject = dict[str, Any]
-T = TypeVar("T")
-U = TypeVar("U")
+Item = TypeVar("Item")
+Choice = TypeVar("Choice")
 
 EFFECTS = {"free": Effect.IDEMPOTENT, "guarded": Effect.IDEMPOTENCY_KEY, "single_shot": Effect.NON_IDEMPOTENT}
-SCOPES = {scope.value: scope for scope in DeduplicationScope}
-KINDS: dict[type, str] = {dict: "an object", str: "a text"}
+DEDUPLICATION_SCOPES = {scope.value: scope for scope in DeduplicationScope}
+POLLS_DISCOVERY = {"push": False, "ask": True}
+WEIGHTS_BY_WORK = {"request": False, "work": True}
+DEFAULT_CHOICES = {"registryMode": "push", "valueBy": "request"}
 LOAD_REPORT_NAMES = {
     "concurrent": "inflight",
     "depth": "queue",
@@ -23,61 +26,63 @@
     "tps": "qps",
     "err_ps": "eps",
 }
+LOAD_REPORT_PREFIX = "TEXT"
+TYPE_NAMES: dict[type, str] = {dict: "an object", str: "a string"}  # in errors
 
 
 def section(row: JsonObject, key: str) -> JsonObject:
-    """The object under this key; empty where there is none."""
+    """Return the object under this key, an empty one if there is none; raise SettingTypeError."""
     value = row.get(key)
     if not isinstance(value, dict | None):
-        raise ValueError(f"{key}: {value!r} is not an object")
+        raise SettingTypeError(key, value, "an object")
     return value or {}
 
 
-def list_of(row: JsonObject, key: str, kind: type[T]) -> list[T]:
-    """The list under this key, of items of this type; empty where there is none."""
+def list_of(row: JsonObject, key: str, item_type: type[Item]) -> list[Item]:
+    """Return the list of such items under this key, an empty one if there is none; raise SettingError."""
     value = row.get(key)
     if not isinstance(value, list | None):
-        raise ValueError(f"{key}: {value!r} is not a list")
+        raise SettingTypeError(key, value, "a list")
     for item in value or ():
-        if not isinstance(item, kind):
-            raise ValueError(f"{key}: {item!r} in the list is not {KINDS[kind]}")
+        if not isinstance(item, item_type):
+            raise SettingItemError(key, item, TYPE_NAMES[item_type])
     return value or []
 
 
-def text_of(row: JsonObject, key: str, of: str = "") -> str:
-    """The text under this key, which has to be there."""
+def text_of(row: JsonObject, key: str, prefix: str = "") -> str:
+    """Return the string under this key, which is not empty; raise SettingError. `prefix` is for the error."""
     value = row.get(key)
     if value is None:
-        raise ValueError(f"{of}{key}: missing")
+        raise SettingMissingError(prefix + key)
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{of}{key}: {value!r} is not a text")
+        raise SettingTypeError(prefix + key, value, "a string")
     return value
 
 
-def choice_of(row: JsonObject, key: str, names: Mapping[str, U], of: str = "") -> U:
-    """What the word under this key stands for."""
+def choice_of(row: JsonObject, key: str, choices: Mapping[str, Choice], prefix: str = "") -> Choice:
+    """Return the choice whose word is under this key; raise SettingChoiceError. `prefix` is for the error."""
     value = row.get(key)
-    if not isinstance(value, str) or value not in names:
-        raise ValueError(f"{of}{key}: {value!r} is not one of {', '.join(names)}")
-    return names[value]
+    if not isinstance(value, str) or value not in choices:
+        raise SettingChoiceError(prefix + key, value, choices)
+    return choices[value]
 
 
-def _given(row: JsonObject) -> JsonObject:
-    """Without what is null, which stands for what is absent: defaults hold for it."""
+def _present(row: JsonObject) -> JsonObject:
+    """Return the row without nulls, which stand for absent keys: defaults hold for these."""
     return {key: value for key, value in row.items() if value is not None}
 
 
 def parse_settings(config: JsonObject) -> Settings:
-    """The settings of a node from its first message; keys that are not known are ignored."""
-    bounds, rules = section(config, "bounds"), section(config, "invariants")
+    """Decode the settings of a node; raise SettingError. Unknown keys are ignored."""
+    bounds, invariants = section(config, "bounds"), section(config, "invariants")
     fields = list_of(section(config, "feedback"), "fields", str)
-    modes = {"registryMode": "push", "valueBy": "request"} | _given(config)
+    choices = DEFAULT_CHOICES | _present(config)
     given: JsonObject = {
         "zone": config.get("locality"),
         "tier": config.get("tier"),
         "siblings": config.get("siblings"),
-        "poll_discovery": choice_of(modes, "registryMode", {"push": False, "ask": True}),
-        "weight_by_work": choice_of(modes, "valueBy", {"request": False, "work": True}),
+        "poll_discovery": choice_of(choices, "registryMode", POLLS_DISCOVERY),
+        "weight_by_work": choice_of(choices, "valueBy", WEIGHTS_BY_WORK),
         "over_quota_weight": config.get("overShareWorth"),
         "load_report_fields": tuple(LOAD_REPORT_NAMES.get(name, name) for name in fields),
         "may_cancel": bounds.get("cancel"),
@@ -85,9 +90,9 @@
         "max_retry_after_ms": bounds.get("maxRetryAfterMs"),
         "max_attempts": bounds.get("maxAttempts"),
         "cross_zone_price": section(config, "prices").get("crossZone"),
-        "slow_start_from": rules.get("coldFrom"),
-        "slow_start_ms": rules.get("coldMs"),
-        "overload_factor": rules.get("overloadFactor"),
+        "slow_start_from": invariants.get("coldFrom"),
+        "slow_start_ms": invariants.get("coldMs"),
+        "overload_factor": invariants.get("overloadFactor"),
     }
     return Settings(
         classes=tuple(_service_class(row) for row in list_of(config, "categories", dict)),
@@ -96,14 +101,14 @@
             for row in list_of(config, "accounts", dict)
             if row.get("quotaPerS") is not None
         ),
-        **_given(given),
+        **_present(given),
     )
 
 
 def _service_class(row: JsonObject) -> ServiceClass:
     for key in ("aimMs", "giveUpMs"):
         if row.get(key) is None:
-            raise ValueError(f"categories.{key}: missing")
+            raise SettingMissingError(setting=f"categories.{key}")
     given: JsonObject = {
         "priority_weight": row.get("credit"),
         "late_weight": row.get("lateWorth"),
@@ -111,24 +116,28 @@
         "deduplication_window_ms": row.get("memorySpanMs"),
         "stream": row.get("stream"),
     }
+    scope_row = {"keyScope": DeduplicationScope.ALL.value} | _present(row)
     return ServiceClass(
         name=text_of(row, "name", "categories."),
         latency_objective_ms=row["aimMs"],
         client_timeout_ms=row["giveUpMs"],
         effect=choice_of(row, "effect", EFFECTS, "categories."),
-        deduplication_scope=choice_of({"keyScope": "all"} | _given(row), "keyScope", SCOPES, "categories."),
-        **_given(given),
+        deduplication_scope=choice_of(scope_row, "keyScope", DEDUPLICATION_SCOPES, "categories."),
+        **_present(given),
     )
 
 
 def parse_load_report(text: str, fields: tuple[str, ...]) -> dict[str, float] | None:
-    """A report's text form, `TEXT name=value, name=value`, cut down to the fields that the settings name."""
+    """Decode a load report, `TEXT name=value, name=value`, and keep the fields that the settings name.
+
+    A pair whose value is no finite number is ignored; None if no pair is left.
+    """
     report: dict[str, float] = {}
-    for pair in text.removeprefix("TEXT").split(","):
-        name, _, figure = pair.strip().partition("=")
+    for pair in text.removeprefix(LOAD_REPORT_PREFIX).split(","):
+        name, _, number = pair.strip().partition("=")
         name = LOAD_REPORT_NAMES.get(name, name)
         try:
-            value = float(figure)
+            value = float(number)
         except ValueError:
             continue
         if name in fields and math.isfinite(value):
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The wire adapter: reads the simulator's batches on standard input and writes replies on standard output.
+"""Adapts the balancer to the simulator: reads batches of events on standard input and writes the actions.
 
-Translation only; every decision is made by loadbalancer.balancing. One process hosts many nodes, which share
-nothing.
+Each line is a JSON object. This module translates only; every decision is made by loadbalancer.balancing. One
+process hosts many balancers, which share nothing but the endpoint lists that the simulator sends once.
 """
 
 from __future__ import annotations
@@ -26,6 +26,7 @@
     TimerFired,
 )
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
+from loadbalancer.errors import SettingChoiceError, SettingError
 from loadbalancer.settings import JsonObject, parse_settings
 
 RESULTS = {
@@ -38,21 +39,64 @@
     250: AttemptResult.CANCELLED,
     249: AttemptResult.ABANDONED,
 }
-IGNORED = ("PEER",)
+IGNORED_KINDS = ("PEER",)
+MAX_ERROR_CHARS = 500  # of a fault's text in a reply
+MAX_QUOTED_BYTES = 200  # of a malformed line in an error
+EXIT_MALFORMED_INPUT = 2
 
 
 class WireError(Exception):
-    """Input that is not the simulator's wire, and that names no node to put it down to."""
+    """The input is not the simulator's wire, and the fault can't be put down to one balancer."""
+
+
+class MalformedLineError(WireError):
+    """A line is no JSON object."""
+
+    def __init__(self, line: bytes, reason: str) -> None:
+        super().__init__(f"{reason}: {line[:MAX_QUOTED_BYTES]!r}")
+
+
+class BatchError(WireError):
+    """The lines that begin and end batches are out of order or lack a key."""
+
+    def __init__(self, problem: str) -> None:
+        super().__init__(problem)
+
+
+class MalformedEventError(WireError):
+    """An event names no balancer, or lacks what every event of its kind has."""
+
+    def __init__(self, kind: object, reason: str) -> None:
+        super().__init__(f"event {kind!r}: {reason}")
+
+
+class EventError(ValueError):
+    """An event that its balancer can't be given."""
+
+
+class UnknownNodeError(EventError):
+    """An event is for a balancer that was never started."""
+
+    def __init__(self, number: int) -> None:
+        super().__init__(f"node {number} was never started")
+
+
+class UnknownEventError(EventError):
+    """An event is of a kind that the wire does not have."""
+
+    def __init__(self) -> None:
+        super().__init__("unknown kind of event")
 
 
 class Node:
-    """One hosted balancer and the names in which its load reports come."""
+    """A hosted balancer."""
 
     def __init__(self, config: JsonObject, seed: int, now_ms: float) -> None:
         self.settings = parse_settings(config)
         self.balancer = Balancer(self.settings, seed, now_ms)
 
-    def report(self, values: list[float | None] | None) -> dict[str, float] | None:
+    def load_report(self, values: list[float | None] | None) -> dict[str, float] | None:
+        """Return a load report by field, from its values in the order of the settings; None without any."""
         if not values:
             return None
         pairs = zip(self.settings.load_report_fields, values, strict=False)
@@ -60,52 +104,55 @@
 
 
 class Host:
-    """All nodes of one process; `batch` turns the lines of a batch into the lines of its reply."""
+    """The balancers of one process, by their numbers."""
 
     def __init__(self) -> None:
         self.nodes: dict[int, Node] = {}
-        self.catalogs: dict[int, tuple[Endpoint, ...]] = {}
-        self.now = 0.0
+        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the references in events
+        self.now = 0.0  # time of the batch (ms)
 
     def handle_event(self, row: JsonObject) -> list[JsonObject]:
+        """Return the rows that answer an event. A fault ends its balancer, and is reported in a row."""
         kind = row.get("kind")
         if kind == "CATALOG":
-            self.catalogs[row["ref"]] = tuple(_server(line) for line in row["rows"])
+            self.endpoint_lists[row["ref"]] = tuple(_endpoint(line) for line in row["rows"])
             return []
         number = row.get("node")
         if not isinstance(number, int):
-            raise WireError(f"event {kind!r} names no node")
+            raise MalformedEventError(kind, reason="no node")
         try:
-            return self._node_event(kind, number, row)
+            return self._handle_node_event(kind, number, row)
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
             self.nodes.pop(number, None)
-            text = f"{kind}: {type(error).__name__}: {error}"
-            return [{"kind": "PANIC", "node": number, "bodyText": text[:500]}]
+            text = f"{kind}: {_error_name(error)}: {error}"
+            return [{"kind": "PANIC", "node": number, "bodyText": text[:MAX_ERROR_CHARS]}]
 
-    def _node_event(self, kind: object, number: int, row: JsonObject) -> list[JsonObject]:
+    def _handle_node_event(self, kind: object, number: int, row: JsonObject) -> list[JsonObject]:
         if kind == "POWER_ON":
             self.nodes[number] = Node(row["config"], row["seed"], self.now)
             return []
         node = self.nodes.get(number)
         if node is None:
-            raise ValueError(f"node {number} was never started")
+            raise UnknownNodeError(number)
         if kind == "STOP":
             del self.nodes[number]
             return []
-        if kind in IGNORED:
+        if kind in IGNORED_KINDS:
             return []
-        read = READERS.get(str(kind))
-        if read is None:
-            raise ValueError("unknown kind of event")
-        return [_written(number, action) for action in node.balancer.handle(self.now, read(self, node, row))]
+        decode = EVENT_DECODERS.get(str(kind))
+        if decode is None:
+            raise UnknownEventError
+        actions = node.balancer.handle(self.now, decode(self, node, row))
+        return [_encode_action(number, action) for action in actions]
 
-    def members(self, _node: Node, row: JsonObject) -> Event:
-        form = EndpointListKind(row["form"])
-        return EndpointListUpdate(form, () if form is EndpointListKind.FAILED else self.catalogs[row["ref"]])
 
+def _error_name(error: Exception) -> str:
+    """Return the name of an error on the wire, where those of settings and events have one name."""
+    return ValueError.__name__ if isinstance(error, EventError | SettingError) else type(error).__name__
 
-def _server(row: JsonObject) -> Endpoint:
+
+def _endpoint(row: JsonObject) -> Endpoint:
     return Endpoint(
         name=row["server"],
         zone=row.get("zone") or "",
@@ -115,9 +162,16 @@
     )
 
 
+def _endpoint_list_update(host: Host, _node: Node, row: JsonObject) -> Event:
+    kind = EndpointListKind(row["form"])
+    return EndpointListUpdate(
+        kind, () if kind is EndpointListKind.FAILED else host.endpoint_lists[row["ref"]]
+    )
+
+
 def _request(_host: Host, node: Node, row: JsonObject) -> Event:
     if row["lane"] not in node.balancer.service_classes:
-        raise ValueError(f"lane: {row['lane']!r} is not one of {', '.join(node.balancer.service_classes)}")
+        raise SettingChoiceError("lane", row["lane"], node.balancer.service_classes)
     return Request(
         id=row["txn"],
         service=row["lane"],
@@ -130,7 +184,7 @@
 
 def _outcome(_host: Host, node: Node, row: JsonObject) -> Event:
     if row["rc"] not in RESULTS:
-        raise ValueError(f"rc: {row['rc']!r} is not one of {', '.join(map(str, RESULTS))}")
+        raise SettingChoiceError("rc", row["rc"], map(str, RESULTS))
     return AttemptOutcome(
         id=row["txn"],
         attempt=row["attempt"],
@@ -138,27 +192,28 @@
         result=RESULTS[row["rc"]],
         latency_ms=row["latencyMs"],
         request_ended=bool(row.get("doneFlag")),
-        load_report=node.report(row.get("telemetry")),
+        load_report=node.load_report(row.get("telemetry")),
     )
 
 
-def _probed(_host: Host, node: Node, row: JsonObject) -> Event:
+def _health_check(_host: Host, node: Node, row: JsonObject) -> Event:
     result = RESULTS.get(row["rc"], AttemptResult.ERROR)
-    return HealthCheckCompleted(row["server"], result, row["latencyMs"], node.report(row.get("telemetry")))
+    report = node.load_report(row.get("telemetry"))
+    return HealthCheckCompleted(row["server"], result, row["latencyMs"], report)
 
 
-READERS: dict[str, Callable[[Host, Node, JsonObject], Event]] = {
-    "MEMBERSHIP": Host.members,
+EVENT_DECODERS: dict[str, Callable[[Host, Node, JsonObject], Event]] = {
+    "MEMBERSHIP": _endpoint_list_update,
     "NEW_REQUEST": _request,
     "FIRST": lambda _host, _node, row: StreamStarted(row["txn"], row["attempt"]),
     "RETURNED": _outcome,
     "LAPSED": lambda _host, _node, row: RequestCancelled(row["txn"]),
     "ALARM": lambda _host, _node, row: TimerFired(row["name"]),
-    "HEALTH": _probed,
+    "HEALTH": _health_check,
 }
 
 
-def _written(node: int, action: Action) -> JsonObject:
+def _encode_action(node: int, action: Action) -> JsonObject:
     match action:
         case Send():
             row: JsonObject = {"kind": "ISSUE", "txn": action.id, "server": action.server}
@@ -177,53 +232,71 @@
     return row
 
 
-def _parsed(line: bytes) -> JsonObject:
+def _decode_line(line: bytes) -> JsonObject:
     try:
         row = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise WireError(f"not a line of JSON: {error}: {line[:200]!r}") from error
+        raise MalformedLineError(line, f"not a line of JSON: {error}") from error
     if not isinstance(row, dict):
-        raise WireError(f"not an object: {line[:200]!r}")
+        raise MalformedLineError(line, reason="not an object")
     return row
 
 
-def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    host = Host()
-    seq: object = None
-    within = False
-    reply: list[bytes] = []
-    for line in source:
-        row = _parsed(line)
+class _Session:
+    """The batches of one input: each begins with FRAME and ends with GO, upon which its reply is written."""
+
+    def __init__(self, sink: BinaryIO) -> None:
+        self._sink = sink
+        self._host = Host()
+        self._sequence: object = None
+        self.in_batch = False
+        self._reply: list[bytes] = []
+
+    def handle(self, row: JsonObject) -> None:
         kind = row.get("kind")
         if kind == "FRAME":
-            if within:
-                raise WireError("a batch begins within a batch")
-            if not isinstance(row.get("nowMs"), int | float) or "seq" not in row:
-                raise WireError("FRAME lacks nowMs or seq")
-            host.now, seq, within, reply = float(row["nowMs"]), row["seq"], True, []
-        elif not within:
-            raise WireError(f"{kind!r} stands outside a batch")
+            self._begin(row)
+        elif not self.in_batch:
+            raise MalformedEventError(kind, reason="outside a batch")
         elif kind == "GO":
-            reply.append(orjson.dumps({"kind": "READY", "seq": seq}))
-            sink.write(b"\n".join(reply) + b"\n")
-            sink.flush()
-            within = False
+            self._end()
         else:
             try:
-                reply.extend(orjson.dumps(action) for action in host.handle_event(row))
+                self._reply.extend(orjson.dumps(action) for action in self._host.handle_event(row))
             except (KeyError, TypeError, ValueError) as error:
-                raise WireError(f"{kind!r}: {type(error).__name__}: {error}") from error
-    if within:
-        raise WireError("the input ended within a batch")
+                raise MalformedEventError(kind, f"{type(error).__name__}: {error}") from error
+
+    def _begin(self, row: JsonObject) -> None:
+        if self.in_batch:
+            raise BatchError(problem="a batch begins within a batch")
+        if not isinstance(row.get("nowMs"), int | float) or "seq" not in row:
+            raise BatchError(problem="FRAME lacks nowMs or seq")
+        self._host.now, self._sequence = float(row["nowMs"]), row["seq"]
+        self.in_batch, self._reply = True, []
+
+    def _end(self) -> None:
+        self._reply.append(orjson.dumps({"kind": "READY", "seq": self._sequence}))
+        self._sink.write(b"\n".join(self._reply) + b"\n")
+        self._sink.flush()
+        self.in_batch = False
+
+
+def run(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer batches until the input ends; raise WireError."""
+    session = _Session(sink)
+    for line in source:
+        session.handle(_decode_line(line))
+    if session.in_batch:
+        raise BatchError(problem="the input ended within a batch")
 
 
 def main() -> int:
+    """Run on standard input and output; return the exit code."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
         print(f"loadbalancer.simulator_adapter: {error}", file=sys.stderr)
-        return 2
+        return EXIT_MALFORMED_INPUT
     return 0
 
 
