--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -171,7 +171,7 @@
 
 def _request(_host: Host, node: Node, row: JsonObject) -> Event:
     if row["lane"] not in node.balancer.service_classes:
-        raise SettingChoiceError("lane", row["lane"], node.balancer.service_classes)
+        raise SettingChoiceError(setting="lane", value=row["lane"], choices=node.balancer.service_classes)
     return Request(
         id=row["txn"],
         service=row["lane"],
@@ -184,7 +184,7 @@
 
 def _outcome(_host: Host, node: Node, row: JsonObject) -> Event:
     if row["rc"] not in RESULTS:
-        raise SettingChoiceError("rc", row["rc"], map(str, RESULTS))
+        raise SettingChoiceError(setting="rc", value=row["rc"], choices=map(str, RESULTS))
     return AttemptOutcome(
         id=row["txn"],
         attempt=row["attempt"],
