--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -115,7 +115,7 @@
         try:
             address = parse_address(action.address)
             timeout_s = action.timeout_ms / _MS_PER_S
-            reply = await self._client.call(address, "POST", path, action.payload, timeout_s)
+            reply = await self._client.send(address, "POST", path, action.payload, timeout_s)
         except (OSError, TimeoutError, ValueError) as error:
             refused = isinstance(error, ConnectionRefusedError)
             self.execute(self.detector.on_failure(self._clock.now_ms(), action.id, refused))
--- a/loadbalancer/node/control/registry_client.py
+++ b/loadbalancer/node/control/registry_client.py
@@ -52,6 +52,6 @@
         self._client.close()
 
     async def _call(self, method: str, target: str, body: bytes, timeout_ms: float) -> web.ReceivedResponse:
-        return await self._client.call(
+        return await self._client.send(
             self._address(), method, f"/fleet/{target}", body, timeout_ms / _MS_PER_S
         )
--- a/loadbalancer/node/http/service_http.py
+++ b/loadbalancer/node/http/service_http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 for programs that talk to each other: a small server over httptools, and a client call.
+"""HTTP/1.1 between programs of the fleet: a small server over httptools, and clients for it.
 
-The server reads one request at a time on a connection and answers it in order, as PROTOCOL's
-discovery wire wants; a request it can't read gets 400 and a close.
+The server handles one request at a time on a connection and responds in order, as the discovery wire
+(PROTOCOL) requires; a request that it can't parse gets 400 and a close.
 """
 
 from __future__ import annotations
@@ -17,18 +17,54 @@
 
 from loadbalancer.node.address import Address
 
-MAX_BODY = 4 * 1024 * 1024
-MAX_HEAD = 64 * 1024
-IDLE_S = 75.0  # a connection with no whole request for so long is closed: longer than any watch waits
-QUEUED = 8  # requests read ahead on one connection before reading pauses
-MAX_ANSWER = 64 * 1024 * 1024  # a whole list of 10,000 targets is some 2 MB
+MAX_REQUEST_BODY_BYTES = 4 * 1024 * 1024
+MAX_HEAD_BYTES = 64 * 1024
+SERVER_IDLE_TIMEOUT_S = 75.0  # longer than any watch waits
+CLIENT_IDLE_TIMEOUT_S = 60.0  # under the server's, so that it is seldom the server that closes
+MAX_QUEUED_REQUESTS = 8  # parsed ahead on one connection before reading pauses
+MAX_RESPONSE_BODY_BYTES = 64 * 1024 * 1024  # a full list of 10,000 endpoints takes some 2 MB
+DEFAULT_TIMEOUT_S = 5.0  # of a request
 REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict"}
 REASONS |= {413: "Content Too Large", 500: "Internal Server Error", 503: "Service Unavailable"}
 
 
+class ResponseTooLongError(ValueError):
+    """A response's body is over MAX_RESPONSE_BODY_BYTES."""
+
+    def __init__(self, size: int) -> None:
+        super().__init__(f"a response body of {size} bytes or more is over {MAX_RESPONSE_BODY_BYTES}")
+        self.size = size
+
+
+class RequestTooLongError(ValueError):
+    """A request's body is over the server's limit."""
+
+    def __init__(self, limit: int) -> None:
+        super().__init__(f"the request body is over {limit} bytes")
+        self.limit = limit
+
+
+class ExchangeError(ConnectionError):
+    """A request has got no response."""
+
+
+class ConnectionLostError(ExchangeError):
+    """The connection was closed before the end of the response."""
+
+    def __init__(self, reason: object = None) -> None:
+        super().__init__(str(reason) if reason else "closed before the end of the response")
+
+
+class MalformedResponseError(ExchangeError):
+    """What came is no HTTP response."""
+
+    def __init__(self, reason: Exception) -> None:
+        super().__init__(f"malformed HTTP response: {reason}")
+
+
 @dataclass(slots=True)
 class HttpRequest:
-    """A request as a handler gets it; `query` holds the first value of each name."""
+    """A request as a handler gets it; `query` has the first value of a name, `headers` lower-case names."""
 
     method: str
     path: str
@@ -39,11 +75,14 @@
 
 @dataclass(slots=True)
 class HttpResponse:
+    """A response as a handler returns it."""
+
     status: int
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
 
     def encode(self, close: bool) -> bytes:
+        """Return the response's bytes; `close` announces the end of the connection."""
         head = [f"HTTP/1.1 {self.status} {REASONS.get(self.status, 'Status')}"]
         headers = {"content-type": "application/json", **self.headers}
         head += [f"{name}: {value}" for name, value in headers.items()]
@@ -58,19 +97,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerLimits:
-    """What peers may take of a server. Of connections over the most, the oldest is closed."""
+    """What clients may take of a server. Where there are more connections, the oldest is closed."""
 
-    body: int = MAX_BODY  # bytes of one request's body
-    idle_s: float = IDLE_S  # a connection with no whole request for so long is closed
+    body: int = MAX_REQUEST_BODY_BYTES  # of one request
+    idle_s: float = SERVER_IDLE_TIMEOUT_S  # a connection without a complete request for so long is closed
     connections: int = 10_000
 
 
 class _Connection(asyncio.Protocol):
-    def __init__(self, handler: Handler, limits: ServerLimits, visits: dict[_Connection, None]) -> None:
+    def __init__(
+        self, handler: Handler, limits: ServerLimits, open_connections: dict[_Connection, None]
+    ) -> None:
         self._handler = handler
         self._limits = limits
-        self._visits = visits  # of the same server, the oldest first
-        self._size = 0  # bytes since the last whole request
+        self._open_connections = open_connections  # of the server, the oldest first
+        self._size = 0  # bytes since the last complete request
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._queue: asyncio.Queue[HttpRequest | None] = asyncio.Queue()
@@ -83,18 +124,18 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._task = asyncio.create_task(self._serve())
-        self._visits[self] = None
-        if len(self._visits) > self._limits.connections:  # Guard: peers must not use up the descriptors
-            next(iter(self._visits)).abort()
+        self._open_connections[self] = None
+        if len(self._open_connections) > self._limits.connections:  # clients can't use up the descriptors
+            next(iter(self._open_connections)).abort()
 
     def abort(self) -> None:
-        self._visits.pop(self, None)
+        self._open_connections.pop(self, None)
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
         self._size += len(data)
-        if self._size > self._limits.body + MAX_HEAD:  # Guard: a head without end must not grow memory
+        if self._size > self._limits.body + MAX_HEAD_BYTES:  # a head without end can't use up the memory
             self._queue.put_nowait(None)
             return
         try:
@@ -103,7 +144,7 @@
             self._queue.put_nowait(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._visits.pop(self, None)
+        self._open_connections.pop(self, None)
         if self._task is not None:
             self._task.cancel()
 
@@ -116,7 +157,7 @@
     def on_body(self, body: bytes) -> None:
         self._body += body
         if len(self._body) > self._limits.body:
-            raise ValueError("body too large")
+            raise RequestTooLongError(self._limits.body)
 
     def on_message_complete(self) -> None:
         url = urlsplit(self._url.decode("latin-1"))
@@ -125,8 +166,8 @@
         method = self._parser.get_method().decode("latin-1")
         self._queue.put_nowait(HttpRequest(method, url.path, query, self._headers, bytes(self._body)))
         self._url, self._headers, self._body, self._size = b"", {}, bytearray(), 0
-        if self._queue.qsize() >= QUEUED and self._transport is not None:
-            self._transport.pause_reading()  # Guard: a peer that pipelines without end must not grow memory
+        if self._queue.qsize() >= MAX_QUEUED_REQUESTS and self._transport is not None:
+            self._transport.pause_reading()  # a client that pipelines without end can't use up the memory
 
     async def _serve(self) -> None:
         assert self._transport is not None
@@ -137,7 +178,7 @@
             except TimeoutError:
                 self._transport.close()
                 return
-            if self._queue.qsize() < QUEUED:
+            if self._queue.qsize() < MAX_QUEUED_REQUESTS:
                 self._transport.resume_reading()
             if call is None:
                 self._transport.write(HttpResponse(400, b'{"error":"unreadable request"}').encode(close=True))
@@ -150,18 +191,20 @@
 
 
 async def serve(address: Address, handler: Handler, limits: ServerLimits | None = None) -> asyncio.Server:
-    """Listen at the address (port 0: one the system picks) and answer with the handler."""
+    """Listen at the address (port 0: any free one) and respond with the handler; raise OSError."""
     loop = asyncio.get_running_loop()
-    within, visits = limits or ServerLimits(), dict[_Connection, None]()
+    within, open_connections = limits or ServerLimits(), dict[_Connection, None]()
     return await loop.create_server(
-        lambda: _Connection(handler, within, visits), *address, reuse_address=True
+        lambda: _Connection(handler, within, open_connections), *address, reuse_address=True
     )
 
 
 @dataclass(slots=True)
 class ReceivedResponse:
+    """A response as a client gets it."""
+
     status: int
-    headers: dict[str, str]
+    headers: dict[str, str]  # by lower-case name
     body: bytes
 
 
@@ -169,15 +212,15 @@
 NO_HEADERS: Headers = MappingProxyType({})
 
 
-class _Line(asyncio.Protocol):
-    """A connection to a server on which one request at a time is answered."""
+class _ClientConnection(asyncio.Protocol):
+    """A connection to a server, for one request at a time."""
 
     def __init__(self) -> None:
-        self.keeps = False  # whether a further request may follow on it
+        self.reusable = False  # for another request
         self.on_lost: Callable[[], None] = lambda: None
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: asyncio.Future[ReceivedResponse] | None = None
+        self._response: asyncio.Future[ReceivedResponse] | None = None
         self._headers: dict[str, str] = {}
         self._body = bytearray()
 
@@ -189,10 +232,10 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, ValueError) as error:
-            self._fail(ConnectionError(f"no HTTP answer: {error}"))
+            self._fail(MalformedResponseError(error))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._fail(ConnectionError(str(exc) if exc else "closed before the answer's end"))
+        self._fail(ConnectionLostError(exc))
         self.on_lost()
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -200,46 +243,46 @@
 
     def on_headers_complete(self) -> None:
         size = int(self._headers.get("content-length", "0"))
-        if size > MAX_ANSWER:
-            raise ValueError(f"an answer of {size} bytes")
+        if size > MAX_RESPONSE_BODY_BYTES:
+            raise ResponseTooLongError(size)
 
     def on_body(self, body: bytes) -> None:
         self._body += body
-        if len(self._body) > MAX_ANSWER:  # in chunks
-            raise ValueError(f"an answer of over {MAX_ANSWER} bytes")
+        if len(self._body) > MAX_RESPONSE_BODY_BYTES:  # in chunks
+            raise ResponseTooLongError(len(self._body))
 
     def on_message_complete(self) -> None:
-        self.keeps = self._parser.should_keep_alive()
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_result(
+        self.reusable = self._parser.should_keep_alive()
+        if self._response is not None and not self._response.done():
+            self._response.set_result(
                 ReceivedResponse(self._parser.get_status_code(), self._headers, bytes(self._body))
             )
         else:
-            self.close()  # nobody has asked
+            self.close()  # there is no request
         self._headers, self._body = {}, bytearray()
 
     def _fail(self, error: ConnectionError) -> None:
         self.close()
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(error)
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(error)
 
     async def exchange(self, request: bytes) -> ReceivedResponse:
-        """ConnectionError if it is closed before the answer's end. Whoever gives up closes it."""
+        """Send a request and return the response; raise ExchangeError. If cancelled, the caller closes."""
         assert self._transport is not None
         if self._transport.is_closing():
-            raise ConnectionError("closed")
-        self._answer = asyncio.get_running_loop().create_future()
+            raise ConnectionLostError(reason="closed")
+        self._response = asyncio.get_running_loop().create_future()
         self._transport.write(request)
-        return await self._answer
+        return await self._response
 
     def close(self) -> None:
-        self.keeps = False
+        self.reusable = False
         if self._transport is not None:
             self._transport.abort()
 
 
-async def _dial(address: Address) -> _Line:
-    return (await asyncio.get_running_loop().create_connection(_Line, *address))[1]
+async def _connect(address: Address) -> _ClientConnection:
+    return (await asyncio.get_running_loop().create_connection(_ClientConnection, *address))[1]
 
 
 def _request(address: Address, method: str, target: str, body: bytes, headers: Headers) -> bytes:
@@ -253,92 +296,96 @@
     method: str,
     target: str,
     body: bytes = b"",
-    timeout_s: float = 5.0,
+    timeout_s: float = DEFAULT_TIMEOUT_S,
     headers: Headers = NO_HEADERS,
 ) -> ReceivedResponse:
-    """One request on a connection of its own; OSError or TimeoutError when it can't be had."""
+    """Send a request on a connection of its own and return the response; raise OSError or TimeoutError."""
     async with asyncio.timeout(timeout_s):
-        line = await _dial(address)
+        connection = await _connect(address)
         try:
-            return await line.exchange(
+            return await connection.exchange(
                 _request(address, method, target, body, {**headers, "Connection": "close"})
             )
         finally:
-            line.close()
+            connection.close()
 
 
 class HttpClient:
-    """Calls on connections that are kept from one to the next, at most `kept` idle ones, each for KEPT_S.
+    """Sends requests on connections that it keeps, at most `max_idle` idle ones.
 
-    A kept connection may have been closed by the other side meanwhile, so a call may be said twice.
+    The server may have closed an idle connection. A request that finds it so is sent again on a new one, and
+    may reach the server twice.
     """
 
-    KEPT_S = 60.0  # under IDLE_S, so that it is seldom the server who closes
+    IDLE_TIMEOUT_S = CLIENT_IDLE_TIMEOUT_S
 
-    def __init__(self, kept: int = 128) -> None:
-        self._kept = kept
-        self._idle: dict[_Line, tuple[Address, float]] = {}  # since when, the longest first
-        self._of: dict[Address, list[_Line]] = {}
+    def __init__(self, max_idle: int = 128) -> None:
+        self._max_idle = max_idle
+        # With their addresses and the loop times (s) since when they are idle, the longest first.
+        self._idle: dict[_ClientConnection, tuple[Address, float]] = {}
+        self._by_address: dict[Address, list[_ClientConnection]] = {}
 
-    async def call(
+    async def send(
         self,
         address: Address,
         method: str,
         target: str,
         body: bytes = b"",
-        timeout_s: float = 5.0,
+        timeout_s: float = DEFAULT_TIMEOUT_S,
         headers: Headers = NO_HEADERS,
     ) -> ReceivedResponse:
-        """As `call`."""
+        """Send a request and return the response, as `send_request` does."""
         request = _request(address, method, target, body, headers)
         async with asyncio.timeout(timeout_s):
-            line = self._take(address)
-            if line is not None:
-                with contextlib.suppress(ConnectionError):  # on a new one, then
-                    return await self._on(line, address, request)
-            return await self._on(await _dial(address), address, request)
-
-    async def _on(self, line: _Line, address: Address, request: bytes) -> ReceivedResponse:
+            connection = self._take(address)
+            if connection is not None:
+                with contextlib.suppress(ConnectionError):  # it goes on a new one then
+                    return await self._exchange(connection, address, request)
+            return await self._exchange(await _connect(address), address, request)
+
+    async def _exchange(
+        self, connection: _ClientConnection, address: Address, request: bytes
+    ) -> ReceivedResponse:
         try:
-            reply = await line.exchange(request)
+            reply = await connection.exchange(request)
         except BaseException:
-            line.close()
+            connection.close()
             raise
-        if line.keeps:
-            self._keep(line, address)
+        if connection.reusable:
+            self._keep(connection, address)
         else:
-            line.close()
+            connection.close()
         return reply
 
-    def _keep(self, line: _Line, address: Address) -> None:
+    def _keep(self, connection: _ClientConnection, address: Address) -> None:
         now = asyncio.get_running_loop().time()
-        self._idle[line] = address, now
-        self._of.setdefault(address, []).append(line)
-        line.on_lost = lambda: self._forget(line)
-        while (oldest := next(iter(self._idle))) is not line:
-            if len(self._idle) <= self._kept and now - self._idle[oldest][1] < self.KEPT_S:
+        self._idle[connection] = address, now
+        self._by_address.setdefault(address, []).append(connection)
+        connection.on_lost = lambda: self._forget(connection)
+        while (oldest := next(iter(self._idle))) is not connection:
+            if len(self._idle) <= self._max_idle and now - self._idle[oldest][1] < self.IDLE_TIMEOUT_S:
                 break
             self._forget(oldest)
             oldest.close()
 
-    def _take(self, address: Address) -> _Line | None:
-        lines = self._of.get(address)
-        if not lines:
+    def _take(self, address: Address) -> _ClientConnection | None:
+        connections = self._by_address.get(address)
+        if not connections:
             return None
-        line = lines[-1]  # the one used last: the others may come to be idle for long
-        self._forget(line)
-        return line
+        connection = connections[-1]  # most recently used, so that the others come to be closed
+        self._forget(connection)
+        return connection
 
-    def _forget(self, line: _Line) -> None:
-        address, _ = self._idle.pop(line, (None, 0.0))
+    def _forget(self, connection: _ClientConnection) -> None:
+        address, _ = self._idle.pop(connection, (None, 0.0))
         if address is not None:
-            lines = self._of[address]
-            lines.remove(line)
-            if not lines:
-                del self._of[address]
+            connections = self._by_address[address]
+            connections.remove(connection)
+            if not connections:
+                del self._by_address[address]
 
     def close(self) -> None:
-        """Close those that are idle."""
-        for line in list(self._idle):
-            self._forget(line)
-            line.close()
+        """Close the idle connections."""
+        for connection in list(self._idle):
+            self._forget(connection)
+            connection.close()
--- a/loadbalancer/registry/forwarding.py
+++ b/loadbalancer/registry/forwarding.py
@@ -32,7 +32,7 @@
     """The answer of the program at `to`; OSError or TimeoutError if there is none in time."""
     target = request.path + (f"?{urlencode(request.query)}" if request.query else "")
     headers = {HOP_HEADER: "1"} if hop else {}
-    reply = await client.call(to, request.method, target, request.body, timeout_s, headers)
+    reply = await client.send(to, request.method, target, request.body, timeout_s, headers)
     returned = {name: reply.headers[name] for name in RETURNED_HEADERS if name in reply.headers}
     return HttpResponse(reply.status, reply.body, returned)
 
--- a/loadbalancer/registry/renewal_relay.py
+++ b/loadbalancer/registry/renewal_relay.py
@@ -62,7 +62,7 @@
             raise NoLeaderError
         body = msgspec.json.encode(renewals)
         address = parse_address(leader)
-        reply = await self._client.call(
+        reply = await self._client.send(
             address, "POST", RENEW_MANY_PATH, body, FORWARD_TIMEOUT_S, {HOP_HEADER: "1"}
         )
         if reply.status != HTTPStatus.OK:
--- a/tests/node/http/test_service_http.py
+++ b/tests/node/http/test_service_http.py
@@ -15,7 +15,7 @@
 
 
 async def _ask(client: HttpClient, peer: Peer, target: str, timeout_s: float = 5.0) -> str:
-    return (await client.call(("127.0.0.1", peer.port), "GET", target, timeout_s=timeout_s)).body.decode()
+    return (await client.send(("127.0.0.1", peer.port), "GET", target, timeout_s=timeout_s)).body.decode()
 
 
 def test_a_connection_is_used_again_and_a_new_one_made_where_the_other_side_has_closed() -> None:
@@ -65,16 +65,16 @@
 
 def test_idle_connections_are_bounded_in_number_and_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        peer, client = await Peer(_echo).start(), HttpClient(kept=2)
+        peer, client = await Peer(_echo).start(), HttpClient(max_idle=2)
         await asyncio.gather(*(_ask(client, peer, f"/{at}") for at in range(5)))
         assert peer.connections == 5
         assert len(client._idle) == 2
-        monkeypatch.setattr(HttpClient, "KEPT_S", 0.0)
+        monkeypatch.setattr(HttpClient, "IDLE_TIMEOUT_S", 0.0)
         await _ask(client, peer, "/5")
         assert len(client._idle) == 1  # the one just used: the other has been idle for too long
         client.close()
         assert not client._idle
-        assert not client._of
+        assert not client._by_address
         peer.stop()
 
     asyncio.run(run())
--- a/tests/registry/test_groups_crowd.py
+++ b/tests/registry/test_groups_crowd.py
@@ -75,7 +75,7 @@
         about = {"name": f"f{number}", "address": f"127.0.0.1:{30_000 + number}", "start": f"f{number}"}
         body = orjson.dumps(about | {"service": service})
         async with slots:
-            while (await client.call(("127.0.0.1", port), "POST", "/fleet/enrol", body)).status != 200:
+            while (await client.send(("127.0.0.1", port), "POST", "/fleet/enrol", body)).status != 200:
                 await asyncio.sleep(0.05)
 
     await asyncio.gather(*(enrol(number) for number in range(many)))
--- a/tests/registry/test_registry_parts.py
+++ b/tests/registry/test_registry_parts.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.node.http.service_http import MAX_HEAD, HttpRequest, HttpResponse, ServerLimits, serve
+from loadbalancer.node.http.service_http import MAX_HEAD_BYTES, HttpRequest, HttpResponse, ServerLimits, serve
 from loadbalancer.registry import watch
 from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.errors import ConfigError
@@ -83,7 +83,7 @@
         async with asyncio.timeout(5):
             said = [await silent_reader.read(), await rude_reader.read()]
             endless_reader, endless = await asyncio.open_connection(*address)
-            endless.write(b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * MAX_HEAD)
+            endless.write(b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * MAX_HEAD_BYTES)
             # a reset may come before the answer
             with contextlib.suppress(ConnectionError):
                 await endless_reader.read()
