--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -169,7 +169,7 @@
         watcher = SimpleNamespace(address=where)
         clock = Clock(asyncio.get_running_loop())
         servers = _Servers(clock, self._setup.servers[self.spec.service])
-        driver = SimpleNamespace(tell=lambda event: None, before=[], balancer=_balancer(config))
+        driver = SimpleNamespace(handle_event=lambda event: None, before_event=[], balancer=_balancer(config))
 
         def agent(address: Callable[[], Any]) -> MeasuredAgent:
             return MeasuredAgent(address, self)
