--- a/loadbalancer/node/attempt_dispatcher.py
+++ b/loadbalancer/node/attempt_dispatcher.py
@@ -56,8 +56,8 @@
             return
         inbound = active.inbound
         body = inbound.body if inbound.body.complete_bytes is None else None
-        left_s = active.client_timeout_s if inbound.receiving else active.deadline - started_at
-        timeout_s = min(left_s, action.timeout_ms / 1000.0) if action.timeout_ms > 0.0 else left_s
+        remaining_s = active.client_timeout_s if inbound.receiving else active.deadline - started_at
+        timeout_s = min(remaining_s, action.timeout_ms / 1000.0) if action.timeout_ms > 0.0 else remaining_s
         active.attempts_in_flight += 1
 
         def on_result(result: AttemptResult, response: Response | None) -> None:
--- a/loadbalancer/node/discovery/client.py
+++ b/loadbalancer/node/discovery/client.py
@@ -26,7 +26,7 @@
     def on_request_sent(self) -> None:
         """Ignored: a poll may always be repeated, whether or not it was sent."""
 
-    def on_stream_begun(self, response: Response) -> None:
+    def on_stream_started(self, response: Response) -> None:
         """Never called: lists are received in full."""
 
     def on_response(self, response: Response) -> None:
--- a/loadbalancer/node/http/client_connection.py
+++ b/loadbalancer/node/http/client_connection.py
@@ -13,7 +13,7 @@
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, MAX_BODY_BYTES, Body
 from loadbalancer.node.http.socket_buffer import readable
 
-MAX_BUFFERED_BYTES = HIGH_WATER_BYTES  # of a body that is held completely
+MAX_BUFFERED_BYTES = HIGH_WATER_BYTES  # of a body that is buffered
 MAX_HEAD_BYTES = 16 * 1024
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -50,8 +50,8 @@
     def on_request_sent(self) -> None:
         """The request's last byte has left."""
 
-    def on_stream_begun(self, response: Response) -> None:
-        """A response has begun that is too long to be held; one of the next two calls follows at its end."""
+    def on_stream_started(self, response: Response) -> None:
+        """A response has begun that is too long to buffer; one of the next two calls follows at its end."""
 
     def on_response(self, response: Response) -> None:
         """The response is complete."""
@@ -260,7 +260,7 @@
             self._end_exchange(self._written)
 
     def _stream_body(self) -> None:
-        """Begin to stream a response that is too long to be held, and pass on what has come of it."""
+        """Begin to stream a response that is too long to buffer, and pass on what has come of it."""
         response = self._response
         if response.stream is None:
             long = max(response.content_length or 0, len(response.body)) > self._max_buffered_bytes
@@ -268,7 +268,7 @@
                 return
             response.stream = Body(self)
             assert self._exchange is not None
-            self._exchange.on_stream_begun(response)
+            self._exchange.on_stream_started(response)
         piece = bytes(response.body)
         response.body.clear()
         if piece:
--- a/loadbalancer/node/http/service_http.py
+++ b/loadbalancer/node/http/service_http.py
@@ -174,28 +174,28 @@
         while True:
             try:
                 async with asyncio.timeout(self._limits.idle_s):
-                    call = await self._queue.get()
+                    request = await self._queue.get()
             except TimeoutError:
                 self._transport.close()
                 return
             if self._queue.qsize() < MAX_QUEUED_REQUESTS:
                 self._transport.resume_reading()
-            if call is None:
+            if request is None:
                 self._transport.write(HttpResponse(400, b'{"error":"unreadable request"}').encode(close=True))
                 self._transport.close()
                 return
-            answer = await self._handler(call)
+            response = await self._handler(request)
             if self._transport.is_closing():
                 return
-            self._transport.write(answer.encode(close=False))
+            self._transport.write(response.encode(close=False))
 
 
 async def serve(address: Address, handler: Handler, limits: ServerLimits | None = None) -> asyncio.Server:
     """Listen at the address (port 0: any free one) and respond with the handler; raise OSError."""
     loop = asyncio.get_running_loop()
-    within, open_connections = limits or ServerLimits(), dict[_Connection, None]()
+    server_limits, open_connections = limits or ServerLimits(), dict[_Connection, None]()
     return await loop.create_server(
-        lambda: _Connection(handler, within, open_connections), *address, reuse_address=True
+        lambda: _Connection(handler, server_limits, open_connections), *address, reuse_address=True
     )
 
 
@@ -347,7 +347,7 @@
         self, connection: _ClientConnection, address: Address, request: bytes
     ) -> ReceivedResponse:
         try:
-            reply = await connection.exchange(request)
+            response = await connection.exchange(request)
         except BaseException:
             connection.close()
             raise
@@ -355,7 +355,7 @@
             self._keep(connection, address)
         else:
             connection.close()
-        return reply
+        return response
 
     def _keep(self, connection: _ClientConnection, address: Address) -> None:
         now = asyncio.get_running_loop().time()
--- a/loadbalancer/node/upstream/attempt.py
+++ b/loadbalancer/node/upstream/attempt.py
@@ -97,7 +97,7 @@
         bounded = written_by < math.inf
         self._write_timer = loop.call_at(written_by, self.withdraw) if bounded else None
         if body is None or body.ended:
-            self._timer = loop.call_at(self._deadline, self._time_out)
+            self._timer = loop.call_at(self._deadline, self._on_timeout)
         else:
             self._timer = loop.call_later(self._upload_timeout_s, self._watch_upload)
 
@@ -125,7 +125,7 @@
             self._timer.cancel()
             loop = asyncio.get_running_loop()
             self._deadline = loop.time() + min(self._timeout_s, limit_s)
-            self._timer = loop.call_at(self._deadline, self._time_out)
+            self._timer = loop.call_at(self._deadline, self._on_timeout)
 
     def cancel(self) -> None:
         """End the attempt, whether or not it has been written."""
@@ -152,7 +152,7 @@
         else:
             self._finish(classify_response(response), response)
 
-    def on_stream_begun(self, response: Response) -> None:
+    def on_stream_started(self, response: Response) -> None:
         """End with the result of a streamed response; only its connection is watched from here on."""
         self._ended = True
         self._timer.cancel()
@@ -213,9 +213,9 @@
         self._connection = connection
         now = asyncio.get_running_loop().time()
         receiving = self._body is not None and not self._body.ended
-        left_s = self._timeout_s if receiving else self._deadline - now
+        remaining_s = self._timeout_s if receiving else self._deadline - now
         connection.upload_progress_at = now
-        connection.start(self._encode_request(left_s), self, self._body, self._chunked)
+        connection.start(self._encode_request(remaining_s), self, self._body, self._chunked)
 
     def _watch_upload(self) -> None:
         """End the attempt if the endpoint takes nothing of the body; the listener watches the client."""
@@ -240,7 +240,7 @@
         else:
             self._timer = loop.call_at(due, self._watch_stream)
 
-    def _time_out(self) -> None:
+    def _on_timeout(self) -> None:
         # What has not been written completely can't have been executed, so a rejection is safe.
         sent = self._connection is not None and self._connection.written
         self._finish(AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
