--- a/loadbalancer/node/attempt_dispatcher.py
+++ b/loadbalancer/node/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries out the balancer's Send actions: each has one outcome, whether or not an attempt is made."""
+"""Executes the balancer's Send actions; each has exactly one outcome, whether or not it starts an attempt."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 class AttemptDispatcher:
-    """Makes attempts, and calls `outcome_listeners` in their order with each outcome.
+    """Starts attempts, and calls the `outcome_listeners` in order with each outcome.
 
-    A further component that needs the outcomes appends its listener.
+    Components that need the outcomes append their listener.
     """
 
     def __init__(
@@ -45,12 +45,12 @@
         self.outcome_listeners: list[Callable[[AttemptOutcome], None]] = [self._count, handle_event]
 
     def send(self, action: Send) -> None:
-        """Start an attempt. One without an active request or over the limit of attempts is abandoned."""
+        """Start an attempt; abandon it if the request is not active or has reached the attempt limit."""
         active = self._requests.get(action.id)
         number = len(active.attempts) if active is not None else 0
         started_at = self._loop.time()
         if active is not None:
-            active.attempts.append(None)  # an abandoned attempt has a number too
+            active.attempts.append(None)  # an abandoned attempt also uses a number
         if active is None or number >= self._settings.max_attempts:
             self._finish(action, number, active, AttemptResult.ABANDONED, started_at)
             return
@@ -67,7 +67,7 @@
 
         attempt = self._pool.start_attempt(
             action.server,
-            lambda wait_s: encode_forwarded(inbound, wait_s, body is not None),
+            lambda time_left_s: encode_forwarded(inbound, time_left_s, body is not None),
             timeout_s,
             on_result,
             body,
@@ -98,7 +98,7 @@
         started_at: float,
         response: Response | None = None,
     ) -> None:
-        """Pass on the one outcome of a send. The first successful response answers its request."""
+        """Report the outcome of a Send action; the first successful response is sent to the client."""
         report = self._load_report(response)
         if active is not None:
             active.last_result = result
--- a/loadbalancer/node/listener/__init__.py
+++ b/loadbalancer/node/listener/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' connections: the listener, its limits, and the requests that arrive on it."""
+"""Client connections: the listener, its connection limits, and the requests received on its connections."""
--- a/loadbalancer/node/listener/connection.py
+++ b/loadbalancer/node/listener/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its requests as they come, and the one response to each."""
+"""One client connection: receives requests and sends exactly one response to each."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class ServerConnection(ClosableConnection):
-    """One client's connection; pipelined requests are answered in their order."""
+    """One client connection; responses to pipelined requests are sent in request order."""
 
     def __init__(self, listener: ConnectionOwner) -> None:
         super().__init__(listener)
         self._read_control: ReadControl
-        self._stream: StreamedResponse | None = None  # in SEND_BODY
+        self._stream: StreamedResponse | None = None  # set in state SEND_BODY
 
     # ---------------------------------------------------------------- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Report the connection to its listener and begin to read."""
+        """Register the connection with its listener and start reading."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self.opened_at = self.last_activity_at = self._listener.loop.time()
@@ -45,20 +45,20 @@
     def data_received(self, data: bytes) -> None:
         """Parse requests and act on them."""
         now = self._listener.loop.time()
-        if self._linger is not None:  # dropped; left unread, it would turn the close into a reset
+        if self._linger is not None:  # discard the data; unread data would turn the close into a reset
             self._linger.on_data(now)
         elif self.state is not ConnectionState.CLOSED:
             if self._parser.request is None:
                 self.last_activity_at = now
             self._parser.feed(data, now, self._read_control.earliest_arrival(now))
-            if self._linger is None:  # parsing may have ended the connection; nothing behind that is served
+            if self._linger is None:  # parsing may end the connection; later requests are not served
                 self._advance()
 
     def eof_received(self) -> bool:
-        """Take the client as disconnected, as an end can't be told from a half-close.
+        """Treat the client as disconnected: a full close can't be distinguished from a half-close.
 
-        A client that still reads gets an error as its response, or the rest of one that is being streamed, as
-        no work is begun for that.
+        A half-closed client that still reads receives an error response, or the remainder of a response that
+        is already being streamed, as that starts no new work.
         """
         if self.state is ConnectionState.SEND_BODY and self._parser.request is None:
             return True
@@ -76,13 +76,13 @@
         self._drop_requests()
 
     def pause_writing(self) -> None:
-        """Pause the streamed response."""
+        """Pause the streamed response, as the write buffer is full."""
         self._write_control.full = True
         if self._stream is not None:
             self._stream.body.pause()
 
     def resume_writing(self) -> None:
-        """Go on with the streamed response or the next request."""
+        """Resume the streamed response, or continue with the next request."""
         self._write_control.full = False
         if self._stream is not None:
             self._stream.last_data_at = self._listener.loop.time()
@@ -99,27 +99,27 @@
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _on_request_received(self, request: InboundRequest) -> None:
-        self._read_control.resume()  # a body of exactly the high-water mark has paused the reading
+        self._read_control.resume()  # a body whose size equals the high-water mark has paused reading
         if self._first is not request:
             self._queue.append(request)
         elif request.on_received is not None:
             request.on_received()
 
     def _advance(self) -> None:
-        """Act on what has been parsed: dispatch the first request, read on, or respond to an error."""
+        """Act on the parsed data: dispatch the first request, continue reading, or respond with an error."""
         partial, error_status = self._parser.request, self._parser.error_status
         if partial is not None and not self._queue and partial.body.size >= HIGH_WATER_BYTES:
-            partial.received_at = self._listener.loop.time()  # until its last byte comes
-            self._queue.append(partial)  # it is dispatched while it is being received
+            partial.received_at = self._listener.loop.time()  # replaced when its last byte arrives
+            self._queue.append(partial)  # dispatched while its body is still being received
         if self._queue and self.state is ConnectionState.IDLE:
             self.state = ConnectionState.SEND_RESPONSE
         first = self._first
         if error_status and first in (None, partial):
             self._fail(error_status)
             return
-        # Most clients send one request at a time; a further one is left in the kernel until its turn.
+        # Most clients send one request at a time; further pipelined requests stay in the kernel's buffer.
         pipelined = first is not None and (len(self._queue) > 1 or partial not in (None, first))
-        # A client that reads no responses gets none begun, so that they don't pile up.
+        # While the client doesn't read, no further response is started, so that responses don't accumulate.
         blocked = self._write_control.full and (first is None or not first.dispatched)
         self._read_control.set_backlogged(pipelined or blocked)
         if first is not None and not first.dispatched and not blocked:
@@ -134,7 +134,7 @@
             self._listener.on_request(request)
 
     def _advance_queue(self) -> None:
-        """Turn to the next request, unless its client has disconnected while it was queued."""
+        """Process the next request, unless the client has disconnected while it was queued."""
         queued = self.state is ConnectionState.SEND_RESPONSE
         if self.state is ConnectionState.IDLE or (queued and not self.close_if_disconnected()):
             self._advance()
@@ -142,7 +142,7 @@
     # ---------------------------------------------------------------- RequestConnection
 
     def respond(self, request: InboundRequest, status: int, body: bytes, retry_after_ms: float) -> None:
-        """Write the response, if the client is still connected."""
+        """Write the response if the client is still connected."""
         if not self._can_respond(request):
             return
         close = self._closes_after(request)
@@ -160,7 +160,7 @@
         body: Body,
         on_end: Callable[[bool], None],
     ) -> None:
-        """Write a 200 whose body is streamed; `on_end` is called with whether it was complete."""
+        """Write a 200 response with a streamed body; call `on_end` with whether the body was completed."""
         if not self._can_respond(request):
             body.discard()
             on_end(False)
@@ -170,20 +170,20 @@
         self._stream = StreamedResponse(self, request, body, content_length, close, on_end)
         self._transport.write(self._stream.head())
         if self._stream.ends_with_connection:
-            # Only a reset tells the client of such a response that it is not complete, also where this
-            # process ends.
+            # A response that ends with its connection can only be marked as incomplete by a reset, also if
+            # this process exits.
             self._write_control.set_reset(True)
         body.attach(self._stream)
 
     def write(self, data: bytes) -> None:
-        """Write a part of the streamed response."""
+        """Write the next bytes of the streamed response."""
         if self._stream is not None:
             self._stream.last_data_at = self._listener.loop.time()
         self._transport.write(data)
 
     def abort_if_silent(self, request: InboundRequest, silent_s: float) -> bool:
-        """Abort the streamed response if no byte has arrived for so long though the client would take it;
-        return whether that was so. The attempt at the endpoint ends with the connection."""
+        """Abort the streamed response if the client is ready to receive but no byte has arrived for
+        `silent_s`; return whether it was aborted. Closing the connection also ends the attempt."""
         stream = self._stream
         if stream is None or stream.request is not request or stream.body.paused:
             return False
@@ -193,19 +193,19 @@
         return silent
 
     def finish_stream(self, close: bool) -> None:
-        """Go on after a streamed response that has been written."""
+        """Finish a streamed response that has been written completely, and continue with the next request."""
         self._stream = None
         if self.state is ConnectionState.SEND_BODY and not self._transport.is_closing():
             self._write_control.set_reset(False)
             self._finish_request(close or (len(self._queue) == 1 and self.disconnected))
 
     def abort_stream(self) -> None:
-        """Reset the connection, so that the client sees that the streamed response is not complete."""
+        """Reset the connection, so that the client detects that the streamed response is incomplete."""
         self._stream = None
         self._abort()
 
     def _finish_request(self, close: bool) -> None:
-        """Turn to the next request, or end the connection, as the first request has its response."""
+        """Remove the first request, as its response is written; process the next one or close."""
         self._queue.popleft()
         self.last_activity_at = self._listener.loop.time()
         self._parser.restart_timeout(self.last_activity_at)
--- a/loadbalancer/node/listener/connection_states.py
+++ b/loadbalancer/node/listener/connection_states.py
@@ -1,4 +1,4 @@
-"""The states of a client's connection, and all rules on when the node may close it."""
+"""States of a client connection, and the rules for when the node may close it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a client's connection needs of the listener that has accepted it."""
+    """Interface of the listener that accepted a connection, as the connection uses it."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -31,45 +31,48 @@
 
     @property
     def over_limit(self) -> bool:
-        """Whether more connections take requests than may."""
+        """Whether the connections that accept requests exceed the limit."""
         ...
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether the readiness check reports that new connections are accepted."""
         ...
 
     @property
     def on_request(self) -> Callable[[InboundRequest], None]:
-        """Takes a request that is dispatched."""
+        """Callback that processes a dispatched request."""
         ...
 
     def opened(self, connection: ClosableConnection) -> None:
-        """Count a connection that takes requests from now on."""
+        """Add a new connection, which accepts requests from now on."""
 
     def closed(self, connection: ClosableConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
 
 
 class ConnectionState(Enum):
-    """The node's side of a connection; `ReceiveState` is the client's, as requests may come meanwhile."""
+    """The sending side of a connection.
 
-    IDLE = "no request is being answered"
-    SEND_RESPONSE = "a request is being answered or queued, and nothing of its response has been written"
+    `ReceiveState` is the receiving side; it is separate because requests may arrive while responses are sent.
+    """
+
+    IDLE = "no request is in progress"
+    SEND_RESPONSE = "a request is in progress or queued, and no byte of its response has been written"
     SEND_BODY = "a response is being streamed"
-    MUST_CLOSE = "the last response has been written; what still comes is read and dropped for a moment"
+    MUST_CLOSE = "the last response has been written; further data is discarded during the lingering close"
     CLOSED = "nothing is read or written"
 
 
 class ClosableConnection(asyncio.Protocol):
-    """The part of a client's connection that decides when it closes.
+    """The part of a client connection that decides when the connection closes.
 
     It closes between requests (`close_if_idle`), with a response (`_closes_after`), when a request is overdue
-    (`expire`), when nobody reads or waits any more (`sweep`), and to make place for other connections
-    (`reject_partial_request`, `close_lingering`).
+    (`expire`), when the client has stopped reading or has disconnected (`sweep`), and to free capacity for
+    other connections (`reject_partial_request`, `close_lingering`).
 
-    A request takes it from IDLE to SEND_RESPONSE and back, some by way of SEND_BODY. From each of these it
-    comes to MUST_CLOSE with the last response, and to CLOSED.
+    Each request moves the connection from IDLE to SEND_RESPONSE and back; a streamed response passes through
+    SEND_BODY. From any of these states, the last response leads to MUST_CLOSE, and an abort to CLOSED.
     """
 
     def __init__(self, listener: ConnectionOwner) -> None:
@@ -78,8 +81,8 @@
         self._parser: RequestParser
         self._write_control: WriteControl
         self.state = ConnectionState.IDLE
-        self._queue: deque[InboundRequest] = deque()  # the first of them is being answered
-        self._linger: LingeringClose | None = None  # in MUST_CLOSE
+        self._queue: deque[InboundRequest] = deque()  # the first one is in progress
+        self._linger: LingeringClose | None = None  # set in state MUST_CLOSE
         self.opened_at = 0.0  # loop time (s)
         self.last_activity_at = 0.0  # loop time (s) of the last byte in either direction
 
@@ -89,14 +92,15 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no byte of a request has been read, and all responses have left."""
+        """Whether no byte of a request has been read, and all responses have been sent."""
         between = self.state is ConnectionState.IDLE and self._parser.state is ReceiveState.IDLE
         return between and not self._write_control.unsent
 
     def close_if_idle(self) -> bool:
-        """Close the connection if it is idle and the kernel holds no request; return whether it did.
+        """Close the connection if it is idle and its socket has no unread data; return whether it was closed.
 
-        What comes after this check is left unread, so that its client sends it again on another connection.
+        Data that arrives after this check is left unread, so the client retries its request on another
+        connection.
         """
         if not self.idle or self._transport.is_closing() or readable(self._transport):
             return False
@@ -105,12 +109,12 @@
 
     @property
     def disconnected(self) -> bool:
-        """Whether the client has disconnected, also where the event loop has not delivered that yet: while
-        reading is paused, or later in the same turn."""
+        """Whether the client has disconnected, including a disconnect that the event loop has not delivered
+        yet because reading is paused or the loop's current iteration has not ended."""
         return self._transport.is_closing() or ended(self._transport)
 
     def close_if_disconnected(self) -> bool:
-        """Whether the client has disconnected; its requests are over then."""
+        """Return whether the client has disconnected; if so, end its unanswered requests."""
         disconnected = self.disconnected
         unanswered = self.state is ConnectionState.SEND_RESPONSE
         if disconnected and unanswered and not self._transport.is_closing():
@@ -118,29 +122,29 @@
         return disconnected
 
     def sweep(self, now: float) -> None:
-        """Close the connection if nobody reads or waits any more at this loop time (s)."""
+        """Close the connection if the client has stopped reading or disconnected by loop time `now` (s)."""
         lingered = self._linger is not None and self._linger.is_over(now, self._write_control.unsent)
         if lingered or self._write_control.stalled(now):
             self._abort()
-        # While nothing is read, the event loop doesn't deliver a disconnect.
+        # While reading is paused, the event loop doesn't deliver a disconnect.
         elif self.state is ConnectionState.SEND_RESPONSE and not self._transport.is_reading():
             self.close_if_disconnected()
 
     def expire(self, now: float) -> bool:
-        """End the connection if a request on it is overdue at this loop time (s); return whether it was."""
+        """End the connection if a request is overdue at loop time `now` (s); return whether it was ended."""
         partial = self._parser.request
-        answering_partial = self.state is ConnectionState.SEND_RESPONSE and self._first is partial
-        receives = self.state is ConnectionState.IDLE or answering_partial
+        responding_to_partial = self.state is ConnectionState.SEND_RESPONSE and self._first is partial
+        receives = self.state is ConnectionState.IDLE or responding_to_partial
         if not receives or not self._transport.is_reading() or now < self._parser.deadline():
             return False
         if partial is not None:
             self._fail(HTTPStatus.REQUEST_TIMEOUT)
             return True
-        # The first request is due from the connection's start, whatever line ends come before it.
+        # The first request's timeout starts with the connection, even if empty lines precede the request.
         return self._parser.is_first and self.close_if_idle()
 
     def _closes_after(self, request: InboundRequest) -> bool:
-        """Whether the connection closes with the response to this request; not if more has been read."""
+        """Whether the connection closes after this response; it doesn't if a later request has been read."""
         wanted = (
             request.receiving
             or not request.keep_alive
@@ -150,16 +154,16 @@
         return wanted and len(self._queue) == 1 and self._parser.request in (None, request)
 
     def _fail(self, status: int) -> None:
-        """Respond to what is no valid request or won't be served, and end the connection."""
+        """Send an error response to a request that is invalid or won't be served, and end the connection."""
         if self.state is ConnectionState.SEND_BODY:
-            self._abort()  # a response has begun before its request's end
+            self._abort()  # the response was started before the request was complete
         else:
             self._transport.write(response_head(status, 0, True, 0.0))
             self._linger_and_close()
             self._drop_requests()
 
     def _drop_requests(self) -> None:
-        """End all requests that have arrived, without responses."""
+        """End all received requests without sending responses."""
         requests, self._queue = self._queue, deque()
         for request in requests:
             request.answered = True
@@ -169,13 +173,13 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether it takes no more requests."""
+        """Whether the connection accepts no more requests."""
         ended_states = (ConnectionState.MUST_CLOSE, ConnectionState.CLOSED)
         return self.state in ended_states or self._transport.is_closing()
 
     def reject_partial_request(self) -> bool:
-        """Respond 503 to a request that is being received, and end the connection; return whether there was
-        one."""
+        """Respond with 503 if a request is being received, and end the connection; return whether a request
+        was rejected."""
         idle = self.state is ConnectionState.IDLE
         if not idle or self._parser.request is None or self._transport.is_closing():
             return False
@@ -183,9 +187,10 @@
         return True
 
     def close_lingering(self) -> bool:
-        """Close the connection if its last response has left; return whether that was so.
+        """Close the connection if its last response has been sent; return whether it was closed.
 
-        With bytes unread in the kernel it stays open, as closing it would reset the response away.
+        It stays open while the kernel has unread bytes: closing it then would send a reset, and the client
+        could lose the response.
         """
         lingering = self.state is ConnectionState.MUST_CLOSE
         if not lingering or self._transport.is_closing() or self._write_control.unsent:
@@ -196,13 +201,13 @@
         return True
 
     def _linger_and_close(self) -> None:
-        """End the sending side, as the last response has been written."""
+        """Shut down the sending side after the last response, and start the lingering close."""
         self.state = ConnectionState.MUST_CLOSE
         self._linger = LingeringClose(self._listener.loop.time())
         self._transport.resume_reading()
         try:
             self._transport.write_eof()
-        except OSError:  # the client has disconnected, and its reset has arrived meanwhile
+        except OSError:  # the client's reset has arrived meanwhile
             self._abort()
 
     def _abort(self) -> None:
--- a/loadbalancer/node/listener/errors.py
+++ b/loadbalancer/node/listener/errors.py
@@ -8,15 +8,15 @@
 
 
 class BadRequestError(ListenerError):
-    """A request that the balancer is not asked about; `status` is that of its response."""
+    """A request that is rejected before the balancer handles it; `status` is the response's status."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"the request is answered {status:d}")
+        super().__init__(f"the request is rejected with status {status:d}")
         self.status = status
 
 
 class InheritedSocketError(ListenerError, OSError):
-    """A descriptor that the platform has handed over is not a listening TCP socket."""
+    """An inherited descriptor is not a listening TCP socket."""
 
     def __init__(self, descriptor: str, reason: str) -> None:
         super().__init__(f"descriptor {descriptor!r} is {reason}")
--- a/loadbalancer/node/listener/flow_control.py
+++ b/loadbalancer/node/listener/flow_control.py
@@ -1,4 +1,4 @@
-"""Flow control on a client's connection: when it is read, whether the client reads, the lingering close."""
+"""Flow control of a client connection: pausing reads, detecting stalled writes, and the lingering close."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 from loadbalancer.node.http.socket_buffer import readable
 
-LINGER_S = 1.0  # from the last response, and from the last byte that the client still sends, to the close
-MAX_LINGER_S = 5.0  # from the last response, whatever the client sends
-WRITE_STALL_TIMEOUT_S = 10.0  # a client that takes nothing of its response for so long is disconnected
+LINGER_S = 1.0  # the close follows the last response, or the client's last byte after it, by this time
+MAX_LINGER_S = 5.0  # upper bound after the last response, even if the client keeps sending
+WRITE_STALL_TIMEOUT_S = 10.0  # a client that reads no byte of its response for this time is disconnected
 
 
 class ReadControl:
-    """Whether the connection is read, as the source of its requests' bodies: not while a body is paused, nor
-    while a request is queued behind the one that is being answered.
+    """Pauses and resumes reading from a client connection; the source of its request bodies.
 
-    `on_resumed` is called with the time (s) for which a body was paused.
+    Reading is paused while a body is paused, and while another request is queued behind the one in progress.
+    `on_resumed` is called with the duration (s) for which a body was paused.
     """
 
     def __init__(
@@ -32,8 +32,8 @@
         self._on_resumed = on_resumed
         self._body_paused_at: float | None = None  # loop time (s)
         self._backlogged = False
-        self._stopped_at: float | None = None  # loop time (s) since when nothing is read
-        self._unread_since: float | None = None  # what is read next came after this, while nothing was read
+        self._stopped_at: float | None = None  # loop time (s) at which reading was paused
+        self._unread_since: float | None = None  # loop time (s); unread data arrived after this time
 
     @property
     def body_paused(self) -> bool:
@@ -41,29 +41,29 @@
         return self._body_paused_at is not None
 
     def pause(self) -> None:
-        """Stop reading, as a body can't be taken."""
+        """Stop reading, as the consumer of a body is not ready for more."""
         if self._body_paused_at is None:
             self._body_paused_at = self._loop.time()
             self._apply()
 
     def resume(self) -> None:
-        """End the pause of a body."""
+        """Resume a paused body."""
         if self._body_paused_at is not None:
             self._on_resumed(self._loop.time() - self._body_paused_at)
             self._body_paused_at = None
             self._apply()
 
     def abandon(self) -> None:
-        """Read on, as the rest of the body is dropped."""
+        """Resume reading, as the rest of the body is discarded."""
         self.resume()
 
     def set_backlogged(self, backlogged: bool) -> None:
-        """Set whether enough has been read to go on with; the rest is left in the kernel."""
+        """Set whether reading pauses because enough requests are queued; further data stays in the kernel."""
         self._backlogged = backlogged
         self._apply()
 
     def earliest_arrival(self, now: float) -> float:
-        """Return the earliest loop time (s) at which the bytes that are read now may have arrived."""
+        """Return the earliest loop time (s) at which the bytes read at `now` may have arrived."""
         since, self._unread_since = self._unread_since, None
         return now if since is None else since
 
@@ -80,46 +80,49 @@
 
 
 class WriteControl:
-    """The write buffer of a client's connection, and whether the client takes what is in it."""
+    """Observes the write buffer of a client connection, to detect a client that has stopped reading."""
 
     def __init__(self, transport: asyncio.Transport) -> None:
         self._transport = transport
-        self.full = False  # no response is begun then
+        self.full = False  # while True, no response is started
         self._last_unsent = 0  # bytes at the last check
-        self._unchanged_since = 0.0  # loop time (s) since when the buffer has held so much
+        self._unchanged_since = 0.0  # loop time (s) since which the buffer size is the same
 
     @property
     def unsent(self) -> int:
-        """The number of bytes that have not left."""
+        """The number of bytes in the write buffer."""
         return self._transport.get_write_buffer_size()
 
     def stalled(self, now: float) -> bool:
-        """Whether the client has taken nothing for too long at this loop time (s)."""
+        """Whether, at loop time `now` (s), the client has read nothing for `WRITE_STALL_TIMEOUT_S`."""
         unsent = self.unsent
         if unsent != self._last_unsent or not unsent:
             self._last_unsent, self._unchanged_since = unsent, now
         return now - self._unchanged_since >= WRITE_STALL_TIMEOUT_S
 
     def set_reset(self, on: bool) -> None:
-        """Set whether a close, also by the end of the process, resets the connection."""
+        """Set whether a close resets the connection, including the close at process exit."""
         linger = struct.pack("ii", on, 0)
         self._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
 class LingeringClose:
-    """Reads on after the end of the sending side: a close over unread bytes would reset the response away."""
+    """Timing of a lingering close, which reads on after the sending side has been shut down.
+
+    Closing a connection with unread bytes would send a reset, and the client could lose the response.
+    """
 
     def __init__(self, now: float) -> None:
         self._last_data_at = now
         self._until = now + MAX_LINGER_S
 
     def on_data(self, now: float) -> None:
-        """Take note that the client has sent something at this loop time (s)."""
+        """Record that the client sent data at loop time `now` (s)."""
         self._last_data_at = now
 
     def is_over(self, now: float, unsent: int) -> bool:
-        """Whether the connection may close: all has left, and the client sends nothing more, or has sent for
-        too long."""
+        """Whether the connection may close: everything has been sent, and the client has been silent for
+        `LINGER_S` or has kept sending for `MAX_LINGER_S`."""
         if unsent:
             self._last_data_at, self._until = now, now + MAX_LINGER_S
         return now >= min(self._last_data_at + LINGER_S, self._until)
--- a/loadbalancer/node/listener/inbound_request.py
+++ b/loadbalancer/node/listener/inbound_request.py
@@ -1,4 +1,4 @@
-"""A client's request, and the connection that its response goes to."""
+"""A request received from a client, and the connection that receives its response."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class RequestConnection(Protocol):
-    """What a request and its response need of the client's connection."""
+    """Interface of a client connection, as requests and streamed responses use it."""
 
     def respond(self, request: InboundRequest, status: int, body: bytes, retry_after_ms: float) -> None:
-        """Write the response."""
+        """Write the complete response."""
 
     def begin_stream(
         self,
@@ -22,54 +22,54 @@
         body: Body,
         on_end: Callable[[bool], None],
     ) -> None:
-        """Write a 200 whose body is streamed; `on_end` is called with whether it was complete."""
+        """Write a 200 response with a streamed body; call `on_end` with whether the body was completed."""
 
     def close_if_disconnected(self) -> bool:
-        """Whether the client has disconnected; its requests are over then."""
+        """Return whether the client has disconnected; if so, end its unanswered requests."""
         ...
 
     def abort_if_silent(self, request: InboundRequest, silent_s: float) -> bool:
-        """Abort the streamed response if no byte has arrived for so long though the client would take it;
-        return whether that was so."""
+        """Abort the streamed response if the client is ready to receive but no byte has arrived for
+        `silent_s`; return whether it was aborted."""
         ...
 
     def write(self, data: bytes) -> None:
-        """Write a part of the streamed response."""
+        """Write the next bytes of the streamed response."""
 
     def finish_stream(self, close: bool) -> None:
-        """Go on after a streamed response that has been written."""
+        """Finish a streamed response that has been written completely, and continue with the next request."""
 
     def abort_stream(self) -> None:
-        """Show the client that the streamed response is not complete."""
+        """Reset the connection, so that the client detects that the streamed response is incomplete."""
 
 
 @dataclass(slots=True, eq=False)
 class InboundRequest:
-    """A client's request. One with a long body is dispatched while it is being received."""
+    """A request received from a client. One with a long body is dispatched while it is being received."""
 
     connection: RequestConnection
     body: Body
-    received_at: float = 0.0  # loop time (s) of its last byte
+    received_at: float = 0.0  # loop time (s) at which its last byte arrived
     method: bytes = b""
     target: bytes = b""
-    headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name
-    content_length: int | None = None  # as declared
-    receiving: bool = True  # its last byte has yet to come
+    headers: dict[bytes, bytes] = field(default_factory=dict)  # keyed by lower-case name
+    content_length: int | None = None  # from the Content-Length header
+    receiving: bool = True  # its last byte has not arrived yet
     version: str = "1.1"
     keep_alive: bool = True
     dispatched: bool = False
     answered: bool = False
     on_disconnected: Callable[[], None] | None = None
-    on_received: Callable[[], None] | None = None  # for one that is dispatched before its last byte
+    on_received: Callable[[], None] | None = None  # called if dispatched before its last byte
 
     def respond(self, status: int, body: bytes = b"", retry_after_ms: float = 0.0) -> None:
-        """Send the response; a second one is ignored."""
+        """Send the response; ignore it if the request already has one."""
         if not self.answered:
             self.answered = True
             self.connection.respond(self, status, body, retry_after_ms)
 
     def begin_stream(self, content_length: int | None, body: Body, on_end: Callable[[bool], None]) -> None:
-        """Send a 200 whose body is streamed; `on_end` is called with whether it was complete."""
+        """Send a 200 response with a streamed body; call `on_end` with whether the body was completed."""
         if self.answered:
             body.discard()
             on_end(False)
@@ -78,6 +78,6 @@
             self.connection.begin_stream(self, content_length, body, on_end)
 
     def abort_if_silent(self, silent_s: float) -> bool:
-        """Abort the streamed response if no byte has arrived for so long though the client would take it;
-        return whether that was so."""
+        """Abort the streamed response if the client is ready to receive but no byte has arrived for
+        `silent_s`; return whether it was aborted."""
         return self.connection.abort_if_silent(self, silent_s)
--- a/loadbalancer/node/listener/listener.py
+++ b/loadbalancer/node/listener/listener.py
@@ -1,4 +1,4 @@
-"""Listens for clients, and keeps their connections within their share of the descriptors."""
+"""Accepts client connections and limits their number, so that other parts get file descriptors."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 
 log = logging.getLogger("loadbalancer")
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-ACCEPT_PAUSE_S = 0.002  # at capacity: a connection that is closed is gone a turn of the loop later
-DRAIN_OPEN_S = 0.5  # clients still open connections for up to 0.4 s after the start of a drain
+BACKLOG = 1024  # connections queued in the kernel until they are accepted
+ACCEPT_PAUSE_S = 0.002  # at capacity: a closed connection frees its descriptor one loop iteration later
+DRAIN_OPEN_S = 0.5  # clients open new connections for up to 0.4 s after a drain has started
 DRAIN_INTERVAL_S = 0.01
-NEW_CONNECTION_GRACE_S = 0.5  # for the first request of a connection, which its client would not send again
-SWEEP_INTERVAL_S = 0.1  # a client without a request is owed an error or a close within 3 s
-# The limit of connections that take requests has 7 parts. One of them may be accepted in a turn of the loop;
-# three more are for connections that are being closed.
+NEW_CONNECTION_GRACE_S = 0.5  # time for the first request of a connection, which clients don't retry
+SWEEP_INTERVAL_S = 0.1  # a client that sends no request must get an error or a close within 3 s
+# The limit of connections that accept requests is divided into 7 parts. Up to one part may be accepted per
+# loop iteration. Three more parts are reserved for connections that are being closed.
 LIMIT_PARTS = 7
 CLOSING_PARTS = 3
 
-# What is closed first where connections exceed the limit, and where they exceed the descriptors. Accepting
-# never stops for long.
-_Close = Callable[[ClosableConnection], bool]
-_CLOSE_OVER_LIMIT: tuple[_Close, ...] = (
+# The order in which connections are closed: beyond the limit of connections that accept requests, and at
+# capacity, when descriptors are short. Closing keeps pauses of accepting short.
+_CloseMethod = Callable[[ClosableConnection], bool]
+_CLOSE_OVER_LIMIT: tuple[_CloseMethod, ...] = (
     ClosableConnection.close_if_idle,
     ClosableConnection.reject_partial_request,
 )
-_CLOSE_AT_CAPACITY: tuple[_Close, ...] = (ClosableConnection.close_lingering, *_CLOSE_OVER_LIMIT)
+_CLOSE_AT_CAPACITY: tuple[_CloseMethod, ...] = (ClosableConnection.close_lingering, *_CLOSE_OVER_LIMIT)
 
 
 def inherited_socket(descriptor: str) -> socket.socket:
-    """Return the listening socket of this descriptor; raise InheritedSocketError if it is none."""
+    """Return the listening socket of this descriptor; raise InheritedSocketError if it isn't one."""
     try:
         found = socket.socket(fileno=int(descriptor))
     except (OSError, ValueError, OverflowError) as error:
@@ -49,43 +49,46 @@
         listening = 0
     if listening and (found.family, found.type) == (socket.AF_INET, socket.SOCK_STREAM):
         return found
-    found.detach()  # it is not the node's to close
+    found.detach()  # the node doesn't own it, so it must not close it
     raise InheritedSocketError(descriptor, "no listening TCP socket")
 
 
 class Listener:
-    """Accepts clients' connections, `limit` of which may take requests, and passes these to `on_request`."""
+    """Accepts client connections and passes their requests to `on_request`.
+
+    At most `limit` connections accept requests at the same time.
+    """
 
     def __init__(self, limit: int, on_request: Callable[[InboundRequest], None]) -> None:
         self.loop = asyncio.get_running_loop()
-        self.request_limit = limit  # of connections that take requests
-        self._burst = max(1, limit // LIMIT_PARTS)  # of connections accepted in one turn of the loop
-        self.max_connections = limit + CLOSING_PARTS * limit // LIMIT_PARTS  # with those being closed
+        self.request_limit = limit  # max number of connections that accept requests
+        self._burst = max(1, limit // LIMIT_PARTS)  # max connections accepted per loop iteration
+        self.max_connections = limit + CLOSING_PARTS * limit // LIMIT_PARTS  # including those being closed
         self.on_request = on_request
         self.ready = False
-        self.shares_socket = False  # another process may accept from the listening socket too
+        self.shares_socket = False  # another process may also accept from the listening socket
         self.draining = False  # each response closes its connection
-        self.expired = 0  # connections ended with an overdue request
-        self.connections: dict[ClosableConnection, None] = {}  # in the order of their opening
+        self.expired = 0  # number of connections ended because a request was overdue
+        self.connections: dict[ClosableConnection, None] = {}  # in the order in which they were opened
         self._socket: socket.socket | None = None
-        self._accepting: set[asyncio.Task[object]] = set()  # accepted, and not yet in `connections`
-        self._lacks_descriptors = False  # the last attempt to accept has failed
+        self._accepting: set[asyncio.Task[object]] = set()  # accepted, but not yet in `connections`
+        self._lacks_descriptors = False  # the last accept has failed
         self._accept_timer: asyncio.TimerHandle | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._drain_timer: asyncio.TimerHandle | None = None
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether new connections are welcome, as the readiness check reports."""
+        """Whether the readiness check reports that new connections are accepted."""
         return self.ready and not self.draining
 
     @property
     def over_limit(self) -> bool:
-        """Whether more connections take requests than may."""
+        """Whether the connections that accept requests exceed the limit."""
         return self._excess() > 0
 
     def _excess(self) -> int:
-        """Return by how many the connections that take requests exceed the limit."""
+        """Return by how many the connections that accept requests exceed the limit."""
         excess = len(self.connections) - self.request_limit
         if excess <= 0:
             return excess
@@ -93,27 +96,27 @@
 
     @property
     def has_no_clients(self) -> bool:
-        """Whether no client is connected, as far as connections have been accepted."""
+        """Whether no accepted connection is open; connections queued in the kernel don't count."""
         return not self.connections and not self._accepting
 
     @property
     def at_capacity(self) -> bool:
-        """Whether another connection would take a descriptor that endpoints and discovery need."""
+        """Whether another connection would use a descriptor reserved for endpoints and discovery."""
         return len(self.connections) + len(self._accepting) >= self.max_connections
 
     @property
     def address(self) -> tuple[str, int]:
-        """The address that it listens at."""
+        """The host and port that it listens on."""
         assert self._socket is not None
         host, port = self._socket.getsockname()[:2]
         return host, port
 
     async def listen(self, host: str, port: int, accept_fd: str | None = None) -> None:
-        """Accept at this address, or from the listening socket that the platform holds; raise OSError.
+        """Listen on this address, or on the inherited socket `accept_fd`; raise OSError on failure.
 
-        The socket is made from its descriptor either way: such a one names its protocol, and asyncio sets
-        TCP_NODELAY only on connections of those that do. Without that, the last piece of a response would be
-        held back, and lost to a reset.
+        The socket is created from its descriptor in both cases: only then does it report its protocol, and
+        asyncio sets TCP_NODELAY only on connections of sockets that do. Without TCP_NODELAY the last segment
+        of a response would be delayed, and a reset would discard it.
         """
         self.shares_socket = accept_fd is not None
         descriptor = str(socket.create_server((host, port)).detach()) if accept_fd is None else accept_fd
@@ -127,7 +130,7 @@
     # ---------------------------------------------------------------- accepting
 
     def _accept(self) -> None:
-        """Accept some of the connections that the kernel holds; the others wait for the loop's next turns."""
+        """Accept up to `_burst` queued connections; the others wait for the next loop iterations."""
         for _ in range(self._burst):
             if self.at_capacity:
                 self._accept_later()
@@ -136,7 +139,7 @@
             break
 
     def _accept_later(self) -> None:
-        """Close connections, and go on with accepting once they are gone."""
+        """Close connections, and resume accepting once their descriptors are free."""
         if self._socket is not None and self.loop.remove_reader(self._socket):
             self._close_surplus(_CLOSE_AT_CAPACITY, self._burst)
             self._accept_timer = self.loop.call_later(ACCEPT_PAUSE_S, self._accept_again)
@@ -146,20 +149,20 @@
             self.loop.add_reader(self._socket, self._accept)
 
     def _accept_one(self) -> bool:
-        """Accept a connection; return whether there was one."""
+        """Accept a connection; return whether one was queued."""
         assert self._socket is not None
         try:
             accepted, _ = self._socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
-        except OSError as error:  # the platform allows fewer descriptors than the configuration says
-            if not self._lacks_descriptors:  # logged once, as it is retried hundreds of times a second
-                log.error("a connection could not be accepted: %s", error)
+        except OSError as error:  # e.g. the platform allows fewer descriptors than configured
+            if not self._lacks_descriptors:  # logged once, as accepting is retried hundreds of times a second
+                log.error("failed to accept a connection: %s", error)
             self._lacks_descriptors = True
             self._accept_later()
             return False
         self._lacks_descriptors = False
-        # Not an asyncio.Server: once that is closed, connections accepted in the turn before would fail.
+        # asyncio.Server isn't used: closing it fails connections accepted in the previous loop iteration.
         task = asyncio.create_task(
             self.loop.connect_accepted_socket(lambda: ServerConnection(self), accepted)
         )
@@ -170,29 +173,31 @@
     # ---------------------------------------------------------------- connections
 
     def opened(self, connection: ClosableConnection) -> None:
-        """Count a connection, and close others where that makes too many."""
+        """Add a connection, and close others if the limit is exceeded."""
         self.connections[connection] = None
         self._close_surplus(_CLOSE_OVER_LIMIT, self._excess(), connection)
 
     def closed(self, connection: ClosableConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self.connections.pop(connection, None)
 
     def _close_surplus(
-        self, ways: Iterable[_Close], count: int, excluded: ClosableConnection | None = None
+        self, close_methods: Iterable[_CloseMethod], count: int, excluded: ClosableConnection | None = None
     ) -> None:
-        """Close so many connections, by these ways in their order, those inactive for longest first. None of
-        them has a complete request that has been read."""
+        """Close up to `count` connections, trying the methods in order, longest inactive connections first.
+
+        No connection is closed that has a complete request.
+        """
         if count > 0:
             others = sorted(
                 (connection for connection in self.connections if connection is not excluded),
                 key=lambda connection: connection.last_activity_at,
             )
-            closed = (connection for close in ways for connection in others if close(connection))
+            closed = (connection for close in close_methods for connection in others if close(connection))
             deque(islice(closed, count), maxlen=0)
 
     def reject_partial_requests(self) -> None:
-        """Respond 503 to all requests that are being received."""
+        """Respond with 503 to all requests that are being received."""
         for connection in list(self.connections):
             connection.reject_partial_request()
 
@@ -204,16 +209,16 @@
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def expire(self, now: float) -> None:
-        """End the connections on which a request is overdue at this loop time (s)."""
+        """End the connections on which a request is overdue at loop time `now` (s)."""
         for connection in list(self.connections):
             self.expired += connection.expire(now)
 
     # ---------------------------------------------------------------- drain and close
 
     def drain(self, young_s: float = NEW_CONNECTION_GRACE_S, open_s: float = DRAIN_OPEN_S) -> None:
-        """Close each connection with its next response, and from `open_s` on when it is idle.
+        """Close each connection with its next response, and close idle connections after `open_s`.
 
-        One younger than `young_s` stays open, as its first request may be on its way.
+        Idle connections younger than `young_s` stay open, as their first request may be in transit.
         """
         if not self.draining:
             self.draining = True
@@ -237,10 +242,10 @@
                 connection.close_if_idle()
 
     def stop_accepting(self) -> None:
-        """Stop listening, once what the kernel holds has been accepted.
+        """Accept the connections queued in the kernel, then stop listening.
 
-        The kernel resets what a closed listener leaves behind, unless another process accepts from the same
-        socket. At capacity the listener goes on, and this has to be called again.
+        The kernel resets connections that are queued when the listening socket closes, unless another process
+        accepts from the same socket. At capacity the listener keeps listening; call this method again then.
         """
         if self._socket is not None:
             while not self.shares_socket:
@@ -259,7 +264,7 @@
             self._socket = None
 
     def close(self) -> None:
-        """Stop listening, and cancel all timers."""
+        """Stop listening and cancel all timers."""
         self._stop_listening()
         if self._drain_timer is not None:
             self._drain_timer.cancel()
--- a/loadbalancer/node/listener/request_parser.py
+++ b/loadbalancer/node/listener/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses the requests on a client's connection as they come, and bounds their sizes and their time."""
+"""Parses requests incrementally on a client connection, and limits their size and duration."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 from loadbalancer.node.http.client_connection import MAX_BUFFERED_BYTES, MAX_HEAD_BYTES
 from loadbalancer.node.listener.inbound_request import InboundRequest
 
-# A slow but legitimate client takes 2 s for a head and sends 64 kB/s of a body.
-HEAD_TIMEOUT_S = 2.3  # for a request's head; for the first one from the connection's start
-MIN_BODY_BYTES_PER_S = 48_000.0  # of a request's body, after the grace period
+# A slow but legitimate client sends a head within 2 s and a body at 64 kB/s.
+HEAD_TIMEOUT_S = 2.3  # to receive a head; for the first request, from the connection's start
+MIN_BODY_BYTES_PER_S = 48_000.0  # min rate of a request body, after BODY_GRACE_S
 BODY_GRACE_S = 0.5
 
 SCHEMES = (b"http", b"https")
 
 
 class ReceiveState(Enum):
-    """The client's side of a connection."""
+    """The receiving side of a connection."""
 
-    IDLE = "nothing of a request has arrived"
+    IDLE = "no byte of a request has arrived"
     HEAD = "a request's head is being received"
     BODY = "a request's body is being received"
-    ERROR = "something was invalid; nothing more is parsed"
+    ERROR = "the received data was invalid; nothing more is parsed"
 
 
 class RequestParser:
-    """Parses what it is fed, and calls `on_head` with a request at the end of its head, `on_received` at its
-    end. The other public methods are callbacks of httptools."""
+    """Parses received bytes; calls `on_head` after a request's head and `on_received` after its last byte.
+
+    Methods in the section "httptools callbacks" are called by httptools.
+    """
 
     def __init__(
         self,
@@ -48,17 +50,17 @@
         self._arrival = now
         self._parser = httptools.HttpRequestParser(self)
         self.state = ReceiveState.IDLE
-        self.error_status = 0  # of the response to what was invalid
-        self.request: InboundRequest | None = None  # the one that is being received
-        self.is_first = True  # no request has been received yet
-        self.size = 0  # bytes of the request's body
-        self.started_at = now  # loop time (s): the connection's or a request's start
-        self.head_received_at = now  # loop time (s), with the time added for which a body was paused
-        self._head_fields_size = 0  # bytes of the target, headers and trailers
-        self._partial_head_size = 0  # bytes that have arrived of a head that is not complete
+        self.error_status = 0  # of the response to invalid data; 0 if none
+        self.request: InboundRequest | None = None  # the request that is being received
+        self.is_first = True  # no request has been received completely yet
+        self.size = 0  # bytes received of the request's body
+        self.started_at = now  # loop time (s) at which the connection or request started
+        self.head_received_at = now  # loop time (s), plus the time for which the body was paused
+        self._head_fields_size = 0  # total size of the target, headers and trailers
+        self._partial_head_size = 0  # bytes received of an incomplete head
 
     def feed(self, data: bytes, now: float, arrival: float) -> None:
-        """Parse these bytes, read at loop time `now` (s), which may have arrived as early as `arrival`."""
+        """Parse bytes read at loop time `now` (s) that may have arrived as early as `arrival` (s)."""
         self._now, self._arrival = now, arrival
         if self.state is ReceiveState.ERROR:
             return
@@ -66,17 +68,17 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._fail(HTTPStatus.BAD_REQUEST)
-        # httptools reports a header only once it is complete, and holds any number of bytes until then. The
-        # bound leaves room for a body that has arrived with the head's first part.
+        # httptools reports a header only once it is complete, and buffers any number of bytes until then. The
+        # limit allows for body bytes that arrived together with the first part of the head.
         if self.state is ReceiveState.HEAD:
             self._partial_head_size += len(data)
             if self._partial_head_size > MAX_HEAD_BYTES + MAX_BUFFERED_BYTES:
                 self._fail(HTTPStatus.BAD_REQUEST)
 
     def deadline(self) -> float:
-        """Return the loop time (s) at which what has arrived of a request is too little.
+        """Return the loop time (s) at which the request is overdue if no more data arrives.
 
-        A body is held to its rate alone: a bound on the whole time would end uploads that keep to it.
+        A body has only a minimum rate: a limit on the total time would end uploads that keep to that rate.
         """
         head_deadline = self.started_at + HEAD_TIMEOUT_S
         if self.state is not ReceiveState.BODY:
@@ -84,15 +86,15 @@
         return max(head_deadline, self.head_received_at + BODY_GRACE_S + self.size / MIN_BODY_BYTES_PER_S)
 
     def restart_timeout(self, now: float) -> None:
-        """Count the time from this loop time (s) on, as what came before was not read."""
+        """Restart the timeout at loop time `now` (s), as the time before it is not counted."""
         self.started_at = self.head_received_at = now
 
     def extend_deadline(self, seconds: float) -> None:
-        """Leave out a time in which nothing was read."""
+        """Extend the deadline by a period in which reading was paused."""
         self.head_received_at += seconds
 
     def discard(self) -> None:
-        """Drop the request that is being received."""
+        """Discard the request that is being received."""
         request, self.request = self.request, None
         if request is not None:
             request.body.fail()
@@ -104,7 +106,7 @@
     # ---------------------------------------------------------------- httptools callbacks
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         if self.state is not ReceiveState.ERROR:
             self.state = ReceiveState.HEAD
             self.request = self._new_request()
@@ -113,19 +115,19 @@
                 self.started_at = self._now
 
     def on_url(self, url: bytes) -> None:
-        """Add a part of the target."""
+        """Append a part of the target."""
         self._grow_head(len(url))
         if self.request is not None:
             self.request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; a trailer is dropped."""
+        """Store a header; ignore a trailer."""
         self._grow_head(len(name) + len(value))
         if self.request is not None and self.state is ReceiveState.HEAD:
             self.request.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """Complete the head; respond 413 if the body is declared too long."""
+        """Complete the head; set status 413 if the declared body length exceeds the limit."""
         request = self.request
         if request is None or self.state is ReceiveState.ERROR:
             return
@@ -143,7 +145,7 @@
             self._on_head(request)
 
     def on_body(self, body: bytes) -> None:
-        """Add a part of the body; respond 413 if it is too long."""
+        """Append a part of the body; set status 413 if the body exceeds the limit."""
         self.size += len(body)
         if self.size > MAX_BODY_BYTES:
             self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
@@ -151,12 +153,12 @@
             self.request.body.feed(body)
 
     def on_message_complete(self) -> None:
-        """End the request."""
+        """Complete the request."""
         request = self.request
         if request is None or self.state is ReceiveState.ERROR:
             return
         self.state, self.request, self.is_first = ReceiveState.IDLE, None, False
-        # The client's time runs from the arrival, also while the bytes wait unread behind another request.
+        # The client timeout starts at the arrival, even if the bytes wait unread behind another request.
         request.received_at = self._arrival
         request.receiving = False
         request.body.end()
@@ -169,7 +171,7 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """Return a target's path and query, the form in which endpoints receive it (RFC 9112, section 3.2.1)."""
+    """Return a target's path and query: the origin form that endpoints receive (RFC 9112, section 3.2.1)."""
     scheme, _, rest = target.partition(b"://")
     if target.startswith(b"/") or scheme.lower() not in SCHEMES:
         return target
--- a/loadbalancer/node/listener/request_translation.py
+++ b/loadbalancer/node/listener/request_translation.py
@@ -1,6 +1,6 @@
-"""Translates requests from clients' HTTP into the balancer's terms, and into the HTTP that endpoints receive.
+"""Translates client HTTP requests into balancer events and into the HTTP requests sent to endpoints.
 
-The headers are those of the wire (WIRE, PROTOCOL): Req-Id, Req-Deadline-Ms, Req-Cost (us), Req-Owner (the
+The headers are those of the protocol (WIRE, PROTOCOL): Req-Id, Req-Deadline-Ms, Req-Cost (us), Req-Owner (the
 tenant), Req-Retry and Idempotency-Key.
 """
 
@@ -17,29 +17,29 @@
 from loadbalancer.node.listener.inbound_request import InboundRequest
 from loadbalancer.service_settings import Effect, ServiceClass
 
-RESPONSE_MARGIN_S = 0.015  # a response leaves so long before the client's time is up
-MAX_TIMEOUT_FACTOR = 10.0  # of the class's client timeout: a request's own deadline counts up to this
+RESPONSE_MARGIN_S = 0.015  # responses are sent this long before the client's deadline
+MAX_TIMEOUT_FACTOR = 10.0  # max request timeout, as a multiple of its class's client timeout
 MIN_FORWARDED_DEADLINE_MS = 1
 
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect".split()
 ) | {b"content-length", b"req-deadline-ms"}
 
-# Endpoints need these even where a client names them as hop-by-hop.
+# Endpoints need these headers even if a client's Connection header names them as hop-by-hop.
 ALWAYS_FORWARDED = frozenset({b"req-id", b"host"})
 
 
 class ParsedRequest(NamedTuple):
-    """A request in the balancer's terms."""
+    """The balancer's event for a request, and the request's client timeout."""
 
     request: Request
-    client_timeout_s: float  # from the request's last byte on
+    client_timeout_s: float  # starts at the request's last byte
 
 
 def parse_request(
     inbound: InboundRequest, classes: Mapping[str, ServiceClass], received_ms: float
 ) -> ParsedRequest:
-    """Translate a request whose last byte came at this Unix time in ms; raise BadRequestError."""
+    """Translate a request whose last byte arrived at Unix time `received_ms`; raise BadRequestError."""
     headers = inbound.headers
     path = inbound.target.partition(b"?")[0]
     parts = path.split(b"/")
@@ -73,7 +73,7 @@
 
 
 def _number(headers: dict[bytes, bytes], name: bytes) -> float | None:
-    """Return the number in a header, None without one; raise BadRequestError if it is none or below 0."""
+    """Return a header's number, or None if absent; raise BadRequestError if not finite or negative."""
     text = headers.get(name)
     if text is None:
         return None
@@ -87,7 +87,10 @@
 
 
 def encode_forwarded(inbound: InboundRequest, timeout_s: float, streamed: bool) -> bytes:
-    """Return the request for an endpoint that is waited for this long, without a body that is streamed."""
+    """Return the bytes of the request to send to an endpoint; the body is omitted if it is streamed.
+
+    `timeout_s` is sent as the request's deadline.
+    """
     lines = [inbound.method + b" " + inbound.target + b" HTTP/1.1"]
     hop_by_hop = {name.strip() for name in inbound.headers.get(b"connection", b"").lower().split(b",")}
     lines += [
--- a/loadbalancer/node/listener/streamed_response.py
+++ b/loadbalancer/node/listener/streamed_response.py
@@ -1,4 +1,4 @@
-"""A streamed response on its way to a client."""
+"""Writes a streamed response to a client."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class StreamedResponse:
     """The sink of a response's body, which writes it to the client's connection.
 
-    A client of HTTP/1.0 knows no chunks, so a body of unknown length ends with its connection there.
-    `on_end` is called once, with whether the response was complete.
+    HTTP/1.0 has no chunked encoding, so a body of unknown length to such a client ends with the connection.
+    `on_end` is called once, with whether the response was completed.
     """
 
     def __init__(
@@ -37,10 +37,10 @@
         self._close = close or self.ends_with_connection
         self._on_end = on_end
         self._ended = False
-        self.last_data_at = 0.0  # loop time (s) of the last bytes, or since when the client takes more
+        self.last_data_at = 0.0  # loop time (s) of the last write or the last end of a pause
 
     def head(self) -> bytes:
-        """Return the response's head."""
+        """Return the response head."""
         if self.ends_with_connection:
             return b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
         return response_head(HTTPStatus.OK, self._content_length, self._close, 0.0)
@@ -50,19 +50,19 @@
         self._connection.write(encode_chunk(data) if self._chunked else data)
 
     def end(self) -> None:
-        """End the response."""
+        """Complete the response."""
         if self._chunked:
             self._connection.write(LAST_CHUNK)
         self._connection.finish_stream(self._close)
         self._report_end(complete=True)
 
     def fail(self) -> None:
-        """Show the client that the response is not complete."""
+        """Reset the connection, so that the client detects that the response is incomplete."""
         self._connection.abort_stream()
         self._report_end(complete=False)
 
     def on_client_lost(self) -> None:
-        """Take no more of the body, as the client has disconnected."""
+        """Stop consuming the body, as the client has disconnected."""
         self.body.detach(self)
         self._report_end(complete=False)
 
@@ -73,7 +73,7 @@
 
 
 def response_head(status: int, content_length: int | None, close: bool, retry_after_ms: float) -> bytes:
-    """Return a response's head; without a length the body follows in chunks."""
+    """Return a response head; if `content_length` is None, the body uses chunked encoding."""
     lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}"]
     if content_length is not None:
         lines.append(f"Content-Length: {content_length}")
--- a/loadbalancer/node/request_registry.py
+++ b/loadbalancer/node/request_registry.py
@@ -1,4 +1,4 @@
-"""The registry of requests that the balancer knows of: accepted, answered exactly once, and released."""
+"""The registry of active requests: each is accepted, receives exactly one response, and is released."""
 
 from __future__ import annotations
 
@@ -22,34 +22,34 @@
 from loadbalancer.node.upstream.attempt import Attempt
 from loadbalancer.service_settings import Effect
 
-BACKSTOP_DELAY_S = 0.005  # past its deadline, a request without a response gets one from the registry
-STREAM_OVERRUN_S = 0.25  # past its deadline, a streamed response may be silent for so long at most
-RECEIVING_MEMORY_RATIO = 0.25  # of the node's memory: for requests that are being received
-MAX_RECEIVING_BYTES = 256 * 1024  # of memory that one of these may take
+BACKSTOP_DELAY_S = 0.005  # a request without a response gets a 504 this long after its deadline
+STREAM_OVERRUN_S = 0.25  # after its deadline, a streamed response that is silent for this long is aborted
+RECEIVING_MEMORY_RATIO = 0.25  # part of the node's memory for requests that are being received
+MAX_RECEIVING_BYTES = 256 * 1024  # max memory that one such request uses
 BYTES_PER_MB = 1024 * 1024
 
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A request that the balancer knows of, until it is answered and none of its attempts is in flight."""
+    """A request that the balancer handles; active until it is answered and no attempt is in flight."""
 
     id: str
     service: str  # the name of its service class
     inbound: InboundRequest
     deadline: float  # loop time (s)
-    client_timeout_s: float  # from its last byte on
-    received_at: float  # loop time (s) of its last byte; of its dispatch until that has arrived
+    client_timeout_s: float  # starts at the request's last byte
+    received_at: float  # loop time (s) of its last byte, or of its dispatch while it is being received
     backstop_timer: asyncio.TimerHandle | None = None
     answered: bool = False
-    attempts: list[Attempt | None] = field(default_factory=list)  # None for one that has ended
+    attempts: list[Attempt | None] = field(default_factory=list)  # None for an attempt that has ended
     attempts_in_flight: int = 0
     last_result: AttemptResult | None = None
-    possibly_executed: bool = False  # by the results so far
-    cancelled: bool = False  # its client disconnected before the response
+    possibly_executed: bool = False  # according to the results of its attempts so far
+    cancelled: bool = False  # the client disconnected before the response
 
 
 class RequestRegistry:
-    """All active requests by id. A request over the node's limits is rejected and never becomes active."""
+    """All active requests by id. Requests beyond the node's limits are rejected and never become active."""
 
     def __init__(
         self,
@@ -71,23 +71,23 @@
         receiving_bytes = config.memory_mb * RECEIVING_MEMORY_RATIO * BYTES_PER_MB
         self.max_receiving = max(1, int(receiving_bytes / MAX_RECEIVING_BYTES))
         self.active: dict[str, ActiveRequest] = {}
-        # Ids of cancelled requests that may have been executed, until their deadlines.
+        # Ids of cancelled requests that may have been executed; removed at their deadlines.
         self._cancelled_ids: set[str] = set()
         self.unanswered = 0
-        self.receiving = 0  # unanswered requests whose last byte has yet to come
+        self.receiving = 0  # unanswered requests whose last byte has not arrived yet
         self.streaming = 0  # responses that are being streamed
 
     @property
     def in_progress(self) -> int:
-        """The number of requests whose client waits for a response or for the rest of it."""
+        """The number of requests whose client waits for a response or for the rest of a streamed one."""
         return self.unanswered + self.streaming
 
     def get(self, request_id: str) -> ActiveRequest | None:
-        """Return the active request of this id, if there is one."""
+        """Return the active request with this id, or None."""
         return self.active.get(request_id)
 
     def awaits_response(self, active: ActiveRequest) -> bool:
-        """Whether its client still waits; a disconnect that only the kernel has seen is handled now."""
+        """Whether the client still waits; also handles a disconnect not yet delivered by the event loop."""
         if not active.answered and active.inbound.connection.close_if_disconnected():
             self._on_client_disconnected(active)
         return not active.answered
@@ -95,7 +95,7 @@
     # ---------------------------------------------------------------- from clients
 
     def receive(self, inbound: InboundRequest) -> None:
-        """Accept a request, of which perhaps only the head has arrived, or answer it with an error."""
+        """Accept a request, possibly while its body is being received, or respond with an error."""
         self._counts["requests"] += 1
         try:
             parsed = parse_request(inbound, self._classes, self._clock.unix_ms(inbound.received_at))
@@ -105,7 +105,7 @@
             inbound.respond(error.status)
             return
         request = parsed.request
-        # A request over a limit has gone to no endpoint, so a rejection is safe.
+        # A request beyond a limit was sent to no endpoint, so the client may safely retry it.
         too_many_receiving = inbound.receiving and self.receiving >= self.max_receiving
         if too_many_receiving or self.in_progress >= self._max_in_progress or self._listener.over_limit:
             self._counts["over-limit rejections"] += 1
@@ -127,22 +127,22 @@
         self._handle_event(request)
 
     def _check_new(self, request: Request) -> None:
-        """Raise BadRequestError if the id is that of a request that waits, or that may have an effect yet."""
+        """Raise BadRequestError if an earlier request with this id is unanswered or may still be executed."""
         earlier = self.active.get(request.id)
         if earlier is not None and self.awaits_response(earlier):
             raise BadRequestError(HTTPStatus.BAD_REQUEST)
         if request.id in self.active or request.id in self._cancelled_ids:
-            # An attempt of the earlier request may have been executed or still be in flight, so a further
-            # attempt could execute it twice. A rejection invites a retry, which only idempotence allows.
+            # An attempt of the earlier request may have been executed or still be in flight, so another
+            # attempt could execute it twice. A 503 invites a retry, which is safe only if it is idempotent.
             idempotent = self._classes[request.service].effect is Effect.IDEMPOTENT
             raise BadRequestError(HTTPStatus.SERVICE_UNAVAILABLE if idempotent else HTTPStatus.BAD_GATEWAY)
 
     def _on_received(self, active: ActiveRequest) -> None:
-        """Begin the time of a request at its last byte, which has arrived after its dispatch."""
+        """Start the client timeout of a request whose last byte arrived after its dispatch."""
         if active.answered:
             return
         self.receiving -= 1
-        # The client's time runs while bytes wait unread here for an endpoint that is slow to take them.
+        # The client timeout also runs while bytes wait unread here for an endpoint that reads slowly.
         active.received_at = active.inbound.received_at
         active.deadline = active.received_at + active.client_timeout_s
         self._set_backstop(active)
@@ -164,7 +164,7 @@
         )
 
     def _on_backstop(self, active: ActiveRequest) -> None:
-        """Answer a request that the balancer has left without a response."""
+        """Respond with 504 to a request to which the balancer has not responded."""
         if not active.answered:
             self._counts["backstop responses"] += 1
             self.respond(active, HTTPStatus.GATEWAY_TIMEOUT)
@@ -173,27 +173,27 @@
     # ------------------------------------------------------------------- responses
 
     def reject(self, action: Reject) -> None:
-        """Respond 503, with the action's Retry-After."""
+        """Respond with 503 and the action's Retry-After."""
         active = self.active.get(action.id)
         if active is not None:
             self.respond(active, HTTPStatus.SERVICE_UNAVAILABLE, retry_after_ms=action.retry_after_ms)
 
     def fail(self, action: Fail) -> None:
-        """Respond 504 if the last attempt has timed out, else 502."""
+        """Respond with 504 if the last attempt timed out, otherwise with 502."""
         active = self.active.get(action.id)
         if active is not None:
             timed_out = active.last_result is AttemptResult.TIMEOUT
             self.respond(active, HTTPStatus.GATEWAY_TIMEOUT if timed_out else HTTPStatus.BAD_GATEWAY)
 
     def fail_all(self) -> None:
-        """Respond 504 to all that are unanswered, as the process is about to exit."""
+        """Respond with 504 to all unanswered requests, as the process is about to exit."""
         for active in [active for active in self.active.values() if not active.answered]:
             self.respond(active, HTTPStatus.GATEWAY_TIMEOUT)
 
     def respond(
         self, active: ActiveRequest, status: int, body: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """Send the response, unless the request has had one or its client has disconnected."""
+        """Send the response, unless the request already has one or its client has disconnected."""
         if not active.answered:
             self._counts[f"responses {status}"] += 1
             self._metrics.count_response(active.service, status)
@@ -201,7 +201,7 @@
             active.inbound.respond(status, body, retry_after_ms)
 
     def begin_stream(self, active: ActiveRequest, content_length: int | None, body: Body) -> None:
-        """Begin a streamed response, whose first bytes are the answer for the balancer and the timers."""
+        """Start a streamed response; for the balancer and the timers the request is answered at its start."""
         if active.answered:
             body.discard()
             return
@@ -224,8 +224,8 @@
             if not ended and not active.inbound.abort_if_silent(STREAM_OVERRUN_S):
                 self._loop.call_later(STREAM_OVERRUN_S, abort_if_silent)
 
-        # The client is owed an end by its deadline, which an endpoint that hangs would put off. A class whose
-        # responses are streams by nature has no such bound.
+        # The client must see the response end soon after its deadline, even if the endpoint hangs. Classes
+        # that are configured as streams have no such limit.
         if not active.inbound.receiving and not self._classes[active.service].stream:
             self._loop.call_at(active.deadline + STREAM_OVERRUN_S, abort_if_silent)
         active.inbound.begin_stream(content_length, body, on_end)
@@ -239,13 +239,13 @@
             active.backstop_timer.cancel()
         for attempt in active.attempts:
             if attempt is not None:
-                # Where cancelling is not allowed, the balancer cancels no attempt. One that has been written
-                # goes on; one that still connects must not be written after its client has disconnected.
+                # If cancelling is disabled, the balancer cancels no attempt: one that has been written
+                # continues. One that is still connecting must not be written after its client disconnected.
                 attempt.withdraw(AttemptResult.ABANDONED)
         self.release(active)
 
     def release(self, active: ActiveRequest) -> None:
-        """Forget the request if it is answered and none of its attempts is in flight."""
+        """Remove the request if it is answered and none of its attempts is in flight."""
         if active.answered and not active.attempts_in_flight and self.active.pop(active.id, None) is not None:
             idempotent = self._classes[active.service].effect is Effect.IDEMPOTENT
             if active.cancelled and active.possibly_executed and not idempotent:
--- a/loadbalancer/node/shutdown.py
+++ b/loadbalancer/node/shutdown.py
@@ -59,7 +59,7 @@
         self._listener.resume()  # a drain for standby has other times
         if self._listener.shares_socket:
             self._listener.stop_accepting()
-            self._pool.keep_no_idle()
+            self._pool.disable_keep_alive()
             self._listener.drain(open_s=SHARED_SOCKET_DRAIN_S)
         else:
             self._listener.drain()
--- a/loadbalancer/node/upstream/__init__.py
+++ b/loadbalancer/node/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to servers and the attempts that run on them."""
+"""Connections to endpoints, and the attempts that use them."""
--- a/loadbalancer/node/upstream/attempt.py
+++ b/loadbalancer/node/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request executed by one endpoint. It ends with exactly one result."""
+"""One attempt: sends a request to one endpoint and ends with exactly one result."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 
 log = logging.getLogger("loadbalancer")
 
-STREAM_IDLE_TIMEOUT_S = 10.0  # without progress for so long, a streamed body is abandoned
+STREAM_IDLE_TIMEOUT_S = 10.0  # a streamed body without progress for this time is abandoned
 REJECTION_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 REJECTION_HEADER, REJECTION_VALUE = b"srv-declined", b"1"  # marks a response as a rejection
 
 
 class ConnectionSource(Protocol):
-    """What an attempt needs of the pool."""
+    """Interface of the connection pool, as attempts use it."""
 
     malformed_responses: int
     connect_timeout_s: float
     on_sent: Callable[[], None]
 
     def acquire_idle(self, endpoint: PooledEndpoint) -> ClientConnection | None:
-        """Take an idle connection out of the pool, if one is usable."""
+        """Remove a usable idle connection from the pool and return it, or return None."""
 
     def release(self, endpoint: PooledEndpoint, connection: ClientConnection) -> None:
-        """Give a connection back."""
+        """Return a connection to the pool."""
 
     def ensure_capacity(self) -> bool:
-        """Whether a connection may be opened."""
+        """Free capacity if needed; return whether a connection may be opened."""
         ...
 
     def track_opening(self, task: asyncio.Task[None]) -> None:
-        """Count the connection that this task opens."""
+        """Count the connection that this task opens towards the limit."""
 
     async def open_connection(self, address: Address) -> ClientConnection:
         """Open a connection."""
@@ -48,7 +48,7 @@
 
 
 def classify_response(response: Response) -> AttemptResult:
-    """Return the result that an endpoint's complete response stands for."""
+    """Return the attempt result for an endpoint's response."""
     if response.status == HTTPStatus.OK:
         return AttemptResult.OK
     rejected = response.headers.get(REJECTION_HEADER) == REJECTION_VALUE
@@ -58,12 +58,12 @@
 
 
 class Attempt:
-    """A request on its way to an endpoint, and the response on its way back.
+    """Sends a request to an endpoint and receives the response.
 
-    `encode_request` returns the bytes to send, given the seconds left to wait. `body` follows them, if it is
-    streamed. `is_awaited` returns whether the client still waits. `written_by` is the loop time (s) by which
-    the last byte has to have been written. `on_result` is called once; the result of a streamed response is
-    that of its first bytes.
+    `encode_request` returns the bytes to send, given the remaining timeout (s). A streamed `body` is sent
+    after them. `is_awaited` returns whether the client still waits for the response. `written_by` is the loop
+    time (s) by which the last byte must have been written. `on_result` is called once; for a streamed
+    response it is called when the stream starts.
     """
 
     def __init__(
@@ -82,8 +82,8 @@
         self._chunked = chunked
         self._body = body
         self._timeout_s = timeout_s
-        # Where an endpoint stops taking a streamed body, the last byte may have arrived and wait unread. From
-        # then on the client waits for no longer than the timeout.
+        # While an endpoint reads nothing of a streamed body, the request's last byte may already have arrived
+        # and wait unread. The client timeout starts at that byte, so it limits the wait for the endpoint.
         self._upload_timeout_s = min(STREAM_IDLE_TIMEOUT_S, timeout_s)
         self._encode_request = encode_request
         self._on_result = on_result
@@ -102,9 +102,9 @@
             self._timer = loop.call_later(self._upload_timeout_s, self._watch_upload)
 
     def start(self, endpoint: PooledEndpoint) -> None:
-        """Write the request to an idle connection or open one.
+        """Write the request to an idle connection, or open a connection.
 
-        Every result comes in a later turn of the loop, when the action that started the attempt is over.
+        Results are reported in a later loop iteration, after the action that started the attempt has ended.
         """
         self._endpoint = endpoint
         loop = asyncio.get_running_loop()
@@ -120,7 +120,7 @@
             loop.call_soon(self.withdraw)
 
     def start_timeout(self, limit_s: float) -> None:
-        """Begin the timeout, as the request's last byte has been received; at most so long from now."""
+        """Start the timeout, at most `limit_s`, as the request's last byte has been received."""
         if not self._ended:
             self._timer.cancel()
             loop = asyncio.get_running_loop()
@@ -128,39 +128,39 @@
             self._timer = loop.call_at(self._deadline, self._on_timeout)
 
     def cancel(self) -> None:
-        """End the attempt, whether or not it has been written."""
+        """End the attempt, even if it has been written."""
         self._finish(AttemptResult.CANCELLED)
 
     def withdraw(self, result: AttemptResult = AttemptResult.CONNECT_FAILED) -> None:
-        """End the attempt, unless it has been written completely and may be executed."""
+        """End the attempt, unless it has been written completely and may therefore be executed."""
         if self._connection is None or not self._connection.written:
             self._finish(result)
 
     # ---------------------------------------------------------------- Exchange
 
     def on_request_sent(self) -> None:
-        """Count the attempt as sent."""
+        """Report that the request has been written completely."""
         self._pool.on_sent()
 
     def on_response(self, response: Response) -> None:
-        """Return the connection to the pool and end with the response's result."""
+        """Return the connection to the pool, and end the attempt with the response's result."""
         connection, self._connection = self._connection, None
         if connection is not None and self._endpoint is not None:
             self._pool.release(self._endpoint, connection)
-        if self._ended:  # with the first bytes of a streamed response
+        if self._ended:  # ended when its streamed response started
             self._timer.cancel()
         else:
             self._finish(classify_response(response), response)
 
     def on_stream_started(self, response: Response) -> None:
-        """End with the result of a streamed response; only its connection is watched from here on."""
+        """Report the result of a streamed response; from now on only the connection is supervised."""
         self._ended = True
         self._timer.cancel()
         self._watch_stream()
         self._on_result(classify_response(response), response)
 
     def on_connection_lost(self, written: bool) -> None:
-        """End the attempt, or the stream that it has begun."""
+        """End the attempt, or the streamed response that it has started."""
         connection, self._connection = self._connection, None
         if connection is not None and connection.malformed:
             self._pool.malformed_responses += 1
@@ -172,11 +172,12 @@
     # ---------------------------------------------------------------- internals
 
     def _may_write(self) -> bool:
-        """Whether the first byte may be written in this turn of the loop.
+        """Whether the first byte may be written in this loop iteration.
 
-        It is asked in the turn that would write it: at once on an idle connection, and again when a new one
-        is up. By then the client may have disconnected, the request have been answered, its time be over or a
-        retry no longer be safe. An endpoint that has left the list ends the attempt (`remove_endpoint`).
+        Checked immediately before writing: at the start for an idle connection, and again once a new
+        connection is open. By then the client may have disconnected, the request may have been answered, its
+        deadline may have passed, or a retry may no longer be safe. Removal of the endpoint from the list ends
+        the attempt separately (`remove_endpoint`).
         """
         receiving = self._body is not None and not self._body.ended
         now = asyncio.get_running_loop().time()
@@ -189,8 +190,8 @@
             async with asyncio.timeout(self._pool.connect_timeout_s):
                 connection = await self._pool.open_connection(endpoint.address)
         except Exception as error:
-            # A refusal or a timeout, an OSError, is an ordinary result. Any other error, as of an address
-            # that is not valid, appears nowhere else.
+            # A refused connection or a timeout (OSError) is an expected result. Any other error, such as an
+            # invalid address, is reported nowhere else.
             if not isinstance(error, OSError):
                 log.exception("failed to connect to %s", endpoint.address)
             self._connect_task = None
@@ -199,8 +200,8 @@
         self._connect_task = None
         endpoint.waiting.discard(self)
         if not connection.usable:
-            # A request written after the endpoint has closed would be reset and count as possibly executed,
-            # which it can't have been.
+            # A request written to a connection that the endpoint has closed would be reset and counted as
+            # possibly executed, although it can't have been.
             connection.abort()
             self.withdraw()
         elif self._may_write():
@@ -218,7 +219,7 @@
         connection.start(self._encode_request(remaining_s), self, self._body, self._chunked)
 
     def _watch_upload(self) -> None:
-        """End the attempt if the endpoint takes nothing of the body; the listener watches the client."""
+        """End the attempt if the endpoint stops reading the body; the listener supervises the client."""
         loop = asyncio.get_running_loop()
         connection, due = self._connection, loop.time() + self._upload_timeout_s
         if connection is not None and self._body is not None and self._body.paused:
@@ -229,7 +230,7 @@
             self._timer = loop.call_at(due, self._watch_upload)
 
     def _watch_stream(self) -> None:
-        """Give a streamed response up if the endpoint sends nothing though the client would take it."""
+        """Abandon a streamed response if the endpoint sends nothing while the client is ready to receive."""
         connection = self._connection
         if connection is None:
             return
@@ -241,7 +242,7 @@
             self._timer = loop.call_at(due, self._watch_stream)
 
     def _on_timeout(self) -> None:
-        # What has not been written completely can't have been executed, so a rejection is safe.
+        # A request that was not written completely can't have been executed, so it is safe to retry.
         sent = self._connection is not None and self._connection.written
         self._finish(AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
 
--- a/loadbalancer/node/upstream/endpoint.py
+++ b/loadbalancer/node/upstream/endpoint.py
@@ -1,4 +1,4 @@
-"""What the pool holds for one endpoint."""
+"""The pool's state of one endpoint."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class ConnectingAttempt(Protocol):
-    """An attempt that waits for a new connection."""
+    """Interface of an attempt that waits for a new connection."""
 
     def withdraw(self) -> None:
-        """End it, as nothing has been written."""
+        """End the attempt, as nothing has been written."""
 
 
 @dataclass(slots=True, eq=False)
 class PooledEndpoint:
-    """One endpoint's idle connections, and the attempts that wait for a new one."""
+    """An endpoint's address, its idle connections, and the attempts that wait for a new connection."""
 
     address: Address
-    launched_ms: float | None  # Unix time of its process's start, where that is known
-    idle: list[ClientConnection] = field(default_factory=list)  # the most recently used last
+    launched_ms: float | None  # Unix time at which its process started, if known
+    idle: list[ClientConnection] = field(default_factory=list)  # most recently used last
     waiting: set[ConnectingAttempt] = field(default_factory=set)
 
     def close_idle(self) -> None:
--- a/loadbalancer/node/upstream/pool.py
+++ b/loadbalancer/node/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to endpoints, bounded in number and in idle time."""
+"""The pool of connections to endpoints, with a limited number and idle time."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from loadbalancer.node.upstream.attempt import Attempt
 from loadbalancer.node.upstream.endpoint import PooledEndpoint
 
-IDLE_TIMEOUT_RATIO = 0.5  # of the endpoints' idle timeout: the pool closes first, so that no request meets it
-REUSE_DELAY_S = 0.008  # after a response: time for a stray second one to arrive and end the connection
+IDLE_TIMEOUT_RATIO = 0.5  # of the endpoints' idle timeout: the pool closes first, so no request races with it
+REUSE_DELAY_S = 0.008  # after a response: an unexpected second response in this time ends the connection
 SWEEPS_PER_IDLE_TIMEOUT = 4
 
 
 class ConnectionPool:
-    """At most `limit` connections to all endpoints; the most recently used idle one is used first.
+    """Holds at most `limit` connections to all endpoints; reuses the most recently used idle one first.
 
-    `endpoint_idle_s` is the time after which endpoints close idle connections. `on_sent` is called for each
-    attempt that has been written completely.
+    `endpoint_idle_s` is the time after which endpoints close idle connections. `on_sent` is called once per
+    attempt, when its request has been written completely.
     """
 
     def __init__(
@@ -35,8 +35,8 @@
         self.max_connections = limit
         self.connect_timeout_s = connect_timeout_s
         self.on_sent = on_sent
-        self.malformed_responses = 0  # attempts that such responses have ended
-        self._idle_timeout_s = endpoint_idle_s * IDLE_TIMEOUT_RATIO  # 0: no idle connection is kept
+        self.malformed_responses = 0  # number of attempts ended by a malformed response
+        self._idle_timeout_s = endpoint_idle_s * IDLE_TIMEOUT_RATIO  # 0: idle connections are not retained
         self._endpoints: dict[str, PooledEndpoint] = {}
         self._connections: set[ClientConnection] = set()
         self._opening: set[asyncio.Task[None]] = set()
@@ -46,14 +46,14 @@
     def connection_count(self) -> int:
         """The number of connections that are open or being opened.
 
-        One whose opening has been cancelled doesn't count: it ends before one that is opened now is up.
+        One whose opening has been cancelled doesn't count: it is closed before a new connection is open.
         """
         return len(self._connections) + sum(not task.cancelling() for task in self._opening)
 
     def set_endpoint(self, name: str, address: Address, launched_ms: float | None = None) -> None:
-        """Add an endpoint, or take note of its new address or the start (Unix time) of its new process.
+        """Add an endpoint, or update its address or the start time (Unix ms) of its process.
 
-        Connections to an earlier process are closed: a machine that has vanished and come back resets what is
+        Connections to an earlier process are closed: a machine that failed and restarted would reset requests
         written to them.
         """
         known = self._endpoints.get(name)
@@ -62,7 +62,7 @@
             self._endpoints[name] = PooledEndpoint(address, launched_ms)
 
     def remove_endpoint(self, name: str) -> None:
-        """Write nothing more to this endpoint: attempts that wait for a connection to it end unsent."""
+        """Remove an endpoint: close its idle connections and end the attempts that wait for a connection."""
         endpoint = self._endpoints.pop(name, None)
         if endpoint is None:
             return
@@ -81,7 +81,7 @@
         is_awaited: Callable[[], bool] = lambda: True,
         written_by: float = math.inf,
     ) -> Attempt | None:
-        """Start an attempt (see Attempt) at the endpoint of this name; None if there is none."""
+        """Start an attempt (see `Attempt`) at the named endpoint; return None if it is unknown."""
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return None
@@ -89,15 +89,17 @@
         attempt.start(endpoint)
         return attempt
 
-    def keep_no_idle(self) -> None:
-        """Close idle connections and keep none from now on, as the process that takes over opens its own and
-        both together have the descriptors of one."""
+    def disable_keep_alive(self) -> None:
+        """Close idle connections and retain none from now on.
+
+        Used during a handover: both processes share the descriptor limit of one.
+        """
         self._idle_timeout_s = 0.0
         for endpoint in self._endpoints.values():
             endpoint.close_idle()
 
     def close(self) -> None:
-        """Remove all endpoints and close all connections."""
+        """Remove all endpoints and close all connections; stop the idle sweep."""
         for name in list(self._endpoints):
             self.remove_endpoint(name)
         for connection in list(self._connections):
@@ -108,10 +110,10 @@
     # ---------------------------------------------------------------- for attempts
 
     def acquire_idle(self, endpoint: PooledEndpoint) -> ClientConnection | None:
-        """Take the most recently used idle connection that is usable, past its reuse delay.
+        """Remove and return the most recently used idle connection that is usable and past its reuse delay.
 
-        A second response that follows the first within milliseconds would pass for that of the next request;
-        during the reuse delay it ends the connection.
+        A second response within milliseconds of the first would be taken for the next request's response;
+        during the reuse delay it ends the connection instead.
         """
         now = asyncio.get_running_loop().time()
         reusable = sum(now - connection.idle_since >= REUSE_DELAY_S for connection in endpoint.idle)
@@ -124,7 +126,7 @@
         return None
 
     def release(self, endpoint: PooledEndpoint, connection: ClientConnection) -> None:
-        """Keep the connection as idle, or close it if it can't be used again."""
+        """Retain the connection as idle, or close it if it can't be reused."""
         if self._idle_timeout_s <= 0.0 or not connection.usable or endpoint not in self._endpoints.values():
             connection.abort()
             return
@@ -134,7 +136,7 @@
             self._schedule_sweep()
 
     def ensure_capacity(self) -> bool:
-        """Whether a connection may be opened; closes those idle for longest where that is needed."""
+        """Close the longest idle connections if needed; return whether a connection may be opened."""
         while self.connection_count >= self.max_connections:
             idle = [
                 (endpoint.idle[0].idle_since, endpoint)
@@ -144,17 +146,17 @@
             if not idle:
                 return False
             _, endpoint = min(idle, key=lambda pair: pair[0])
-            endpoint.idle.pop(0).abort()  # one that the endpoint has closed already frees no capacity
+            endpoint.idle.pop(0).abort()  # frees nothing if the endpoint had already closed it
         return True
 
     def track_opening(self, task: asyncio.Task[None]) -> None:
-        """Count a connection from the start of its task, so that attempts of one turn of the loop don't all
-        see the same capacity."""
+        """Count a connection from the start of its task, so that attempts started in one loop iteration don't
+        all use the same free capacity."""
         self._opening.add(task)
         task.add_done_callback(self._opening.discard)
 
     async def open_connection(self, address: Address) -> ClientConnection:
-        """Open a connection; OSError where that fails."""
+        """Open a connection; raise OSError on failure."""
         task = asyncio.current_task()
         assert task is not None
         try:
@@ -162,7 +164,7 @@
                 lambda: ClientConnection(self._connections.discard, streams=True), *address
             )
         finally:
-            # The task itself ends only in the loop's next turn, and would count beside the connection.
+            # The task itself ends in the next loop iteration; until then the connection would count twice.
             self._opening.discard(task)
         self._connections.add(connection)
         return connection
@@ -174,7 +176,7 @@
         self._sweep_timer = asyncio.get_running_loop().call_later(delay_s, self._sweep)
 
     def _sweep(self) -> None:
-        """Close connections that have been idle for too long."""
+        """Close connections that have been idle for the idle timeout."""
         self._sweep_timer = None
         idle_since_bound = asyncio.get_running_loop().time() - self._idle_timeout_s
         for endpoint in self._endpoints.values():
--- a/tests/node/listener/test_descriptors.py
+++ b/tests/node/listener/test_descriptors.py
@@ -117,4 +117,4 @@
             assert await idle.reader.read() == b""
 
     asyncio.run(main())
-    assert sum("accepted" in record.message for record in caplog.records) == 1
+    assert sum("failed to accept a connection" in record.message for record in caplog.records) == 1
--- a/tests/node/upstream/test_upstream.py
+++ b/tests/node/upstream/test_upstream.py
@@ -339,7 +339,7 @@
         servers.set_endpoint("s", ("127.0.0.1", server.port))
         assert await result(servers) is AttemptResult.OK
         assert servers.connection_count == 1
-        servers.keep_no_idle()
+        servers.disable_keep_alive()
         await until(lambda: not servers.connection_count)
         assert await result(servers) is AttemptResult.OK  # what is still held may be sent on
         await until(lambda: not servers.connection_count)
--- a/tests/node/upstream/test_writes.py
+++ b/tests/node/upstream/test_writes.py
@@ -373,7 +373,7 @@
         expected = {"it is cancelled": {"cancelled"}, "its time is up": {"moot", "connect_failed"}}
         await until(lambda: not results.empty())
         assert results.get_nowait().value in expected.get(what, {"connect_failed"})
-        pool.keep_no_idle()
+        pool.disable_keep_alive()
         await until(lambda: not pool.connection_count)
         await until(lambda: server.connections)  # the kernel has it; the server's loop may accept it later
         await until(lambda: not any(writer.transport.is_reading() for writer in server._writers))
