--- a/bench/fleet_routes.py
+++ b/bench/fleet_routes.py
@@ -232,7 +232,7 @@
         model = {f"s{at}": at % 2 for at in range(self._world.plan.servers)}
         at_of = {node.port: at for at, node in enumerate(self._world.nodes)}
         mixed, repeated, checked = [], 0, 0
-        for name, servers in self._world.pool.reached.items():
+        for name, servers in self._world.pool.servers_reached.items():
             one = outcomes.get(name)
             if one is None:
                 continue
--- a/bench/fleet_traffic.py
+++ b/bench/fleet_traffic.py
@@ -25,7 +25,7 @@
 from tests.support.loopback import Message
 from tests.support.node_processes import Node
 from tests.support.registry_processes import until
-from tests.support.stand_in_servers import Conduct, ServerPool
+from tests.support.stub_servers import Behaviour, StubServerPool
 
 
 def _read(aim_ms: float) -> list[dict[str, object]]:
@@ -163,16 +163,16 @@
 Noted = tuple[float, str, str, bool]  # when it came, at which server, the request's id, whether it failed
 
 
-class NotingPool(ServerPool):
+class NotingPool(StubServerPool):
     """Notes each call: failed are those answered 500, not at all, or after the class's aim."""
 
-    def __init__(self, count: int, latency_ms: float = 0.0, room: int | None = None) -> None:
+    def __init__(self, count: int, latency_ms: float = 0.0, capacity: int | None = None) -> None:
         self.noted: list[Noted] = []
-        super().__init__(count, latency_ms, room)
+        super().__init__(count, latency_ms, capacity)
 
-    async def _answer(self, server: Any, message: Message) -> bytes | None:
+    async def _respond(self, server: Any, message: Message) -> bytes | None:
         came = time.monotonic()
-        answer = await super()._answer(server, message)
+        answer = await super()._respond(server, message)
         late = time.monotonic() - came > MARKS_AIM_MS / 1000.0
         failed = late or answer is None or b" 500 " in answer[:14]
         self.noted.append((came, server.uid, message.headers["req-id"], failed))
@@ -228,7 +228,7 @@
             _change(world.pool, rng, bad, servers)
             time.sleep(rng.uniform(0.5, 1.5))
         for at in range(servers):
-            world.pool.set(at, "answer")
+            world.pool.set_behaviour(at, "answer")
         for load in loads:
             load.finish()
         watch.stop()
@@ -254,20 +254,20 @@
     }
 
 
-def _change(pool: ServerPool, rng: random.Random, bad: set[int], servers: int) -> None:
+def _change(pool: StubServerPool, rng: random.Random, bad: set[int], servers: int) -> None:
     """A server drawn turns bad where fewer than a third are, else one that is bad turns good."""
     if bad and (len(bad) * 3 >= servers or rng.random() < 0.4):
         at = rng.choice(sorted(bad))
         bad.remove(at)
-        pool.set(at, "answer", latency_ms=5.0)
+        pool.set_behaviour(at, "answer", latency_ms=5.0)
     else:
         at = rng.choice([at for at in range(servers) if at not in bad])
         bad.add(at)
         conduct, latency_ms = rng.choice(FAULTS)
-        pool.set(at, conduct, latency_ms=latency_ms)
+        pool.set_behaviour(at, conduct, latency_ms=latency_ms)
 
 
-FAULTS: tuple[tuple[Conduct, float], ...] = (
+FAULTS: tuple[tuple[Behaviour, float], ...] = (
     ("fail", 5.0),
     ("hang", 5.0),
     ("drop", 5.0),
--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -23,7 +23,7 @@
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
 from tests.support.registry_processes import Registry, ask, until
-from tests.support.stand_in_servers import ServerPool
+from tests.support.stub_servers import StubServerPool
 
 LIMIT_S = 180.0  # for anything that has to come about: the machine may be slow
 AT_ONCE = 12  # processes started together
@@ -89,7 +89,7 @@
     latency_ms: float = 2.0
     room: int | None = None
     models: Sequence[str] = ("m1", "m2")  # of the servers in turn
-    pool: type[ServerPool] = ServerPool
+    pool: type[StubServerPool] = StubServerPool
     settings: dict[str, Any] = field(default_factory=dict)
     member_settings: dict[str, Any] = field(default_factory=dict)  # further keys of `members`
     seed: int = 1
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -47,7 +47,7 @@
 from tests.support.builders import servers, settings
 from tests.support.load import Load
 from tests.support.node_processes import Node
-from tests.support.stand_in_servers import ServerPool
+from tests.support.stub_servers import StubServerPool
 
 
 def write(count: int, writes: int) -> dict[str, Any]:
@@ -95,13 +95,13 @@
 
 
 def restart(rounds: int) -> dict[str, Any]:
-    upstream = ServerPool(1)
+    upstream = StubServerPool(1)
     figures: dict[str, list[float]] = {"warm": [], "cold": []}
     try:
         with tempfile.TemporaryDirectory() as folder:
             for kind in ("warm", "cold"):
                 state = Path(folder) / f"{kind}.state"
-                node = Node(Path(folder), upstream.known(), state=str(state), state_every_ms=100)
+                node = Node(Path(folder), upstream.known_targets(), state=str(state), state_every_ms=100)
                 for _ in range(rounds):
                     if kind == "cold":
                         state.unlink(missing_ok=True)
@@ -133,13 +133,13 @@
 
 
 def refusals(rounds: int, callers: int) -> dict[str, Any]:
-    backends = ServerPool(4, latency_ms=50.0, room=2)
+    backends = StubServerPool(4, latency_ms=50.0, capacity=2)
     found: dict[str, list[float]] = {"warm": [], "cold": []}
     try:
         with tempfile.TemporaryDirectory() as folder:
             for kind in ("warm", "cold"):
                 state = Path(folder) / f"{kind}.state"
-                node = Node(Path(folder), backends.known(), state=str(state), state_every_ms=200)
+                node = Node(Path(folder), backends.known_targets(), state=str(state), state_every_ms=200)
                 node.start()
                 _load(node.port, callers, 10.0, f"{kind}-")  # learned under this load
                 for number in range(rounds):
--- a/bench/scale/stub_pool.py
+++ b/bench/scale/stub_pool.py
@@ -10,13 +10,13 @@
 
 from tests.support.ports import free_port
 from tests.support.registry_processes import spawn, until
-from tests.support.stand_in_servers import ServerPool
+from tests.support.stub_servers import StubServerPool
 
 
-class StubPool(ServerPool):
-    """So many processes of bench.scale.stub_server; latency and room of the tests' pool don't apply."""
+class StubPool(StubServerPool):
+    """So many processes of bench.scale.stub_server; latency and capacity of the tests' pool don't apply."""
 
-    def __init__(self, count: int, latency_ms: float = 0.0, room: int | None = None) -> None:
+    def __init__(self, count: int, latency_ms: float = 0.0, capacity: int | None = None) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="stub-servers-")
         self.ports = [free_port() for _ in range(count)]
         self._processes: list[subprocess.Popen[bytes]] = []
@@ -36,8 +36,8 @@
     def pids(self) -> list[int]:
         return [process.pid for process in self._processes]
 
-    def port(self, at: int = 0) -> int:
-        return self.ports[at]
+    def port(self, index: int = 0) -> int:
+        return self.ports[index]
 
     def close(self) -> None:
         for process in self._processes:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -255,7 +255,7 @@
     return {
         name: outcome
         for name, outcome in crossed.items()
-        if name in fleet.pool.reached
+        if name in fleet.pool.servers_reached
         and not any(span.excuses(outcome) for span in down[outcome.port] if not span.drained)
     }
 
--- a/tests/fleet/test_fleet_routes.py
+++ b/tests/fleet/test_fleet_routes.py
@@ -61,7 +61,7 @@
 
         until(lambda: len(sent()) >= 20, WAIT_LIMIT_S, "20 reads")
         reads = sent()
-        servers = fleet.pool.reached  # asked for last: a read may come in between
+        servers = fleet.pool.servers_reached  # asked for last: a read may come in between
         return {uid for name in reads for uid in servers[name]} == {server}
 
     until(reached, WAIT_LIMIT_S, f"reads at {server} alone")
--- a/tests/node/admin/test_admin_server.py
+++ b/tests/node/admin/test_admin_server.py
@@ -13,7 +13,6 @@
 from loadbalancer.node.admin.server import MAX_CONNECTIONS, AdminServer
 from loadbalancer.node.config import parse_config
 from loadbalancer.node.node import Node
-from tests.support.callers import LEAVING, Leave
 from tests.support.loopback import (
     Caller,
     Held,
@@ -25,6 +24,7 @@
     running,
     until,
 )
+from tests.support.raw_clients import DISCONNECTS, Disconnect
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 ADMIN_SETTINGS = {"operator": "127.0.0.1:0"}
@@ -101,9 +101,9 @@
     assert "failed" in caplog.text
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", DISCONNECTS)
 @pytest.mark.parametrize("later", [False, True])
-def test_an_operator_that_leaves_as_its_answer_goes_out_is_no_fault(leave: Leave, later: bool, caplog):
+def test_an_operator_that_leaves_as_its_answer_goes_out_is_no_fault(leave: Disconnect, later: bool, caplog):
     async def main():
         caller, gone = socket.socket(), []
 
--- a/tests/node/listener/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -1,4 +1,4 @@
-"""A caller that leaves, half-closes or reads slowly: what the states of its connection owe it."""
+"""Connection states when a client disconnects, half-closes or reads slowly."""
 
 from __future__ import annotations
 
@@ -8,59 +8,59 @@
 
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.listener.flow_control import LINGER_S, MAX_LINGER_S, WRITE_STALL_TIMEOUT_S
-from tests.support.callers import (
-    ANSWER,
-    LEAVING,
-    Ends,
-    Leave,
+from tests.support.loopback import Held, Peer, request, running, until
+from tests.support.raw_clients import (
+    DISCONNECTS,
+    RESPONSE_BODY,
+    Disconnect,
+    NullSource,
     connect,
     half_close,
-    read_to_the_end,
-    slow_reader,
+    read_until_close,
+    start_slow_reader,
 )
-from tests.support.loopback import Held, Peer, request, running, until
 
-# ----------------------------------------------------------------------- leaving
+# ----------------------------------------------------------------------- disconnects
 
 
-@pytest.mark.parametrize("leave", LEAVING)
-@pytest.mark.parametrize("waits", ["nothing", "a second request", "a long body"])
-def test_a_leaving_can_be_asked_for_before_the_loop_has_seen_it(leave: Leave, waits: str):
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+@pytest.mark.parametrize("pending", ["nothing", "second request", "long body"])
+def test_disconnect_is_detected_before_the_loop_delivers_it(disconnect: Disconnect, pending: str):
     async def main():
         server = Held()
         async with running(server) as node:
-            caller = connect(node)
-            if waits == "a long body":  # of which the server reads none
-                caller.sendall(request("post", "q1", bytes(4 * HIGH_WATER_BYTES))[: -2 * HIGH_WATER_BYTES])
+            client = connect(node)
+            if pending == "long body":  # the server reads none of it
+                client.sendall(request("post", "q1", bytes(4 * HIGH_WATER_BYTES))[: -2 * HIGH_WATER_BYTES])
             else:
-                caller.sendall(request(name="q1"))
+                client.sendall(request(name="q1"))
             await until(lambda: node.request_registry.active)
-            (job,) = node.request_registry.active.values()
-            if waits == "a second request":
-                caller.sendall(request(name="q2") + b"GET /half")
-                await until(lambda: not job.inbound.connection._transport.is_reading())
-                caller.sendall(b"unread")
-            assert not job.inbound.connection.disconnected
-            leave(caller)
-            assert job.inbound.connection.disconnected
-            caller.close()
+            (active,) = node.request_registry.active.values()
+            if pending == "second request":
+                client.sendall(request(name="q2") + b"GET /half")
+                await until(lambda: not active.inbound.connection._transport.is_reading())
+                client.sendall(b"unread")
+            assert not active.inbound.connection.disconnected
+            disconnect(client)
+            assert active.inbound.connection.disconnected
+            client.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("leave", LEAVING)
-def test_a_leaving_is_seen_while_nothing_is_read(leave: Leave):
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_disconnect_is_detected_while_reading_is_paused(disconnect: Disconnect):
     async def main():
         server = Held()
         async with running(server) as node:
-            caller = connect(node)
-            caller.sendall(request(name="q1") + request(name="q2"))
+            client = connect(node)
+            client.sendall(request(name="q1") + request(name="q2"))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.active.values()
-            assert not job.inbound.connection._transport.is_reading()
-            caller.sendall(request(name="q3"))
-            leave(caller)
-            job.inbound.connection.sweep(node.loop.time())
+            (active,) = node.request_registry.active.values()
+            assert not active.inbound.connection._transport.is_reading()
+            client.sendall(request(name="q3"))
+            disconnect(client)
+            active.inbound.connection.sweep(node.loop.time())
             await until(lambda: not node.listener.connections)
             assert (
                 node.event_counts["client disconnects"],
@@ -71,103 +71,104 @@
                 0,
                 1,
             )
-            caller.close()
+            client.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("leave", LEAVING)
-def test_callers_that_leave_as_the_last_answers_go_out_keep_no_other_from_its_answer(leave: Leave):
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_disconnects_during_shutdown_do_not_affect_the_last_responses_of_others(disconnect: Disconnect):
     async def main():
         server = Held()
         async with running(server) as node:
-            callers = [connect(node) for _ in range(5)]
-            for at, caller in enumerate(callers):
-                caller.sendall(request(name=f"q{at}"))
-            await until(lambda: len(server.seen) == len(callers))
+            clients = [connect(node) for _ in range(5)]
+            for at, client in enumerate(clients):
+                client.sendall(request(name=f"q{at}"))
+            await until(lambda: len(server.seen) == len(clients))
             node.listener.drain()
-            for caller in callers[:-1]:
-                leave(caller)  # and the loop has no turn before the answers
+            for client in clients[:-1]:
+                disconnect(client)  # the loop doesn't run before the responses
             node.request_registry.fail_all()
-            assert callers[-1].recv(12) == b"HTTP/1.1 504"
+            assert clients[-1].recv(12) == b"HTTP/1.1 504"
             assert node.request_registry.unanswered == 0
-            await until(lambda: len(node.listener.connections) == 1)  # the last one's, until that has read
-            for caller in callers:
-                caller.close()
+            # The last client's connection lingers until it has read its response.
+            await until(lambda: len(node.listener.connections) == 1)
+            for client in clients:
+                client.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("leave", LEAVING)
-def test_a_caller_that_leaves_as_its_last_answer_goes_out_leaves_nothing_behind(leave: Leave):
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_disconnect_just_before_the_last_response_releases_all_resources(disconnect: Disconnect):
     async def main():
         server = Held()
         async with running(server) as node:
-            caller = connect(node)
-            caller.sendall(request(name="q1"))
+            client = connect(node)
+            client.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.active.values()
+            (active,) = node.request_registry.active.values()
             node.listener.drain()
-            on_result, left = job.attempts[0]._on_result, []
+            on_result, disconnected = active.attempts[0]._on_result, []
 
-            def result(
-                *args: object,
-            ) -> None:  # the answer has been read: the caller leaves just before it is used
-                left.append(leave(caller))
+            def disconnect_first(*args: object) -> None:  # the response has been read, but not yet sent on
+                disconnected.append(disconnect(client))
                 on_result(*args)
 
-            job.attempts[0]._on_result = result
+            active.attempts[0]._on_result = disconnect_first
             server.release.set()
-            await until(lambda: left)
+            await until(lambda: disconnected)
             assert not node.request_registry.active
             assert node.driver.balancer.endpoints["s0"].in_flight == 0.0
             assert node.pool.connection_count == 1
-            caller.close()
+            client.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("first", ["answered by the server", "passed on"])
-@pytest.mark.parametrize("leave", LEAVING)
-def test_what_waits_its_turn_is_not_begun_for_a_caller_that_has_left(leave: Leave, first: str):
+@pytest.mark.parametrize("first", ["complete response", "streamed response"])
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_queued_requests_are_not_started_after_their_client_disconnected(disconnect: Disconnect, first: str):
     async def main():
         server = Held()
         async with running(server) as node:
-            caller = connect(node)
-            caller.sendall(b"".join(request(name=f"q{at}") for at in range(50)))
+            client = connect(node)
+            client.sendall(b"".join(request(name=f"q{at}") for at in range(50)))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.active.values()
-            body = Body(Ends())
-            if first == "passed on":
-                node.request_registry.begin_stream(job, len(ANSWER), body)
-                body.feed(ANSWER[:-1])
-            leave(caller)  # much sent at once and gone, and nothing of that read
-            if first == "passed on":
-                body.feed(ANSWER[-1:])
+            (active,) = node.request_registry.active.values()
+            body = Body(NullSource())
+            if first == "streamed response":
+                node.request_registry.begin_stream(active, len(RESPONSE_BODY), body)
+                body.feed(RESPONSE_BODY[:-1])
+            disconnect(client)  # while most of its requests are still unread
+            if first == "streamed response":
+                body.feed(RESPONSE_BODY[-1:])
                 body.end()
             else:
-                node.request_registry.respond(job, 200, b"done")
+                node.request_registry.respond(active, 200, b"done")
             await until(lambda: not node.listener.connections)
             assert node.event_counts["requests"] == 1
-            if leave is half_close:
-                assert (await read_to_the_end(caller)).count(b"HTTP/1.1 400 ") == 1
-            caller.close()
+            if disconnect is half_close:
+                assert (await read_until_close(client)).count(b"HTTP/1.1 400 ") == 1
+            client.close()
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("count", [1, 50])
-@pytest.mark.parametrize("leave", LEAVING)
-def test_nothing_is_begun_for_a_caller_that_sends_and_leaves_in_one_turn(leave: Leave, count: int):
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_requests_are_not_started_if_client_disconnects_in_same_loop_iteration(
+    disconnect: Disconnect, count: int
+):
     async def main():
         server = Peer()
         async with running(server) as node:
-            caller = connect(node)
+            client = connect(node)
             await until(lambda: node.listener.connections)
-            caller.sendall(b"".join(request(name=f"q{at}") for at in range(count)))
-            leave(caller)
-            if leave is half_close:
-                assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
+            client.sendall(b"".join(request(name=f"q{at}") for at in range(count)))
+            disconnect(client)
+            if disconnect is half_close:
+                assert (await read_until_close(client)).startswith(b"HTTP/1.1 400 ")
             await until(lambda: not node.listener.connections and not node.request_registry.active)
             assert node.metrics.attempts_sent == server.connections == 0
             assert node.event_counts["requests"] <= 1
@@ -175,81 +176,81 @@
     asyncio.run(main())
 
 
-def test_a_health_check_that_half_closes_is_told_yes():
+def test_readiness_check_with_half_close_gets_200():
     async def main():
         async with running(Peer()) as node:
-            caller = connect(node)
-            caller.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-            half_close(caller)
-            assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 200 ")
+            client = connect(node)
+            client.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+            half_close(client)
+            assert (await read_until_close(client)).startswith(b"HTTP/1.1 200 ")
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("sent", [request("post", "q1", b"body")[:-1], request(name="q1")[:-1], b"G"])
-def test_a_half_close_within_a_request_is_answered_and_begins_nothing(sent: bytes):
+def test_half_close_within_a_request_gets_400_and_starts_nothing(sent: bytes):
     async def main():
         async with running(Peer()) as node:
-            caller = connect(node)
-            caller.sendall(sent)
-            half_close(caller)
-            assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
+            client = connect(node)
+            client.sendall(sent)
+            half_close(client)
+            assert (await read_until_close(client)).startswith(b"HTTP/1.1 400 ")
             assert node.event_counts["requests"] == 0
 
     asyncio.run(main())
 
 
-def test_a_half_close_after_a_request_ends_it_in_the_same_turn_with_a_final_answer():
+def test_half_close_after_a_request_ends_it_at_once_with_400():
     async def main():
         server = Held()
         async with running(server) as node:
-            caller = connect(node)
-            caller.sendall(request(name="q1"))
+            client = connect(node)
+            client.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.active.values()
-            half_close(caller)
-            job.inbound.connection.eof_received()  # as the loop will: what else comes then finds it over
-            assert (job.answered, node.event_counts["client disconnects"]) == (True, 1)
-            assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
+            (active,) = node.request_registry.active.values()
+            half_close(client)
+            active.inbound.connection.eof_received()  # as the loop will call it
+            assert (active.answered, node.event_counts["client disconnects"]) == (True, 1)
+            assert (await read_until_close(client)).startswith(b"HTTP/1.1 400 ")
             await until(lambda: not node.listener.connections)
 
     asyncio.run(main())
 
 
-def test_a_half_close_ends_what_is_asked_while_the_answer_before_has_yet_to_leave():
+def test_half_close_ends_a_request_while_the_previous_response_is_unsent():
     async def main():
         server = Peer()
         async with running(server) as node:
-            caller, _ = await slow_reader(node, server)
-            held = Held()
-            server.script = held.script
-            caller.sendall(request(name="q2"))
+            client, _ = await start_slow_reader(node, server)
+            blocking = Held()
+            server.script = blocking.script
+            client.sendall(request(name="q2"))
             await until(lambda: len(server.seen) == 2)
-            half_close(caller)
+            half_close(client)
             await until(lambda: node.event_counts["client disconnects"])
-            assert b"HTTP/1.1 400 " in (await read_to_the_end(caller)).partition(ANSWER)[2]
+            assert b"HTTP/1.1 400 " in (await read_until_close(client)).partition(RESPONSE_BODY)[2]
 
     asyncio.run(main())
 
 
-def test_a_half_close_during_an_answer_that_is_passed_on_does_not_cut_it_short():
+def test_half_close_during_a_streamed_response_does_not_truncate_it():
     async def main():
         server = Held()
         async with running(server) as node:
-            caller = connect(node)
-            caller.sendall(request(name="q1"))
+            client = connect(node)
+            client.sendall(request(name="q1"))
             await until(lambda: server.seen)
-            (job,) = node.request_registry.active.values()
-            body = Body(Ends())
-            node.request_registry.begin_stream(job, len(ANSWER), body)
-            body.feed(ANSWER[:1000])
-            ended, eof_received = [], job.inbound.connection.eof_received
-            job.inbound.connection.eof_received = lambda: ended.append(True) or eof_received()
-            half_close(caller)
-            await until(lambda: ended)
-            body.feed(ANSWER[1000:])
+            (active,) = node.request_registry.active.values()
+            body = Body(NullSource())
+            node.request_registry.begin_stream(active, len(RESPONSE_BODY), body)
+            body.feed(RESPONSE_BODY[:1000])
+            eof_calls, eof_received = [], active.inbound.connection.eof_received
+            active.inbound.connection.eof_received = lambda: eof_calls.append(True) or eof_received()
+            half_close(client)
+            await until(lambda: eof_calls)
+            body.feed(RESPONSE_BODY[1000:])
             body.end()
-            assert (await read_to_the_end(caller)).endswith(ANSWER)
+            assert (await read_until_close(client)).endswith(RESPONSE_BODY)
             await until(lambda: not node.listener.connections)
             assert not node.request_registry.streaming
 
@@ -259,53 +260,53 @@
 # ------------------------------------------------------------------ slow readers
 
 
-def test_a_connection_is_not_idle_before_its_answer_has_left():
+def test_connection_is_not_idle_until_its_response_is_sent():
     async def main():
         server = Peer()
         async with running(server) as node:
-            caller, connection = await slow_reader(node, server)
+            client, connection = await start_slow_reader(node, server)
             assert not connection.idle
             assert not connection.close_if_idle()
-            node.listener.drain(open_s=0.0)  # closes the idle ones from now on, every 10 ms
-            assert (await read_to_the_end(caller)).endswith(ANSWER)
+            node.listener.drain(open_s=0.0)  # closes idle connections from now on, every 10 ms
+            assert (await read_until_close(client)).endswith(RESPONSE_BODY)
 
     asyncio.run(main())
 
 
-def test_the_last_answer_is_not_thrown_away_while_its_caller_reads():
+def test_last_response_is_not_dropped_while_its_client_reads():
     async def main():
         server = Peer()
         async with running(server) as node:
-            caller, connection = await slow_reader(node, server, Connection="close")
-            connection.sweep(node.loop.time() + MAX_LINGER_S)  # enough for one whose answer had left
-            answer = await read_to_the_end(caller, close=False)
-            assert answer.endswith(ANSWER)
-            assert node.listener.connections  # read on for a moment
+            client, connection = await start_slow_reader(node, server, Connection="close")
+            connection.sweep(node.loop.time() + MAX_LINGER_S)  # would close it if the response had been sent
+            response = await read_until_close(client, close=False)
+            assert response.endswith(RESPONSE_BODY)
+            assert node.listener.connections  # lingering
             connection.sweep(node.loop.time() + LINGER_S)
             await until(lambda: not node.listener.connections)
-            caller.close()
+            client.close()
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("headers", [{}, {"Connection": "close"}])
-def test_a_caller_that_takes_nothing_of_its_answer_is_given_up_and_one_that_reads_is_not(headers):
+def test_client_that_reads_nothing_of_its_response_is_disconnected_after_timeout(headers):
     async def main():
         server = Peer()
         async with running(server) as node:
-            caller, connection = await slow_reader(node, server, **headers)
+            client, connection = await start_slow_reader(node, server, **headers)
             now = node.loop.time() + 1.0
             connection.sweep(now)
             unsent = connection._transport.get_write_buffer_size()
             while connection._transport.get_write_buffer_size() == unsent:
-                caller.recv(4096)
+                client.recv(4096)
                 await asyncio.sleep(0)
-            connection.sweep(now + WRITE_STALL_TIMEOUT_S)  # it has read since
+            connection.sweep(now + WRITE_STALL_TIMEOUT_S)  # the client has read in the meantime
             connection.sweep(now + 2 * WRITE_STALL_TIMEOUT_S - 0.1)
             await asyncio.sleep(0)
             assert node.listener.connections
             connection.sweep(now + 2 * WRITE_STALL_TIMEOUT_S)
             await until(lambda: not node.listener.connections)
-            caller.close()
+            client.close()
 
     asyncio.run(main())
--- a/tests/node/listener/test_new_connections_in_drain.py
+++ b/tests/node/listener/test_new_connections_in_drain.py
@@ -1,7 +1,8 @@
-"""A connection that a caller opens while the node drains, in every order of its accept, its first byte, the
-looks at idle connections and the end of its grace. Time is the test's.
+"""Connections opened while the node drains.
 
-A caller between two requests sends a crossed one again; on a new connection its request would be lost.
+Covers each order of the accept, the first byte, the checks for idle connections and the end of the grace
+period, with simulated time. Clients retry a request that crossed the close of a used connection. They don't
+retry the first request on a new connection, so the node must not close that one too early.
 """
 
 from __future__ import annotations
@@ -15,114 +16,112 @@
 from loadbalancer.node.listener.listener import NEW_CONNECTION_GRACE_S
 from loadbalancer.node.node import Node
 from tests.support import clocks
-from tests.support.callers import connect
 from tests.support.loopback import Peer, request, running, until
+from tests.support.raw_clients import connect
 
-STEP_S = 0.01  # between two looks at idle connections
+STEP_S = 0.01  # between two checks for idle connections
 DRAINS: dict[str, Callable[[Node], Awaitable[object]]] = {
     "SIGTERM": lambda node: asyncio.create_task(node.stop()),
     "standby": lambda node: asyncio.sleep(0.0, node.standby()),
 }
 
 
-async def begin(drain: str, node: Node) -> asyncio.Task[object] | None:
-    """Begin to drain beside a caller whose request is in flight, so that the process goes on."""
-    begun = DRAINS[drain](node)
-    if isinstance(begun, asyncio.Task):
+async def start_drain(drain: str, node: Node) -> asyncio.Task[object] | None:
+    """Start a drain; return the task of the graceful shutdown, or None for a standby."""
+    started = DRAINS[drain](node)
+    if isinstance(started, asyncio.Task):
         await asyncio.sleep(0.0)
-        return begun
-    await begun
+        return started
+    await started
     return None
 
 
-async def answered(caller: socket.socket) -> bytes:
-    """The first line of the answer, or nothing where the node has closed without one."""
-    caller.setblocking(False)
+async def read_status_line(client: socket.socket) -> bytes:
+    """Return the status line of the response, or b"" if the node closed the connection without one."""
+    client.setblocking(False)
     try:
-        return (await asyncio.get_running_loop().sock_recv(caller, 65_536)).partition(b"\r\n")[0]
+        return (await asyncio.get_running_loop().sock_recv(client, 65_536)).partition(b"\r\n")[0]
     except ConnectionResetError:
         return b""
 
 
-async def served_after(silent_s: float, caller: socket.socket, ending: asyncio.Task[object] | None) -> None:
-    """The first request comes after so much silence and is answered; the process ends, where it is to."""
+async def assert_served(
+    silent_s: float, client: socket.socket, shutdown: asyncio.Task[object] | None
+) -> None:
+    """Send the first request after `silent_s`, expect 200, and wait for a shutdown if there is one."""
     await asyncio.sleep(silent_s)
-    caller.sendall(request(name="q1"))
-    assert await answered(caller) == b"HTTP/1.1 200 OK"
-    if ending is not None:
-        await ending
-    caller.close()
+    client.sendall(request(name="q1"))
+    assert await read_status_line(client) == b"HTTP/1.1 200 OK"
+    if shutdown is not None:
+        await shutdown
+    client.close()
 
 
 @pytest.mark.parametrize("silent_s", [0.0, STEP_S, 0.11, 0.3, NEW_CONNECTION_GRACE_S - STEP_S])
-@pytest.mark.parametrize("opened_s", [0.1, 0.3, 0.399])  # after the drain's start: callers do up to 0.4 s
+@pytest.mark.parametrize("opened_s", [0.1, 0.3, 0.399])  # clients connect for 0.4 s after a drain's start
 @pytest.mark.parametrize("drain", DRAINS)
-def test_the_first_request_of_a_new_connection_is_answered(
-    drain: str, opened_s: float, silent_s: float
-) -> None:
+def test_first_request_of_new_connection_is_served(drain: str, opened_s: float, silent_s: float) -> None:
     async def main() -> None:
         async with running(Peer()) as node:
-            ending = await begin(drain, node)
+            shutdown = await start_drain(drain, node)
             await asyncio.sleep(opened_s)
-            caller = connect(node)
+            client = connect(node)
             await until(lambda: node.listener.connections)
-            await served_after(silent_s, caller, ending)
+            await assert_served(silent_s, client, shutdown)
 
     clocks.run(main())
 
 
 @pytest.mark.parametrize("silent_s", [0.0, STEP_S, 0.3])
 @pytest.mark.parametrize("drain", DRAINS)
-def test_the_first_request_of_a_connection_that_is_accepted_late_is_answered(
-    drain: str, silent_s: float
-) -> None:
-    """The kernel has accepted it in time; the node comes to it after the looks have begun."""
+def test_first_request_of_late_accepted_connection_is_served(drain: str, silent_s: float) -> None:
+    """The kernel accepts the connection in time; the node accepts it after the idle checks have started."""
 
     async def main() -> None:
         async with running(Peer()) as node:
             listening = node.listener._socket
             assert listening is not None
-            ending = await begin(drain, node)
+            shutdown = await start_drain(drain, node)
             node.loop.remove_reader(listening)
-            caller = connect(node)
+            client = connect(node)
             await asyncio.sleep(0.55)
             node.loop.add_reader(listening, node.listener._accept)
             await until(lambda: node.listener.connections)
-            await served_after(silent_s, caller, ending)
+            await assert_served(silent_s, client, shutdown)
 
     clocks.run(main())
 
 
 @pytest.mark.parametrize("drain", DRAINS)
-def test_a_new_connection_on_which_nothing_comes_is_closed_after_its_grace(drain: str) -> None:
+def test_silent_new_connection_is_closed_after_grace_period(drain: str) -> None:
     async def main() -> None:
         async with running(Peer()) as node:
-            ending = await begin(drain, node)
+            shutdown = await start_drain(drain, node)
             await asyncio.sleep(0.3)
-            caller = connect(node)
+            client = connect(node)
             await until(lambda: node.listener.connections)
-            opened = node.loop.time()
-            assert await answered(caller) == b""
-            waited_s = node.loop.time() - opened
+            opened_at = node.loop.time()
+            assert await read_status_line(client) == b""
+            waited_s = node.loop.time() - opened_at
             assert NEW_CONNECTION_GRACE_S - STEP_S <= waited_s <= NEW_CONNECTION_GRACE_S + 4 * STEP_S
-            if ending is not None:
-                await ending
-            caller.close()
+            if shutdown is not None:
+                await shutdown
+            client.close()
 
     clocks.run(main())
 
 
-def test_a_node_that_is_active_again_closes_no_idle_connection() -> None:
+def test_reactivated_node_closes_no_idle_connection() -> None:
     async def main() -> None:
         async with running(Peer()) as node:
             node.standby()
             await asyncio.sleep(2.0)
             assert node.active()
-            caller = connect(node)
+            client = connect(node)
             await until(lambda: node.listener.connections)
             await asyncio.sleep(2.0)
-            caller.sendall(request(name="q1"))
-            assert await answered(caller) == b"HTTP/1.1 200 OK"
-            caller.close()
+            client.sendall(request(name="q1"))
+            assert await read_status_line(client) == b"HTTP/1.1 200 OK"
+            client.close()
 
     clocks.run(main())
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -30,20 +30,20 @@
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
 from tests.support.registry_processes import ROOT, until
-from tests.support.stand_in_servers import Served, ServerPool
+from tests.support.stub_servers import StubServerPool, ThreadedServer
 
 LEARNED = LearnedState(0.2, 0.3, 7, 0.01, 0.02, 0.02, 100.0, {"read": 20.0}, {"s0": 3.0})
 
 
 @pytest.fixture
-def upstream() -> Iterator[ServerPool]:
-    servers = ServerPool(1)
+def upstream() -> Iterator[StubServerPool]:
+    servers = StubServerPool(1)
     yield servers
     servers.close()
 
 
-def stateful(folder: Path, state: Path, upstream: ServerPool, **row: Any) -> Node:
-    return Node(folder, upstream.known(), state=str(state), **row)
+def stateful(folder: Path, state: Path, upstream: StubServerPool, **row: Any) -> Node:
+    return Node(folder, upstream.known_targets(), state=str(state), **row)
 
 
 def on_a_full_disk(arguments: list[str], log: Path, env: dict[str, str]) -> subprocess.Popen[bytes]:
@@ -98,7 +98,7 @@
 
 
 def test_kill_9_at_50_seeded_moments_leaves_a_whole_file_and_no_request_twice(
-    tmp_path: Path, upstream: ServerPool
+    tmp_path: Path, upstream: StubServerPool
 ) -> None:
     state = tmp_path / "state" / "n0.state"
     node = stateful(tmp_path, state, upstream, state_every_ms=5)
@@ -112,7 +112,7 @@
         node.kill()
         client.finish()
         # A call the node sent just before its kill may reach the server later: ids differ in every round.
-        assert upstream.most() <= 1, "a request reached its server twice"
+        assert upstream.max_attempts() <= 1, "a request reached its server twice"
         if state.exists():  # the rename leaves the old file or the new one, never a part
             frame.decode_frame(state.read_bytes())
         assert len(node.lines("state ")) >= kill + 1, "a start that did not say what it made of the file"
@@ -147,7 +147,7 @@
     ],
 )
 def test_a_bad_file_is_never_trusted_and_the_node_serves(
-    tmp_path: Path, upstream: ServerPool, change: Callable[[Path, DiscoveryResponse], None], rule: str
+    tmp_path: Path, upstream: StubServerPool, change: Callable[[Path, DiscoveryResponse], None], rule: str
 ) -> None:
     state = tmp_path / "n0.state"
     listing = DiscoveryResponse(9, True, servers(1), {"s0": ("127.0.0.1", 9)})  # a server that is not there
@@ -166,7 +166,7 @@
 
 
 def test_a_full_disk_costs_one_line_and_a_counter_and_service_goes_on(
-    tmp_path: Path, upstream: ServerPool
+    tmp_path: Path, upstream: StubServerPool
 ) -> None:
     state = tmp_path / "n0.state"
     node = stateful(tmp_path, state, upstream, state_every_ms=20)
@@ -184,7 +184,7 @@
 
 
 def test_of_two_processes_on_one_file_one_writes_and_the_other_takes_over(
-    tmp_path: Path, upstream: ServerPool
+    tmp_path: Path, upstream: StubServerPool
 ) -> None:
     state = tmp_path / "n0.state"
     first = stateful(tmp_path, state, upstream, state_every_ms=20)
@@ -204,9 +204,9 @@
 
 
 def test_a_restart_while_discovery_is_down_serves_the_restored_list(
-    tmp_path: Path, upstream: ServerPool
+    tmp_path: Path, upstream: StubServerPool
 ) -> None:
-    discovery = Served(Discovery(listing(5, True, s1=(f"127.0.0.1:{upstream.port()}", "Ready"))))
+    discovery = ThreadedServer(Discovery(listing(5, True, s1=(f"127.0.0.1:{upstream.port()}", "Ready"))))
     state = tmp_path / "n0.state"
     # the platform's list is old: its server has gone
     gone = targets(s0=(f"127.0.0.1:{free_port()}", "Ready"))
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies and answers too long to be held whole."""
+"""Streamed request and response bodies, which are too long to buffer completely."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from loadbalancer.balancing.actions import Send
 from loadbalancer.balancing.events import AttemptOutcome, Request, RequestCancelled, RequestReceived
 from loadbalancer.endpoints import AttemptResult
-from loadbalancer.node.http import client_connection as http_module
+from loadbalancer.node.http import client_connection as client_connection_module
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.listener import request_parser as request_parser_module
 from loadbalancer.node.node import Node
-from loadbalancer.node.upstream import attempt as upstream_module
+from loadbalancer.node.upstream import attempt as attempt_module
 from tests.support.builders import Bed, sent
 from tests.support.loopback import Caller, Peer, Scripted, ask, reply, request, running, targets, until
 
@@ -25,52 +25,52 @@
 # ---------------------------------------------------------------------- the body
 
 
-class Ends:
-    """A source and a sink that note what is asked of them."""
+class RecordingSourceAndSink:
+    """A body's source and sink that records the calls it gets."""
 
     def __init__(self) -> None:
-        self.said: list[str] = []
+        self.calls: list[str] = []
         self.data = b""
 
     def pause(self) -> None:
-        self.said.append("pause")
+        self.calls.append("pause")
 
     def resume(self) -> None:
-        self.said.append("resume")
+        self.calls.append("resume")
 
     def abandon(self) -> None:
-        self.said.append("abandoned")
+        self.calls.append("abandon")
 
     def write(self, data: bytes) -> None:
         self.data += data
 
     def end(self) -> None:
-        self.said.append("end")
+        self.calls.append("end")
 
     def fail(self) -> None:
-        self.said.append("broken")
+        self.calls.append("fail")
 
 
-def test_reading_stops_at_the_high_water_mark_until_somebody_takes_it():
-    source, sink = Ends(), Ends()
+def test_body_pauses_its_source_at_the_high_water_mark_until_a_sink_is_attached():
+    source, sink = RecordingSourceAndSink(), RecordingSourceAndSink()
     body = Body(source)
     body.feed(b"x" * (HIGH_WATER_BYTES - 1))
-    assert source.said == []
+    assert source.calls == []
     body.feed(b"yz")
-    assert source.said == ["pause"]
+    assert source.calls == ["pause"]
     body.attach(sink)
-    assert source.said == ["pause", "resume"]
+    assert source.calls == ["pause", "resume"]
     body.feed(b"!")
     body.end()
     assert sink.data == b"x" * (HIGH_WATER_BYTES - 1) + b"yz!"
-    assert sink.said == ["end"]
+    assert sink.calls == ["end"]
 
 
-def test_what_fits_under_the_mark_may_be_taken_again_and_what_does_not_may_not():
-    source = Ends()
+def test_body_is_replayable_only_below_the_high_water_mark():
+    source = RecordingSourceAndSink()
     body = Body(source)
     body.feed(b"abc")
-    first, second = Ends(), Ends()
+    first, second = RecordingSourceAndSink(), RecordingSourceAndSink()
     body.attach(first)
     body.feed(b"def")
     body.detach(first)
@@ -80,36 +80,36 @@
     body.feed(b"x" * HIGH_WATER_BYTES)
     body.detach(second)
     assert not body.replayable
-    assert source.said[-1] == "abandoned"
+    assert source.calls[-1] == "abandon"
 
 
-def test_a_sink_that_is_full_holds_the_source():
-    source, sink = Ends(), Ends()
+def test_paused_sink_pauses_the_source():
+    source, sink = RecordingSourceAndSink(), RecordingSourceAndSink()
     body = Body(source)
     body.attach(sink)
     body.pause()
     body.pause()
-    assert source.said == ["resume", "pause"]
+    assert source.calls == ["resume", "pause"]
     body.resume()
-    assert source.said[-1] == "resume"
+    assert source.calls[-1] == "resume"
 
 
-def test_a_body_that_breaks_says_so_once():
-    sink = Ends()
-    body = Body(Ends())
+def test_failed_body_reports_the_failure_once():
+    sink = RecordingSourceAndSink()
+    body = Body(RecordingSourceAndSink())
     body.attach(sink)
     body.fail()
     body.end()
     body.fail()
-    assert sink.said == ["broken"]
+    assert sink.calls == ["fail"]
 
 
-# ----------------------------------------------------------------------- answers
+# ----------------------------------------------------------------------- responses
 
 
 @contextlib.asynccontextmanager
-async def behind(serve: Serve, **more: object) -> AsyncIterator[Node]:
-    """A node before one server, given as what it does with each connection."""
+async def running_node(serve: Serve, **more: object) -> AsyncIterator[Node]:
+    """Run a node in front of one server, which handles each connection with `serve`."""
 
     async def guarded(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -123,7 +123,7 @@
     server.close()
 
 
-def answering(head: bytes, *pieces: bytes) -> Serve:
+def respond_with(head: bytes, *pieces: bytes) -> Serve:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await reader.readuntil(b"\r\n\r\n")
@@ -139,8 +139,8 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-async def body_of(reader: asyncio.StreamReader) -> bytes:
-    """The next answer's body, by either framing."""
+async def read_body(reader: asyncio.StreamReader) -> bytes:
+    """Read the next response and return its body, with either framing."""
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     assert head.startswith(b"http/1.1 200 ")
     if b"content-length: " in head:
@@ -157,47 +157,47 @@
 @pytest.mark.parametrize(
     "serve",
     [
-        answering(HEAD, LONG),
-        answering(HEAD, LONG[:10], LONG[10:70_000], LONG[70_000:]),
-        answering(
+        respond_with(HEAD, LONG),
+        respond_with(HEAD, LONG[:10], LONG[10:70_000], LONG[70_000:]),
+        respond_with(
             CHUNKED, b"%x\r\n%b\r\n" % (MIB, LONG[:MIB]), b"%x\r\n%b\r\n0\r\n\r\n" % (2 * MIB, LONG[MIB:])
         ),
     ],
 )
-def test_a_long_answer_is_passed_on_whole_and_the_connections_are_kept(serve, monkeypatch):
+def test_long_response_is_forwarded_completely_and_connections_are_reused(serve, monkeypatch):
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        async with behind(serve) as node:
-            caller = await Caller.to(node)
+        async with running_node(serve) as node:
+            client = await Caller.to(node)
             for at in range(2):
-                caller.writer.write(request(name=f"q{at}"))
-                assert await body_of(caller.reader) == LONG
+                client.writer.write(request(name=f"q{at}"))
+                assert await read_body(client.reader) == LONG
             await until(lambda: not node.request_registry.streaming)
             assert node.pool.connection_count == 1
             assert not node.request_registry.active
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_a_long_answer_that_ends_with_its_connection_is_whole_for_the_caller():
+def test_long_response_ending_with_its_connection_is_complete_for_the_client():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG)
             await writer.drain()
 
-        async with behind(serve) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request())
-            assert await body_of(caller.reader) == LONG
-            caller.writer.close()
+        async with running_node(serve) as node:
+            client = await Caller.to(node)
+            client.writer.write(request())
+            assert await read_body(client.reader) == LONG
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_the_first_bytes_are_passed_on_before_the_last_have_come_and_are_the_outcome():
+def test_streamed_response_is_forwarded_early_and_its_start_is_the_outcome():
     async def main():
         more = asyncio.Event()
 
@@ -209,14 +209,14 @@
             await writer.drain()
             await reader.read()
 
-        async with behind(serve) as node:
+        async with running_node(serve) as node:
             node.driver.balancer = scripted = Scripted(
                 lambda event: [Send(event.id, "s0")] if isinstance(event, Request) else []
             )
-            caller = await Caller.to(node)
-            caller.writer.write(request(Req_Deadline_Ms="20000"))
-            await caller.reader.readuntil(b"\r\n\r\n")
-            assert await caller.reader.readexactly(1000) == LONG[:1000]
+            client = await Caller.to(node)
+            client.writer.write(request(Req_Deadline_Ms="20000"))
+            await client.reader.readuntil(b"\r\n\r\n")
+            assert await client.reader.readexactly(1000) == LONG[:1000]
             (outcome,) = scripted.of(AttemptOutcome)
             assert (outcome.result, outcome.request_ended) == (AttemptResult.OK, True)
             assert (
@@ -226,15 +226,15 @@
                 == 1
             )
             more.set()
-            assert await caller.reader.readexactly(len(LONG) - 1000) == LONG[1000:]
+            assert await client.reader.readexactly(len(LONG) - 1000) == LONG[1000:]
             await until(lambda: not node.request_registry.streaming)
             assert b"proxy.replies.read.success=1" in node.render_metrics()
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_a_caller_that_reads_slowly_holds_the_server_and_costs_little_memory():
+def test_slow_client_pauses_the_server_and_uses_little_memory():
     async def main():
         total = 24 * MIB
         written = 0
@@ -248,110 +248,110 @@
                 written += MIB
                 await writer.drain()
 
-        async with behind(serve) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request())
-            await caller.reader.readuntil(b"\r\n\r\n")
+        async with running_node(serve) as node:
+            client = await Caller.to(node)
+            client.writer.write(request())
+            await client.reader.readuntil(b"\r\n\r\n")
             (connection,) = node.listener.connections
             await until(lambda: connection._stream is not None and connection._stream.body.paused)
             assert connection._transport.get_write_buffer_size() < MIB
             assert written < total
-            left = total
-            while left:
-                left -= len(await caller.reader.read(MIB))
+            remaining = total
+            while remaining:
+                remaining -= len(await client.reader.read(MIB))
             await until(lambda: not node.request_registry.streaming)
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("head", [HEAD, CHUNKED + b"300000\r\n"])
-def test_a_long_answer_that_breaks_off_is_seen_to_be_cut_short(head):
+def test_client_detects_a_truncated_streamed_response(head):
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(head + LONG[:100_000])
             await writer.drain()
 
-        async with behind(serve) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request())
+        async with running_node(serve) as node:
+            client = await Caller.to(node)
+            client.writer.write(request())
             with contextlib.suppress(ConnectionError):
-                answer = await caller.reader.read()
-                assert not answer.endswith(b"0\r\n\r\n")
-                assert len(answer) < len(LONG)
+                response = await client.reader.read()
+                assert not response.endswith(b"0\r\n\r\n")
+                assert len(response) < len(LONG)
             await until(lambda: not node.request_registry.streaming)
             assert b"proxy.replies.read.error=1" in node.render_metrics()
 
     asyncio.run(main())
 
 
-def test_a_caller_that_leaves_gives_the_servers_connection_up():
+def test_client_disconnect_closes_the_server_connection():
     async def main():
-        left = asyncio.Event()
+        disconnected = asyncio.Event()
 
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(HEAD + LONG[:100_000])
             with contextlib.suppress(ConnectionError):
                 await reader.read()
-            left.set()
+            disconnected.set()
 
-        async with behind(serve) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request())
-            await caller.reader.readexactly(1000)
-            caller.writer.transport.abort()
+        async with running_node(serve) as node:
+            client = await Caller.to(node)
+            client.writer.write(request())
+            await client.reader.readexactly(1000)
+            client.writer.transport.abort()
             async with asyncio.timeout(20):
-                await left.wait()
+                await disconnected.wait()
             await until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
 
     asyncio.run(main())
 
 
-def test_a_server_that_falls_silent_within_a_long_answer_is_given_up(monkeypatch):
+def test_streamed_response_of_silent_server_is_aborted(monkeypatch):
     async def main():
-        monkeypatch.setattr(upstream_module, "STREAM_IDLE_TIMEOUT_S", 0.05)
+        monkeypatch.setattr(attempt_module, "STREAM_IDLE_TIMEOUT_S", 0.05)
 
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(HEAD + LONG[:100_000])
             await reader.read()
 
-        async with behind(serve) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request())
+        async with running_node(serve) as node:
+            client = await Caller.to(node)
+            client.writer.write(request())
             with contextlib.suppress(ConnectionError):
-                assert len(await caller.reader.read()) < len(LONG)
+                assert len(await client.reader.read()) < len(LONG)
             await until(lambda: not node.request_registry.streaming)
 
     asyncio.run(main())
 
 
-def test_a_caller_of_http_1_0_gets_a_long_answer_of_no_length_to_the_close():
+def test_http_1_0_client_gets_a_chunked_response_ended_by_the_close():
     async def main():
-        async with behind(answering(CHUNKED, b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
-            head, _, body = (await caller.reader.read()).partition(b"\r\n\r\n")
+        async with running_node(respond_with(CHUNKED, b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))) as node:
+            client = await Caller.to(node)
+            client.writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+            head, _, body = (await client.reader.read()).partition(b"\r\n\r\n")
             assert b"Transfer-Encoding" not in head
             assert body == LONG
 
     asyncio.run(main())
 
 
-def test_an_answer_past_the_longest_is_unreadable_before_its_caller_sees_any_of_it():
+def test_response_declared_too_long_is_malformed_and_not_forwarded():
     async def main():
-        node_gave: list[int] = []
+        attempts: list[int] = []
 
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            node_gave.append(1)
-            length = 3_000_000_000 if len(node_gave) == 1 else 4
+            attempts.append(1)
+            length = 3_000_000_000 if len(attempts) == 1 else 4
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % length + b"done")
             await reader.read()
 
-        async with behind(serve) as node:
+        async with running_node(serve) as node:
             sends = iter(["s0", "s0"])
             node.driver.balancer = Scripted(
                 lambda event: (
@@ -361,27 +361,27 @@
                     else []
                 )
             )
-            assert (await ask(node, request())).body == b"done"  # of a second attempt
+            assert (await ask(node, request())).body == b"done"  # from the second attempt
             assert node.pool.malformed_responses == 1
 
     asyncio.run(main())
 
 
-def test_a_chunked_answer_past_the_longest_is_broken_off(monkeypatch):
+def test_chunked_response_past_the_limit_is_aborted(monkeypatch):
     async def main():
-        monkeypatch.setattr(http_module, "MAX_BODY_BYTES", MIB)
-        async with behind(answering(CHUNKED, b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request())
+        monkeypatch.setattr(client_connection_module, "MAX_BODY_BYTES", MIB)
+        async with running_node(respond_with(CHUNKED, b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))) as node:
+            client = await Caller.to(node)
+            client.writer.write(request())
             with contextlib.suppress(ConnectionError):
-                assert len(await caller.reader.read()) < len(LONG)
+                assert len(await client.reader.read()) < len(LONG)
             await until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
             assert node.pool.malformed_responses == 1
 
     asyncio.run(main())
 
 
-def test_the_long_text_of_an_error_is_not_waited_for():
+def test_long_error_body_is_not_waited_for():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -390,11 +390,11 @@
             )
             await reader.read()
 
-        async with behind(serve, settings={"tier": 1}) as node:
-            caller = await Caller.to(node)
-            assert (await caller.ask(request("post"))).status == 502
+        async with running_node(serve, settings={"tier": 1}) as node:
+            client = await Caller.to(node)
+            assert (await client.ask(request("post"))).status == 502
             assert node.event_counts["error"] == 1
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
@@ -408,13 +408,13 @@
     return head + b"".join(b"%x\r\n%b\r\n" % (len(piece), piece) for piece in pieces) + b"0\r\n\r\n"
 
 
-class Taking:
-    """A server that keeps what it is sent, by either framing."""
+class RecordingServer:
+    """A server that records request heads and bodies, with either framing."""
 
     def __init__(self) -> None:
         self.bodies: list[bytes] = []
         self.heads: list[bytes] = []
-        self.lost = 0
+        self.incomplete = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -431,23 +431,23 @@
                     length = int(head.split(b"content-length: ")[1].split(b"\r\n")[0])
                     body = await reader.readexactly(length)
             except (ConnectionError, asyncio.IncompleteReadError, ValueError):
-                self.lost += 1
+                self.incomplete += 1
                 raise
             self.bodies.append(body)
             writer.write(reply())
 
 
 @pytest.mark.parametrize("data", [request("post", "q1", LONG), chunked(LONG)])
-def test_a_long_request_reaches_the_server_whole_and_the_connections_are_kept(data, monkeypatch):
+def test_long_request_is_forwarded_completely_and_connections_are_reused(data, monkeypatch):
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        server = Taking()
-        async with behind(server.serve) as node:
-            caller = await Caller.to(node)
-            assert (await caller.ask(data)).status == 200
+        server = RecordingServer()
+        async with running_node(server.serve) as node:
+            client = await Caller.to(node)
+            assert (await client.ask(data)).status == 200
             assert server.bodies == [LONG]
-            assert (await caller.ask(request("post", "q2", b"short"))).status == 200
+            assert (await client.ask(request("post", "q2", b"short"))).status == 200
             assert server.bodies[1:] == [b"short"]
             assert (
                 node.pool.connection_count,
@@ -455,35 +455,35 @@
                 node.request_registry.receiving,
                 node.metrics.attempts_sent,
             ) == (1, 0, 0, 2)
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_a_long_request_is_handed_on_early_and_its_time_runs_from_its_last_byte():
+def test_long_request_is_dispatched_early_and_its_timeout_starts_at_its_last_byte():
     async def main():
-        server = Taking()
-        async with behind(server.serve) as node:
+        server = RecordingServer()
+        async with running_node(server.serve) as node:
             node.driver.balancer = scripted = Scripted(
                 lambda event: [Send(event.id, "s0")] if isinstance(event, Request) else []
             )
-            caller = await Caller.to(node)
+            client = await Caller.to(node)
             data = request("post", "q1", LONG, Req_Deadline_Ms="5000")
-            caller.writer.write(data[:MIB])
+            client.writer.write(data[:MIB])
             await until(lambda: scripted.of(Request) and server.heads)
             (early,) = scripted.of(Request)
             assert early.receiving
-            (job,) = node.request_registry.active.values()
-            assert job.backstop_timer is None
+            (active,) = node.request_registry.active.values()
+            assert active.backstop_timer is None
             assert node.metrics.attempts_sent == 0
-            caller.writer.write(data[MIB:])
-            assert (await caller.answer()).status == 200
-            (arrived,) = scripted.of(RequestReceived)
-            assert arrived.deadline_ms > early.deadline_ms
+            client.writer.write(data[MIB:])
+            assert (await client.answer()).status == 200
+            (received,) = scripted.of(RequestReceived)
+            assert received.deadline_ms > early.deadline_ms
             (outcome,) = scripted.of(AttemptOutcome)
-            assert outcome.latency_ms <= (node.loop.time() - job.received_at) * 1000.0
+            assert outcome.latency_ms <= (node.loop.time() - active.received_at) * 1000.0
             assert node.metrics.attempts_sent == 1
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
@@ -491,37 +491,37 @@
 @pytest.mark.parametrize(
     "data", [request("post", "q1", LONG[:HIGH_WATER_BYTES]), chunked(LONG[:HIGH_WATER_BYTES])]
 )
-def test_a_body_that_ends_while_its_attempt_still_connects_is_sent_once(data):
+def test_body_that_ends_while_its_attempt_connects_is_sent_once(data):
     async def main():
-        server = Taking()
-        async with behind(server.serve) as node:
-            up, opened = asyncio.Event(), node.pool.open_connection
+        server = RecordingServer()
+        async with running_node(server.serve) as node:
+            up, open_connection = asyncio.Event(), node.pool.open_connection
 
-            async def slowly(endpoint):
+            async def open_late(endpoint):
                 await up.wait()
-                return await opened(endpoint)
+                return await open_connection(endpoint)
 
-            node.pool.open_connection = slowly
-            caller = await Caller.to(node)
-            end = len(data) - 5  # handed on with the last byte of its body due, or the last chunk
-            caller.writer.write(data[:end])
+            node.pool.open_connection = open_late
+            client = await Caller.to(node)
+            end = len(data) - 5  # dispatched before its last bytes, or its last chunk, arrive
+            client.writer.write(data[:end])
             await until(lambda: node.listener.connections)
             (connection,) = node.listener.connections
-            coming = connection._parser
-            await until(lambda: coming.request and coming.request.body.size >= HIGH_WATER_BYTES - 5)
+            parser = connection._parser
+            await until(lambda: parser.request and parser.request.body.size >= HIGH_WATER_BYTES - 5)
             connection._transport.resume_reading()
-            caller.writer.write(data[end:])
-            await until(lambda: coming.request is None)
+            client.writer.write(data[end:])
+            await until(lambda: parser.request is None)
             up.set()
-            assert (await caller.answer()).status == 200
+            assert (await client.answer()).status == 200
             assert server.bodies == [LONG[:HIGH_WATER_BYTES]]
             assert node.pool.connection_count == 1
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_a_server_that_reads_slowly_holds_the_caller():
+def test_slow_server_pauses_the_client():
     async def main():
         go_on = asyncio.Event()
 
@@ -532,10 +532,10 @@
             writer.write(reply())
             await reader.read()
 
-        async with behind(serve) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request("post", "q1", bytes(16 * MIB)))
-            # not only its first bytes held back, as they are while the attempt still connects
+        async with running_node(serve) as node:
+            client = await Caller.to(node)
+            client.writer.write(request("post", "q1", bytes(16 * MIB)))
+            # Wait for the pause by the slow server, not the one while the attempt is still connecting.
             await until(
                 lambda: [
                     c
@@ -545,34 +545,34 @@
             )
             (connection,) = node.listener.connections
             assert connection._read_control.body_paused
-            node.listener.expire(node.loop.time() + 60.0)  # not the caller's fault
+            node.listener.expire(node.loop.time() + 60.0)  # the client is not overdue
             assert node.listener.expired == 0
             go_on.set()
-            assert (await caller.answer()).status == 200
-            caller.writer.close()
+            assert (await client.answer()).status == 200
+            client.writer.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("how", ["leaves", "stalls", "breaks its chunks"])
-def test_a_caller_that_does_not_finish_a_long_request_gives_the_attempt_up_unsent(how):
+@pytest.mark.parametrize("failure", ["disconnects", "stalls", "sends invalid chunks"])
+def test_incomplete_long_request_ends_its_attempt_unsent(failure):
     async def main():
-        server = Taking()
-        async with behind(server.serve) as node:
-            caller = await Caller.to(node)
+        server = RecordingServer()
+        async with running_node(server.serve) as node:
+            client = await Caller.to(node)
             data = chunked(LONG)
-            caller.writer.write(data[:MIB])
+            client.writer.write(data[:MIB])
             await until(lambda: server.heads)
-            if how == "leaves":
-                caller.writer.transport.abort()
-            elif how == "stalls":
+            if failure == "disconnects":
+                client.writer.transport.abort()
+            elif failure == "stalls":
                 await until(lambda: not node.listener.connections or node.request_registry.receiving)
                 node.listener.expire(node.loop.time() + 60.0)
-                assert (await caller.answer()).status == 408
+                assert (await client.answer()).status == 408
             else:
-                caller.writer.write(b"\r\nnonsense\r\n" * 100_000)
-                assert (await caller.answer()).status == 400
-            await until(lambda: server.lost and not node.request_registry.active)
+                client.writer.write(b"\r\nnonsense\r\n" * 100_000)
+                assert (await client.answer()).status == 400
+            await until(lambda: server.incomplete and not node.request_registry.active)
             assert not server.bodies
             assert len(server.heads) == 1
             assert (
@@ -588,31 +588,31 @@
     asyncio.run(main())
 
 
-def test_a_long_request_that_cannot_connect_goes_to_another_server_from_its_start():
+def test_long_request_is_retried_from_its_start_after_connect_failed():
     async def main():
-        server, gone = Taking(), Peer()
-        await gone.start()
-        gone._server.close()
-        await gone._server.wait_closed()
-        async with behind(server.serve) as node:
-            node.pool.set_endpoint("gone", ("127.0.0.1", gone.port))
+        server, stopped = RecordingServer(), Peer()
+        await stopped.start()
+        stopped._server.close()
+        await stopped._server.wait_closed()
+        async with running_node(server.serve) as node:
+            node.pool.set_endpoint("stopped", ("127.0.0.1", stopped.port))
 
             def act(event):
                 if isinstance(event, Request):
-                    return [Send(event.id, "gone")]
-                never = isinstance(event, AttemptOutcome) and event.result is AttemptResult.CONNECT_FAILED
-                return [Send(event.id, "s0")] if never else []
+                    return [Send(event.id, "stopped")]
+                unsent = isinstance(event, AttemptOutcome) and event.result is AttemptResult.CONNECT_FAILED
+                return [Send(event.id, "s0")] if unsent else []
 
             node.driver.balancer = Scripted(act)
-            caller = await Caller.to(node)
-            assert (await caller.ask(request("post", "q1", LONG))).status == 200
+            client = await Caller.to(node)
+            assert (await client.ask(request("post", "q1", LONG))).status == 200
             assert server.bodies == [LONG]
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_a_long_request_turned_away_once_its_start_is_not_held_is_refused():
+def test_rejected_long_request_whose_body_is_not_replayable_gets_503():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -620,36 +620,36 @@
             writer.write(reply(503, Srv_Declined="1"))
             await reader.read()
 
-        async with behind(serve) as node:
-            answer = await ask(node, request("post", "q1", LONG))
-            assert answer.status == 503
+        async with running_node(serve) as node:
+            response = await ask(node, request("post", "q1", LONG))
+            assert response.status == 503
             assert not node.request_registry.active
 
     asyncio.run(main())
 
 
-def test_an_answer_before_the_requests_end_is_passed_on_and_ends_the_connection():
+def test_response_before_the_end_of_the_request_closes_the_client_connection():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(reply(503, Srv_Declined="1"))
             await reader.read()
 
-        async with behind(serve) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request("post", "q1", LONG)[:MIB])
-            answer = await caller.answer()
-            assert (answer.status, answer.headers["connection"]) == (503, "close")
+        async with running_node(serve) as node:
+            client = await Caller.to(node)
+            client.writer.write(request("post", "q1", LONG)[:MIB])
+            response = await client.answer()
+            assert (response.status, response.headers["connection"]) == (503, "close")
             assert (node.request_registry.unanswered, node.request_registry.receiving) == (0, 0)
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_more_long_requests_than_memory_allows_are_refused():
+def test_long_requests_beyond_the_memory_limit_are_rejected():
     async def main():
-        server = Taking()
-        async with behind(server.serve, limits={"memory_mb": 1, "sockets": 1024}) as node:
+        server = RecordingServer()
+        async with running_node(server.serve, limits={"memory_mb": 1, "sockets": 1024}) as node:
             assert node.request_registry.max_receiving == 1
             first = await Caller.to(node)
             first.writer.write(request("post", "q1", LONG)[:MIB])
@@ -668,33 +668,33 @@
 def test_a_chunked_request_past_the_limit_gets_413(monkeypatch):
     async def main():
         monkeypatch.setattr(request_parser_module, "MAX_BODY_BYTES", MIB)
-        server = Taking()
-        async with behind(server.serve) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(chunked(LONG))
-            assert (await caller.answer()).status == 413
+        server = RecordingServer()
+        async with running_node(server.serve) as node:
+            client = await Caller.to(node)
+            client.writer.write(chunked(LONG))
+            assert (await client.answer()).status == 413
             await until(lambda: not node.request_registry.active)
             assert not server.bodies
 
     asyncio.run(main())
 
 
-def test_in_the_module_a_request_still_coming_in_is_no_load_and_its_latency_starts_at_its_end():
+def test_balancer_counts_a_request_as_load_only_from_its_last_byte():
     bed = Bed(2)
-    acts = bed.give(Request("r", "post", bed.now + 2000.0, receiving=True))
-    (send,) = sent(acts)
-    peer = bed.brain.endpoints[send.server]
-    assert (peer.in_flight, peer.attempts_sent_ms) == (0.0, {})
+    actions = bed.give(Request("r", "post", bed.now + 2000.0, receiving=True))
+    (send,) = sent(actions)
+    endpoint = bed.brain.endpoints[send.server]
+    assert (endpoint.in_flight, endpoint.attempts_sent_ms) == (0.0, {})
     bed.now += 60_000.0
     bed.give(RequestReceived("r", bed.now + 2000.0))
-    assert peer.in_flight == 1.0
-    assert list(peer.attempts_sent_ms.values()) == [bed.now]
+    assert endpoint.in_flight == 1.0
+    assert list(endpoint.attempts_sent_ms.values()) == [bed.now]
     bed.now += 100.0
     bed.end("r", send.server, AttemptResult.OK, 100.0)
-    assert (peer.in_flight, peer.attempts_sent_ms, bed.brain.pending) == (0.0, {}, {})
+    assert (endpoint.in_flight, endpoint.attempts_sent_ms, bed.brain.pending) == (0.0, {}, {})
 
 
-def test_in_the_module_a_request_that_never_arrives_leaves_no_load_behind():
+def test_balancer_counts_no_load_for_a_request_that_is_never_completed():
     bed = Bed(2)
     (send,) = sent(bed.give(Request("r", "post", bed.now + 2000.0, receiving=True)))
     bed.give(RequestCancelled("r"))
--- a/tests/node/test_nodes.py
+++ b/tests/node/test_nodes.py
@@ -1,4 +1,4 @@
-"""Node processes together under faults, and the stand-in servers their tests rely on."""
+"""Node processes together under faults, and the stub servers their tests rely on."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.support.load import Load
 from tests.support.node_processes import Nodes
 from tests.support.registry_processes import Registry, until
-from tests.support.stand_in_servers import Conduct, ServerPool
+from tests.support.stub_servers import Behaviour, StubServerPool
 
 
 def test_a_node_killed_and_one_frozen_cost_only_their_own_requests_and_repeat_none(tmp_path: Path) -> None:
-    pool, registry = ServerPool(3, latency_ms=2.0), Registry(tmp_path, ttl_ms=60_000)
+    pool, registry = StubServerPool(3, latency_ms=2.0), Registry(tmp_path, ttl_ms=60_000)
     nodes = Nodes(tmp_path, registry, 3, known=[], row=lambda at: {"state": str(tmp_path / f"n{at}.state")})
     load = None
     try:
@@ -51,8 +51,8 @@
         lost = {o.port for o in load.outcomes.values() if o.status == 0}
         assert lost <= {nodes[1].port, nodes[2].port}
         answered = {name for name, outcome in load.outcomes.items() if outcome.status == 200}
-        assert answered <= pool.reached.keys()
-        assert pool.most() == 1, "a single-shot request reached servers twice"
+        assert answered <= pool.servers_reached.keys()
+        assert pool.max_attempts() == 1, "a single-shot request reached servers twice"
     finally:
         if load is not None:
             load.finish()
@@ -61,20 +61,20 @@
         pool.close()
 
 
-@pytest.mark.parametrize(("conduct", "status"), [("answer", 200), ("fail", 500), ("drop", 0), ("hang", 0)])
-def test_a_stand_in_server_does_as_told_and_notes_the_call(conduct: Conduct, status: int) -> None:
-    pool = ServerPool(2)
+@pytest.mark.parametrize(("behaviour", "status"), [("answer", 200), ("fail", 500), ("drop", 0), ("hang", 0)])
+def test_stub_server_follows_its_behaviour_and_records_the_request(behaviour: Behaviour, status: int) -> None:
+    pool = StubServerPool(2)
     connection = http.client.HTTPConnection("127.0.0.1", pool.port(1), timeout=0.2)
     try:
-        pool.set(1, conduct)
+        pool.set_behaviour(1, behaviour)
         connection.request("GET", "/read/1", headers={"Req-Id": "a"})
         try:
             found = connection.getresponse().status
         except (OSError, http.client.HTTPException):
             found = 0
         assert found == status
-        assert pool.reached == {"a": ["s1"]}
-        assert pool.hits == {"s1": 1}
+        assert pool.servers_reached == {"a": ["s1"]}
+        assert pool.request_counts == {"s1": 1}
     finally:
         connection.close()
         pool.close()
--- a/tests/node/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -27,7 +27,7 @@
 from tests.support.loopback import until as reached
 from tests.support.node_processes import Node
 from tests.support.registry_processes import ROOT, until
-from tests.support.stand_in_servers import ServerPool
+from tests.support.stub_servers import StubServerPool
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 LONGEST_S = 0.3  # deadline of the short-lived class
@@ -67,9 +67,9 @@
 
 
 @contextlib.contextmanager
-def serving(folder: Path, pool: ServerPool, **row: Any) -> Iterator[Node]:
+def serving(folder: Path, pool: StubServerPool, **row: Any) -> Iterator[Node]:
     """A node that is ready."""
-    node = Node(folder, pool.known(), **row)
+    node = Node(folder, pool.known_targets(), **row)
     node.start()
     try:
         yield node
@@ -80,8 +80,8 @@
 
 
 @pytest.fixture(scope="module")
-def pool() -> Iterator[ServerPool]:
-    servers = ServerPool(2)
+def pool() -> Iterator[StubServerPool]:
+    servers = StubServerPool(2)
     yield servers
     servers.close()
 
@@ -123,20 +123,20 @@
 
 def test_a_request_that_comes_as_the_process_ends_is_answered_on_a_connection_still_open(tmp_path):
     """Half of it lies in the node as the time ends, the rest comes then; the other is whole and unread."""
-    servers = ServerPool(1)
-    servers.set(0, "hang")
+    servers = StubServerPool(1)
+    servers.set_behaviour(0, "hang")
     try:
         with serving(tmp_path, servers, settings={"categories": SHORT}) as node:
             half, busy = connect(node), connect(node)
             busy.sendall(request(name="held"))
-            until(lambda: servers.hits["s0"] == 1)
+            until(lambda: servers.request_counts["s0"] == 1)
             told = time.monotonic()
             node.send(signal.SIGTERM)
             until(lambda: draining(node))
             half.sendall(request(name="half")[:20])
             with connect(node) as late:
                 late.sendall(request(name="late"))
-                until(lambda: servers.hits["s0"] == 2)  # which have been read by then
+                until(lambda: servers.request_counts["s0"] == 2)  # which have been read by then
                 with frozen(node):
                     wait_for(told + 1.1)
                     half.sendall(request(name="half")[20:])
@@ -175,23 +175,23 @@
 
 
 def test_a_burst_and_sigterm_in_one_turn_of_a_hand_over_lose_no_request(tmp_path):
-    servers = ServerPool(1)
+    servers = StubServerPool(1)
     raw = socket.create_server(("127.0.0.1", 0))
-    old, new = (Node(tmp_path, servers.known(), settings={"categories": LONG}) for _ in range(2))
+    old, new = (Node(tmp_path, servers.known_targets(), settings={"categories": LONG}) for _ in range(2))
     try:
         start_on(old, raw, tmp_path)
-        servers.set(0, "hang")
+        servers.set_behaviour(0, "hang")
         with contextlib.ExitStack() as stack:
             held = stack.enter_context(connect(old))
             held.sendall(request(name="held"))
-            until(lambda: servers.hits["s0"] == 1)
+            until(lambda: servers.request_counts["s0"] == 1)
             with frozen(old):
                 callers = [stack.enter_context(connect(old)) for _ in range(150)]
                 for at, caller in enumerate(callers):
                     caller.sendall(request(name=f"q{at}"))
                 old.send(signal.SIGTERM)
             start_on(new, raw, tmp_path)
-            servers.set(0, "answer")
+            servers.set_behaviour(0, "answer")
             assert status(held) == 200
             assert [status(caller) in (200, 503) for caller in callers].count(False) == 0
         assert ended(old) == 0
@@ -231,7 +231,7 @@
 
 def test_sigterm_in_the_instant_of_the_start_is_no_crash_and_loses_nothing(tmp_path, pool):
     """The process is stopped as soon as it listens, which is before it serves."""
-    node = Node(tmp_path, pool.known(), settings={"registryMode": "push"})
+    node = Node(tmp_path, pool.known_targets(), settings={"registryMode": "push"})
     try:
         node.launch()
         until(lambda: connected(node), what="listening")
@@ -277,7 +277,7 @@
 
         with ThreadPoolExecutor(8) as threads:
             clients = [threads.submit(client, at) for at in range(8)]
-            until(lambda: sum(pool.hits.values()) > 50)
+            until(lambda: sum(pool.request_counts.values()) > 50)
             node.send(signal.SIGTERM)
             assert {code for done in clients for code in done.result(20)} <= {200, 503}
         assert ended(node) == 0
--- a/tests/node/upstream/test_writes.py
+++ b/tests/node/upstream/test_attempt_writes.py
@@ -1,4 +1,4 @@
-"""Whether an attempt may still be written: every reason not to, put in place just before its first byte."""
+"""When an attempt must not be written: each reason occurs just before the first byte would be written."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from loadbalancer.node.upstream.pool import ConnectionPool
 from tests.support.loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
 
-DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
-LEAVINGS = ("closes", "resets", "half-closes")
-CANCELS = pytest.mark.parametrize("cancel", [True, False])
+REQUEST = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
+DISCONNECTS = ("closes", "resets", "half-closes")
+WITH_AND_WITHOUT_CANCEL = pytest.mark.parametrize("cancel", [True, False])
 
 
-class Leaver:
-    """A client on a plain socket: what it does is in the kernel at once, before the node's loop turns."""
+class DisconnectingClient:
+    """A client on a plain socket; its actions reach the node's kernel before the node's loop runs again."""
 
     def __init__(self, node: Node, data: bytes, how: str = "closes") -> None:
         self._how = how
         self._socket = socket.create_connection(node.listener.address)
         self._socket.sendall(data)
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         if self._how == "half-closes":
             self._socket.shutdown(socket.SHUT_WR)
             return
@@ -48,79 +48,79 @@
 
 
 class LateConnections:
-    """Connections to servers that come up only when told, and what happens in the very turn they do."""
+    """Delays the pool's new connections until `up` is set; calls `just_before` as each one continues."""
 
     def __init__(self, node: Node, just_before: Callable[[], None] = lambda: None) -> None:
         self.ready = 0
         self.up = asyncio.Event()
-        opened = node.pool.open_connection
+        open_connection = node.pool.open_connection
 
-        async def late(endpoint):
-            connection = await opened(endpoint)
+        async def open_late(endpoint):
+            connection = await open_connection(endpoint)
             self.ready += 1
             if not self.up.is_set():
                 await self.up.wait()
                 just_before()
             return connection
 
-        node.pool.open_connection = late
+        node.pool.open_connection = open_late
 
 
-async def is_over(node: Node) -> None:
-    """Nothing of any request is left, and its caller's connection is closed."""
+async def wait_until_idle(node: Node) -> None:
+    """Wait until no request is active and all client connections are closed; check that counters are 0."""
     await until(lambda: not node.request_registry.active and not node.listener.connections)
     assert node.request_registry.unanswered == 0
-    assert sum(peer.in_flight for peer in node.driver.balancer.endpoints.values()) == 0.0
+    assert sum(endpoint.in_flight for endpoint in node.driver.balancer.endpoints.values()) == 0.0
 
 
-class Jump:
-    """The loop's clock, which a test sets forward; to be made before the node."""
+class ShiftedClock:
+    """Shifts the event loop's clock forward; must be created before the node."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self._time, self.by = loop.time, 0.0
-        loop.time = lambda: self._time() + self.by  # type: ignore[method-assign]
+        self._time, self.offset_s = loop.time, 0.0
+        loop.time = lambda: self._time() + self.offset_s  # type: ignore[method-assign]
 
-    def forward(self, by: float) -> None:
-        self.by = by
+    def advance_to(self, offset_s: float) -> None:
+        self.offset_s = offset_s
 
 
-def can(cancel: bool) -> dict[str, bool]:
+def bounds(cancel: bool) -> dict[str, bool]:
     return {"cancel": cancel}
 
 
-@CANCELS
-@pytest.mark.parametrize("how", LEAVINGS)
-def test_a_client_that_left_before_its_request_was_read_is_not_sent_on(how, cancel, monkeypatch):
+@WITH_AND_WITHOUT_CANCEL
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_request_is_not_sent_if_client_disconnected_before_it_was_read(how, cancel, monkeypatch):
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        async with running(Peer(), bounds=can(cancel)) as node:
-            assert (await ask(node, request(name="q0"))).status == 200  # its connection is kept
-            client = Leaver(node, request(), how)
-            client.leave()  # request and end are there before the connection is accepted
+        async with running(Peer(), bounds=bounds(cancel)) as node:
+            assert (await ask(node, request(name="q0"))).status == 200  # leaves an idle connection
+            client = DisconnectingClient(node, request(), how)
+            client.disconnect()  # request and disconnect precede the accept
             await until(lambda: node.event_counts["client disconnects"])
-            await is_over(node)
+            await wait_until_idle(node)
             assert node.metrics.attempts_sent == 1
             client.close()
 
     asyncio.run(main())
 
 
-@CANCELS
-@pytest.mark.parametrize("seen", [True, False])
-@pytest.mark.parametrize("how", LEAVINGS)
-def test_a_client_that_left_while_its_attempt_connects_is_not_sent_on(how, seen, cancel):
+@WITH_AND_WITHOUT_CANCEL
+@pytest.mark.parametrize("delivered", [True, False])
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_request_is_not_sent_if_client_disconnects_while_connecting(how, delivered, cancel):
     async def main():
-        async with running(Peer(), bounds=can(cancel)) as node:
-            client = Leaver(node, request(), how)
-            late = LateConnections(node, (lambda: None) if seen else client.leave)
+        async with running(Peer(), bounds=bounds(cancel)) as node:
+            client = DisconnectingClient(node, request(), how)
+            late = LateConnections(node, (lambda: None) if delivered else client.disconnect)
             await until(lambda: late.ready)
-            if seen:
-                client.leave()
+            if delivered:
+                client.disconnect()
                 await until(lambda: node.event_counts["client disconnects"])
             late.up.set()
-            await is_over(node)
+            await wait_until_idle(node)
             assert (
                 node.metrics.attempts_sent,
                 node.event_counts["client disconnects"],
@@ -136,26 +136,26 @@
     asyncio.run(main())
 
 
-@CANCELS
-@pytest.mark.parametrize("how", LEAVINGS)
-def test_a_client_that_left_between_two_attempts_is_not_sent_on(how, cancel):
+@WITH_AND_WITHOUT_CANCEL
+@pytest.mark.parametrize("how", DISCONNECTS)
+def test_request_is_not_retried_if_client_disconnects_between_attempts(how, cancel):
     async def main():
         async def script(message):
             return reply(503, Srv_Declined="1")
 
-        async with running(Peer(script), Peer(script), bounds=can(cancel)) as node:
+        async with running(Peer(script), Peer(script), bounds=bounds(cancel)) as node:
             balancer = node.driver.balancer
-            client = Leaver(node, request(), how)
+            client = DisconnectingClient(node, request(), how)
 
             def act(event):
                 if isinstance(event, AttemptOutcome) and event.result is AttemptResult.REJECTED:
-                    client.leave()  # in the turn in which the next attempt is chosen
+                    client.disconnect()  # in the loop iteration that chooses the next attempt
                 return balancer.handle(node.clock.unix_ms(), event)
 
             node.driver.balancer = Scripted(act)
             await until(lambda: node.event_counts["client disconnects"])
             node.driver.balancer = balancer
-            await is_over(node)
+            await wait_until_idle(node)
             assert (node.metrics.attempts_sent, node.event_counts["full"], node.event_counts["error"]) == (
                 1,
                 1,
@@ -166,22 +166,22 @@
     asyncio.run(main())
 
 
-@CANCELS
-@pytest.mark.parametrize("how", LEAVINGS)
+@WITH_AND_WITHOUT_CANCEL
+@pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("size", [HIGH_WATER_BYTES, HIGH_WATER_BYTES + 8192])
-def test_a_client_that_left_while_its_long_body_is_not_read_is_not_sent_on(size, how, cancel):
+def test_long_request_is_not_sent_if_client_disconnects_while_reading_is_paused(size, how, cancel):
     async def main():
         server = Peer()
-        async with running(server, bounds=can(cancel)) as node:
+        async with running(server, bounds=bounds(cancel)) as node:
             data = request("post", "q1", bytes(8 * HIGH_WATER_BYTES))
             late = LateConnections(node)
-            client = Leaver(node, data[: len(data) - 8 * HIGH_WATER_BYTES + size], how)
+            client = DisconnectingClient(node, data[: len(data) - 8 * HIGH_WATER_BYTES + size], how)
             await until(lambda: late.ready)
             (connection,) = node.listener.connections
-            assert connection._read_control.body_paused  # so the loop will see no end
-            client.leave()
+            assert connection._read_control.body_paused  # so the loop delivers no disconnect
+            client.disconnect()
             late.up.set()
-            await is_over(node)
+            await wait_until_idle(node)
             assert (
                 node.metrics.attempts_sent,
                 node.event_counts["client disconnects"],
@@ -197,17 +197,19 @@
     asyncio.run(main())
 
 
-@CANCELS
-def test_a_burst_of_clients_that_left_leaves_nothing_to_write(cancel):
+@WITH_AND_WITHOUT_CANCEL
+def test_nothing_is_sent_for_a_burst_of_disconnected_clients(cancel):
     async def main():
-        async with running(Peer(), Peer(), bounds=can(cancel)) as node:
-            clients = [Leaver(node, request(name=f"q{at}"), LEAVINGS[at % 3]) for at in range(24)]
+        async with running(Peer(), Peer(), bounds=bounds(cancel)) as node:
+            clients = [
+                DisconnectingClient(node, request(name=f"q{at}"), DISCONNECTS[at % 3]) for at in range(24)
+            ]
 
-            def all_leave():
+            def disconnect_all():
                 while clients:
-                    clients.pop().leave()
+                    clients.pop().disconnect()
 
-            late = LateConnections(node, all_leave)
+            late = LateConnections(node, disconnect_all)
             await until(lambda: late.ready + node.event_counts["responses 503"] == 24)
             late.up.set()
             await until(lambda: not node.request_registry.active)
@@ -217,9 +219,9 @@
     asyncio.run(main())
 
 
-def test_of_two_copies_the_one_that_still_connects_is_not_written_after_the_answer():
+def test_connecting_hedged_request_is_not_written_after_the_response():
     async def main():
-        async with running(Peer(), Peer(), bounds=can(False)) as node:
+        async with running(Peer(), Peer(), bounds=bounds(False)) as node:
             assert (await ask(node, request(name="q0"))).status == 200
 
             def act(event):
@@ -227,13 +229,13 @@
                 return both if isinstance(event, Request) else []
 
             node.driver.balancer = scripted = Scripted(act)
-            opened, up = node.pool.open_connection, asyncio.Event()
+            open_connection, up = node.pool.open_connection, asyncio.Event()
             addresses = {server: address for server, (_, address) in node.endpoint_list.endpoints.items()}
 
             async def late(endpoint):
                 if endpoint == addresses["s0"]:
                     await up.wait()
-                return await opened(endpoint)
+                return await open_connection(endpoint)
 
             node.pool.open_connection = late
             assert (await ask(node, request())).status == 200
@@ -246,61 +248,61 @@
     asyncio.run(main())
 
 
-def test_a_written_attempt_is_not_given_up_where_cancelling_is_not_allowed():
+def test_written_attempt_continues_if_cancelling_is_disabled():
     async def main():
         server = Held()
-        async with running(server, bounds=can(False)) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request())
+        async with running(server, bounds=bounds(False)) as node:
+            client = await Caller.to(node)
+            client.writer.write(request())
             await until(lambda: server.seen)
-            caller.writer.close()
+            client.writer.close()
             await until(lambda: node.event_counts["client disconnects"])
             assert node.request_registry.active
             server.release.set()
-            await is_over(node)
+            await wait_until_idle(node)
             assert node.event_counts["ok"] == 1
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize(
-    ("passes_s", "comes_up", "status", "written"),
+    ("elapsed_s", "connects", "status", "written"),
     [(8.5, True, 200, 2), (9.0, True, 502, 1), (9.0, False, 502, 1)],
 )
-def test_a_repeat_is_not_written_once_its_key_may_be_forgotten(passes_s, comes_up, status, written):
+def test_retry_is_not_written_after_its_idempotency_key_may_expire(elapsed_s, connects, status, written):
     async def main():
-        clock, release = Jump(), asyncio.Event()
+        clock, release = ShiftedClock(), asyncio.Event()
 
         async def script(message):
             await release.wait()
-            return None if node.metrics.attempts_sent < 2 else reply()  # the first is lost, and may have run
+            return None if node.metrics.attempts_sent < 2 else reply()  # the first may have been executed
 
         async with running(Peer(script), Peer(script)) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request("move", "q1", Idempotency_Key="k"))
+            client = await Caller.to(node)
+            client.writer.write(request("move", "q1", Idempotency_Key="k"))
             await until(lambda: node.metrics.attempts_sent)
-            late = LateConnections(node, lambda: clock.forward(passes_s))
+            late = LateConnections(node, lambda: clock.advance_to(elapsed_s))
             release.set()
             await until(lambda: late.ready)
-            if comes_up:
+            if connects:
                 late.up.set()
             else:
-                clock.forward(passes_s)
-            assert (await caller.answer()).status == status
+                clock.advance_to(elapsed_s)
+            assert (await client.answer()).status == status
             assert node.metrics.attempts_sent == written
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_a_repeat_whose_last_byte_is_late_is_given_up_before_it():
+def test_retry_ends_if_its_last_byte_is_not_written_in_time():
     class Source:
         def pause(self) -> None: ...
         def resume(self) -> None: ...
         def abandon(self) -> None: ...
 
     async def main():
-        clock, loop, body = Jump(), asyncio.get_running_loop(), Body(Source())
+        clock, loop, body = ShiftedClock(), asyncio.get_running_loop(), Body(Source())
         server, pool = await Peer().start(), ConnectionPool(10, 10.0, 20.0)
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
@@ -311,7 +313,7 @@
             written_by=loop.time() + 9.0,
         )  # fmt: skip
         await until(lambda: server.connections)
-        clock.forward(9.0)
+        clock.advance_to(9.0)
         await until(lambda: not results.empty())
         assert results.get_nowait() is AttemptResult.CONNECT_FAILED
         body.feed(b"other half")
@@ -324,60 +326,60 @@
     asyncio.run(main())
 
 
-MEANWHILE: dict[str, Callable[[ConnectionPool, Attempt, Jump], None]] = {
-    "its server is drained": lambda pool, attempt, clock: pool.remove_endpoint("s"),
-    "its server moves": lambda pool, attempt, clock: pool.set_endpoint("s", ("127.0.0.1", 1)),
-    "its server was restarted": lambda pool, attempt, clock: pool.set_endpoint(
+EVENTS: dict[str, Callable[[ConnectionPool, Attempt, ShiftedClock], None]] = {
+    "endpoint removed": lambda pool, attempt, clock: pool.remove_endpoint("s"),
+    "endpoint address changed": lambda pool, attempt, clock: pool.set_endpoint("s", ("127.0.0.1", 1)),
+    "server restarted": lambda pool, attempt, clock: pool.set_endpoint(
         "s", pool._endpoints["s"].address, 5.0
     ),
-    "it is cancelled": lambda pool, attempt, clock: attempt.cancel(),
-    "it is withdrawn": lambda pool, attempt, clock: attempt.withdraw(),
-    "its time is up": lambda pool, attempt, clock: clock.forward(5.0),
+    "attempt cancelled": lambda pool, attempt, clock: attempt.cancel(),
+    "attempt withdrawn": lambda pool, attempt, clock: attempt.withdraw(),
+    "deadline passed": lambda pool, attempt, clock: clock.advance_to(5.0),
 }
 
 
-@pytest.mark.parametrize("when", ["as the connection is made", "once it is up", "as the attempt hears of it"])
-@pytest.mark.parametrize("what", MEANWHILE)
-def test_what_happens_in_the_turn_in_which_a_connection_comes_up_keeps_it_unwritten(what, when, monkeypatch):
+@pytest.mark.parametrize("when", ["connection made", "connection open", "attempt notified"])
+@pytest.mark.parametrize("event", EVENTS)
+def test_event_in_the_iteration_that_opens_a_connection_prevents_the_write(event, when, monkeypatch):
     async def main():
-        clock, loop = Jump(), asyncio.get_running_loop()
+        clock, loop = ShiftedClock(), asyncio.get_running_loop()
         server, pool = await Peer().start(), ConnectionPool(10, 10.0, 20.0)
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
         attempt = pool.start_attempt(
-            "s", lambda wait: DATA, 5.0, lambda result, _: results.put_nowait(result)
+            "s", lambda wait: REQUEST, 5.0, lambda result, _: results.put_nowait(result)
         )
         assert attempt is not None
-        made, opened = ClientConnection.connection_made, pool.open_connection
-        crossed = []
+        made, open_connection = ClientConnection.connection_made, pool.open_connection
+        occurred = []
 
-        def cross() -> None:
-            crossed.append(what)
-            MEANWHILE[what](pool, attempt, clock)
+        def occur() -> None:
+            occurred.append(event)
+            EVENTS[event](pool, attempt, clock)
 
         def connection_made(self, transport):
             made(self, transport)
-            if when == "as the connection is made":
-                cross()
-            elif when == "once it is up":
-                loop.call_soon(cross)  # after the waiter is told, before the task that waits goes on
+            if when == "connection made":
+                occur()
+            elif when == "connection open":
+                loop.call_soon(occur)  # after the future is resolved, before the awaiting task continues
 
         async def open_(endpoint):
-            connection = await opened(endpoint)
-            if when == "as the attempt hears of it":
-                cross()
+            connection = await open_connection(endpoint)
+            if when == "attempt notified":
+                occur()
             return connection
 
         monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
         monkeypatch.setattr(pool, "open_connection", open_)
-        expected = {"it is cancelled": {"cancelled"}, "its time is up": {"moot", "connect_failed"}}
+        expected = {"attempt cancelled": {"cancelled"}, "deadline passed": {"moot", "connect_failed"}}
         await until(lambda: not results.empty())
-        assert results.get_nowait().value in expected.get(what, {"connect_failed"})
+        assert results.get_nowait().value in expected.get(event, {"connect_failed"})
         pool.disable_keep_alive()
         await until(lambda: not pool.connection_count)
-        await until(lambda: server.connections)  # the kernel has it; the server's loop may accept it later
+        await until(lambda: server.connections)  # already in the kernel; accepted later
         await until(lambda: not any(writer.transport.is_reading() for writer in server._writers))
-        assert (server.connections, crossed, server.seen) == (1, [what], [])
+        assert (server.connections, occurred, server.seen) == (1, [event], [])
         assert results.empty()
         pool.close()
         server.stop()
@@ -388,18 +390,18 @@
 @pytest.mark.parametrize(
     "fault", [RuntimeError("x"), OverflowError("port"), UnicodeError("host"), TimeoutError()]
 )
-def test_whatever_a_connection_fails_with_its_attempt_has_not_run_and_says_so(fault):
+def test_any_connect_error_ends_the_attempt_as_connect_failed(fault):
     async def main():
         server = Peer()
         async with running(server) as node:
-            opened = node.pool.open_connection
+            open_connection = node.pool.open_connection
 
             async def failing(endpoint):
-                node.pool.open_connection = opened
+                node.pool.open_connection = open_connection
                 raise fault
 
             node.pool.open_connection = failing
-            async with asyncio.timeout(15):  # its own time is 30 s
+            async with asyncio.timeout(15):  # the client timeout is 30 s
                 assert (await ask(node, request("post", "q1"))).status == 503
             assert node.event_counts["connect_failed"] == 1
             assert (await ask(node, request("post", "q2"))).status == 200
@@ -407,24 +409,24 @@
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("how", ["ends", "resets", "speaks"])
-def test_a_new_connection_that_its_server_ends_at_once_is_not_written_to(how):
+@pytest.mark.parametrize("action", ["closes", "resets", "sends"])
+def test_new_connection_with_immediate_server_action_is_not_written_to(action):
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             pool, accepted = ConnectionPool(10, 10.0, 20.0), []
             pool.set_endpoint("s", listener.getsockname())
-            opened, results = pool.open_connection, asyncio.Queue[AttemptResult]()
+            open_connection, results = pool.open_connection, asyncio.Queue[AttemptResult]()
 
-            async def ended(endpoint):
-                connection = await opened(endpoint)
+            async def open_and_act(endpoint):
+                connection = await open_connection(endpoint)
                 accepted.append(listener.accept()[0])
-                if how == "resets":
+                if action == "resets":
                     accepted[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                accepted[0].sendall(b"HTTP/1.1 400 x\r\n") if how == "speaks" else accepted[0].close()
+                accepted[0].sendall(b"HTTP/1.1 400 x\r\n") if action == "sends" else accepted[0].close()
                 return connection
 
-            pool.open_connection = ended  # type: ignore[method-assign]
-            pool.start_attempt("s", lambda wait: DATA, 5.0, lambda result, _: results.put_nowait(result))
+            pool.open_connection = open_and_act  # type: ignore[method-assign]
+            pool.start_attempt("s", lambda wait: REQUEST, 5.0, lambda result, _: results.put_nowait(result))
             await until(lambda: not results.empty())
             assert results.get_nowait() is AttemptResult.CONNECT_FAILED
             await until(lambda: not pool.connection_count)
@@ -434,66 +436,66 @@
     asyncio.run(main())
 
 
-def test_with_no_descriptor_left_a_request_is_refused_as_never_run_and_later_ones_are_served():
+def test_request_without_free_descriptors_gets_503_and_later_ones_are_served():
     async def main():
         async with running(Peer(), Peer()) as node:
-            caller = await Caller.to(node)
-            before = resource.getrlimit(resource.RLIMIT_NOFILE)
-            taken: list[int] = []
-            resource.setrlimit(resource.RLIMIT_NOFILE, (256, before[1]))
+            client = await Caller.to(node)
+            limits_before = resource.getrlimit(resource.RLIMIT_NOFILE)
+            descriptors: list[int] = []
+            resource.setrlimit(resource.RLIMIT_NOFILE, (256, limits_before[1]))
             try:
                 with contextlib.suppress(OSError):
                     while True:
-                        taken.append(os.dup(0))
-                assert (await caller.ask(request("post", "q1"))).status == 503
+                        descriptors.append(os.dup(0))
+                assert (await client.ask(request("post", "q1"))).status == 503
                 assert (node.metrics.attempts_sent, node.event_counts["connect_failed"]) == (0, 2)
             finally:
-                for descriptor in taken:
+                for descriptor in descriptors:
                     os.close(descriptor)
-                resource.setrlimit(resource.RLIMIT_NOFILE, before)
-            assert (await caller.ask(request("post", "q2"))).status == 200
-            caller.writer.close()
+                resource.setrlimit(resource.RLIMIT_NOFILE, limits_before)
+            assert (await client.ask(request("post", "q2"))).status == 200
+            client.writer.close()
 
     asyncio.run(main())
 
 
-@CANCELS
+@WITH_AND_WITHOUT_CANCEL
 @pytest.mark.parametrize(
-    ("kind", "seen", "statuses"),
+    ("kind", "delivered", "statuses"),
     [("read", True, (503, 200)), ("read", False, (503, 200)), ("post", True, (502, 502)),
      ("post", False, (502, 502)), ("move", True, (502, 502)), ("move", False, (502, 502))],
 )  # fmt: skip
-def test_an_id_that_comes_again_after_its_caller_left_has_no_second_effect(kind, seen, statuses, cancel):
-    """`statuses`: without cancelling, as its attempt is still out, and with it."""
+def test_repeated_id_after_disconnect_has_no_second_effect(kind, delivered, statuses, cancel):
+    """`statuses`: without cancelling, while the first attempt is still in flight; and with cancelling."""
 
     async def main():
         server = Held()
-        async with running(server, bounds=can(cancel)) as node:
+        async with running(server, bounds=bounds(cancel)) as node:
             data = request(kind, "q1", Idempotency_Key="k")
-            client = Leaver(node, data)
+            client = DisconnectingClient(node, data)
             await until(lambda: server.seen)
-            again = await Caller.to(node)
-            client.leave()
-            if seen:
+            second = await Caller.to(node)
+            client.disconnect()
+            if delivered:
                 await until(lambda: node.event_counts["client disconnects"])
-            again.writer.write(data)
+            second.writer.write(data)
             server.script = None
-            assert (await again.answer()).status == statuses[cancel]
+            assert (await second.answer()).status == statuses[cancel]
             server.release.set()
             await until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 1 + (statuses[cancel] == 200)
-            again.writer.close()
+            second.writer.close()
 
     asyncio.run(main())
 
 
-def test_an_id_that_comes_again_is_served_if_nothing_of_it_was_written_before():
+def test_repeated_id_is_served_if_the_first_request_was_not_written():
     async def main():
-        async with running(Peer(), bounds=can(False)) as node:
-            client = Leaver(node, request("post", "q1"))
+        async with running(Peer(), bounds=bounds(False)) as node:
+            client = DisconnectingClient(node, request("post", "q1"))
             late = LateConnections(node)
             await until(lambda: late.ready)
-            client.leave()
+            client.disconnect()
             late.up.set()
             await until(lambda: node.event_counts["client disconnects"])
             assert (await ask(node, request("post", "q1"))).status == 200
@@ -505,41 +507,40 @@
 @pytest.mark.parametrize(
     ("kind", "status", "written"), [("read", 503, 1), ("post", 504, 1), ("move", 504, 1)]
 )
-def test_a_server_that_hangs_in_its_work_past_the_aim_is_given_up_and_its_request_not_sent_again(
-    kind, status, written
-):
+def test_request_to_hanging_server_is_not_retried_after_its_latency_objective(kind, status, written):
     async def main():
-        clock = Jump()
+        clock = ShiftedClock()
 
         async def script(message):
             if node.metrics.attempts_sent < 2:
                 await asyncio.Event().wait()
             return reply()
 
-        async with running(Peer(script), Peer(script), bounds=can(False)) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request(kind, "q1", Idempotency_Key="k"))
+        async with running(Peer(script), Peer(script), bounds=bounds(False)) as node:
+            client = await Caller.to(node)
+            client.writer.write(request(kind, "q1", Idempotency_Key="k"))
             await until(lambda: node.metrics.attempts_sent)
-            clock.forward(19.7)  # past the aim, after which it earns nothing, and the window for repeats
-            assert (await caller.answer()).status == status
+            # Past the latency objective, after which a response has no value, and past the retry window.
+            clock.advance_to(19.7)
+            assert (await client.answer()).status == status
             assert node.metrics.attempts_sent == written
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("then", ["cancel", "withdraw"])
-def test_an_attempt_for_which_there_is_no_room_has_one_result_whatever_comes_before_it_is_told(then):
+@pytest.mark.parametrize("method", ["cancel", "withdraw"])
+def test_attempt_without_pool_capacity_has_one_result(method):
     async def main():
         pool, results = ConnectionPool(0, 10.0, 20.0), []
         pool.set_endpoint("s", ("127.0.0.1", 1))
-        attempt = pool.start_attempt("s", lambda wait: DATA, 5.0, lambda result, _: results.append(result))
+        attempt = pool.start_attempt("s", lambda wait: REQUEST, 5.0, lambda result, _: results.append(result))
         assert attempt is not None
         assert results == []
-        getattr(attempt, then)()
+        getattr(attempt, method)()
         for _ in range(3):
             await asyncio.sleep(0)
-        expected = AttemptResult.CANCELLED if then == "cancel" else AttemptResult.CONNECT_FAILED
+        expected = AttemptResult.CANCELLED if method == "cancel" else AttemptResult.CONNECT_FAILED
         assert results == [expected]
         pool.close()
 
--- a/tests/node/upstream/test_pooled.py
+++ b/tests/node/upstream/test_pooled.py
@@ -1,4 +1,4 @@
-"""Pooled connections at rare moments: what comes between two steps of the node, put there by a raw socket."""
+"""Races on pooled connections: a raw server socket acts between two steps of the node."""
 
 from __future__ import annotations
 
@@ -12,253 +12,267 @@
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.http.client_connection import ClientConnection
 from tests.support.loopback import reply, until
-from tests.support.pooled import ACTS, BIG, DATA, Coming, Full, act, bed, close, heard
+from tests.support.pool_environment import (
+    LARGE_SIZE,
+    REQUEST,
+    SERVER_ACTIONS,
+    PausingSink,
+    RecordingSource,
+    close_socket,
+    perform,
+    pool_environment,
+    receive,
+)
 
 
-def test_a_connection_whose_last_answer_was_held_to_its_end_is_read_on():
-    """A slow reader may stop the reading with the very last bytes; nobody would start it again."""
+def test_connection_reads_again_after_its_body_was_paused_at_the_last_byte():
+    """A slow client can pause reading at the last bytes of a response; nothing would resume it then."""
 
     async def main():
-        async with bed() as here:
-            peer = await here.asked()
-            peer.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (HIGH_WATER_BYTES + 1))
-            peer.sendall(bytes(HIGH_WATER_BYTES))
-            await here.end()
-            sink = Full(here.answers[0].stream)
+        async with pool_environment() as env:
+            server = await env.receive_request()
+            server.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (HIGH_WATER_BYTES + 1))
+            server.sendall(bytes(HIGH_WATER_BYTES))
+            await env.wait_for_results()
+            sink = PausingSink(env.responses[0].stream)
             assert sink.size
-            sink.body.resume()  # the reader has taken that
-            peer.sendall(b"x")
-            await until(lambda: sink.said == ["end"])
+            sink.body.resume()  # the client has read the first part
+            server.sendall(b"x")
+            await until(lambda: sink.calls == ["end"])
             assert sink.size == HIGH_WATER_BYTES + 1
-            (connection,) = here.idle
+            (connection,) = env.idle
             assert connection._transport.is_reading()
             connection.idle_since -= 1.0
-            here.send()
-            assert await heard(peer) == DATA
-            peer.sendall(reply())
-            assert await here.end(2) == [AttemptResult.OK, AttemptResult.OK]
+            env.send()
+            assert await receive(server) == REQUEST
+            server.sendall(reply())
+            assert await env.wait_for_results(2) == [AttemptResult.OK, AttemptResult.OK]
 
     asyncio.run(main())
 
 
-# ------------------------------------------------------------ as a connection is taken
+# ------------------------------------------------------------ reuse of an idle connection
 
 
-@pytest.mark.parametrize("how", ACTS)
-@pytest.mark.parametrize("seen", [True, False])  # by the event loop
-def test_what_came_on_a_resting_connection_sends_the_request_on_another(how, seen):
+@pytest.mark.parametrize("action", SERVER_ACTIONS)
+@pytest.mark.parametrize("delivered", [True, False])  # by the event loop
+def test_request_avoids_idle_connection_after_server_action(action, delivered):
     async def main():
-        async with bed() as here:
-            peer, connection = await here.rested()
-            act(peer, how, connection)
-            if seen:
-                await until(lambda: not here.pool.connection_count)
-            here.send()
-            second = await here.accept()
-            assert await heard(second) == DATA
+        async with pool_environment() as env:
+            server, connection = await env.open_idle()
+            perform(server, action, connection)
+            if delivered:
+                await until(lambda: not env.pool.connection_count)
+            env.send()
+            second = await env.accept()
+            assert await receive(second) == REQUEST
             second.sendall(reply())
-            assert await here.end() == [AttemptResult.OK]
-            assert here.answers[0].body == b"done"
-            if how in ("half", "second"):  # of the request nothing was sent here
-                assert await heard(peer) == b""
-            await until(lambda: here.pool.connection_count == 1)
+            assert await env.wait_for_results() == [AttemptResult.OK]
+            assert env.responses[0].body == b"done"
+            if action in ("partial response", "second response"):  # the first connection got no request
+                assert await receive(server) == b""
+            await until(lambda: env.pool.connection_count == 1)
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize(
-    ("how", "expected"),
-    [("end", AttemptResult.RESET), ("reset", AttemptResult.CONNECT_FAILED), ("half", AttemptResult.RESET)],
+    ("action", "expected"),
+    [
+        ("close", AttemptResult.RESET),
+        ("reset", AttemptResult.CONNECT_FAILED),
+        ("partial response", AttemptResult.RESET),
+    ],
 )
-def test_what_comes_between_the_last_look_and_the_write_never_passes_for_an_answer(how, expected):
-    """A reset fails the write itself: nothing has left. After an end the bytes leave, so it may have run."""
+def test_data_between_the_last_check_and_the_write_is_not_taken_for_a_response(action, expected):
+    """A reset fails the write, so nothing was sent. After a close the bytes are sent: possibly executed."""
 
     async def main():
-        async with bed() as here:
-            peer, connection = await here.rested()
+        async with pool_environment() as env:
+            server, connection = await env.open_idle()
 
-            def data(wait: float) -> bytes:
-                act(peer, how, connection)
-                return DATA
+            def encode_request(timeout_s: float) -> bytes:
+                perform(server, action, connection)
+                return REQUEST
 
-            here.pool.start_attempt("s", data, 20.0, lambda result, _: here.ends.append(result))
-            if how == "half":
-                peer.sendall(reply())
-            assert await here.end() == [expected]
-            await until(lambda: not here.pool.connection_count)
+            env.pool.start_attempt("s", encode_request, 20.0, lambda result, _: env.results.append(result))
+            if action == "partial response":
+                server.sendall(reply())
+            assert await env.wait_for_results() == [expected]
+            await until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("how", ["end", "reset", "half"])
-def test_what_comes_after_the_write_may_have_run(how):
+@pytest.mark.parametrize("action", ["close", "reset", "partial response"])
+def test_connection_end_after_the_write_counts_as_possibly_executed(action):
     async def main():
-        async with bed() as here:
-            peer, connection = await here.rested()
-            here.send()
-            act(peer, how, connection)
-            if how == "half":
-                close(peer, reset=True)
-            assert await here.end() == [AttemptResult.RESET]
-            await until(lambda: not here.pool.connection_count)
+        async with pool_environment() as env:
+            server, connection = await env.open_idle()
+            env.send()
+            perform(server, action, connection)
+            if action == "partial response":
+                close_socket(server, reset=True)
+            assert await env.wait_for_results() == [AttemptResult.RESET]
+            await until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("how", ACTS)
-def test_what_comes_on_a_new_connection_before_the_request_leaves_it_unsent(how, monkeypatch):
-    """Guard: an end that was there before the write made a reset of what had never run."""
+@pytest.mark.parametrize("action", SERVER_ACTIONS)
+def test_server_action_on_new_connection_before_the_write_leaves_request_unsent(action, monkeypatch):
+    """Regression: a close before the write was reported as RESET, although the request was never sent."""
 
     async def main():
-        async with bed() as here:
-            made = ClientConnection.connection_made
+        async with pool_environment() as env:
+            original = ClientConnection.connection_made
 
             def connection_made(self: ClientConnection, transport: asyncio.BaseTransport) -> None:
-                made(self, transport)
-                peer, _ = here.listener.accept()
-                here.peers.append(peer)
-                act(peer, how, self)
+                original(self, transport)
+                server, _ = env.listener.accept()
+                env.servers.append(server)
+                perform(server, action, self)
 
             monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
-            here.send()
-            assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.connection_count)
-            if how in ("half", "second"):
-                assert await heard(here.peers[0]) == b""
+            env.send()
+            assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
+            await until(lambda: not env.pool.connection_count)
+            if action in ("partial response", "second response"):
+                assert await receive(env.servers[0]) == b""
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("how", ["cancel", "remove"])
-def test_a_connection_that_comes_up_as_its_attempt_is_given_up_is_closed_unused(how, monkeypatch):
+@pytest.mark.parametrize("action", ["cancel", "remove"])
+def test_connection_that_opens_as_its_attempt_ends_is_closed_unused(action, monkeypatch):
     async def main():
-        async with bed() as here:
-            made = ClientConnection.connection_made
+        async with pool_environment() as env:
+            original = ClientConnection.connection_made
 
             def connection_made(self: ClientConnection, transport: asyncio.BaseTransport) -> None:
-                made(self, transport)
-                (attempt,) = here.pool._endpoints["s"].waiting
-                here.pool.remove_endpoint("s") if how == "remove" else attempt.cancel()
+                original(self, transport)
+                (attempt,) = env.pool._endpoints["s"].waiting
+                env.pool.remove_endpoint("s") if action == "remove" else attempt.cancel()
 
             monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
-            here.send()
-            peer = await here.accept()
-            assert await here.end() == [
-                AttemptResult.CONNECT_FAILED if how == "remove" else AttemptResult.CANCELLED
+            env.send()
+            server = await env.accept()
+            assert await env.wait_for_results() == [
+                AttemptResult.CONNECT_FAILED if action == "remove" else AttemptResult.CANCELLED
             ]
-            await until(lambda: not here.pool.connection_count)
-            assert await heard(peer) == b""
+            await until(lambda: not env.pool.connection_count)
+            assert await receive(server) == b""
 
     asyncio.run(main())
 
 
-# ----------------------------------------------------- before the request is whole
+# ----------------------------------------------------- before the request is complete
 
 
-def test_an_end_before_the_last_byte_is_written_stops_the_request():
-    """Guard: the rest was still written out to a server that had ended its sending, which then ran it."""
+def test_close_before_the_last_byte_is_written_stops_the_request():
+    """Regression: the rest was still written to a server that had half-closed, which then executed it."""
 
     async def main():
-        async with bed() as here:
-            here.send(data=bytes(BIG))
-            peer = await here.accept()
-            size = len(await heard(peer))  # so the node is writing
-            peer.shutdown(socket.SHUT_WR)
-            while data := await heard(peer, 1_000_000):
+        async with pool_environment() as env:
+            env.send(data=bytes(LARGE_SIZE))
+            server = await env.accept()
+            size = len(await receive(server))  # the node has started writing
+            server.shutdown(socket.SHUT_WR)
+            while data := await receive(server, 1_000_000):
                 size += len(data)
-            assert size < BIG
-            assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.connection_count)
+            assert size < LARGE_SIZE
+            assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
+            await until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
 
-def test_a_head_that_the_kernel_does_not_take_whole_holds_the_body():
+def test_head_larger_than_the_socket_buffers_pauses_the_body():
     async def main():
-        async with bed() as here:
-            here.send(data=bytes(BIG), body=Body(source := Coming()))
-            peer = await here.accept()
-            await until(lambda: source.said)
-            assert source.said == ["pause"]
+        async with pool_environment() as env:
+            env.send(data=bytes(LARGE_SIZE), body=Body(source := RecordingSource()))
+            server = await env.accept()
+            await until(lambda: source.calls)
+            assert source.calls == ["pause"]
             size = 0
-            while size < BIG and (data := await heard(peer, 1_000_000)):
+            while size < LARGE_SIZE and (data := await receive(server, 1_000_000)):
                 size += len(data)
-            assert size == BIG
-            await until(lambda: source.said[-1] == "resume")
+            assert size == LARGE_SIZE
+            await until(lambda: source.calls[-1] == "resume")
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("ends", ["after", "before"])  # the body, after or before this answer's own end
-def test_a_200_that_begins_before_the_request_is_whole_is_another_requests(ends):
-    """A server begins once the last byte has come. A second answer come late must not pass for this one's."""
+@pytest.mark.parametrize("body_ends", ["after", "before"])  # after or before the end of this response
+def test_200_that_starts_before_the_request_is_complete_is_rejected(body_ends):
+    """Servers respond after the last byte. A late second response must not be taken for this request's."""
 
     async def main():
-        async with bed() as here:
-            peer, connection = await here.rested()
-            here.send(body=(body := Body(Coming())))
-            assert await heard(peer) == DATA
-            answer = reply(200, b"stray")
-            peer.sendall(answer[:-1] if ends == "before" else answer)
-            await until(lambda: connection.last_data_at > connection.upload_progress_at or here.ends)
+        async with pool_environment() as env:
+            server, connection = await env.open_idle()
+            env.send(body=(body := Body(RecordingSource())))
+            assert await receive(server) == REQUEST
+            response = reply(200, b"stray")
+            server.sendall(response[:-1] if body_ends == "before" else response)
+            await until(lambda: connection.last_data_at > connection.upload_progress_at or env.results)
             body.feed(b"x")
             body.end()
-            if ends == "before":
+            if body_ends == "before":
                 with contextlib.suppress(OSError):
-                    peer.sendall(answer[-1:])
-            assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.connection_count)
+                    server.sendall(response[-1:])
+            assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
+            await until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
 
-def test_a_server_that_turns_a_request_away_before_its_end_is_heard_and_sent_no_more():
+def test_early_rejection_is_reported_and_stops_the_upload():
     async def main():
-        async with bed() as here:
-            here.send(body=(body := Body(source := Coming())))
-            peer = await here.accept()
-            assert await heard(peer) == DATA
-            peer.sendall(reply(503, Srv_Declined="1"))
-            assert await here.end() == [AttemptResult.REJECTED]
+        async with pool_environment() as env:
+            env.send(body=(body := Body(source := RecordingSource())))
+            server = await env.accept()
+            assert await receive(server) == REQUEST
+            server.sendall(reply(503, Srv_Declined="1"))
+            assert await env.wait_for_results() == [AttemptResult.REJECTED]
             body.feed(b"x")
             body.end()
-            assert await heard(peer) == b""
-            assert "abandoned" not in source.said  # another server may take it from its start
-            await until(lambda: not here.pool.connection_count)
+            assert await receive(server) == b""
+            assert "abandon" not in source.calls  # a retry can replay the body
+            await until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
 
-def test_a_body_that_has_ended_holds_its_source_no_more():
-    """Guard: with its reading stopped, a caller's leaving went unseen until the server had taken all."""
+def test_ended_body_no_longer_pauses_its_source():
+    """Regression: reading stayed paused, so a client's disconnect went undetected during the upload."""
 
     async def main():
-        async with bed() as here:
-            body = Body(source := Coming())
+        async with pool_environment() as env:
+            body = Body(source := RecordingSource())
             body.feed(b"x")
-            here.send(data=bytes(BIG), body=body)
+            env.send(data=bytes(LARGE_SIZE), body=body)
             body.end()  # while the attempt connects
-            peer = await here.accept()
-            assert await heard(peer)
-            assert "pause" not in source.said
-            close(peer, reset=True)
-            assert await here.end() == [AttemptResult.CONNECT_FAILED]
+            server = await env.accept()
+            assert await receive(server)
+            assert "pause" not in source.calls
+            close_socket(server, reset=True)
+            assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
 
     asyncio.run(main())
 
 
-def test_an_early_answer_and_a_reset_met_by_a_write_are_a_request_that_never_ran():
+def test_early_response_followed_by_reset_is_reported_as_never_executed():
     async def main():
-        async with bed() as here:
-            here.send(body=(body := Body(Coming())))
-            peer = await here.accept()
-            assert await heard(peer) == DATA
-            (connection,) = here.pool._connections
-            peer.sendall(reply(500))
-            act(peer, "reset", connection)
-            body.feed(b"x")  # fails, and what was there to read goes with it
+        async with pool_environment() as env:
+            env.send(body=(body := Body(RecordingSource())))
+            server = await env.accept()
+            assert await receive(server) == REQUEST
+            (connection,) = env.pool._connections
+            server.sendall(reply(500))
+            perform(server, "reset", connection)
+            body.feed(b"x")  # the write fails, which also discards the unread response
             body.end()
-            assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.connection_count)
+            assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
+            await until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
--- a/tests/node/upstream/test_pooled_limit.py
+++ b/tests/node/upstream/test_pooled_limit.py
@@ -1,4 +1,4 @@
-"""What counts against the pool's limit, late connections, and what the pool takes for granted."""
+"""The pool's connection limit, late connections, and the pool's assumptions about sockets."""
 
 from __future__ import annotations
 
@@ -15,47 +15,47 @@
 from loadbalancer.node.http.body import HIGH_WATER_BYTES
 from loadbalancer.node.http.client_connection import Response
 from tests.support.loopback import Caller, Peer, never_up, reply, request, running, until
-from tests.support.pooled import DATA, act, bed, heard
+from tests.support.pool_environment import REQUEST, perform, pool_environment, receive
 
 
-def test_a_resting_connection_that_has_ended_makes_no_room():
-    """Guard: closing it once more passed for room, and the pool went over its limit."""
+def test_closed_idle_connection_frees_no_capacity():
+    """Regression: closing it again counted as freed capacity, and the pool exceeded its limit."""
 
     async def main():
-        async with bed(limit=1) as here:
-            here.pool.set_endpoint("other", here.listener.getsockname())
-            peer, connection = await here.rested()
-            act(peer, "end", connection)
-            await until(lambda: not here.pool.connection_count)
+        async with pool_environment(limit=1) as env:
+            env.pool.set_endpoint("other", env.listener.getsockname())
+            server, connection = await env.open_idle()
+            perform(server, "close", connection)
+            await until(lambda: not env.pool.connection_count)
             for name in ("other", "other"):
-                here.pool.start_attempt(
-                    name, lambda wait: DATA, 20.0, lambda result, _: here.ends.append(result)
+                env.pool.start_attempt(
+                    name, lambda wait: REQUEST, 20.0, lambda result, _: env.results.append(result)
                 )
-            assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            assert here.pool.connection_count == 1
+            assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
+            assert env.pool.connection_count == 1
 
     asyncio.run(main())
 
 
-def test_a_connection_that_has_just_come_up_counts_once():
-    """Guard: in that turn it was counted as opening too, and another attempt was refused for want of room."""
+def test_connection_that_has_just_opened_counts_once():
+    """Regression: it also counted as opening in that loop iteration, so another attempt was rejected."""
 
     async def main():
-        async with bed(limit=2) as here:
+        async with pool_environment(limit=2) as env:
             sizes: list[int] = []
 
             def on_sent() -> None:
-                sizes.append(here.pool.connection_count)
+                sizes.append(env.pool.connection_count)
                 if len(sizes) == 1:
-                    here.send()
+                    env.send()
 
-            here.pool.on_sent = on_sent
-            here.send()
+            env.pool.on_sent = on_sent
+            env.send()
             for _ in range(2):
-                peer = await here.accept()
-                assert await heard(peer) == DATA
-                peer.sendall(reply())
-            assert await here.end(2) == [AttemptResult.OK, AttemptResult.OK]
+                server = await env.accept()
+                assert await receive(server) == REQUEST
+                server.sendall(reply())
+            assert await env.wait_for_results(2) == [AttemptResult.OK, AttemptResult.OK]
             assert sizes == [1, 2]
 
     asyncio.run(main())
@@ -63,148 +63,148 @@
 
 @contextlib.contextmanager
 def no_descriptors() -> Iterator[None]:
-    """Every descriptor of this process is in use."""
+    """Make every new file descriptor of this process fail."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    lowest = os.dup(0)
-    os.close(lowest)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (lowest, hard))
+    lowest_free = os.dup(0)
+    os.close(lowest_free)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (lowest_free, hard))
     try:
         yield
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_with_no_descriptor_left_an_attempt_could_not_connect_and_the_next_one_can():
+def test_attempt_without_free_descriptors_fails_to_connect_and_next_succeeds():
     async def main():
-        async with bed() as here:
+        async with pool_environment() as env:
             with no_descriptors():
-                here.send()
-                assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            assert not here.pool._opening
-            assert not here.pool._endpoints["s"].waiting
-            here.ends.clear()
-            await here.rested()
+                env.send()
+                assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
+            assert not env.pool._opening
+            assert not env.pool._endpoints["s"].waiting
+            env.results.clear()
+            await env.open_idle()
 
     asyncio.run(main())
 
 
-GIVEN_UP = {
-    "answered": reply(200, Connection="close"),
-    "unreadable": b"no answer\r\n\r\n",
-    "cut short": reply()[:-1],
+RESPONSES = {
+    "complete": reply(200, Connection="close"),
+    "malformed": b"not http\r\n\r\n",
+    "truncated": reply()[:-1],
     "silent": b"",
 }
 
 
-@pytest.mark.parametrize("how", [*GIVEN_UP, "connecting"])
-def test_what_has_just_been_given_up_leaves_room_for_a_repeat_at_once(how):
-    """Guard: its connection counted until the loop's next turn, so at the limit the repeat was refused."""
+@pytest.mark.parametrize("case", [*RESPONSES, "connecting"])
+def test_ended_attempt_frees_capacity_for_a_retry_at_once(case):
+    """Regression: its connection counted until the next loop iteration, so a retry at the limit failed."""
 
     async def main():
-        async with bed(limit=1) as here:
-            ends: list[AttemptResult] = []
+        async with pool_environment(limit=1) as env:
+            results: list[AttemptResult] = []
 
             def on_result(result: AttemptResult, _response: Response | None) -> None:
-                ends.append(result)
-                here.send()
-
-            here.pool.connect_timeout_s = 0.1 if how == "connecting" else 20.0
-            timeout_s = 0.5 if how == "silent" else 20.0
-            with never_up() if how == "connecting" else contextlib.nullcontext(here.listener) as listener:
-                here.pool.set_endpoint("first", listener.getsockname())
-                here.pool.start_attempt("first", lambda wait: DATA, timeout_s, on_result)
-                if how != "connecting":
-                    peer = await here.accept()
-                    assert await heard(peer) == DATA
-                    peer.sendall(GIVEN_UP[how])
-                    if how == "cut short":
-                        peer.close()
-                await until(lambda: ends)
-            here.pool.connect_timeout_s = 20.0
-            peer = await here.accept()
-            assert await heard(peer) == DATA
-            peer.sendall(reply())
-            assert await here.end() == [AttemptResult.OK]
-            assert here.pool.connection_count == 1
+                results.append(result)
+                env.send()
+
+            env.pool.connect_timeout_s = 0.1 if case == "connecting" else 20.0
+            timeout_s = 0.5 if case == "silent" else 20.0
+            with never_up() if case == "connecting" else contextlib.nullcontext(env.listener) as listener:
+                env.pool.set_endpoint("first", listener.getsockname())
+                env.pool.start_attempt("first", lambda wait: REQUEST, timeout_s, on_result)
+                if case != "connecting":
+                    server = await env.accept()
+                    assert await receive(server) == REQUEST
+                    server.sendall(RESPONSES[case])
+                    if case == "truncated":
+                        server.close()
+                await until(lambda: results)
+            env.pool.connect_timeout_s = 20.0
+            server = await env.accept()
+            assert await receive(server) == REQUEST
+            server.sendall(reply())
+            assert await env.wait_for_results() == [AttemptResult.OK]
+            assert env.pool.connection_count == 1
 
     asyncio.run(main())
 
 
-def descriptors() -> int:
+def descriptor_count() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
-@pytest.mark.parametrize("wanted", [True, False])
-def test_a_connection_that_is_late_carries_its_request_or_leaves_nothing_behind(wanted):
-    """The kernel tries again after a second, when the server's queue has room."""
+@pytest.mark.parametrize("awaited", [True, False])
+def test_late_connection_carries_its_request_or_is_released(awaited):
+    """The kernel retries the connect after 1 s, when the server's accept queue has space."""
 
     async def main():
         with never_up() as listener:
             listener.setblocking(False)
-            async with bed() as here:
-                here.pool.set_endpoint("late", listener.getsockname())
-                loop, before = asyncio.get_running_loop(), descriptors()
-                attempt = here.pool.start_attempt(
-                    "late", lambda wait: DATA, 20.0, lambda end, _: here.ends.append(end)
+            async with pool_environment() as env:
+                env.pool.set_endpoint("late", listener.getsockname())
+                loop, before = asyncio.get_running_loop(), descriptor_count()
+                attempt = env.pool.start_attempt(
+                    "late", lambda wait: REQUEST, 20.0, lambda result, _: env.results.append(result)
                 )
-                await until(lambda: descriptors() > before)
-                assert here.pool.connection_count == 1
-                if not wanted:
+                await until(lambda: descriptor_count() > before)
+                assert env.pool.connection_count == 1
+                if not awaited:
                     attempt.cancel()
-                    assert here.pool.connection_count == 0
-                    await until(lambda: descriptors() == before)
-                    assert here.ends == [AttemptResult.CANCELLED]
-                    assert not here.pool._opening
+                    assert env.pool.connection_count == 0
+                    await until(lambda: descriptor_count() == before)
+                    assert env.results == [AttemptResult.CANCELLED]
+                    assert not env.pool._opening
                     return
-                peers: list[socket.socket] = []
+                accepted: list[socket.socket] = []
 
                 async def serve() -> None:
                     while True:
-                        peers.append((await loop.sock_accept(listener))[0])
+                        accepted.append((await loop.sock_accept(listener))[0])
 
                 accepting = asyncio.create_task(serve())
                 with contextlib.ExitStack() as stack:
-                    await until(lambda: here.pool._connections)
-                    local = [c._transport.get_extra_info("sockname") for c in here.pool._connections]
-                    await until(lambda: [p for p in peers if p.getpeername() in local])
-                    for peer in peers:
-                        stack.enter_context(peer)
-                    (ours,) = [p for p in peers if p.getpeername() in local]
-                    ours.setblocking(False)
-                    assert await loop.sock_recv(ours, 1000) == DATA
-                    await loop.sock_sendall(ours, reply())
-                    assert await here.end() == [AttemptResult.OK]
-                    assert here.pool.connection_count == 1
+                    await until(lambda: env.pool._connections)
+                    local = [c._transport.get_extra_info("sockname") for c in env.pool._connections]
+                    await until(lambda: [s for s in accepted if s.getpeername() in local])
+                    for server in accepted:
+                        stack.enter_context(server)
+                    (server,) = [s for s in accepted if s.getpeername() in local]
+                    server.setblocking(False)
+                    assert await loop.sock_recv(server, 1000) == REQUEST
+                    await loop.sock_sendall(server, reply())
+                    assert await env.wait_for_results() == [AttemptResult.OK]
+                    assert env.pool.connection_count == 1
                     accepting.cancel()
 
     asyncio.run(main())
 
 
-# ------------------------------------------------------------------ what it rests on
+# ------------------------------------------------------------------ assumptions about sockets
 
 
-def test_nothing_is_held_back_by_the_system_on_either_side():
-    """A small write that waits for an acknowledgement would go with a close over unread bytes."""
+def test_tcp_nodelay_is_set_on_client_and_server_connections():
+    """Without it, a small write that waits for an acknowledgement would be lost in a reset."""
 
     async def main():
         server = Peer()
         async with running(server) as node:
-            caller = await Caller.to(node)
-            assert (await caller.ask(request())).status == 200
+            client = await Caller.to(node)
+            assert (await client.ask(request())).status == 200
             connections = [*node.listener.connections, *node.pool._connections]
             assert len(connections) == 2
             for connection in connections:
                 raw = connection._transport.get_extra_info("socket")
                 assert raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_a_closing_or_closed_connection_is_asked_nothing_of_the_kernel():
+def test_closing_or_closed_connection_is_unusable_without_a_system_call():
     async def main():
-        async with bed() as here:
-            _, connection = await here.rested()
+        async with pool_environment() as env:
+            _, connection = await env.open_idle()
             connection.abort()
             assert not connection.usable
             await asyncio.sleep(0)
@@ -214,47 +214,47 @@
     asyncio.run(main())
 
 
-LONG_START = b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + bytes(HIGH_WATER_BYTES + 1)
+STREAM_START = b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + bytes(HIGH_WATER_BYTES + 1)
 
 
-@pytest.mark.parametrize("answer", [reply(), LONG_START, b"no answer\r\n\r\n"])
-def test_an_error_in_whoever_hears_an_outcome_costs_no_more_than_its_connection(answer):
+@pytest.mark.parametrize("response_bytes", [reply(), STREAM_START, b"not http\r\n\r\n"])
+def test_exception_in_result_callback_costs_only_its_connection(response_bytes):
     async def main():
-        async with bed() as here:
+        async with pool_environment() as env:
             errors: list[dict[str, object]] = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
 
             def on_result(result: AttemptResult, response: Response | None) -> None:
                 raise RuntimeError
 
-            here.pool.start_attempt("s", lambda wait: DATA, 20.0, on_result)
-            peer = await here.accept()
-            assert await heard(peer) == DATA
-            peer.sendall(answer)
-            await until(lambda: not here.pool.connection_count)
+            env.pool.start_attempt("s", lambda wait: REQUEST, 20.0, on_result)
+            server = await env.accept()
+            assert await receive(server) == REQUEST
+            server.sendall(response_bytes)
+            await until(lambda: not env.pool.connection_count)
             assert [type(error["exception"]) for error in errors] == [RuntimeError]
-            await here.rested()
+            await env.open_idle()
 
     asyncio.run(main())
 
 
-def test_an_outcome_may_send_on_the_connection_that_brought_it(monkeypatch):
+def test_result_callback_can_send_on_the_same_connection(monkeypatch):
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        async with bed() as here:
+        async with pool_environment() as env:
 
             def on_result(result: AttemptResult, response: Response | None) -> None:
-                here.ends.append(result)
-                if len(here.ends) < 3:
-                    here.pool.start_attempt("s", lambda wait: DATA, 20.0, on_result)
+                env.results.append(result)
+                if len(env.results) < 3:
+                    env.pool.start_attempt("s", lambda wait: REQUEST, 20.0, on_result)
 
-            here.pool.start_attempt("s", lambda wait: DATA, 20.0, on_result)
-            peer = await here.accept()
+            env.pool.start_attempt("s", lambda wait: REQUEST, 20.0, on_result)
+            server = await env.accept()
             for _ in range(3):
-                assert await heard(peer) == DATA
-                peer.sendall(reply())
-            assert await here.end(3) == [AttemptResult.OK] * 3
-            assert here.pool.connection_count == 1
+                assert await receive(server) == REQUEST
+                server.sendall(reply())
+            assert await env.wait_for_results(3) == [AttemptResult.OK] * 3
+            assert env.pool.connection_count == 1
 
     asyncio.run(main())
--- a/tests/node/upstream/test_upstream.py
+++ b/tests/node/upstream/test_upstream.py
@@ -16,30 +16,32 @@
 from tests.support.loopback import Held, Message, Peer, never_up, reply, until
 from tests.support.ports import free_port
 
-DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
+REQUEST = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 
 
-def pool(**more: float) -> ConnectionPool:
-    given = {"limit": 10, "server_idle_s": 10.0, "connect_timeout_s": 20.0} | more
-    return ConnectionPool(int(given["limit"]), given["server_idle_s"], given["connect_timeout_s"])
+def new_pool(**options: float) -> ConnectionPool:
+    given = {"limit": 10, "endpoint_idle_s": 10.0, "connect_timeout_s": 20.0} | options
+    return ConnectionPool(int(given["limit"]), given["endpoint_idle_s"], given["connect_timeout_s"])
 
 
-async def result(pool: ConnectionPool, timeout_s: float = 20.0, data: bytes = DATA) -> AttemptResult:
+async def attempt_result(
+    pool: ConnectionPool, timeout_s: float = 20.0, data: bytes = REQUEST
+) -> AttemptResult:
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
-    # set_result raises on a second result, and asyncio's debug mode is not needed to see it
+    # set_result raises on a second result, so each attempt must report exactly one
     pool.start_attempt("s", lambda wait: data, timeout_s, lambda result, response: done.set_result(result))
     return await done
 
 
-def against(answer: bytes | None) -> Peer:
+def stub_server(response: bytes | None) -> Peer:
     async def script(message: Message) -> bytes | None:
-        return answer
+        return response
 
     return Peer(script)
 
 
 @pytest.mark.parametrize(
-    ("answer", "expected"),
+    ("response", "expected"),
     [
         (reply(200), AttemptResult.OK),
         (reply(500), AttemptResult.ERROR),
@@ -54,20 +56,20 @@
         (b"not http at all\r\n\r\n", AttemptResult.RESET),
     ],
 )
-def test_what_comes_back_is_the_outcome_of_the_protocols_table(answer, expected):
+def test_response_is_classified_by_status_and_rejection_header(response, expected):
     async def main():
-        server, servers = await against(answer).start(), pool()
-        servers.set_endpoint("s", ("127.0.0.1", server.port))
-        assert await result(servers) is expected
-        assert len(server.seen) == 1  # nothing is ever sent again by itself
-        servers.close()
+        server, pool = await stub_server(response).start(), new_pool()
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
+        assert await attempt_result(pool) is expected
+        assert len(server.seen) == 1  # the pool never retries by itself
+        pool.close()
         server.stop()
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize(
-    ("answer", "unreadable"),
+    ("response", "malformed"),
     [
         (None, 0),
         (b"ICY 200 OK\r\nContent-Length: 0\r\n\r\n", 1),
@@ -77,30 +79,30 @@
         (b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppp\r\n" * 2000, 1),
     ],
 )
-def test_answers_that_cannot_be_read_may_have_run_and_are_counted(answer, unreadable):
+def test_malformed_responses_count_as_possibly_executed(response, malformed):
     async def main():
-        server, servers = await against(answer).start(), pool()
-        servers.set_endpoint("s", ("127.0.0.1", server.port))
-        assert await result(servers) is AttemptResult.RESET
-        assert servers.malformed_responses == unreadable
+        server, pool = await stub_server(response).start(), new_pool()
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
+        assert await attempt_result(pool) is AttemptResult.RESET
+        assert pool.malformed_responses == malformed
         server.stop()
-        servers.close()
+        pool.close()
 
     asyncio.run(main())
 
 
-def test_an_answers_trailers_are_neither_headers_nor_too_long_for_coming_after_a_body():
+def test_response_trailers_are_not_headers_and_may_follow_a_long_body():
     async def main():
         trailers = b"0\r\nSrv-Declined: 1\r\nX-Sum: 1\r\n\r\n"
         body = b"7530\r\n" + b"x" * 30_000 + b"\r\n"
-        server = await against(
+        server = await stub_server(
             b"HTTP/1.1 503 Word\r\nTransfer-Encoding: chunked\r\n\r\n" + body + trailers
         ).start()
-        servers = pool()
-        servers.set_endpoint("s", ("127.0.0.1", server.port))
-        assert await result(servers) is AttemptResult.ERROR  # and not turned away
+        pool = new_pool()
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
+        assert await attempt_result(pool) is AttemptResult.ERROR  # not REJECTED
         server.stop()
-        servers.close()
+        pool.close()
 
     asyncio.run(main())
 
@@ -110,13 +112,13 @@
     [
         (b"Connection: close", 5, False, AttemptResult.OK),
         (b"connection: Close", 0, False, AttemptResult.OK),
-        (b"Connection: close", 5, True, AttemptResult.RESET),  # a break, not an end
-        (b"Server: x", 5, False, AttemptResult.RESET),  # an end that was not announced
+        (b"Connection: close", 5, True, AttemptResult.RESET),  # a reset doesn't complete the response
+        (b"Server: x", 5, False, AttemptResult.RESET),  # the close was not announced
         (b"Connection: close\r\nContent-Length: 9", 5, False, AttemptResult.RESET),
         (b"Connection: close\r\nTransfer-Encoding: chunked", 0, False, AttemptResult.RESET),
     ],
 )
-def test_an_answer_of_no_length_ends_with_a_connection_that_was_said_to_close(head, size, reset, expected):
+def test_response_without_length_ends_with_an_announced_close(head, size, reset, expected):
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -128,16 +130,16 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        servers = pool()
-        servers.set_endpoint("s", server.sockets[0].getsockname())
-        assert await result(servers) is expected
-        await until(lambda: not servers.connection_count)
+        pool = new_pool()
+        pool.set_endpoint("s", server.sockets[0].getsockname())
+        assert await attempt_result(pool) is expected
+        await until(lambda: not pool.connection_count)
         server.close()
 
     asyncio.run(main())
 
 
-def test_a_200_cut_short_is_a_reset():
+def test_truncated_200_is_a_reset():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -145,259 +147,259 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        servers = pool()
-        servers.set_endpoint("s", server.sockets[0].getsockname())
-        assert await result(servers) is AttemptResult.RESET
+        pool = new_pool()
+        pool.set_endpoint("s", server.sockets[0].getsockname())
+        assert await attempt_result(pool) is AttemptResult.RESET
         server.close()
 
     asyncio.run(main())
 
 
-def test_a_refused_connection_could_not_connect():
+def test_refused_connection_is_connect_failed():
     async def main():
         address = ("127.0.0.1", free_port())
-        servers = pool()
-        servers.set_endpoint("s", address)
-        assert await result(servers) is AttemptResult.CONNECT_FAILED
-        await until(lambda: not servers.connection_count)
+        pool = new_pool()
+        pool.set_endpoint("s", address)
+        assert await attempt_result(pool) is AttemptResult.CONNECT_FAILED
+        await until(lambda: not pool.connection_count)
 
     asyncio.run(main())
 
 
-def test_silence_is_a_time_out_and_closes_the_connection():
+def test_silent_server_times_out_and_connection_is_closed():
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            servers = pool()
-            servers.set_endpoint("s", listener.getsockname())
-            assert await result(servers, timeout_s=0.2) is AttemptResult.TIMEOUT
-            peer, _ = listener.accept()
-            with peer:
-                assert peer.recv(1000) == DATA
-                await asyncio.sleep(0)  # asyncio closes the socket in the loop's next turn
-                peer.settimeout(20)
-                assert peer.recv(1000) == b""
+            pool = new_pool()
+            pool.set_endpoint("s", listener.getsockname())
+            assert await attempt_result(pool, timeout_s=0.2) is AttemptResult.TIMEOUT
+            server_socket, _ = listener.accept()
+            with server_socket:
+                assert server_socket.recv(1000) == REQUEST
+                await asyncio.sleep(0)  # asyncio closes the socket in the next loop iteration
+                server_socket.settimeout(20)
+                assert server_socket.recv(1000) == b""
 
     asyncio.run(main())
 
 
-def test_a_break_before_the_last_byte_is_written_could_not_connect():
+def test_reset_before_the_last_byte_is_written_is_connect_failed():
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            servers = pool()
-            servers.set_endpoint("s", listener.getsockname())
-            outcome = asyncio.create_task(result(servers, data=b"x" * 30_000_000))
+            pool = new_pool()
+            pool.set_endpoint("s", listener.getsockname())
+            outcome = asyncio.create_task(attempt_result(pool, data=b"x" * 30_000_000))
             loop = asyncio.get_running_loop()
             listener.setblocking(False)
-            peer, _ = await loop.sock_accept(listener)
-            peer.setblocking(False)
-            await loop.sock_recv(peer, 1000)
-            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            peer.close()
+            server_socket, _ = await loop.sock_accept(listener)
+            server_socket.setblocking(False)
+            await loop.sock_recv(server_socket, 1000)
+            server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            server_socket.close()
             assert await outcome is AttemptResult.CONNECT_FAILED
 
     asyncio.run(main())
 
 
-class Recorded:
+class RecordingExchange:
     def __init__(self) -> None:
-        self.told: list[object] = []
+        self.calls: list[object] = []
 
     def on_response(self, response: Response) -> None:
-        self.told.append(response)
+        self.calls.append(response)
 
     def on_connection_lost(self, written: bool) -> None:
-        self.told.append(written)
+        self.calls.append(written)
 
 
 @contextlib.asynccontextmanager
-async def pair():
-    """A connection and the raw socket at its other end, which acts without the event loop's help."""
+async def connection_pair():
+    """A connection and the raw server socket at its other end, which needs no event loop."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: ClientConnection(lambda _: None), *listener.getsockname()
         )
-        peer, _ = listener.accept()
-        with peer:
-            yield connection, peer
+        server_socket, _ = listener.accept()
+        with server_socket:
+            yield connection, server_socket
         connection.abort()
 
 
-def test_a_write_that_fails_at_once_has_not_been_written():
+def test_write_that_fails_at_once_counts_as_not_written():
     async def main():
-        async with pair() as (connection, peer):
-            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            peer.close()
+        async with connection_pair() as (connection, server_socket):
+            server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            server_socket.close()
             while not readable(connection._transport):
                 pass
-            exchange = Recorded()
-            connection.start(DATA, exchange)
-            while not exchange.told:
+            exchange = RecordingExchange()
+            connection.start(REQUEST, exchange)
+            while not exchange.calls:
                 await asyncio.sleep(0)
-            assert exchange.told == [False]
+            assert exchange.calls == [False]
 
     asyncio.run(main())
 
 
-def test_an_end_still_in_the_kernel_makes_a_connection_unusable():
+def test_undelivered_close_makes_connection_unusable():
     async def main():
-        async with pair() as (connection, peer):
+        async with connection_pair() as (connection, server_socket):
             assert connection.usable
-            peer.close()
+            server_socket.close()
             while not readable(connection._transport):
                 pass
-            assert not connection.usable  # the event loop has had no turn to say so
+            assert not connection.usable  # the event loop has not delivered the close yet
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("answer", [reply(200, Connection="close"), reply(200) + b"more", reply(200) * 2])
-def test_a_connection_that_closes_or_has_bytes_left_over_is_not_used_again(answer):
+@pytest.mark.parametrize("response", [reply(200, Connection="close"), reply(200) + b"more", reply(200) * 2])
+def test_connection_that_closes_or_has_extra_bytes_is_not_reused(response):
     async def main():
-        server, servers = await against(answer).start(), pool()
-        servers.set_endpoint("s", ("127.0.0.1", server.port))
-        assert [await result(servers) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
+        server, pool = await stub_server(response).start(), new_pool()
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
+        assert [await attempt_result(pool) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
         assert server.connections == 2
-        servers.close()
+        pool.close()
         server.stop()
 
     asyncio.run(main())
 
 
-def test_a_connection_settles_before_its_next_request_and_closes_if_more_comes_meanwhile(monkeypatch):
-    """Guard: a second answer that came some milliseconds late passed for the next request's."""
+def test_second_response_during_reuse_delay_closes_the_connection(monkeypatch):
+    """Regression: a second response some milliseconds later was taken for the next request's response."""
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 20.0)
 
     async def main():
-        server, servers = await Peer().start(), pool(server_idle_s=100.0)
-        servers.set_endpoint("s", ("127.0.0.1", server.port))
-        assert [await result(servers) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
-        assert (server.connections, servers.connection_count) == (2, 2)
-        server._writers[0].write(reply())  # the second answer
-        await until(lambda: servers.connection_count == 1)
-        for connection in servers._endpoints["s"].idle:
+        server, pool = await Peer().start(), new_pool(endpoint_idle_s=100.0)
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
+        assert [await attempt_result(pool) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
+        assert (server.connections, pool.connection_count) == (2, 2)
+        server._writers[0].write(reply())  # the second response
+        await until(lambda: pool.connection_count == 1)
+        for connection in pool._endpoints["s"].idle:
             connection.idle_since -= 20.0
-        assert await result(servers) is AttemptResult.OK
+        assert await attempt_result(pool) is AttemptResult.OK
         assert server.connections == 2
-        servers.close()
+        pool.close()
         server.stop()
 
     asyncio.run(main())
 
 
-def test_the_newest_idle_connection_is_used_first_and_an_old_one_never(monkeypatch):
+def test_newest_idle_connection_is_reused_first_and_expired_one_never(monkeypatch):
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        server, servers = await Peer().start(), pool()
-        servers.set_endpoint("s", ("127.0.0.1", server.port))
-        await asyncio.gather(result(servers), result(servers))
+        server, pool = await Peer().start(), new_pool()
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
+        await asyncio.gather(attempt_result(pool), attempt_result(pool))
         assert server.connections == 2
-        idle = servers._endpoints["s"].idle
+        idle = pool._endpoints["s"].idle
         old, new = idle
-        assert servers.acquire_idle(servers._endpoints["s"]) is new
-        servers.release(servers._endpoints["s"], new)
-        for connection in idle:  # 5 of the server's 10 seconds have passed
+        assert pool.acquire_idle(pool._endpoints["s"]) is new
+        pool.release(pool._endpoints["s"], new)
+        for connection in idle:  # half of the server's idle timeout of 10 s has passed
             connection.idle_since -= 5.0
-        assert await result(servers) is AttemptResult.OK
+        assert await attempt_result(pool) is AttemptResult.OK
         assert server.connections == 3
         assert old._transport.is_closing()
         assert new._transport.is_closing()
-        servers.close()
+        pool.close()
         server.stop()
 
     asyncio.run(main())
 
 
-def test_idle_connections_are_closed_by_themselves_in_time():
+def test_idle_connections_are_closed_before_the_server_closes_them():
     async def main():
-        server, servers = await Peer().start(), pool(server_idle_s=0.1)
-        servers.set_endpoint("s", ("127.0.0.1", server.port))
-        await result(servers)
-        await until(lambda: not servers.connection_count)
-        servers.close()
+        server, pool = await Peer().start(), new_pool(endpoint_idle_s=0.1)
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
+        await attempt_result(pool)
+        await until(lambda: not pool.connection_count)
+        pool.close()
         server.stop()
 
     asyncio.run(main())
 
 
-def test_a_connection_that_never_comes_up_could_not_connect():
+def test_connection_that_never_opens_is_connect_failed():
     async def main():
         with never_up() as listener:
-            servers = pool(connect_timeout_s=0.1)
-            servers.set_endpoint("s", listener.getsockname())
-            assert await result(servers) is AttemptResult.CONNECT_FAILED
-            servers = pool()
-            servers.set_endpoint("s", listener.getsockname())
-            assert await result(servers, timeout_s=0.1) is AttemptResult.CONNECT_FAILED  # nor has it run
+            pool = new_pool(connect_timeout_s=0.1)
+            pool.set_endpoint("s", listener.getsockname())
+            assert await attempt_result(pool) is AttemptResult.CONNECT_FAILED
+            pool = new_pool()
+            pool.set_endpoint("s", listener.getsockname())
+            assert await attempt_result(pool, timeout_s=0.1) is AttemptResult.CONNECT_FAILED  # not sent
 
     asyncio.run(main())
 
 
-def test_a_pool_that_retires_closes_what_is_idle_and_keeps_nothing_more():
+def test_pool_without_keep_alive_closes_idle_connections_and_retains_none():
     async def main():
-        server, servers = await Peer().start(), pool()
-        servers.set_endpoint("s", ("127.0.0.1", server.port))
-        assert await result(servers) is AttemptResult.OK
-        assert servers.connection_count == 1
-        servers.disable_keep_alive()
-        await until(lambda: not servers.connection_count)
-        assert await result(servers) is AttemptResult.OK  # what is still held may be sent on
-        await until(lambda: not servers.connection_count)
+        server, pool = await Peer().start(), new_pool()
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
+        assert await attempt_result(pool) is AttemptResult.OK
+        assert pool.connection_count == 1
+        pool.disable_keep_alive()
+        await until(lambda: not pool.connection_count)
+        assert await attempt_result(pool) is AttemptResult.OK  # new attempts are still possible
+        await until(lambda: not pool.connection_count)
         server.stop()
-        servers.close()
+        pool.close()
 
     asyncio.run(main())
 
 
-def test_a_drain_gives_up_what_waits_to_connect_and_closes_idle_connections():
+def test_removed_endpoint_ends_connecting_attempts_and_accepts_no_more():
     async def main():
         with never_up() as listener:
-            servers = pool()
-            servers.set_endpoint("s", listener.getsockname())
-            outcome = asyncio.create_task(result(servers))
-            await until(lambda: servers.connection_count)
-            servers.remove_endpoint("s")
+            pool = new_pool()
+            pool.set_endpoint("s", listener.getsockname())
+            outcome = asyncio.create_task(attempt_result(pool))
+            await until(lambda: pool.connection_count)
+            pool.remove_endpoint("s")
             assert await outcome is AttemptResult.CONNECT_FAILED
-            await until(lambda: not servers.connection_count)
-            assert servers.start_attempt("s", lambda wait: DATA, 1.0, lambda *_: None) is None
+            await until(lambda: not pool.connection_count)
+            assert pool.start_attempt("s", lambda wait: REQUEST, 1.0, lambda *_: None) is None
 
     asyncio.run(main())
 
 
-def test_what_is_out_when_its_server_drains_is_still_answered():
+def test_in_flight_attempt_completes_after_endpoint_is_removed():
     async def main():
-        server, servers = Held(), pool()
+        server, pool = Held(), new_pool()
         await server.start()
-        servers.set_endpoint("s", ("127.0.0.1", server.port))
-        outcome = asyncio.create_task(result(servers))
+        pool.set_endpoint("s", ("127.0.0.1", server.port))
+        outcome = asyncio.create_task(attempt_result(pool))
         await until(lambda: server.seen)
-        servers.remove_endpoint("s")
+        pool.remove_endpoint("s")
         server.release.set()
         assert await outcome is AttemptResult.OK
         await asyncio.sleep(0)
-        assert servers.connection_count == 0  # its connection is not kept
+        assert pool.connection_count == 0  # its connection is not retained
         server.stop()
 
     asyncio.run(main())
 
 
-def test_the_pool_keeps_to_its_limit_by_closing_idle_connections_first():
+def test_pool_at_its_limit_closes_idle_connections_first():
     async def main():
-        quiet, busy, servers = await Peer().start(), Held(), pool(limit=2)
+        quiet, busy, pool = await Peer().start(), Held(), new_pool(limit=2)
         await busy.start()
-        servers.set_endpoint("s", ("127.0.0.1", quiet.port))
-        assert await result(servers) is AttemptResult.OK
-        servers.set_endpoint("s2", ("127.0.0.1", busy.port))
-        ends: list[AttemptResult] = []
+        pool.set_endpoint("s", ("127.0.0.1", quiet.port))
+        assert await attempt_result(pool) is AttemptResult.OK
+        pool.set_endpoint("s2", ("127.0.0.1", busy.port))
+        results: list[AttemptResult] = []
         for _ in range(3):
-            servers.start_attempt("s2", lambda wait: DATA, 20.0, lambda result, _: ends.append(result))
-        assert servers._endpoints["s"].idle == []
-        await until(lambda: ends)
-        assert ends == [AttemptResult.CONNECT_FAILED]  # the third: all are busy
+            pool.start_attempt("s2", lambda wait: REQUEST, 20.0, lambda result, _: results.append(result))
+        assert pool._endpoints["s"].idle == []
+        await until(lambda: results)
+        assert results == [AttemptResult.CONNECT_FAILED]  # the third attempt: all connections are busy
         busy.release.set()
-        await until(lambda: len(ends) == 3)
-        assert ends[1:] == [AttemptResult.OK, AttemptResult.OK]
-        servers.close()
+        await until(lambda: len(results) == 3)
+        assert results[1:] == [AttemptResult.OK, AttemptResult.OK]
+        pool.close()
         quiet.stop()
         busy.stop()
 
@@ -405,23 +407,23 @@
 
 
 @pytest.mark.parametrize("read", [False, True])
-def test_a_short_rest_in_asyncios_buffer_counts_as_written_once_it_has_left(read):
+def test_request_in_write_buffer_counts_as_written_once_it_is_sent(read):
     async def main():
-        async with pair() as (connection, peer):
+        async with connection_pair() as (connection, server_socket):
             transport = connection._transport
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
             while not transport.get_write_buffer_size():  # until the kernel takes no more
                 transport.write(b"x" * 1000)
-            connection.start(DATA, exchange := Recorded())
-            assert 0 < transport.get_write_buffer_size() <= 1000 + len(DATA)
-            peer.setblocking(False)
+            connection.start(REQUEST, exchange := RecordingExchange())
+            assert 0 < transport.get_write_buffer_size() <= 1000 + len(REQUEST)
+            server_socket.setblocking(False)
             while read and transport.get_write_buffer_size():
                 with contextlib.suppress(BlockingIOError):
-                    peer.recv(1_000_000)
+                    server_socket.recv(1_000_000)
                 await asyncio.sleep(0)
-            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            peer.close()
-            await until(lambda: exchange.told)
-            assert exchange.told == [read]
+            server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            server_socket.close()
+            await until(lambda: exchange.calls)
+            assert exchange.calls == [read]
 
     asyncio.run(main())
--- a/tests/registry/test_registry_node.py
+++ b/tests/registry/test_registry_node.py
@@ -12,51 +12,54 @@
 from tests.support.ports import free_port
 from tests.support.registry_processes import Registry, until
 from tests.support.relay import Relay
-from tests.support.stand_in_servers import ServerPool
+from tests.support.stub_servers import StubServerPool
 
 PUSH = {"registryMode": "push"}
 
 
 @pytest.fixture
-def backends() -> Iterator[ServerPool]:
-    servers = ServerPool(3)
+def backends() -> Iterator[StubServerPool]:
+    servers = StubServerPool(3)
     yield servers
     servers.close()
 
 
 def test_node_started_without_discovery_follows_the_registry_through_its_faults(
-    tmp_path: Path, backends: ServerPool
+    tmp_path: Path, backends: StubServerPool
 ) -> None:
     registry = Registry(tmp_path, ttl_ms=60_000)
     agent_port = free_port()
     relay = Relay(("127.0.0.1", agent_port))  # the node's way to its agent, which is not there yet
-    node = Node(tmp_path, backends.known(0), relay.address[1], settings=PUSH)
+    node = Node(tmp_path, backends.known_targets(0), relay.address[1], settings=PUSH)
     node.start()
     client = Load(node.port)
     agent = None
     try:
-        until(lambda: backends.hits["s0"] > 5, what="service from the known list")
+        until(lambda: backends.request_counts["s0"] > 5, what="service from the known list")
         registry.put("s1", backends.port(1), az="a")
         agent = registry.agent(agent_port, wait_ms=500)
-        until(lambda: backends.hits["s1"] > 5, what="the node following the agent")
+        until(lambda: backends.request_counts["s1"] > 5, what="the node following the agent")
 
         registry.kill(registry.leader())
         registry.put("s2", backends.port(2), az="a")  # a write after the leader died
         registry.remove("s1")
-        until(lambda: backends.hits["s2"] > 5, what="a change committed after the leader died")
+        until(lambda: backends.request_counts["s2"] > 5, what="a change committed after the leader died")
 
         relay.set_silent(True)  # a watch that never answers
-        before = backends.hits["s2"]
-        until(lambda: backends.hits["s2"] > before + 20, what="service while discovery is silent")
+        before = backends.request_counts["s2"]
+        until(lambda: backends.request_counts["s2"] > before + 20, what="service while discovery is silent")
         relay.set_silent(False)
         relay.reset()
-        dropped = backends.hits["s0"]
+        dropped = backends.request_counts["s0"]
         registry.put("s0", backends.port(0), az="a")
         registry.remove("s2")
-        until(lambda: backends.hits["s0"] > dropped + 5, what="the node following again after the silence")
-        settled = backends.hits["s2"]
-        until(lambda: backends.hits["s0"] > dropped + 50, what="service after the change")
-        assert backends.hits["s2"] - settled <= 1, "a server gone still draws new calls"
+        until(
+            lambda: backends.request_counts["s0"] > dropped + 5,
+            what="the node following again after the silence",
+        )
+        settled = backends.request_counts["s2"]
+        until(lambda: backends.request_counts["s0"] > dropped + 50, what="service after the change")
+        assert backends.request_counts["s2"] - settled <= 1, "a server gone still draws new calls"
     finally:
         outcomes = client.finish()
         node.stop()
@@ -69,13 +72,14 @@
 
 
 def test_two_nodes_list_what_the_registry_lists_through_leader_loss_and_a_reset(
-    tmp_path: Path, backends: ServerPool
+    tmp_path: Path, backends: StubServerPool
 ) -> None:
     registry = Registry(tmp_path, ttl_ms=60_000)
     agents = [registry.agent(), registry.agent()]
     relay = Relay(("127.0.0.1", agents[1].port))  # the second node's way to its agent
     nodes = [
-        Node(tmp_path, backends.known(0), port, settings=PUSH) for port in (agents[0].port, relay.address[1])
+        Node(tmp_path, backends.known_targets(0), port, settings=PUSH)
+        for port in (agents[0].port, relay.address[1])
     ]
     for node in nodes:
         node.start()
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -19,7 +19,7 @@
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
 from tests.support.registry_processes import Registry, ask, until
-from tests.support.stand_in_servers import ServerPool
+from tests.support.stub_servers import StubServerPool
 
 WAIT_LIMIT_S = 120.0  # of every wait: the machine may be slow
 # Leases, elections and the preparing of a version end by the real clock, and on a busy machine a process may
@@ -63,7 +63,7 @@
         self.services = list(services) or [""] * size
         self.registry = Registry(folder, ttl_ms=600_000, members=self._instance, raft=ELECTION_MS)
         self.agent = self.registry.agent()
-        self.pool = ServerPool(2, latency_ms=2.0)
+        self.pool = StubServerPool(2, latency_ms=2.0)
         for at, model in enumerate(MODELS):
             self.registry.put(f"s{at}", self.pool.port(at), az="a", model=model)
         self._listens = [free_port() for _ in range(size)]
@@ -317,7 +317,7 @@
         # 503: rejected in time, as by a node that has yielded its quota
         answered = {name for name, outcome in outcomes.items() if outcome.status in (200, 503)}
         assert not (lost := {name: outcomes[name] for name in outcomes.keys() - answered - excused}), lost
-        for name, servers in self.pool.reached.items():
+        for name, servers in self.pool.servers_reached.items():
             if name.startswith(prefix):
                 most = 1 if "-post" in name else 3
                 assert len(servers) <= most, (name, servers)
