--- a/loadbalancer/node/listener/flow_control.py
+++ b/loadbalancer/node/listener/flow_control.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.node.http.socket_buffer import readable
 
-LINGER_S = 1.0  # the close follows the last response, or the client's last byte after it, by this time
+LINGER_S = 1.0  # time until the close after the last response, or after the client's last byte since then
 MAX_LINGER_S = 5.0  # upper bound after the last response, even if the client keeps sending
 WRITE_STALL_TIMEOUT_S = 10.0  # a client that reads no byte of its response for this time is disconnected
 
--- a/loadbalancer/node/listener/listener.py
+++ b/loadbalancer/node/listener/listener.py
@@ -18,7 +18,7 @@
 
 BACKLOG = 1024  # connections queued in the kernel until they are accepted
 ACCEPT_PAUSE_S = 0.002  # at capacity: a closed connection frees its descriptor one loop iteration later
-DRAIN_OPEN_S = 0.5  # clients open new connections for up to 0.4 s after a drain has started
+CLOSE_IDLE_AFTER_S = 0.5  # clients open new connections for up to 0.4 s after a drain has started
 DRAIN_INTERVAL_S = 0.01
 NEW_CONNECTION_GRACE_S = 0.5  # time for the first request of a connection, which clients don't retry
 SWEEP_INTERVAL_S = 0.1  # a client that sends no request must get an error or a close within 3 s
@@ -215,14 +215,16 @@
 
     # ---------------------------------------------------------------- drain and close
 
-    def drain(self, young_s: float = NEW_CONNECTION_GRACE_S, open_s: float = DRAIN_OPEN_S) -> None:
-        """Close each connection with its next response, and close idle connections after `open_s`.
+    def drain(
+        self, grace_s: float = NEW_CONNECTION_GRACE_S, close_idle_after_s: float = CLOSE_IDLE_AFTER_S
+    ) -> None:
+        """Close each connection with its next response; close idle ones after `close_idle_after_s`.
 
-        Idle connections younger than `young_s` stay open, as their first request may be in transit.
+        Idle connections younger than `grace_s` stay open, as their first request may be in transit.
         """
         if not self.draining:
             self.draining = True
-            self._drain_timer = self.loop.call_later(open_s, self._drain_idle, young_s)
+            self._drain_timer = self.loop.call_later(close_idle_after_s, self._drain_idle, grace_s)
 
     def resume(self) -> None:
         """End the drain."""
@@ -231,12 +233,12 @@
             self._drain_timer.cancel()
             self._drain_timer = None
 
-    def _drain_idle(self, young_s: float) -> None:
-        self._close_idle(young_s)
-        self._drain_timer = self.loop.call_later(DRAIN_INTERVAL_S, self._drain_idle, young_s)
+    def _drain_idle(self, grace_s: float) -> None:
+        self._close_idle(grace_s)
+        self._drain_timer = self.loop.call_later(DRAIN_INTERVAL_S, self._drain_idle, grace_s)
 
-    def _close_idle(self, young_s: float) -> None:
-        opened_by = self.loop.time() - young_s
+    def _close_idle(self, grace_s: float) -> None:
+        opened_by = self.loop.time() - grace_s
         for connection in list(self.connections):
             if connection.opened_at <= opened_by:
                 connection.close_if_idle()
--- a/loadbalancer/node/shutdown.py
+++ b/loadbalancer/node/shutdown.py
@@ -60,7 +60,7 @@
         if self._listener.shares_socket:
             self._listener.stop_accepting()
             self._pool.disable_keep_alive()
-            self._listener.drain(open_s=SHARED_SOCKET_DRAIN_S)
+            self._listener.drain(close_idle_after_s=SHARED_SOCKET_DRAIN_S)
         else:
             self._listener.drain()
 
@@ -78,7 +78,7 @@
         """
         self._listener.on_request = _reject
         self._listener.resume()
-        self._listener.drain(young_s=0.0, open_s=0.0)
+        self._listener.drain(grace_s=0.0, close_idle_after_s=0.0)
         self._listener.reject_partial_requests()
         self._request_registry.fail_all()
         deadline = self._loop.time() + REJECTION_TIMEOUT_S
--- a/tests/node/listener/test_connection_close.py
+++ b/tests/node/listener/test_connection_close.py
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("reason", ["client disconnects", "last response"])
 @pytest.mark.parametrize("headers", [{}, {"Expect": "100-continue"}])
-def test_requests_parsed_behind_a_request_that_ends_the_connection_are_not_served(
+def test_requests_behind_one_that_ends_the_connection_are_not_served(
     reason: str, headers: dict[str, str], caplog: pytest.LogCaptureFixture
 ):
     """The later requests arrive in the same segment as the last byte of a long request."""
--- a/tests/node/listener/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
-def test_disconnects_during_shutdown_do_not_affect_the_last_responses_of_others(disconnect: Disconnect):
+def test_disconnects_during_shutdown_do_not_affect_responses_of_others(disconnect: Disconnect):
     async def main():
         server = Held()
         async with running(server) as node:
@@ -267,7 +267,7 @@
             client, connection = await start_slow_reader(node, server)
             assert not connection.idle
             assert not connection.close_if_idle()
-            node.listener.drain(open_s=0.0)  # closes idle connections from now on, every 10 ms
+            node.listener.drain(close_idle_after_s=0.0)  # closes idle connections from now on, every 10 ms
             assert (await read_until_close(client)).endswith(RESPONSE_BODY)
 
     asyncio.run(main())
@@ -290,7 +290,7 @@
 
 
 @pytest.mark.parametrize("headers", [{}, {"Connection": "close"}])
-def test_client_that_reads_nothing_of_its_response_is_disconnected_after_timeout(headers):
+def test_client_that_stops_reading_its_response_is_disconnected(headers):
     async def main():
         server = Peer()
         async with running(server) as node:
--- a/tests/node/listener/test_partial_requests.py
+++ b/tests/node/listener/test_partial_requests.py
@@ -15,7 +15,7 @@
 from tests.support.raw_clients import connect
 
 DEADLINE_S = 1.0
-LATE_S = 0.5  # a response later than this after the deadline counts as lost by the operators' rules
+LATE_S = 0.5  # a response that is this late counts as lost by the operators' rules
 REQUESTS = b"".join(request(name=f"q{at}", Req_Deadline_Ms="1000") for at in range(4))
 FIRST_PART = len(request(name="q0", Req_Deadline_Ms="1000")) + 30  # the first request, part of the second
 
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -51,7 +51,7 @@
         self.calls.append("fail")
 
 
-def test_body_pauses_its_source_at_the_high_water_mark_until_a_sink_is_attached():
+def test_body_pauses_its_source_at_high_water_mark_until_sink_is_attached():
     source, sink = RecordingSourceAndSink(), RecordingSourceAndSink()
     body = Body(source)
     body.feed(b"x" * (HIGH_WATER_BYTES - 1))
@@ -460,7 +460,7 @@
     asyncio.run(main())
 
 
-def test_long_request_is_dispatched_early_and_its_timeout_starts_at_its_last_byte():
+def test_long_request_is_dispatched_early_and_timeout_starts_at_last_byte():
     async def main():
         server = RecordingServer()
         async with running_node(server.serve) as node:
--- a/tests/node/test_long_responses.py
+++ b/tests/node/test_long_responses.py
@@ -16,7 +16,7 @@
 from tests.support.raw_clients import connect
 
 DEADLINE_S = 1.0
-LATE_S = 0.5  # a response later than this after the deadline counts as lost by the operators' rules
+LATE_S = 0.5  # a response that is this late counts as lost by the operators' rules
 BODY_START = bytes(100_000)
 HEADS = {
     "content length": b"HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + BODY_START,
--- a/tests/node/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -387,13 +387,13 @@
         async with running(Peer()) as node:
             looks: list[float] = []
             due = node.listener._close_idle
-            node.listener._close_idle = lambda young_s: (looks.append(young_s), due(young_s))[1]  # type: ignore
-            for young_s in (1.0, 2.0, 3.0):
+            node.listener._close_idle = lambda grace_s: (looks.append(grace_s), due(grace_s))[1]  # type: ignore
+            for grace_s in (1.0, 2.0, 3.0):
                 node.listener.resume()
-                node.listener.drain(young_s, open_s=0.0)
+                node.listener.drain(grace_s, close_idle_after_s=0.0)
                 seen = len(looks)
                 await reached(lambda seen=seen: len(looks) > seen + 3)  # type: ignore[misc]
-                assert set(looks[seen:]) == {young_s}
+                assert set(looks[seen:]) == {grace_s}
             node.listener.resume()
             assert node.listener._drain_timer is None
 
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -100,7 +100,9 @@
         async with running(Peer(), **more) as node:
             waits: list[float] = []
             monkeypatch.setattr(
-                node.listener, "drain", lambda young_s=0.0, open_s=0.0: waits.append(open_s) or None
+                node.listener,
+                "drain",
+                lambda grace_s=0.0, close_idle_after_s=0.0: waits.append(close_idle_after_s) or None,
             )
             monkeypatch.setattr(shutdown, "MIN_DRAIN_S", 0.0)
             await node.stop()
--- a/tests/node/upstream/test_attempt_writes.py
+++ b/tests/node/upstream/test_attempt_writes.py
@@ -48,18 +48,18 @@
 
 
 class LateConnections:
-    """Delays the pool's new connections until `up` is set; calls `just_before` as each one continues."""
+    """Delays the pool's new connections until `release` is set; calls `just_before` as each one continues."""
 
     def __init__(self, node: Node, just_before: Callable[[], None] = lambda: None) -> None:
-        self.ready = 0
-        self.up = asyncio.Event()
+        self.opened = 0
+        self.release = asyncio.Event()
         open_connection = node.pool.open_connection
 
         async def open_late(endpoint):
             connection = await open_connection(endpoint)
-            self.ready += 1
-            if not self.up.is_set():
-                await self.up.wait()
+            self.opened += 1
+            if not self.release.is_set():
+                await self.release.wait()
                 just_before()
             return connection
 
@@ -115,11 +115,11 @@
         async with running(Peer(), bounds=bounds(cancel)) as node:
             client = DisconnectingClient(node, request(), how)
             late = LateConnections(node, (lambda: None) if delivered else client.disconnect)
-            await until(lambda: late.ready)
+            await until(lambda: late.opened)
             if delivered:
                 client.disconnect()
                 await until(lambda: node.event_counts["client disconnects"])
-            late.up.set()
+            late.release.set()
             await wait_until_idle(node)
             assert (
                 node.metrics.attempts_sent,
@@ -169,18 +169,18 @@
 @WITH_AND_WITHOUT_CANCEL
 @pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize("size", [HIGH_WATER_BYTES, HIGH_WATER_BYTES + 8192])
-def test_long_request_is_not_sent_if_client_disconnects_while_reading_is_paused(size, how, cancel):
+def test_long_request_is_not_sent_if_client_disconnects_while_paused(size, how, cancel):
     async def main():
         server = Peer()
         async with running(server, bounds=bounds(cancel)) as node:
             data = request("post", "q1", bytes(8 * HIGH_WATER_BYTES))
             late = LateConnections(node)
             client = DisconnectingClient(node, data[: len(data) - 8 * HIGH_WATER_BYTES + size], how)
-            await until(lambda: late.ready)
+            await until(lambda: late.opened)
             (connection,) = node.listener.connections
             assert connection._read_control.body_paused  # so the loop delivers no disconnect
             client.disconnect()
-            late.up.set()
+            late.release.set()
             await wait_until_idle(node)
             assert (
                 node.metrics.attempts_sent,
@@ -210,11 +210,11 @@
                     clients.pop().disconnect()
 
             late = LateConnections(node, disconnect_all)
-            await until(lambda: late.ready + node.event_counts["responses 503"] == 24)
-            late.up.set()
+            await until(lambda: late.opened + node.event_counts["responses 503"] == 24)
+            late.release.set()
             await until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 0
-            assert late.ready > 1
+            assert late.opened > 1
 
     asyncio.run(main())
 
@@ -283,9 +283,9 @@
             await until(lambda: node.metrics.attempts_sent)
             late = LateConnections(node, lambda: clock.advance_to(elapsed_s))
             release.set()
-            await until(lambda: late.ready)
+            await until(lambda: late.opened)
             if connects:
-                late.up.set()
+                late.release.set()
             else:
                 clock.advance_to(elapsed_s)
             assert (await client.answer()).status == status
@@ -494,9 +494,9 @@
         async with running(Peer(), bounds=bounds(False)) as node:
             client = DisconnectingClient(node, request("post", "q1"))
             late = LateConnections(node)
-            await until(lambda: late.ready)
+            await until(lambda: late.opened)
             client.disconnect()
-            late.up.set()
+            late.release.set()
             await until(lambda: node.event_counts["client disconnects"])
             assert (await ask(node, request("post", "q1"))).status == 200
             assert node.metrics.attempts_sent == 1
--- a/tests/node/upstream/test_pooled.py
+++ b/tests/node/upstream/test_pooled.py
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("action", SERVER_ACTIONS)
-def test_server_action_on_new_connection_before_the_write_leaves_request_unsent(action, monkeypatch):
+def test_server_action_on_new_connection_leaves_request_unsent(action, monkeypatch):
     """Regression: a close before the write was reported as RESET, although the request was never sent."""
 
     async def main():
