--- a/bench/fleet_traffic.py
+++ b/bench/fleet_traffic.py
@@ -228,7 +228,7 @@
             _change(world.pool, rng, bad, servers)
             time.sleep(rng.uniform(0.5, 1.5))
         for at in range(servers):
-            world.pool.set_behaviour(at, "answer")
+            world.pool.set_behaviour(at, "respond")
         for load in loads:
             load.finish()
         watch.stop()
@@ -259,7 +259,7 @@
     if bad and (len(bad) * 3 >= servers or rng.random() < 0.4):
         at = rng.choice(sorted(bad))
         bad.remove(at)
-        pool.set_behaviour(at, "answer", latency_ms=5.0)
+        pool.set_behaviour(at, "respond", latency_ms=5.0)
     else:
         at = rng.choice([at for at in range(servers) if at not in bad])
         bad.add(at)
--- a/loadbalancer/node/listener/flow_control.py
+++ b/loadbalancer/node/listener/flow_control.py
@@ -15,7 +15,7 @@
 
 
 class ReadControl:
-    """Pauses and resumes reading from a client connection; the source of its request bodies.
+    """Pauses and resumes reading from a client connection; acts as the source of its request bodies.
 
     Reading is paused while a body is paused, and while another request is queued behind the one in progress.
     `on_resumed` is called with the duration (s) for which a body was paused.
@@ -80,7 +80,7 @@
 
 
 class WriteControl:
-    """Observes the write buffer of a client connection, to detect a client that has stopped reading."""
+    """Observes a client connection's write buffer, and sets whether a close resets the connection."""
 
     def __init__(self, transport: asyncio.Transport) -> None:
         self._transport = transport
--- a/loadbalancer/node/listener/listener.py
+++ b/loadbalancer/node/listener/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections and limits their number, so that other parts get file descriptors."""
+"""Accepts client connections, and limits their number to reserve descriptors for endpoints and discovery."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 BACKLOG = 1024  # connections queued in the kernel until they are accepted
 ACCEPT_PAUSE_S = 0.002  # at capacity: a closed connection frees its descriptor one loop iteration later
-CLOSE_IDLE_AFTER_S = 0.5  # clients open new connections for up to 0.4 s after a drain has started
+CLOSE_IDLE_AFTER_S = 0.5  # after a drain's start; clients open new connections for up to 0.4 s
 DRAIN_INTERVAL_S = 0.01
 NEW_CONNECTION_GRACE_S = 0.5  # time for the first request of a connection, which clients don't retry
 SWEEP_INTERVAL_S = 0.1  # a client that sends no request must get an error or a close within 3 s
@@ -27,8 +27,8 @@
 LIMIT_PARTS = 7
 CLOSING_PARTS = 3
 
-# The order in which connections are closed: beyond the limit of connections that accept requests, and at
-# capacity, when descriptors are short. Closing keeps pauses of accepting short.
+# Which connections are closed first when more than `limit` accept requests, and when the listener is at
+# capacity. Closing them keeps the pauses of accepting short.
 _CloseMethod = Callable[[ClosableConnection], bool]
 _CLOSE_OVER_LIMIT: tuple[_CloseMethod, ...] = (
     ClosableConnection.close_if_idle,
@@ -56,12 +56,12 @@
 class Listener:
     """Accepts client connections and passes their requests to `on_request`.
 
-    At most `limit` connections accept requests at the same time.
+    If more than `limit` connections accept requests, others are closed.
     """
 
     def __init__(self, limit: int, on_request: Callable[[InboundRequest], None]) -> None:
         self.loop = asyncio.get_running_loop()
-        self.request_limit = limit  # max number of connections that accept requests
+        self.request_limit = limit  # desired maximum of connections that accept requests
         self._burst = max(1, limit // LIMIT_PARTS)  # max connections accepted per loop iteration
         self.max_connections = limit + CLOSING_PARTS * limit // LIMIT_PARTS  # including those being closed
         self.on_request = on_request
@@ -106,7 +106,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """The host and port that it listens on."""
+        """The host and port that the listener listens on."""
         assert self._socket is not None
         host, port = self._socket.getsockname()[:2]
         return host, port
--- a/tests/node/test_nodes.py
+++ b/tests/node/test_nodes.py
@@ -61,7 +61,7 @@
         pool.close()
 
 
-@pytest.mark.parametrize(("behaviour", "status"), [("answer", 200), ("fail", 500), ("drop", 0), ("hang", 0)])
+@pytest.mark.parametrize(("behaviour", "status"), [("respond", 200), ("fail", 500), ("drop", 0), ("hang", 0)])
 def test_stub_server_follows_its_behaviour_and_records_the_request(behaviour: Behaviour, status: int) -> None:
     pool = StubServerPool(2)
     connection = http.client.HTTPConnection("127.0.0.1", pool.port(1), timeout=0.2)
--- a/tests/node/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -191,7 +191,7 @@
                     caller.sendall(request(name=f"q{at}"))
                 old.send(signal.SIGTERM)
             start_on(new, raw, tmp_path)
-            servers.set_behaviour(0, "answer")
+            servers.set_behaviour(0, "respond")
             assert status(held) == 200
             assert [status(caller) in (200, 503) for caller in callers].count(False) == 0
         assert ended(old) == 0
--- a/tests/support/stub_servers.py
+++ b/tests/support/stub_servers.py
@@ -10,7 +10,7 @@
 from tests.support.faults import LoopThread
 from tests.support.loopback import Message, Peer, reply, targets
 
-Behaviour = Literal["answer", "hang", "fail", "drop"]
+Behaviour = Literal["respond", "hang", "fail", "drop"]
 
 
 class ThreadedServer:
@@ -34,7 +34,7 @@
     latency_ms: float
     capacity: int | None
     peer: Peer = field(default_factory=Peer)
-    behaviour: Behaviour = "answer"
+    behaviour: Behaviour = "respond"
     behaviour_changed: asyncio.Event = field(default_factory=asyncio.Event)
     in_flight: int = 0
 
@@ -79,7 +79,7 @@
         return reply(500, b"") if server.behaviour == "fail" else reply()
 
     def set_behaviour(
-        self, index: int, behaviour: Behaviour = "answer", latency_ms: float | None = None
+        self, index: int, behaviour: Behaviour = "respond", latency_ms: float | None = None
     ) -> None:
         """Change a server's behaviour, also for requests in flight, and its latency for new requests."""
 
