--- a/bench/fleet_traffic.py
+++ b/bench/fleet_traffic.py
@@ -271,8 +271,8 @@
     ("fail", 5.0),
     ("hang", 5.0),
     ("drop", 5.0),
-    ("answer", 100.0),  # slow, which is no failure
-    ("answer", 400.0),  # too slow to count
+    ("respond", 100.0),  # slow, which is no failure
+    ("respond", 400.0),  # too slow to count
 )
 
 
--- a/loadbalancer/node/listener/request_parser.py
+++ b/loadbalancer/node/listener/request_parser.py
@@ -55,7 +55,7 @@
         self.is_first = True  # no request has been received completely yet
         self.size = 0  # bytes received of the request's body
         self.started_at = now  # loop time (s) at which the connection or request started
-        self.head_received_at = now  # loop time (s) of the head's end, plus the time for which the body was paused
+        self.head_received_at = now  # loop time (s) of the head's end, plus body pauses
         self._head_fields_size = 0  # total size of the target, headers and trailers
         self._partial_head_size = 0  # bytes received of an incomplete head
 
