--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,4 +1,4 @@
-"""loadbalancer: load balancing decisions for services that call services in tiers."""
+"""Client-side load balancing for tiers of services that call one another."""
 
 from loadbalancer.balancing import Balancer
 from loadbalancer.service_settings import Settings
--- a/loadbalancer/balancing/__init__.py
+++ b/loadbalancer/balancing/__init__.py
@@ -1,8 +1,9 @@
 """The balancing policy: admission by a cursor table, endpoint selection, retries. Sans-I/O.
 
-Every period the pool's load moves a cursor one step over a table of queue thresholds. A request that meets
-the threshold of its row is rejected at once; an admitted one goes to the best-ranked ready endpoint.
-`Balancer.handle(now_ms, event)` returns actions. It reads no clock and owns its random source.
+In every control period the pool's load moves a cursor one step over a table of queue thresholds. A request is
+rejected at once if the requests in flight have reached the threshold of its row; otherwise it is sent to the
+best-ranked ready endpoint.
+`Balancer.handle(now_ms, event)` returns actions. It reads no clock and has its own random number generator.
 Its types are in loadbalancer/balancing/events.py, loadbalancer/balancing/actions.py,
 loadbalancer/service_settings.py and loadbalancer/endpoints.py.
 
--- a/loadbalancer/balancing/actions.py
+++ b/loadbalancer/balancing/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the balancer returns for its host to carry out. Times are in milliseconds."""
+"""Actions that the balancer returns and its host carries out. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 @dataclass(slots=True)
 class Send:
-    """Make an attempt of a request at a server; its number is that of the request's earlier attempts."""
+    """Make an attempt of a request at a server; its number is the count of the request's earlier attempts."""
 
     id: str
     server: str
     timeout_ms: float = 0.0  # 0: until the client's deadline
-    # When its last byte has to have been written; later it must not be executed. A bound on the host, so it
-    # is no part of the recorded decision.
+    # The host must have written the attempt's last byte by this time: executed later, it might take effect a
+    # second time. It constrains the host only, so it is left out of the recorded decisions (`repr=False`).
     written_by_ms: float = field(default=math.inf, repr=False)
 
 
 @dataclass(slots=True)
 class Reject:
-    """The final answer of a request that has had no effect: a retry by the client is safe."""
+    """Send the final response to a request that a client may safely retry: no effect yet, or idempotent."""
 
     id: str
-    retry_after_ms: float = 0.0  # 0: none is stated
+    retry_after_ms: float = 0.0  # 0: the response has no Retry-After
 
 
 @dataclass(slots=True)
 class Fail:
-    """The final answer of a request that may have had an effect."""
+    """Send the final response to a request that may have had an effect."""
 
     id: str
 
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Report a `TimerFired` of this name after the delay."""
+    """Start a timer; its `TimerFired` event carries the same name."""
 
     delay_ms: float
     name: str
--- a/loadbalancer/balancing/admission.py
+++ b/loadbalancer/balancing/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: the weight and priority of a request, and whether it meets the threshold of its row."""
+"""Admission control: a request's weight and priority, and its rejection at the threshold of its row."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from loadbalancer.balancing.state import BalancerState
 from loadbalancer.service_settings import ServiceClass
 
-RETRY_PRIORITY_RATIO = 0.5  # priority of a client's retry over that of its class
+RETRY_PRIORITY_RATIO = 0.5  # factor on the priority of a client's retry
 ADMITTED_GAIN = 0.1  # smoothing of the admitted ratio, per request
 COST_HINT_GAIN = 0.03  # smoothing of the mean cost hint, per request
-MIN_WEIGHT_RATIO = 0.25  # of a request's weight to the mean
-MAX_WEIGHT_RATIO = 4.0
+MIN_WEIGHT_RATIO = 0.25  # lower bound of a request's weight over the mean
+MAX_WEIGHT_RATIO = 4.0  # and upper bound
 MS_PER_S = 1000.0
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A tenant's quota at this balancer; it holds the tokens of one second."""
+    """A token bucket for a tenant's quota at this balancer, one second of tokens deep."""
 
-    quota_per_s: float  # over all siblings
+    quota_per_s: float  # of all siblings together
     tokens: float
     updated_ms: float
 
     def take(self, now_ms: float, divisor: float) -> bool:
-        """Take a token, of one part in `divisor` of the quota; False where there is none."""
+        """Take a token; False if none is left. The bucket refills at the quota over `divisor`."""
         quota_per_s = self.quota_per_s / divisor
         refilled = self.tokens + quota_per_s * (now_ms - self.updated_ms) / MS_PER_S
         self.tokens = min(bucket_depth(quota_per_s), refilled)
@@ -38,13 +38,15 @@
 
 
 def bucket_depth(quota_per_s: float) -> float:
-    """The most tokens that a bucket holds: those of one second, and at least one unless the quota is 0, so
-    that a quota under one request a second admits requests too."""
+    """The maximum number of tokens of a bucket: those of one second.
+
+    At least one unless the quota is 0, so that a quota under one request per second admits requests too.
+    """
     return max(1.0, quota_per_s) if quota_per_s > 0.0 else 0.0
 
 
 class Admission:
-    """Decides on each request as it arrives. Owns the tenants' buckets and the mean cost hint."""
+    """Admits or rejects each request as it arrives. Owns the tenants' buckets and the mean cost hint."""
 
     def __init__(self, state: BalancerState, now_ms: float) -> None:
         self.state = state
@@ -59,8 +61,7 @@
         self.mean_cost_hint_ms = 0.0
 
     def request_weight(self, request: Request) -> float:
-        """The request's weight in the queue: 1, or its cost hint over the mean where the settings weigh by
-        work."""
+        """The request's weight in the queue: 1, or its cost hint over the mean with `weight_by_work`."""
         hint_ms = request.cost_hint_ms
         if not self.state.settings.weight_by_work or not hint_ms:
             return 1.0
@@ -69,10 +70,11 @@
         return min(MAX_WEIGHT_RATIO, max(MIN_WEIGHT_RATIO, hint_ms / self.mean_cost_hint_ms))
 
     def rejects(self, now_ms: float, request: Request, service_class: ServiceClass) -> bool:
-        """Whether the calls in flight have reached the threshold of the request's row.
+        """Whether the requests in flight have reached the threshold of the request's row.
 
-        Takes a token of its tenant. A capacity under one call admits by chance: with a whole call each,
-        hundreds of balancers would together keep an overloaded pool overloaded.
+        Takes a token from its tenant's bucket. If less than one request fits under the threshold, the request
+        is admitted with that probability: if hundreds of balancers admitted one request each, they would
+        together keep an overloaded pool overloaded.
         """
         state = self.state
         in_flight = sum([endpoint.total_in_flight for endpoint in state.ready])
@@ -83,7 +85,7 @@
         return rejected
 
     def priority(self, now_ms: float, request: Request, service_class: ServiceClass) -> float:
-        """The request's priority, from 0 to 1: its class's, lower for retries and beyond its tenant's
+        """The request's priority, from 0 to 1: that of its class, reduced for a retry and over the tenant's
         quota."""
         priority = service_class.priority_weight / self.top_weight
         if request.is_retry:
--- a/loadbalancer/balancing/balancer.py
+++ b/loadbalancer/balancing/balancer.py
@@ -39,21 +39,21 @@
 from loadbalancer.endpoints import RouteVersion
 from loadbalancer.service_settings import Settings
 
-PERIOD_TIMER = "period"  # the timer of the control period
+PERIOD_TIMER = "period"  # ends each control period
 
 
 class PoolStatus(NamedTuple):
-    """The pool as this balancer sees it."""
+    """The state of the pool from this balancer's point of view."""
 
-    in_flight: float  # weight of the calls in flight to ready endpoints
+    in_flight: float  # weight of the requests in flight to ready endpoints
     cursor: int
-    threshold: float  # of the highest priority
+    threshold: float  # for the highest priority
 
 
 class Balancer:
-    """Decisions of one node.
+    """The load balancing decisions of one node.
 
-    Times are in milliseconds on a clock that only advances; the same seed and events give the same actions.
+    Times are in milliseconds of a monotonic clock; the same seed and events give the same actions.
     `handle` raises KeyError for a request of a class that the settings don't name.
     """
 
@@ -68,7 +68,7 @@
         self.started = False
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """The actions that follow from an event, in the order in which to carry them out."""
+        """Handle an event; return the resulting actions in the order in which to carry them out."""
         actions: list[Action] = []
         self.state.now_ms = now_ms
         if not self.started:
@@ -103,7 +103,7 @@
             actions.append(Watch())
 
     def _on_control_event(self, now_ms: float, event: Event, actions: list[Action]) -> None:
-        """Events that change which endpoints are used and under which limits."""
+        """Handle an event that changes the endpoints in use or the limits."""
         match event:
             case EndpointListUpdate():
                 endpoint_set.update_list(self.state, event, actions)
@@ -126,7 +126,7 @@
 
     @property
     def cursor(self) -> int:
-        """The position in the table, 0 at its left, where nothing is shed under normal load."""
+        """The position in the threshold table; at 0, its left end, nothing is shed under normal load."""
         return self.state.cursor
 
     @property
@@ -136,7 +136,7 @@
 
     @property
     def ready(self) -> list[EndpointState]:
-        """The endpoints that may get new calls."""
+        """The endpoints to which new attempts may be sent."""
         return self.state.ready
 
     @property
@@ -145,28 +145,28 @@
         return sum(1 for name in self.endpoints if name in self.state.ejected)
 
     def threshold(self, priority: float, ready: int) -> float:
-        """The calls in flight to `ready` endpoints at which one of this priority (0 to 1) is rejected."""
+        """The weight in flight to `ready` endpoints at which this priority (0 to 1) is rejected."""
         return cursor_table.threshold(self.state, priority, ready)
 
     def learned_state(self) -> LearnedState:
-        """What another process of this node may start from."""
+        """The measurements from which another process of this node may start."""
         return learned_state.export_state(self.state)
 
     def pool(self) -> PoolStatus:
-        """The calls in flight, the cursor and the threshold of the highest priority."""
+        """The weight in flight, the cursor and the threshold for the highest priority."""
         ready = self.state.ready
         in_flight = sum(endpoint.total_in_flight for endpoint in ready)
         return PoolStatus(in_flight, self.state.cursor, self.threshold(1.0, len(ready)))
 
     def in_flight(self) -> dict[str, float]:
-        """Weight of the calls in flight from this process, by endpoint."""
+        """Weight of the requests in flight from this process, by endpoint."""
         return {
             name: endpoint.in_flight for name, endpoint in self.endpoints.items() if endpoint.in_flight > 0.0
         }
 
     def summary(self) -> str:
-        """One line for the log: why the cursor moved and requests were rejected since the last call, and the
-        present state of the pool."""
+        """One line for the log: the counts of cursor steps and rejections by reason since the previous
+        summary, and the current state of the pool."""
         state = self.state
         counts = [f"{name} {count}" for name, count in sorted(state.counters.items())]
         state.counters.clear()
--- a/loadbalancer/balancing/endpoint_selection.py
+++ b/loadbalancer/balancing/endpoint_selection.py
@@ -1,4 +1,7 @@
-"""Selection of the endpoint for an attempt: the best-ranked one within its quota, in slow start by chance."""
+"""Selection of the endpoint for an attempt: the best-ranked one within its quota.
+
+An endpoint in slow start is eligible with a probability that grows with its capacity.
+"""
 
 from __future__ import annotations
 
@@ -10,25 +13,25 @@
 from loadbalancer.balancing.state import BalancerState, EndpointState, PendingRequest
 from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass
 
-LATENCY_DECAY_MS = 8000.0  # time constant with which a latency ratio without outcomes returns to 1
-QUEUE_DECAY_MS = 500.0  # time constant with which a reported queue loses its weight
+LATENCY_DECAY_MS = 8000.0  # time constant with which a latency ratio returns to 1 without outcomes
+QUEUE_DECAY_MS = 500.0  # time constant with which a reported queue decays
 RANK_JITTER_RATIO = 0.1  # width of the random factor that separates equal ranks
-CROSS_ZONE_FACTOR = 64.0  # calls in the queue that equal a crossing of zones, per unit of its price
-ENDPOINT_QUOTA_FACTOR = 1.25  # of an endpoint's part of T1: in flight from here at most
-RETRY_MARGIN_MS = 10.0  # before the deduplication window's end: time for a retry's bytes to arrive
-SLOW_START_RATIO = 0.4  # of the overload factor: traffic of an endpoint in slow start over its capacity
+CROSS_ZONE_FACTOR = 64.0  # queued requests that a crossing of zones counts as, per unit of its price
+ENDPOINT_QUOTA_FACTOR = 1.25  # maximum in flight from this balancer to an endpoint, over its part of T1
+RETRY_MARGIN_MS = 10.0  # before the end of the deduplication window, for a retry's bytes to arrive
+SLOW_START_RATIO = 0.4  # of the overload factor: traffic to an endpoint in slow start over its capacity
 MAX_ERROR_RATE = 0.9  # keeps the rank of a failing endpoint finite
 
 
 class DeduplicationGroup(NamedTuple):
-    """Servers of which one drops a repeat of a request that another has executed."""
+    """Servers that share idempotency keys: each drops a retry of a request that another has executed."""
 
     zone: str
     cell: int
 
 
 def select_endpoint(state: BalancerState, now_ms: float, pending: PendingRequest) -> EndpointState | None:
-    """The endpoint for the request's next attempt; None where none may take it."""
+    """The endpoint for the request's next attempt; None if there is none."""
     candidates = _candidates(state, now_ms, pending)
     if state.confidence:
         candidates = fleet_control.usable_endpoints(state, candidates)
@@ -42,8 +45,8 @@
 def _best_ranked(
     state: BalancerState, now_ms: float, candidates: list[EndpointState]
 ) -> EndpointState | None:
-    """The best-ranked of these endpoints that may take one more call."""
-    # The quota keeps many balancers from putting more on the best-ranked endpoint together than it bears.
+    """The best-ranked of the candidates that may take another attempt; None if there is none."""
+    # The quota keeps many balancers from overloading the best-ranked endpoint together.
     ready = len(state.ready)
     quota = ENDPOINT_QUOTA_FACTOR * cursor_table.first_entry(state, ready) / max(1, ready)
     within = [
@@ -52,14 +55,15 @@
         if endpoint.total_in_flight + 1.0 <= quota + endpoint.rounding_offset
     ]
     if not within and not any([endpoint.total_in_flight for endpoint in state.ready]):
-        # A balancer with nothing in flight may always make a call. The offset differs between balancers, and
-        # so does the endpoint.
+        # A balancer with nothing in flight may always make one attempt. The order by the random offset
+        # differs between balancers, so they choose different endpoints.
         by_offset = sorted(candidates, key=lambda endpoint: -endpoint.rounding_offset)
         return next((each for each in by_offset if slow_start_admits(state, now_ms, each)), None)
     best, best_rank = None, math.inf
     for endpoint in within:
         restoration = state.restored.get(endpoint.listed.name)
-        # The first call after a restoration goes first, so that balancers with few calls find out as well.
+        # A restored endpoint ranks first until its first attempt, so that balancers with few requests learn
+        # its state too.
         unattempted = restoration is not None and not restoration.attempted
         rank = 0.0 if unattempted else _rank(state, now_ms, endpoint)
         if rank < best_rank and slow_start_admits(state, now_ms, endpoint):
@@ -68,7 +72,7 @@
 
 
 def _candidates(state: BalancerState, now_ms: float, pending: PendingRequest) -> list[EndpointState]:
-    """The ready endpoints at which another attempt cannot have a second effect."""
+    """The ready endpoints at which another attempt can't take effect a second time."""
     executed, service_class = pending.possibly_executed(), pending.service_class
     if now_ms >= retry_deadline_ms(pending) or (executed and service_class.effect is Effect.NON_IDEMPOTENT):
         return []
@@ -85,8 +89,11 @@
 
 
 def retry_deadline_ms(pending: PendingRequest) -> float:
-    """When the next attempt has to have been written: infinity, unless an attempt with an idempotency key may
-    have been executed, whose key the servers forget after the deduplication window."""
+    """The time by which the next attempt must have been written.
+
+    Infinity, unless an attempt with an idempotency key may have been executed: the servers forget its key
+    after the deduplication window, and would then execute a retry.
+    """
     executed = pending.possibly_executed()
     if not executed or pending.service_class.effect is not Effect.IDEMPOTENCY_KEY:
         return math.inf
@@ -100,7 +107,7 @@
 
 
 def _rank(state: BalancerState, now_ms: float, endpoint: EndpointState) -> float:
-    """Latency ratio times queue length; the lowest rank is the best."""
+    """Latency ratio times queue length over success rate; the lowest rank is the best."""
     success_rate = 1.0 - min(MAX_ERROR_RATE, endpoint.error_rate)
     queue = 0.0
     if endpoint.reported_queue:
@@ -114,8 +121,11 @@
 
 
 def _current_latency_ratio(state: BalancerState, now_ms: float, endpoint: EndpointState) -> float:
-    """The smoothed latency ratio, decayed towards 1, the mean of the others; or that of the oldest call in
-    flight where it is higher, which shows a hanging server before any timeout."""
+    """The smoothed latency ratio, decayed towards 1, the mean over all endpoints.
+
+    If the oldest attempt in flight has already taken longer, its ratio so far: this detects a hanging server
+    before any timeout.
+    """
     ratio = 1.0
     if endpoint.latency_ratio is not None:
         decay = math.exp((endpoint.last_outcome_ms - now_ms) / LATENCY_DECAY_MS)
@@ -131,11 +141,11 @@
 
 
 def slow_start_admits(state: BalancerState, now_ms: float, endpoint: EndpointState) -> bool:
-    """Whether a call may go to the endpoint by its slow start; always once it has warmed up.
+    """Whether an attempt may go to the endpoint under its slow start; always true after the slow start.
 
-    All balancers together must not overload an endpoint that is warming up. Each call is admitted with the
-    probability of the endpoint's present capacity in ordinary traffic: a draw for each call keeps the sum to
-    that capacity for any number of balancers, which a count at each of them would not.
+    All balancers together must not overload an endpoint in slow start. Each attempt is admitted with a
+    probability, the endpoint's current capacity over the present traffic. Such a draw keeps the sum over any
+    number of balancers within that capacity, which a count limit at each balancer would not.
     """
     settings = state.settings
     age_ms = _process_age_ms(state, now_ms, endpoint)
@@ -147,23 +157,23 @@
 
 
 def _process_age_ms(state: BalancerState, now_ms: float, endpoint: EndpointState) -> float:
-    """The age of the endpoint's process; infinity where its start isn't known."""
+    """The age of the endpoint's process; infinity if its start time isn't known."""
     launched_ms = endpoint.listed.launched_ms
     restoration = state.restored.get(endpoint.listed.name)
     if restoration is not None and (launched_ms is None or launched_ms < restoration.ejected_ms):
-        # It was restarted while it was ejected, and the list shows that only seconds later.
+        # It was restarted while it was ejected; the list shows the new start time only seconds later.
         launched_ms = restoration.restored_ms
     return math.inf if launched_ms is None else max(0.0, now_ms - launched_ms)
 
 
 def _traffic_in_endpoints(state: BalancerState) -> float:
-    """The present traffic as a number of endpoints at their ordinary rate, at least 1."""
+    """The present traffic, as the number of endpoints that it keeps at their peak rate; at least 1."""
     ready = len(state.ready)
     if state.peak_completion_rate <= 0.0:
         return ready
-    # Few calls count as low traffic only where the threshold rejects others: otherwise calls that return
-    # together after a quiet time would all be admitted. With few calls a quiet time can't be told from
-    # chance.
+    # A low send rate counts as low traffic only if the threshold rejects requests. Otherwise a burst after an
+    # idle time would be admitted in full. With few requests, an idle time can't be told from chance, so the
+    # admitted ratio then counts less.
     usual = state.peak_completion_rate * ready * RATE_SMOOTHING_MS
     admitted = ready * state.admitted_ratio * usual / (usual + HALF_WEIGHT_COUNT)
     return max(1.0, state.send_rate / state.peak_completion_rate, admitted)
--- a/loadbalancer/balancing/endpoint_set.py
+++ b/loadbalancer/balancing/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoints in use: those that discovery lists as up, without those that operators have ejected."""
+"""The endpoints in use: those that discovery lists as up and that no operator has ejected."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from loadbalancer.balancing.state import BalancerState, EndpointState, Restoration
 from loadbalancer.endpoints import Endpoint, EndpointListKind, EndpointStatus
 
-WATCH_TIMER = "watch"  # the timer that subscribes to the endpoint list again
-WATCH_BACKOFF_MS = 250.0  # half the first wait; doubled at each failure
+WATCH_TIMER = "watch"  # subscribes to the endpoint list again
+WATCH_BACKOFF_MS = 250.0  # half the first backoff, which doubles at each failure
 MAX_WATCH_BACKOFF_MS = 4000.0
-MAX_DOUBLINGS_COUNT = 16  # bounds the power however long an outage lasts
+MAX_DOUBLINGS_COUNT = 16  # keeps the power of 2 from overflowing in a long outage
 
 
 def update_list(state: BalancerState, event: EndpointListUpdate, actions: list[Action]) -> None:
-    """Take over a list or changes of one; after a failure subscribe again, with jittered backoff."""
+    """Apply a complete list or a delta; after a failure subscribe again, with jittered backoff."""
     if event.kind is EndpointListKind.FAILED:
         state.watch_failures += 1
         doublings = min(state.watch_failures, MAX_DOUBLINGS_COUNT)
@@ -48,7 +48,7 @@
 
 
 def eject(state: BalancerState, event: EndpointEjected) -> None:
-    """Send nothing new to an endpoint until it is restored, whatever the list says."""
+    """Send no new attempts to an endpoint until it is restored, even if it is listed as up."""
     state.ejected.add(event.server)
     state.restored.pop(event.server, None)
     _choose_ready(state)
@@ -68,7 +68,7 @@
 
 
 def set_sibling_load(state: BalancerState, event: SiblingProcessLoad) -> None:
-    """Count the calls that other processes of this node have in flight."""
+    """Record the requests that the sibling process of this node has in flight."""
     for name, endpoint in state.endpoints.items():
         endpoint.sibling_in_flight = event.in_flight.get(name, 0.0)
 
--- a/loadbalancer/balancing/events.py
+++ b/loadbalancer/balancing/events.py
@@ -1,7 +1,7 @@
-"""Events that the balancer takes, in the order in which its host observes them.
+"""Events that the host passes to the balancer, in the order in which it observes them.
 
-Times are in milliseconds of one monotonic clock of the host; rates are per second. A load report maps the
-fields that the settings name (`queue`, `util`, ...) to their values.
+Times are in milliseconds of one monotonic clock of the host. A load report maps the fields that the settings
+name (`queue`, `util`, ...) to their values.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """The endpoint list, changes of it, or that it could not be had."""
+    """A complete endpoint list, a delta, or the failure to get one."""
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request, or a call of a service, that is owed one final answer."""
+    """A request from a client or from a service of the tier above; it gets one final response."""
 
     id: str
     service: str  # name of its service class
@@ -29,12 +29,12 @@
     tenant: str | None = None
     cost_hint_ms: float | None = None
     is_retry: bool = False
-    receiving: bool = False  # until its last byte has arrived, see RequestReceived
+    receiving: bool = False  # true until `RequestReceived`: its last byte has not arrived
 
 
 @dataclass(slots=True)
 class RequestReceived:
-    """The last byte of a request that was still being received; its time runs from here."""
+    """The last byte of a `receiving` request has arrived; its latency is measured from now."""
 
     id: str
     deadline_ms: float
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed answer has begun; no other attempt may answer the request."""
+    """A streamed response has begun; no other attempt may respond to the request."""
 
     id: str
     attempt: int
@@ -57,20 +57,20 @@
     server: str
     result: AttemptResult
     latency_ms: float
-    request_ended: bool  # by this attempt or earlier
+    request_ended: bool  # the request has ended, by this attempt or before
     load_report: dict[str, float] | None = None
 
 
 @dataclass(slots=True)
 class RequestCancelled:
-    """The client has disconnected; no answer is owed any more."""
+    """The client has disconnected; it gets no response any more."""
 
     id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the balancer has set."""
+    """A timer that the balancer has set has expired."""
 
     name: str
 
@@ -87,14 +87,14 @@
 
 @dataclass(slots=True)
 class EndpointEjected:
-    """An operator has ejected a server: nothing new may go there, whatever the list says."""
+    """An operator has ejected a server: it gets no new attempts, even if it is listed as up."""
 
     server: str
 
 
 @dataclass(slots=True)
 class EndpointRestored:
-    """An operator has ended an ejection; the server was restarted meanwhile, which the list may show late."""
+    """An operator has restored an ejected server. It was restarted meanwhile; the list may show that late."""
 
     server: str
     ejected_ms: float
@@ -103,9 +103,9 @@
 
 @dataclass(slots=True)
 class LearnedState:
-    """What another process of this node has measured. Ratios are latencies over the latency objective."""
+    """The measurements of another process of this node. Ratios are latencies over the latency objective."""
 
-    baseline_ratio: float | None  # unloaded; None while unknown
+    baseline_ratio: float | None  # at unloaded latency; None while unknown
     latency_ratio: float  # smoothed
     cursor: int
     completion_rate: float  # weight per ms and ready endpoint
@@ -113,19 +113,19 @@
     send_rate: float  # weight per ms
     mean_latency_objective_ms: float
     class_latency_ms: dict[str, float]
-    endpoint_latency_ratios: dict[str, float]  # over the latency of their classes
+    endpoint_latency_ratios: dict[str, float]  # over the latency of the request's class
 
 
 @dataclass(slots=True)
 class SiblingProcessLoad:
-    """Weight of the calls that another process of this node has in flight, by server."""
+    """Weight of the requests that the sibling process of this node has in flight, by server."""
 
     in_flight: dict[str, float]
 
 
 @dataclass(slots=True)
 class StateRestored:
-    """What this node had measured when it wrote its state file, `age_ms` ago."""
+    """The measurements in this node's state file, written `age_ms` ago."""
 
     state: LearnedState
     age_ms: float
@@ -133,18 +133,20 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaGrant:
-    """The part of what all siblings share (T1's shared parts, tenants' quotas) that is granted to this
-    balancer: `quota` (0 to 1) until `expires_ms`, 0 after it. Takes the place of the settings'
-    `siblings`."""
+    """The quota granted to this balancer: its part (0 to 1) of the limits that all siblings share, which are
+    the shared parts of T1 and the tenants' quotas.
+
+    From `expires_ms` on, the quota is 0. The grant replaces `Settings.siblings`.
+    """
 
     quota: float
-    holders: int  # processes that share, this one included
+    holders: int  # processes with a quota, including this one
     expires_ms: float
 
 
 @dataclass(slots=True)
 class ConfidenceUpdate:
-    """Changed confidence in the routes to these servers; that in others is unchanged."""
+    """New confidence in the routes to these servers; for other servers it is unchanged."""
 
     confidence: dict[str, Confidence]
 
--- a/loadbalancer/balancing/fleet_control.py
+++ b/loadbalancer/balancing/fleet_control.py
@@ -1,8 +1,7 @@
-"""What the control plane decides for this balancer: its quota, its confidence in endpoints, the route
-version.
+"""Inputs from the control plane: the quota, the confidence in endpoints and the route version.
 
-Each arrives as an event; without it the balancer acts by its settings alone. Confidence only changes the
-order in which endpoints are chosen: no request is rejected for it.
+Each arrives as an event; until then the balancer uses its settings alone. Confidence only affects which
+endpoint is chosen: no request is rejected because of it.
 """
 
 from __future__ import annotations
@@ -13,25 +12,25 @@
 from loadbalancer.balancing.state import BalancerState, EndpointState, PendingRequest, Quota
 from loadbalancer.endpoints import Confidence, RouteVersion
 
-# How much of an endpoint's latency ratio counts; the rest is the mean of the others.
+# Weight of an endpoint's own latency ratio; the rest of the weight is on 1, the mean of all endpoints.
 CONFIDENCE_RATIOS = {Confidence.LOW: 0.5, Confidence.NONE: 0.0}
 LOW_CONFIDENCE = (Confidence.LOW, Confidence.NONE)
 
 
 def apply_quota_grant(state: BalancerState, event: QuotaGrant) -> None:
-    """Replace the quota that the settings' `siblings` gives."""
+    """Use the granted quota in place of an equal one by `Settings.siblings`."""
     divisor = 1.0 / event.quota if event.quota > 0.0 else math.inf
     state.quota = Quota(divisor, max(1, event.holders), event.expires_ms)
 
 
 def apply_confidence_update(state: BalancerState, event: ConfidenceUpdate) -> None:
-    """Take over changed ratings; those of endpoints that aren't listed are dropped."""
+    """Merge new ratings into the present ones; ratings of endpoints that aren't listed are dropped."""
     merged = state.confidence | event.confidence
     state.confidence = {name: rating for name, rating in merged.items() if name in state.endpoints}
 
 
 def apply_route_version(state: BalancerState, event: RouteVersion) -> None:
-    """Admit requests under this version from now on; earlier versions stay while requests use them."""
+    """Admit requests under this version from now on; earlier versions are kept while requests use them."""
     in_use = {pending.route_version for pending in state.pending.values()} | {event.number}
     if event.number:
         state.route_versions[event.number] = event.classes
@@ -42,14 +41,14 @@
 
 
 def confidence_ratio(state: BalancerState, endpoint: EndpointState) -> float:
-    """How much of the endpoint's latency ratio counts, from 0 to 1."""
+    """The weight of the endpoint's own latency ratio, from 0 to 1."""
     rating = state.confidence.get(endpoint.listed.name)
     return 1.0 if rating is None else CONFIDENCE_RATIOS.get(rating, 1.0)
 
 
 def usable_endpoints(state: BalancerState, endpoints: list[EndpointState]) -> list[EndpointState]:
-    """Leave out those without confidence that already have a call in flight from here, as it will show
-    whether they answer. All of them where none has more than low confidence."""
+    """The endpoints without those of confidence NONE that already have a request in flight from here: its
+    outcome will show whether they respond. All endpoints if none has a confidence above LOW."""
     ratings = [state.confidence.get(endpoint.listed.name) for endpoint in endpoints]
     if all(rating in LOW_CONFIDENCE for rating in ratings):
         return endpoints
@@ -63,11 +62,10 @@
 def split_by_route(
     state: BalancerState, pending: PendingRequest, endpoints: list[EndpointState]
 ) -> list[list[EndpointState]]:
-    """These endpoints by the traffic splits of the request's route version, in the order in which to try
-    them.
+    """The endpoints grouped by the traffic splits of the request's route version, in the order to try them.
 
     The order is a weighted draw without replacement (Efraimidis, Spirakis 2006). An endpoint belongs to the
-    first split that matches it. Under the neutral version there is one split of all.
+    first split that matches it. Under the neutral version all endpoints form one group.
     """
     splits = state.route_versions.get(pending.route_version, {}).get(pending.service_class.name)
     if splits is None:
--- a/loadbalancer/balancing/learned_state.py
+++ b/loadbalancer/balancing/learned_state.py
@@ -1,5 +1,4 @@
-"""Export and import of what a balancer has measured, for another process of its node or its own next
-start."""
+"""Export and import of a balancer's measurements, for another process of its node or after a restart."""
 
 from __future__ import annotations
 
@@ -10,11 +9,11 @@
 from loadbalancer.balancing.load_estimate import BASELINE_SAMPLE_COUNT, PEAK_DECAY_MS
 from loadbalancer.balancing.state import BalancerState
 
-RATES_TRUSTED_MS = PEAK_DECAY_MS  # age beyond which restored rates describe another load than the present one
+RATES_TRUSTED_MS = PEAK_DECAY_MS  # restored rates that are older don't describe the present load
 
 
 def export_state(state: BalancerState) -> LearnedState:
-    """What another process of this node may start from."""
+    """The measurements from which another process of this node may start."""
     has_baseline = len(state.baseline_samples) >= BASELINE_SAMPLE_COUNT
     return LearnedState(
         baseline_ratio=state.baseline_ratio if has_baseline else None,
@@ -34,7 +33,7 @@
 
 
 def import_state(state: BalancerState, now_ms: float, learned: LearnedState) -> bool:
-    """Start from what another process has measured; False, and nothing changes, where that is too little."""
+    """Start from another process's measurements; if they are too few, change nothing and return False."""
     if learned.baseline_ratio is None or learned.baseline_ratio <= 0.0:
         return False
     if learned.peak_completion_rate <= 0.0 or learned.mean_latency_objective_ms <= 0.0:
@@ -61,12 +60,11 @@
 
 
 def restore_state(state: BalancerState, now_ms: float, event: StateRestored) -> None:
-    """Start from the state file of this node's last process.
+    """Start from the state file of this node's previous process; ignored if its age is negative.
 
-    Latencies are the servers' and are kept whatever their age. Rates decay with age; past RATES_TRUSTED_MS
-    only the peak rate is kept, with the cursor at 0 and the floor of a start. An endpoint's latency ratio
-    counts as observed `age_ms` ago, so that it decays unless outcomes confirm it. A negative age is
-    ignored.
+    Latencies are properties of the servers and are used at any age. Rates decay with age; past
+    RATES_TRUSTED_MS only the peak rate is used, with the cursor at 0 and the startup floor. An endpoint's
+    latency ratio counts as observed `age_ms` ago, so that it decays unless new outcomes confirm it.
     """
     if event.age_ms < 0.0 or not import_state(state, now_ms, event.state):
         return
--- a/loadbalancer/balancing/load_estimate.py
+++ b/loadbalancer/balancing/load_estimate.py
@@ -1,6 +1,6 @@
 """The pool's load, which moves the cursor one step each period, and the rates measured with it.
 
-A load is scaled so that 1 is its target. Rates are weights of requests per millisecond.
+Each load is scaled so that its target is 1. Rates are weights of requests per millisecond.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from loadbalancer.balancing.cursor_table import FLAT_SLOTS_COUNT, clamp_cursor
 from loadbalancer.balancing.state import BalancerState, PeriodWindow
 
-LATENCY_SLACK_RATIO = 0.11  # target: the baseline plus this ratio of its distance to the latency objective
-REPORTED_LATENCY_SLACK_RATIO = 0.35  # the same where utilisation is reported, and latency shows lower tiers
-HALF_WEIGHT_COUNT = 10.0  # outcomes with which a period has half the weight in the smoothed latency
-OVERLOADED_LATENCY_RATIO = 0.6  # over this, latency counts also in a period without answers
-BASELINE_SAMPLE_COUNT = 20  # outcomes of which the baseline is first taken
+LATENCY_SLACK_RATIO = 0.11  # target: the baseline plus this ratio of its gap to the objective
+REPORTED_LATENCY_SLACK_RATIO = 0.35  # if servers report utilisation: latency then indicates lower tiers
+HALF_WEIGHT_COUNT = 10.0  # with this many outcomes, a period has half the weight in the smoothed latency
+OVERLOADED_LATENCY_RATIO = 0.6  # above this, latency counts even in a period without responses
+BASELINE_SAMPLE_COUNT = 20  # outcomes from which the first baseline is taken
 BASELINE_FALL_GAIN = 0.1  # smoothing of the baseline towards a lower latency, per period
 BASELINE_RISE_GAIN = 0.01  # and towards a higher one
 UTILISATION_TARGET_RATIO = 0.97  # target of the median reported utilisation
-UTILISATION_MARGIN_RATIO = 0.03  # less this where many balancers, each with few calls, load servers unevenly
-FEW_BALANCERS_COUNT = 8.0  # up to this many there is no margin
+UTILISATION_MARGIN_RATIO = 0.03  # less this if many balancers, with few requests each, load servers unevenly
+FEW_BALANCERS_COUNT = 8.0  # up to this many balancers there is no margin
 REJECTED_TARGET_RATIO = 0.05  # target ratio of attempts that servers reject
 REPORT_FRESH_MS = 1500.0  # age up to which a reported utilisation counts
 RATE_SMOOTHING_MS = 1000.0  # time constant of the rates
@@ -30,11 +30,11 @@
     """A measure of the pool's load."""
 
     load: float  # 1 is the target
-    source: str  # as the log names it
+    source: str  # its name in the log
 
 
 def end_period(state: BalancerState, now_ms: float) -> None:
-    """Move the cursor one step by the period's load and begin the next period."""
+    """Move the cursor one step according to the period's load and begin the next period."""
     state.periods_elapsed += 1
     fresh = [endpoint for endpoint in state.ready if endpoint.reported_at_ms >= now_ms - REPORT_FRESH_MS]
     utilisation = _median([endpoint.utilisation for endpoint in fresh if endpoint.utilisation is not None])
@@ -43,8 +43,8 @@
     signal = _highest_load(state, utilisation)
     step = 1 if signal.load > 1.0 else -1
     if step > 0 and state.cursor == FLAT_SLOTS_COUNT - 1:
-        # Calls sent before the table sheds load end seconds later. Their latencies say nothing of the pool
-        # under the lower threshold, so they are left out from here on.
+        # The table begins to shed load. Requests sent before now end seconds later, and their latencies don't
+        # describe the pool under the lower threshold, so they are left out from here on.
         state.last_shed_ms = now_ms
         state.latency_ratio = min(state.latency_ratio, state.baseline_ratio or 0.0)
     state.utilisation = utilisation
@@ -55,11 +55,11 @@
 
 
 def _smooth_latency(state: BalancerState) -> None:
-    """Follow the period's latency ratios, and the baseline beneath them."""
+    """Update the smoothed latency ratio and its baseline from the period's outcomes."""
     ratios = state.window.latency_ratios
-    median = _median(ratios) or 0.0  # resists one slow server
-    # Classes differ in unloaded latency over their objectives and short calls end first, so the baseline is
-    # the median of a number of outcomes.
+    median = _median(ratios) or 0.0  # robust against one slow server
+    # Classes differ in unloaded latency over their objectives, and short requests end first, so the first
+    # baseline is the median of BASELINE_SAMPLE_COUNT outcomes.
     if state.baseline_ratio is None or len(state.baseline_samples) < BASELINE_SAMPLE_COUNT:
         state.baseline_samples += ratios
         state.latency_ratio = state.baseline_ratio = _median(state.baseline_samples) or 0.0
@@ -68,7 +68,7 @@
         state.latency_ratio += gain * (median - state.latency_ratio)
     if state.latency_ratio < state.baseline_ratio:
         state.baseline_ratio += BASELINE_FALL_GAIN * (state.latency_ratio - state.baseline_ratio)
-    elif state.cursor == 0:  # a baseline isn't raised under load
+    elif state.cursor == 0:  # the baseline isn't raised under load
         state.baseline_ratio += BASELINE_RISE_GAIN * (state.latency_ratio - state.baseline_ratio)
 
 
@@ -89,8 +89,8 @@
 
 
 def _latency_load(state: BalancerState, utilisation: float | None) -> float:
-    # A period without answers counts as well while latency is high and calls are in flight: with less than
-    # one answer a period, a silent period would otherwise step the cursor left.
+    # A period without responses counts too while latency is high and requests are in flight: with less than
+    # one response per period, each period without one would otherwise move the cursor left.
     overloaded = state.latency_ratio > OVERLOADED_LATENCY_RATIO and any(
         endpoint.in_flight > 0.0 for endpoint in state.ready
     )
--- a/loadbalancer/balancing/outcome_statistics.py
+++ b/loadbalancer/balancing/outcome_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of endpoints, service classes and the current period, kept from outcomes and load reports."""
+"""Statistics of endpoints, service classes and the current period, from outcomes and load reports."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def record_load_report(
     state: BalancerState, now_ms: float, server: str, load_report: dict[str, float] | None
 ) -> None:
-    """Take over a server's load report; that of an endpoint which isn't listed is ignored."""
+    """Record a server's load report; ignored if the server isn't listed."""
     endpoint = state.endpoints.get(server)
     if endpoint is not None and load_report:
         endpoint.reported_queue = load_report.get("queue", 0.0)
@@ -25,12 +25,13 @@
 def record_outcome(
     state: BalancerState, now_ms: float, pending: PendingRequest, attempt: Attempt, event: AttemptOutcome
 ) -> None:
-    """Count an attempt's result. One that was cancelled or abandoned says nothing of its endpoint."""
+    """Record an attempt's result. A cancelled or abandoned attempt is ignored: it is no sign of the
+    endpoint's state."""
     endpoint, result, window = attempt.target, event.result, state.window
     if result in (AttemptResult.CANCELLED, AttemptResult.ABANDONED):
         return
     window.attempts_ended += 1
-    # At the front, a rejection by a lower tier shows as an error.
+    # At the front tier, a rejection by a lower tier shows as an error.
     if result is AttemptResult.REJECTED or (result is AttemptResult.ERROR and state.settings.tier == 0):
         window.attempts_rejected += 1
     if result is AttemptResult.REJECTED:
@@ -39,12 +40,12 @@
         return
     endpoint.error_rate += ENDPOINT_GAIN * ((result is not AttemptResult.OK) - endpoint.error_rate)
     objective_ms = pending.service_class.latency_objective_ms
-    if result in (AttemptResult.OK, AttemptResult.TIMEOUT):  # a fast error isn't a low latency
+    if result in (AttemptResult.OK, AttemptResult.TIMEOUT):  # the latency of an error is no measure of speed
         if attempt.sent_ms >= state.last_shed_ms:
             window.latency_ratios.append(event.latency_ms / objective_ms)
         _record_latency(state, now_ms, pending.service_class, endpoint, event)
     if result is AttemptResult.OK:
-        if endpoint in state.ready:  # completions of leaving endpoints say nothing of the others' rate
+        if endpoint in state.ready:  # not ready: its completions don't count in the rate of the others
             window.completed += pending.weight / len(state.ready)
         state.mean_latency_objective_ms += CLASS_GAIN * (objective_ms - state.mean_latency_objective_ms)
 
@@ -56,7 +57,7 @@
     endpoint: EndpointState,
     event: AttemptOutcome,
 ) -> None:
-    """Smooth the class's latency by an answer, and the endpoint's ratio to it by an answer or a timeout."""
+    """Smooth the class's latency on a response, and the endpoint's ratio on a response or a timeout."""
     mean_ms = state.class_latency_ms.get(service_class.name)
     if event.result is AttemptResult.OK:
         latency_ms = event.latency_ms
--- a/loadbalancer/balancing/request_lifecycle.py
+++ b/loadbalancer/balancing/request_lifecycle.py
@@ -1,6 +1,6 @@
-"""The lifecycle of a request: admitted or rejected, attempted, retried where that is safe, answered once.
+"""The lifecycle of a request: admission or rejection, attempts, safe retries, one final response.
 
-Retries are bounded by `Settings.max_attempts`. A request that is not idempotent is retried only while no
+The attempts are limited by `Settings.max_attempts`. A request that is not idempotent is retried only while no
 attempt can have been executed; one with an idempotency key only within its deduplication window and scope.
 """
 
@@ -20,22 +20,20 @@
 from loadbalancer.balancing.state import Attempt, BalancerState, PendingRequest
 from loadbalancer.service_settings import Effect
 
-OBJECTIVE_TIMEOUT_RATIO = (
-    0.98  # of the latency objective: the timeout of attempts that are worthless when late
-)
-MIN_TIMEOUT_MS = 1.0  # with less time left, no attempt is made
-NO_ATTEMPT = -1  # in place of an attempt number
+OBJECTIVE_TIMEOUT_RATIO = 0.98  # timeout over the latency objective, if a late response has no value
+MIN_TIMEOUT_MS = 1.0  # no attempt is made with less time left
+NO_ATTEMPT = -1  # matches no attempt number
 
 
 class RequestLifecycle:
-    """Handles the events of requests. Each method appends the actions that follow to `actions`."""
+    """Handles the events of requests. The methods append the resulting actions to `actions`."""
 
     def __init__(self, state: BalancerState, admission: Admission) -> None:
         self.state = state
         self.admission = admission
 
     def on_request(self, now_ms: float, request: Request, actions: list[Action]) -> None:
-        """Admit and send a request or reject it; KeyError for a class that the settings don't name."""
+        """Admit and send a request or reject it; raise KeyError for a class that the settings don't name."""
         state = self.state
         service_class = state.service_classes[request.service]
         weight = self.admission.request_weight(request)
@@ -44,10 +42,10 @@
         over_threshold = self.admission.rejects(now_ms, request, service_class)
         if over_threshold or not self._send(now_ms, pending, actions):
             state.counters["rejected at threshold" if over_threshold else "rejected unsent"] += 1
-            self._answer_finally(pending, actions)
+            self._send_final_response(pending, actions)
 
     def on_request_received(self, now_ms: float, event: RequestReceived) -> None:
-        """Begin the time of a request, and of its attempts in flight, at its last byte."""
+        """Start to measure a request, and its attempts in flight, now that its last byte has arrived."""
         pending = self.state.pending.get(event.id)
         if pending is None or pending.answered:
             return
@@ -60,7 +58,7 @@
                 self._count_in_flight(pending, number)
 
     def on_stream_started(self, event: StreamStarted, actions: list[Action]) -> None:
-        """Cancel the other attempts of a request whose answer has begun to stream."""
+        """Cancel the other attempts of a request whose response has begun to stream."""
         pending = self.state.pending.get(event.id)
         if pending is not None:
             pending.streaming = True
@@ -73,7 +71,7 @@
             self._end(pending, actions)
 
     def on_attempt_outcome(self, now_ms: float, event: AttemptOutcome, actions: list[Action]) -> None:
-        """Record an attempt's result, then end, retry or answer its request. A repeated outcome counts
+        """Record an attempt's result, then end, retry or respond to its request. A duplicate outcome counts
         once."""
         state = self.state
         outcome_statistics.record_load_report(state, now_ms, event.server, event.load_report)
@@ -93,10 +91,10 @@
         elif pending.answered:
             self._end(pending, actions)
         elif not pending.attempts_in_flight() and not self._send(now_ms, pending, actions):
-            self._answer_finally(pending, actions)
+            self._send_final_response(pending, actions)
 
     def _send(self, now_ms: float, pending: PendingRequest, actions: list[Action]) -> bool:
-        """Make another attempt; False where none is allowed or no endpoint may take it."""
+        """Make another attempt; False if none is allowed or no endpoint may take it."""
         state = self.state
         timeout_ms = self._timeout_ms(now_ms, pending)
         exhausted = len(pending.attempts) >= state.settings.max_attempts
@@ -116,11 +114,11 @@
 
     @staticmethod
     def _timeout_ms(now_ms: float, pending: PendingRequest) -> float:
-        """The time left to another attempt: up to the deadline, or to the latency objective where a later
-        answer is worthless, so that late work leaves the servers to other requests."""
+        """The time left for another attempt: until the deadline, or until the latency objective if a later
+        response has no value, so that late work doesn't take capacity from other requests."""
         timeout_ms = pending.request.deadline_ms - now_ms
         service_class = pending.service_class
-        # With a stretched objective an answer past the plain one may be in time.
+        # A stretched objective grows with the request's work: a response past the plain one may be in time.
         stretched = service_class.latency_objective_stretch > 0.0
         if service_class.late_weight > 0.0 or service_class.stream or stretched:
             return timeout_ms
@@ -128,7 +126,7 @@
         return min(timeout_ms, pending.admitted_ms + objective_ms - now_ms)
 
     def _count_in_flight(self, pending: PendingRequest, number: int) -> None:
-        """Count an attempt in flight. While its request is still being received it has no weight, since a
+        """Count an attempt as in flight. Its weight is 0 while its request is still being received, since a
         slow client's upload takes no capacity from the server."""
         attempt = pending.attempts[number]
         attempt.weight = 0.0 if pending.request.receiving else pending.weight
@@ -137,8 +135,8 @@
         if attempt.weight:
             attempt.target.attempts_sent_ms[(pending.request.id, number)] = attempt.sent_ms
 
-    def _answer_finally(self, pending: PendingRequest, actions: list[Action]) -> None:
-        """Give the one final answer: a rejection where a retry by the client is safe, else a failure."""
+    def _send_final_response(self, pending: PendingRequest, actions: list[Action]) -> None:
+        """Append the one final response: a rejection if a retry by the client is safe, else a failure."""
         request_id = pending.request.id
         if not pending.possibly_executed() or pending.service_class.effect is Effect.IDEMPOTENT:
             actions.append(Reject(request_id, self._retry_after_ms()))
@@ -153,7 +151,7 @@
         return min(settings.max_retry_after_ms, self.state.period_ms * self.state.cursor)
 
     def _end(self, pending: PendingRequest, actions: list[Action]) -> None:
-        """End a request; it is forgotten once no attempt is in flight."""
+        """End a request; its state is dropped once no attempt is in flight."""
         if not pending.answered:
             pending.answered = True
             self._cancel_attempts(pending, NO_ATTEMPT, actions)
@@ -161,7 +159,7 @@
             self.state.pending.pop(pending.request.id, None)
 
     def _cancel_attempts(self, pending: PendingRequest, kept: int, actions: list[Action]) -> None:
-        """Cancel the attempts in flight but for this one; a stream's own attempt is never cancelled."""
+        """Cancel the attempts in flight except `kept`; one that streams the response is never cancelled."""
         if not self.state.settings.may_cancel or (pending.streaming and kept == NO_ATTEMPT):
             return
         for number, attempt in enumerate(pending.attempts):
--- a/loadbalancer/balancing/state.py
+++ b/loadbalancer/balancing/state.py
@@ -1,7 +1,7 @@
-"""State of one balancer: its endpoints, its pending requests, and what it has measured of the pool.
+"""State of one balancer: its endpoints, its pending requests and its measurements of the pool.
 
 Times are in milliseconds of the host's monotonic clock. The weight of a request is 1, or its expected work
-over the mean where the settings weigh requests by their work.
+over the mean with `Settings.weight_by_work`.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 from loadbalancer.endpoints import AttemptResult, Confidence, Endpoint, TrafficSplit
 from loadbalancer.service_settings import ServiceClass, Settings
 
-PERIOD_RATIO = 0.15  # of the shortest latency objective: the control period P
+PERIOD_RATIO = 0.15  # control period over the shortest latency objective
 
 
 @dataclass(slots=True)
 class EndpointState:
-    """What this balancer knows of one endpoint."""
+    """This balancer's state for one endpoint."""
 
     listed: Endpoint
     latency_ratio: float | None = None  # smoothed latency over the mean of its class
     error_rate: float = 0.0  # smoothed ratio of failed attempts
     last_outcome_ms: float = -math.inf
-    in_flight: float = 0.0  # weight of the calls in flight from this process
-    sibling_in_flight: float = 0.0  # and from another process of this node, during an upgrade
-    reported_queue: float = 0.0  # requests that wait at the server, by its last load report
+    in_flight: float = 0.0  # weight of the requests in flight from this process
+    sibling_in_flight: float = 0.0  # the same of the sibling process during an upgrade
+    reported_queue: float = 0.0  # requests queued at the server, by its last load report
     reported_at_ms: float = -math.inf
     utilisation: float | None = None  # 0 to 1, by its last load report
-    rounding_offset: float = 0.0  # 0 to 1, drawn once: rounds the endpoint's quota, so that those of all
-    # siblings sum to the total
-    attempts_sent_ms: dict[tuple[str, int], float] = field(default_factory=dict)  # in flight, oldest first;
-    # by request id and attempt number
+    # 0 to 1, drawn once. Rounds the endpoint's quota at random: all siblings' quotas then sum to the total.
+    rounding_offset: float = 0.0
+    # Send times of the attempts in flight, oldest first, by request id and attempt number.
+    attempts_sent_ms: dict[tuple[str, int], float] = field(default_factory=dict)
 
     @property
     def total_in_flight(self) -> float:
-        """Weight of the calls in flight from all processes of this node."""
+        """Weight of the requests in flight from all processes of this node."""
         return self.in_flight + self.sibling_in_flight
 
 
 @dataclass(slots=True)
 class Restoration:
-    """An ejection of an endpoint that an operator has ended."""
+    """An endpoint's ejection that an operator has ended."""
 
     ejected_ms: float
     restored_ms: float
-    attempted: bool = False  # whether a call has gone to the endpoint since
+    attempted: bool = False  # whether an attempt has been sent to the endpoint since
 
 
 @dataclass(slots=True)
@@ -57,19 +57,19 @@
 
     target: EndpointState
     sent_ms: float
-    weight: float = 0.0  # in the endpoint's `in_flight`; 0 while the request is still being received
+    weight: float = 0.0  # its part of the endpoint's `in_flight`; 0 while the request is still being received
     result: AttemptResult | None = None  # None while in flight
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that has no final answer or has attempts in flight."""
+    """A request that has no final response yet or has attempts in flight."""
 
     request: Request
     service_class: ServiceClass
     admitted_ms: float
     weight: float
-    route_version: int = 0  # the version in force at its admission, which holds until its end
+    route_version: int = 0  # the version in force at its admission, used until the request ends
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
     streaming: bool = False
@@ -79,7 +79,7 @@
         return sum(1 for attempt in self.attempts if attempt.result is None)
 
     def possibly_executed(self) -> list[Attempt]:
-        """The attempts that a server may have executed, those in flight included."""
+        """The attempts that a server may have executed, including those in flight."""
         return [
             attempt
             for attempt in self.attempts
@@ -92,22 +92,22 @@
     """Measurements of the current control period."""
 
     latency_ratios: list[float] = field(default_factory=list)  # latencies over their objectives
-    completed: float = 0.0  # weight for each ready endpoint
+    completed: float = 0.0  # weight of completed requests per ready endpoint
     attempts_ended: float = 0.0
-    attempts_rejected: float = 0.0  # of those ended: rejected by a server at its limit
+    attempts_rejected: float = 0.0  # of the ended attempts: rejected by a server at its limit
     weight_sent: float = 0.0
 
 
 @dataclass(slots=True)
 class Quota:
-    """This balancer's part of what all siblings share: one in `divisor`."""
+    """This balancer's part of the limits that all siblings share: the limit over `divisor`."""
 
     divisor: float
-    holders: float  # balancers that share, this one included
+    holders: float  # balancers with a quota, including this one
     expires_ms: float = math.inf
 
     def divisor_at(self, now_ms: float) -> float:
-        """What to divide a shared total by; infinity, for a quota of 0, once the grant has expired."""
+        """The divisor of a shared limit; infinity, for a quota of 0, once the grant has expired."""
         return self.divisor if now_ms < self.expires_ms else math.inf
 
 
@@ -119,29 +119,29 @@
     rng: Random
     now_ms: float = 0.0  # of the event being handled
     quota: Quota = field(init=False)
-    confidence: dict[str, Confidence] = field(default_factory=dict)  # by endpoint; empty without ratings
+    confidence: dict[str, Confidence] = field(default_factory=dict)  # by endpoint; full without an entry
     route_version: int = 0  # in force; 0 is neutral
-    route_versions: dict[int, dict[str, tuple[TrafficSplit, ...]]] = field(default_factory=dict)  # in use,
-    # without the neutral one; by number and class
+    # The versions in use except the neutral one, by number and class.
+    route_versions: dict[int, dict[str, tuple[TrafficSplit, ...]]] = field(default_factory=dict)
     service_classes: dict[str, ServiceClass] = field(init=False)
     period_ms: float = field(init=False)
     endpoints: dict[str, EndpointState] = field(default_factory=dict)  # listed, by name
     ready: list[EndpointState] = field(default_factory=list)  # listed as up and not ejected
     ejected: set[str] = field(default_factory=set)  # by operators
     restored: dict[str, Restoration] = field(default_factory=dict)
-    watch_failures: int = 0  # in a row
+    watch_failures: int = 0  # consecutive
     pending: dict[str, PendingRequest] = field(default_factory=dict)  # by request id
     cursor: int = 0
     periods_elapsed: int = 0
     window: PeriodWindow = field(default_factory=PeriodWindow)
-    baseline_samples: list[float] = field(default_factory=list)  # first latencies over their objectives
+    baseline_samples: list[float] = field(default_factory=list)  # the first latencies over their objectives
     baseline_ratio: float | None = None  # unloaded latency over the latency objective
     latency_ratio: float = 0.0  # smoothed latency over the latency objective
-    last_shed_ms: float = -math.inf  # when the table last began to shed load
+    last_shed_ms: float = -math.inf  # when the cursor last left the flat slots, and load began to be shed
     completion_rate: float = 0.0  # weight per ms and ready endpoint
-    peak_completion_rate: float = 0.0  # its slowly decaying maximum
+    peak_completion_rate: float = 0.0  # slowly decaying maximum of the completion rate
     send_rate: float = 0.0  # smoothed weight sent per ms
-    admitted_ratio: float = 1.0  # smoothed ratio of requests that met no threshold
+    admitted_ratio: float = 1.0  # smoothed ratio of requests that were not rejected at the threshold
     mean_latency_objective_ms: float = field(init=False)
     class_latency_ms: dict[str, float] = field(default_factory=dict)  # smoothed latency of each class
     utilisation: float | None = None  # median reported utilisation of the last period
--- a/loadbalancer/endpoints.py
+++ b/loadbalancer/endpoints.py
@@ -1,6 +1,6 @@
 """Values that balancing, staleness and routing share: endpoints, attempt results, traffic splits.
 
-Source: PROTOCOL and WIRE, whose words are the values of the enums.
+Source: PROTOCOL and WIRE. The values of the enums are the words used there.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "full"  # by a server at its limit
+    REJECTED = "full"  # by a server at its concurrency limit
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    ABANDONED = "moot"  # before anything was sent
+    ABANDONED = "moot"  # given up before anything was sent
 
     @property
     def never_executed(self) -> bool:
@@ -28,7 +28,7 @@
 
 
 class EndpointStatus(Enum):
-    """What the endpoint list says of an endpoint."""
+    """The status of an endpoint in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -36,8 +36,7 @@
 
 
 class EndpointListKind(Enum):
-    """What an update of the endpoint list holds: changes, all endpoints, those of a cached list, or
-    nothing."""
+    """The kind of an endpoint list update: changes, a complete list, a cached complete list, or a failure."""
 
     DELTA = "delta"
     FULL = "full"
@@ -46,7 +45,7 @@
 
 
 class Confidence(Enum):
-    """How far a node's knowledge of its route to an endpoint can be trusted, by its age."""
+    """A node's confidence in its information about the route to an endpoint, by the information's age."""
 
     HIGH = "sure"
     MEDIUM = "fair"
@@ -58,33 +57,33 @@
 class Endpoint:
     """One entry of the endpoint list."""
 
-    name: str  # its uid, which a restart doesn't change
+    name: str  # its uid, which stays the same over restarts
     zone: str = ""
-    cell: int = 0  # its deduplication group within a zone
+    cell: int = 0  # within a zone; the servers of a cell may share idempotency keys
     state: EndpointStatus = EndpointStatus.UP
-    launched_ms: float | None = None  # of its process, by the host's clock; None: not known, long ago
+    launched_ms: float | None = None  # start of its process by the host's clock; None: unknown, so long ago
     model: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class TrafficSplit:
-    """The endpoints of one model, one zone or both (None: any), and their part of a class's requests.
+    """A part of a class's requests and the endpoints that it goes to, selected by model and zone (None: any).
 
-    An endpoint belongs to the first split of its class that matches it; without one it gets no request.
+    An endpoint belongs to the first split of the class that matches it; if none does, it gets no requests.
     """
 
     model: str | None
     zone: str | None
-    weight: float  # over the sum of the class's splits; 0: no request
+    weight: float  # relative to the sum over the class's splits; 0: no requests
 
     def matches(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint has this model and zone."""
+        """Whether the split selects this endpoint."""
         return self.model in (None, endpoint.model) and self.zone in (None, endpoint.zone)
 
 
 @dataclass(slots=True)
 class RouteVersion:
-    """The route version under which requests are admitted from now on; earlier ones keep theirs."""
+    """The route version for requests admitted from now on; earlier requests keep theirs."""
 
     number: int  # 0 is neutral
     classes: dict[str, tuple[TrafficSplit, ...]]  # a class without splits is routed as under version 0
--- a/loadbalancer/errors.py
+++ b/loadbalancer/errors.py
@@ -1,4 +1,4 @@
-"""Errors of settings. Each names the setting and, where there is one, its value and what it has to be."""
+"""Errors in settings. Each names the setting and, if it has one, its value and what is expected."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SettingError(ValueError):
-    """A setting that can't be used."""
+    """A setting is invalid."""
 
     def __init__(self, setting: str, problem: str) -> None:
         super().__init__(f"{setting}: {problem}")
@@ -14,14 +14,14 @@
 
 
 class SettingMissingError(SettingError):
-    """A setting that is required is missing."""
+    """A required setting is missing."""
 
     def __init__(self, setting: str) -> None:
         super().__init__(setting, "missing")
 
 
 class SettingTypeError(SettingError):
-    """A setting is of another type than the expected one."""
+    """A setting has the wrong type."""
 
     def __init__(self, setting: str, value: object, expected: str) -> None:
         super().__init__(setting, f"{value!r} is not {expected}")
@@ -29,7 +29,7 @@
 
 
 class SettingItemError(SettingError):
-    """An item of a list is of another type than the expected one."""
+    """An item of a list has the wrong type."""
 
     def __init__(self, setting: str, item: object, expected: str) -> None:
         super().__init__(setting, f"{item!r} in the list is not {expected}")
@@ -37,7 +37,7 @@
 
 
 class SettingRangeError(SettingError):
-    """A setting is no number within its range, whose ends belong to it."""
+    """A setting is not a number within its range, ends included."""
 
     def __init__(self, setting: str, value: object, low: float, high: float) -> None:
         super().__init__(setting, f"{value!r} is not a number from {low:g} to {high:g}")
@@ -47,7 +47,7 @@
 
 
 class SettingChoiceError(SettingError):
-    """A setting is none of the words that it may be."""
+    """A setting is not one of the allowed words."""
 
     def __init__(self, setting: str, value: object, choices: Iterable[str]) -> None:
         super().__init__(setting, f"{value!r} is not one of {', '.join(choices)}")
--- a/loadbalancer/service_settings.py
+++ b/loadbalancer/service_settings.py
@@ -1,7 +1,7 @@
 """Settings of the balancing policy: service classes, tenants and the limits of one tier.
 
-Times are in milliseconds, rates in requests per second. Values are checked when a `Settings` is built, which
-raises a SettingError for the first one that is wrong.
+Times are in milliseconds, rates in requests per second. `Settings` checks its values when it is built and
+raises a SettingError for the first invalid one.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
     SettingTypeError,
 )
 
-MIN_POSITIVE_NUMBER = 0.001  # of a number that has to be above 0
-MAX_NUMBER = 1e12  # products and sums of larger numbers overflow, and limits made of them never bind
+MIN_POSITIVE_NUMBER = 0.001  # smallest value of a setting that must be positive
+MAX_NUMBER = 1e12  # larger numbers overflow in products and sums, and as limits they never apply
 
 
 class Effect(Enum):
-    """What a retry of a request does."""
+    """The effect of executing a request a second time."""
 
-    IDEMPOTENT = "safe"  # nothing further: it may be retried freely
-    IDEMPOTENCY_KEY = "keyed"  # a group of servers drops retries while it remembers the key
-    NON_IDEMPOTENT = "unsafe"  # a second effect: it must never be executed twice
+    IDEMPOTENT = "safe"  # none: it may be retried freely
+    IDEMPOTENCY_KEY = "keyed"  # none at servers that remember the key: they drop the retry
+    NON_IDEMPOTENT = "unsafe"  # a second one: it must never be executed twice
 
 
 class DeduplicationScope(Enum):
@@ -42,15 +42,15 @@
     """A class of requests that share objectives and retry rules."""
 
     name: str
-    latency_objective_ms: float  # a response within this earns the full priority weight
-    client_timeout_ms: float  # for which a client waits, over all attempts
+    latency_objective_ms: float  # a response within this time counts with the full priority weight
+    client_timeout_ms: float  # how long a client waits, over all attempts
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # part of the priority weight that a response past the objective earns
+    late_weight: float = 0.0  # part of the priority weight with which a later response counts
     effect: Effect = Effect.NON_IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window_ms: float = 0.0  # for which the group remembers a key
-    stream: bool = False  # responses are streams by nature
-    latency_objective_stretch: float = 0.0  # multiple of a request's work by which its objective is later
+    deduplication_window_ms: float = 0.0  # how long the group remembers a key
+    stream: bool = False  # responses are streamed
+    latency_objective_stretch: float = 0.0  # multiple of a request's work that is added to its objective
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,7 +58,7 @@
     """A tenant with a quota."""
 
     name: str
-    quota_per_s: float  # over all balancers of the tier together
+    quota_per_s: float  # of all balancers of the tier together
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,20 +68,20 @@
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
-    tier: int = 0  # 0 is the tier that clients reach
-    siblings: int = 1  # balancers that send to this tier, this one included
-    poll_discovery: bool = False  # the endpoint list is polled, not pushed
-    weight_by_work: bool = False  # a request's weight is its work, not 1
-    over_quota_weight: float = 1.0  # factor on the weight of a request over its tenant's quota
+    tier: int = 0  # 0 is the front tier, which clients send to
+    siblings: int = 1  # balancers that send to this tier, including this one
+    poll_discovery: bool = False  # true: the endpoint list is polled; false: it is pushed
+    weight_by_work: bool = False  # true: a request's weight is its expected work; false: it is 1
+    over_quota_weight: float = 1.0  # factor on the priority of a request over its tenant's quota
     load_report_fields: tuple[str, ...] = ()  # in the order of the simulator's reports
-    may_cancel: bool = False
+    may_cancel: bool = False  # attempts in flight may be cancelled
     retry_after: bool = False  # rejections carry Retry-After
     max_retry_after_ms: float = 0.0
-    max_attempts: int = 1  # of one request
+    max_attempts: int = 1  # per request
     cross_zone_price: float = 0.0
-    slow_start_from: float = 1.0  # part of its capacity that an endpoint starts with
-    slow_start_ms: float = 0.0  # until it has its full capacity
-    overload_factor: float = 2.0  # a server in slow start fails above so many times its capacity
+    slow_start_from: float = 1.0  # initial capacity of an endpoint in slow start over its full capacity
+    slow_start_ms: float = 0.0  # duration of the slow start
+    overload_factor: float = 2.0  # a server in slow start fails above this multiple of its capacity
 
     def __post_init__(self) -> None:
         if not self.classes:
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,4 +1,4 @@
-"""Decodes settings and load reports, whose names on the wire are mapped to those in code here."""
+"""Decoders of settings and load reports. They map the names on the wire to the names in the code."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
     "err_ps": "eps",
 }
 LOAD_REPORT_PREFIX = "TEXT"
-TYPE_NAMES: dict[type, str] = {dict: "an object", str: "a string"}  # in errors
+TYPE_NAMES: dict[type, str] = {dict: "an object", str: "a string"}  # names of types in error messages
 
 
 def section(row: JsonObject, key: str) -> JsonObject:
-    """Return the object under this key, an empty one if there is none; raise SettingTypeError."""
+    """Return the object under this key, empty if absent; raise SettingTypeError if it is no object."""
     value = row.get(key)
     if not isinstance(value, dict | None):
         raise SettingTypeError(key, value, "an object")
@@ -39,7 +39,7 @@
 
 
 def list_of(row: JsonObject, key: str, item_type: type[Item]) -> list[Item]:
-    """Return the list of such items under this key, an empty one if there is none; raise SettingError."""
+    """Return the list under this key, empty if absent; raise SettingError if it or an item is malformed."""
     value = row.get(key)
     if not isinstance(value, list | None):
         raise SettingTypeError(key, value, "a list")
@@ -50,7 +50,7 @@
 
 
 def text_of(row: JsonObject, key: str, prefix: str = "") -> str:
-    """Return the string under this key, which is not empty; raise SettingError. `prefix` is for the error."""
+    """Return the string under this key; raise SettingError, naming `prefix` + `key`, if absent or empty."""
     value = row.get(key)
     if value is None:
         raise SettingMissingError(prefix + key)
@@ -60,7 +60,7 @@
 
 
 def choice_of(row: JsonObject, key: str, choices: Mapping[str, Choice], prefix: str = "") -> Choice:
-    """Return the choice whose word is under this key; raise SettingChoiceError. `prefix` is for the error."""
+    """Return the choice for the word under this key; raise SettingChoiceError, naming `prefix` + `key`."""
     value = row.get(key)
     if not isinstance(value, str) or value not in choices:
         raise SettingChoiceError(prefix + key, value, choices)
@@ -68,12 +68,12 @@
 
 
 def _present(row: JsonObject) -> JsonObject:
-    """Return the row without nulls, which stand for absent keys: defaults hold for these."""
+    """Return the row without keys whose value is null: they count as absent and get the default."""
     return {key: value for key, value in row.items() if value is not None}
 
 
 def parse_settings(config: JsonObject) -> Settings:
-    """Decode the settings of a node; raise SettingError. Unknown keys are ignored."""
+    """Decode the settings of a node; raise SettingError if one is invalid. Unknown keys are ignored."""
     bounds, invariants = section(config, "bounds"), section(config, "invariants")
     fields = list_of(section(config, "feedback"), "fields", str)
     choices = DEFAULT_CHOICES | _present(config)
@@ -130,7 +130,7 @@
 def parse_load_report(text: str, fields: tuple[str, ...]) -> dict[str, float] | None:
     """Decode a load report, `TEXT name=value, name=value`, and keep the fields that the settings name.
 
-    A pair whose value is no finite number is ignored; None if no pair is left.
+    A pair whose value is not a finite number is ignored. Return None if no pair remains.
     """
     report: dict[str, float] = {}
     for pair in text.removeprefix(LOAD_REPORT_PREFIX).split(","):
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Adapts the balancer to the simulator: reads batches of events on standard input and writes the actions.
+"""Adapter between balancers and the simulator: reads batches of events from standard input, writes actions.
 
-Each line is a JSON object. This module translates only; every decision is made by loadbalancer.balancing. One
-process hosts many balancers, which share nothing but the endpoint lists that the simulator sends once.
+Each line is a JSON object. This module only translates; loadbalancer.balancing makes every decision. One
+process hosts many balancers, which share only the endpoint lists, as the simulator sends each list once.
 """
 
 from __future__ import annotations
@@ -40,49 +40,49 @@
     249: AttemptResult.ABANDONED,
 }
 IGNORED_KINDS = ("PEER",)
-MAX_ERROR_CHARS = 500  # of a fault's text in a reply
-MAX_QUOTED_BYTES = 200  # of a malformed line in an error
+MAX_ERROR_CHARS = 500  # of an error's text in a PANIC row
+MAX_QUOTED_BYTES = 200  # of a malformed line in an error message
 EXIT_MALFORMED_INPUT = 2
 
 
 class WireError(Exception):
-    """The input is not the simulator's wire, and the fault can't be put down to one balancer."""
+    """The input violates the simulator's protocol in a way that can't be attributed to one balancer."""
 
 
 class MalformedLineError(WireError):
-    """A line is no JSON object."""
+    """A line is not a JSON object."""
 
     def __init__(self, line: bytes, reason: str) -> None:
         super().__init__(f"{reason}: {line[:MAX_QUOTED_BYTES]!r}")
 
 
 class BatchError(WireError):
-    """The lines that begin and end batches are out of order or lack a key."""
+    """A FRAME or GO line is out of order or lacks a key."""
 
     def __init__(self, problem: str) -> None:
         super().__init__(problem)
 
 
 class MalformedEventError(WireError):
-    """An event names no balancer, or lacks what every event of its kind has."""
+    """An event names no balancer, lacks a required key, or is outside a batch."""
 
     def __init__(self, kind: object, reason: str) -> None:
         super().__init__(f"event {kind!r}: {reason}")
 
 
 class EventError(ValueError):
-    """An event that its balancer can't be given."""
+    """An event can't be passed to its balancer."""
 
 
 class UnknownNodeError(EventError):
-    """An event is for a balancer that was never started."""
+    """An event is for a balancer that isn't running."""
 
     def __init__(self, number: int) -> None:
         super().__init__(f"node {number} was never started")
 
 
 class UnknownEventError(EventError):
-    """An event is of a kind that the wire does not have."""
+    """An event is of a kind that the protocol doesn't have."""
 
     def __init__(self) -> None:
         super().__init__("unknown kind of event")
@@ -96,7 +96,7 @@
         self.balancer = Balancer(self.settings, seed, now_ms)
 
     def load_report(self, values: list[float | None] | None) -> dict[str, float] | None:
-        """Return a load report by field, from its values in the order of the settings; None without any."""
+        """Return a load report by field name, from its values in the order of the settings; None if empty."""
         if not values:
             return None
         pairs = zip(self.settings.load_report_fields, values, strict=False)
@@ -104,15 +104,15 @@
 
 
 class Host:
-    """The balancers of one process, by their numbers."""
+    """The balancers of one process, by node number."""
 
     def __init__(self) -> None:
         self.nodes: dict[int, Node] = {}
-        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the references in events
-        self.now = 0.0  # time of the batch (ms)
+        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the `ref` that events name
+        self.now = 0.0  # time of the current batch in ms
 
     def handle_event(self, row: JsonObject) -> list[JsonObject]:
-        """Return the rows that answer an event. A fault ends its balancer, and is reported in a row."""
+        """Return the rows that respond to an event. An error ends its balancer and becomes a PANIC row."""
         kind = row.get("kind")
         if kind == "CATALOG":
             self.endpoint_lists[row["ref"]] = tuple(_endpoint(line) for line in row["rows"])
@@ -148,7 +148,7 @@
 
 
 def _error_name(error: Exception) -> str:
-    """Return the name of an error on the wire, where those of settings and events have one name."""
+    """Return an error's name on the wire, which is ValueError for all errors of settings and events."""
     return ValueError.__name__ if isinstance(error, EventError | SettingError) else type(error).__name__
 
 
@@ -243,14 +243,14 @@
 
 
 class _Session:
-    """The batches of one input: each begins with FRAME and ends with GO, upon which its reply is written."""
+    """The batches of one input: each begins with FRAME and ends with GO, which writes its response."""
 
     def __init__(self, sink: BinaryIO) -> None:
         self._sink = sink
         self._host = Host()
         self._sequence: object = None
         self.in_batch = False
-        self._reply: list[bytes] = []
+        self._response: list[bytes] = []
 
     def handle(self, row: JsonObject) -> None:
         kind = row.get("kind")
@@ -262,7 +262,7 @@
             self._end()
         else:
             try:
-                self._reply.extend(orjson.dumps(action) for action in self._host.handle_event(row))
+                self._response.extend(orjson.dumps(action) for action in self._host.handle_event(row))
             except (KeyError, TypeError, ValueError) as error:
                 raise MalformedEventError(kind, f"{type(error).__name__}: {error}") from error
 
@@ -272,17 +272,17 @@
         if not isinstance(row.get("nowMs"), int | float) or "seq" not in row:
             raise BatchError(problem="FRAME lacks nowMs or seq")
         self._host.now, self._sequence = float(row["nowMs"]), row["seq"]
-        self.in_batch, self._reply = True, []
+        self.in_batch, self._response = True, []
 
     def _end(self) -> None:
-        self._reply.append(orjson.dumps({"kind": "READY", "seq": self._sequence}))
-        self._sink.write(b"\n".join(self._reply) + b"\n")
+        self._response.append(orjson.dumps({"kind": "READY", "seq": self._sequence}))
+        self._sink.write(b"\n".join(self._response) + b"\n")
         self._sink.flush()
         self.in_batch = False
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; raise WireError."""
+    """Respond to batches until the input ends; raise WireError if the input violates the protocol."""
     session = _Session(sink)
     for line in source:
         session.handle(_decode_line(line))
@@ -291,7 +291,7 @@
 
 
 def main() -> int:
-    """Run on standard input and output; return the exit code."""
+    """Run with standard input and output; return the exit code."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
