--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -44,14 +44,14 @@
 from loadbalancer.node.discovery.response import DiscoveryResponse
 from loadbalancer.node.state import snapshot
 from loadbalancer.node.state.atomic_file import write_atomically
-from tests.support.builders import servers, settings
+from tests.support.builders import make_endpoints, settings
 from tests.support.load import Load
 from tests.support.node_processes import Node
 from tests.support.stand_in_servers import ServerPool
 
 
 def write(count: int, writes: int) -> dict[str, Any]:
-    listed = servers(count)
+    listed = make_endpoints(count)
     endpoints = {server.name: ("10.1.0.1", 7000 + at) for at, server in enumerate(listed)}
     listing = DiscoveryResponse(count, True, listed, endpoints)
     learned = Balancer(settings(), 1, 0.0).learned_state()
@@ -157,7 +157,7 @@
 
 
 def threshold() -> dict[str, Any]:
-    listed = servers(8)
+    listed = make_endpoints(8)
     busy = Balancer(settings(), 1, 0.0)
     busy.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, listed))
     now, number = 0.0, 0
--- a/tests/balancing/test_guards.py
+++ b/tests/balancing/test_guards.py
@@ -1,4 +1,4 @@
-"""The exceptions: what each guards against, seen from outside the module."""
+"""Special cases of the balancer: each test states the failure that it guards against."""
 
 from __future__ import annotations
 
@@ -7,449 +7,468 @@
 
 import pytest
 
-from loadbalancer.balancing import endpoint_selection as ranking
+from loadbalancer.balancing import endpoint_selection
 from loadbalancer.balancing.actions import Cancel, Fail, Reject, SetTimer, Watch
 from loadbalancer.balancing.cursor_table import SLOT_RATIOS
 from loadbalancer.balancing.endpoint_selection import slow_start_admits
 from loadbalancer.balancing.events import EndpointListUpdate, RequestCancelled, StreamStarted, TimerFired
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
 from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass
-from tests.support.builders import Bed, kinds, sent, servers
+from tests.support.builders import BalancerEnvironment, action_types, make_endpoints, sent
 
-NEVER_RAN = [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.ABANDONED]
-MAY_HAVE_RUN = [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
+NEVER_EXECUTED = [AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.ABANDONED]
+POSSIBLY_EXECUTED = [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED]
 
 
-# ------------------------------------------------------- no effect happens twice
+# ------------------------------------------------------- no request takes effect twice
 
 
-@pytest.mark.parametrize("result", NEVER_RAN)
+@pytest.mark.parametrize("result", NEVER_EXECUTED)
 @pytest.mark.parametrize("service", ["read", "post", "points"])
-def test_what_never_ran_goes_elsewhere_then_is_refused(result, service):
-    bed = Bed()
-    name, acts = bed.ask(service)
-    used = []
+def test_unexecuted_attempt_is_retried_elsewhere_then_request_rejected(result, service):
+    env = BalancerEnvironment()
+    request_id, actions = env.send_request(service)
+    attempted = []
     for attempt in range(3):
-        assert len(sent(acts)) == 1
-        used.append(sent(acts)[0].server)
-        acts = bed.end(name, used[-1], result, 5.0, attempt)
-    assert len(set(used)) == 3
-    assert kinds(acts) == [Reject]
+        assert len(sent(actions)) == 1
+        attempted.append(sent(actions)[0].server)
+        actions = env.end_attempt(request_id, attempted[-1], result, 5.0, attempt)
+    assert len(set(attempted)) == 3
+    assert action_types(actions) == [Reject]
 
 
-@pytest.mark.parametrize("result", MAY_HAVE_RUN)
-def test_an_unsafe_request_that_may_have_run_fails(result):
-    bed = Bed()
-    name, acts = bed.ask("post")
-    assert kinds(bed.end(name, sent(acts)[0].server, result)) == [Fail]
+@pytest.mark.parametrize("result", POSSIBLY_EXECUTED)
+def test_possibly_executed_unsafe_request_fails(result):
+    env = BalancerEnvironment()
+    request_id, actions = env.send_request("post")
+    assert action_types(env.end_attempt(request_id, sent(actions)[0].server, result)) == [Fail]
 
 
-@pytest.mark.parametrize("result", MAY_HAVE_RUN)
-def test_a_safe_request_is_sent_again_up_to_the_most_attempts(result):
-    bed = Bed(count=8, max_attempts=3)
-    name, acts = bed.ask("read")
-    used = []
+@pytest.mark.parametrize("result", POSSIBLY_EXECUTED)
+def test_idempotent_request_is_retried_up_to_max_attempts(result):
+    env = BalancerEnvironment(count=8, max_attempts=3)
+    request_id, actions = env.send_request("read")
+    attempted = []
     for attempt in range(3):
-        used.append(sent(acts)[0].server)
-        acts = bed.end(name, used[-1], result, 5.0, attempt)
-    assert len(set(used)) == 3
-    assert kinds(acts) == [Reject]
+        attempted.append(sent(actions)[0].server)
+        actions = env.end_attempt(request_id, attempted[-1], result, 5.0, attempt)
+    assert len(set(attempted)) == 3
+    assert action_types(actions) == [Reject]
 
 
 @pytest.mark.parametrize("scope", list(DeduplicationScope))
-@pytest.mark.parametrize("result", MAY_HAVE_RUN)
-def test_a_keyed_request_stays_in_its_group(result, scope):
-    kind = ServiceClass(
-        "k",
+@pytest.mark.parametrize("result", POSSIBLY_EXECUTED)
+def test_retry_with_idempotency_key_stays_in_deduplication_scope(result, scope):
+    service_class = ServiceClass(
+        "keyed",
         latency_objective_ms=2000,
         client_timeout_ms=5000,
         effect=Effect.IDEMPOTENCY_KEY,
         deduplication_scope=scope,
         deduplication_window_ms=900,
     )
-    rows = tuple(Endpoint(f"s{at}", zone="ab"[at % 2], cell=at % 4) for at in range(8))
-    where = {row.name: row for row in rows}
+    endpoints = tuple(Endpoint(f"s{index}", zone="ab"[index % 2], cell=index % 4) for index in range(8))
+    endpoint_by_name = {endpoint.name: endpoint for endpoint in endpoints}
     for _ in range(8):
-        bed = Bed(count=0, classes=(kind,))
-        bed.give(EndpointListUpdate(EndpointListKind.FULL, rows))
-        name, acts = bed.ask("k")
-        first = where[sent(acts)[0].server]
-        second = where[sent(bed.end(name, first.name, result))[0].server]
+        env = BalancerEnvironment(count=0, classes=(service_class,))
+        env.handle(EndpointListUpdate(EndpointListKind.FULL, endpoints))
+        request_id, actions = env.send_request("keyed")
+        first = endpoint_by_name[sent(actions)[0].server]
+        second = endpoint_by_name[sent(env.end_attempt(request_id, first.name, result))[0].server]
         if scope is not DeduplicationScope.ALL:
             assert second.zone == first.zone
         if scope is DeduplicationScope.CELL:
             assert second.cell == first.cell
 
 
-def test_a_keyed_request_is_not_sent_again_once_its_key_may_be_forgotten():
-    bed = Bed()
-    name, acts = bed.ask("points")
-    bed.now += 900
-    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.ERROR)) == [Fail]
-
-
-def test_a_keyed_repeat_says_by_when_it_has_to_be_written_and_leaves_its_bytes_time_to_arrive():
-    bed = Bed(count=6)
-    name, acts = bed.ask("points")
-    assert sent(acts)[0].written_by_ms == math.inf
-    began, server = bed.now, sent(acts)[0].server
-    bed.now += 500
-    (again,) = sent(bed.end(name, server, AttemptResult.RESET))
-    assert again.written_by_ms == began + 900 - ranking.RETRY_MARGIN_MS
-    bed.now = again.written_by_ms
-    assert kinds(bed.end(name, again.server, AttemptResult.CONNECT_FAILED, attempt=1)) == [Fail]
-
-
-def test_attempts_are_bounded():
-    bed = Bed(count=8, max_attempts=2)
-    name, acts = bed.ask("post")
-    acts = bed.end(name, sent(acts)[0].server, AttemptResult.REJECTED)
-    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.REJECTED, attempt=1)) == [Reject]
-
-
-# ------------------------------------------------------------ one final answer
-
-
-def test_nothing_after_the_end():
-    bed = Bed()
-    name, acts = bed.ask("read")
-    server = sent(acts)[0].server
-    acts = bed.give(RequestCancelled(name))
-    assert kinds(acts) == [Cancel]
-    assert bed.end(name, server, AttemptResult.CANCELLED, done=True) == []
-    assert bed.give(RequestCancelled(name)) == []
-    assert bed.brain.pending == {}
-
-
-def test_a_timeout_at_the_deadline_gets_its_answer_at_once():
-    bed = Bed()
-    name, acts = bed.ask("post", left=300.0)
-    bed.now += 300.0
-    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.TIMEOUT, 300.0)) == [Fail]
-    name, acts = bed.ask("read", left=300.0)
-    bed.now += 300.0
-    assert kinds(bed.end(name, sent(acts)[0].server, AttemptResult.TIMEOUT, 300.0)) == [Reject]
-
-
-def test_late_work_worth_nothing_is_stopped_at_the_aim():
-    """Guard: answers after the aim earned nothing while they crowded out others."""
-    bed = Bed()
-    assert 900.0 < sent(bed.ask("post", left=2000.0)[1])[0].timeout_ms < 1000.0
-    assert sent(bed.ask("post", left=500.0)[1])[0].timeout_ms <= 500.0
-
-
-def test_work_worth_something_late_runs_on():
-    kind = ServiceClass(
+def test_request_is_not_retried_after_its_idempotency_key_may_have_expired():
+    env = BalancerEnvironment()
+    request_id, actions = env.send_request("points")
+    env.now += 900
+    assert action_types(env.end_attempt(request_id, sent(actions)[0].server, AttemptResult.ERROR)) == [Fail]
+
+
+def test_retry_with_idempotency_key_has_write_deadline_within_window():
+    env = BalancerEnvironment(count=6)
+    request_id, actions = env.send_request("points")
+    assert sent(actions)[0].written_by_ms == math.inf
+    first_sent_ms, server = env.now, sent(actions)[0].server
+    env.now += 500
+    (retry,) = sent(env.end_attempt(request_id, server, AttemptResult.RESET))
+    assert retry.written_by_ms == first_sent_ms + 900 - endpoint_selection.RETRY_MARGIN_MS
+    env.now = retry.written_by_ms
+    assert action_types(
+        env.end_attempt(request_id, retry.server, AttemptResult.CONNECT_FAILED, attempt=1)
+    ) == [Fail]
+
+
+def test_rejected_attempts_count_towards_max_attempts():
+    env = BalancerEnvironment(count=8, max_attempts=2)
+    request_id, actions = env.send_request("post")
+    actions = env.end_attempt(request_id, sent(actions)[0].server, AttemptResult.REJECTED)
+    assert action_types(
+        env.end_attempt(request_id, sent(actions)[0].server, AttemptResult.REJECTED, attempt=1)
+    ) == [Reject]
+
+
+# ---------------------------------------------------------- one final response
+
+
+def test_no_actions_after_request_is_cancelled():
+    env = BalancerEnvironment()
+    request_id, actions = env.send_request("read")
+    server = sent(actions)[0].server
+    actions = env.handle(RequestCancelled(request_id))
+    assert action_types(actions) == [Cancel]
+    assert env.end_attempt(request_id, server, AttemptResult.CANCELLED, request_ended=True) == []
+    assert env.handle(RequestCancelled(request_id)) == []
+    assert env.balancer.pending == {}
+
+
+def test_timeout_at_deadline_ends_request_at_once():
+    env = BalancerEnvironment()
+    request_id, actions = env.send_request("post", time_left_ms=300.0)
+    env.now += 300.0
+    assert action_types(
+        env.end_attempt(request_id, sent(actions)[0].server, AttemptResult.TIMEOUT, 300.0)
+    ) == [Fail]
+    request_id, actions = env.send_request("read", time_left_ms=300.0)
+    env.now += 300.0
+    assert action_types(
+        env.end_attempt(request_id, sent(actions)[0].server, AttemptResult.TIMEOUT, 300.0)
+    ) == [Reject]
+
+
+def test_attempt_times_out_at_latency_objective_if_late_response_has_no_value():
+    """Guard: attempts past the latency objective had no value and took capacity from other requests."""
+    env = BalancerEnvironment()
+    assert 900.0 < sent(env.send_request("post", time_left_ms=2000.0)[1])[0].timeout_ms < 1000.0
+    assert sent(env.send_request("post", time_left_ms=500.0)[1])[0].timeout_ms <= 500.0
+
+
+def test_attempt_runs_to_deadline_if_late_response_has_value():
+    service_class = ServiceClass(
         "slow", latency_objective_ms=500, client_timeout_ms=5000, late_weight=0.3, effect=Effect.IDEMPOTENT
     )
-    bed = Bed(classes=(kind,))
-    assert sent(bed.ask("slow", left=2000.0)[1])[0].timeout_ms == 2000.0
+    env = BalancerEnvironment(classes=(service_class,))
+    assert sent(env.send_request("slow", time_left_ms=2000.0)[1])[0].timeout_ms == 2000.0
 
 
-def test_a_stream_keeps_its_attempt():
-    kind = ServiceClass(
-        "s", latency_objective_ms=500, client_timeout_ms=5000, stream=True, effect=Effect.IDEMPOTENT
+def test_streaming_attempt_is_neither_cancelled_nor_retried():
+    service_class = ServiceClass(
+        "stream", latency_objective_ms=500, client_timeout_ms=5000, stream=True, effect=Effect.IDEMPOTENT
     )
-    bed = Bed(classes=(kind,))
-    name, acts = bed.ask("s")
-    assert bed.give(StreamStarted(name, 0)) == []
-    assert sent(bed.period(2000.0)) == []
-    assert bed.end(name, sent(acts)[0].server, AttemptResult.RESET, done=True) == []
+    env = BalancerEnvironment(classes=(service_class,))
+    request_id, actions = env.send_request("stream")
+    assert env.handle(StreamStarted(request_id, 0)) == []
+    assert sent(env.end_period(2000.0)) == []
+    assert env.end_attempt(request_id, sent(actions)[0].server, AttemptResult.RESET, request_ended=True) == []
 
 
-# --------------------------------------------------------------------- health
+# ------------------------------------------------------------- endpoint health
 
 
-def test_no_second_copy_beside_a_running_attempt():
-    """Guard: copies of slow calls added load just when there was too much."""
-    bed = Bed()
-    bed.ask("read")
-    assert sent(bed.period(600.0)) == []
+def test_no_hedged_request_while_an_attempt_is_in_flight():
+    """Guard: hedged requests added load just when there was too much."""
+    env = BalancerEnvironment()
+    env.send_request("read")
+    assert sent(env.end_period(600.0)) == []
 
 
-def test_a_hanging_server_is_shunned_long_before_its_time_out():
-    """Guard: a server that takes calls and answers none kept its good rank until time-outs came."""
-    bed = Bed(count=4)
+def test_hanging_server_is_avoided_before_its_attempts_time_out():
+    """Guard: a server that accepted requests and never responded kept its rank until the first timeout."""
+    env = BalancerEnvironment(count=4)
     for _ in range(20):
-        bed.serve()
-    hung = sent(bed.ask("read")[1])[0].server
-    bed.now += 400.0
-    assert hung not in {bed.serve() for _ in range(8)}
+        env.complete_request()
+    hanging = sent(env.send_request("read")[1])[0].server
+    env.now += 400.0
+    assert hanging not in {env.complete_request() for _ in range(8)}
 
 
-def test_a_server_that_is_heard_again_is_used_again():
-    bed = Bed(count=2)
+def test_server_that_responds_again_is_used_again():
+    env = BalancerEnvironment(count=2)
     for _ in range(20):
-        bed.serve()
-    name, acts = bed.ask("read")
-    hung = sent(acts)[0].server
-    bed.now += 900.0
-    bed.end(name, hung, AttemptResult.OK, 900.0)
-    bed.now += 60000.0
-    assert hung in {act.server for _ in range(8) for act in sent(bed.ask("read")[1])}
-
-
-def test_fast_errors_do_not_look_fast():
-    bed = Bed(count=4)
-    took = 0
+        env.complete_request()
+    request_id, actions = env.send_request("read")
+    hanging = sent(actions)[0].server
+    env.now += 900.0
+    env.end_attempt(request_id, hanging, AttemptResult.OK, 900.0)
+    env.now += 60000.0
+    assert hanging in {action.server for _ in range(8) for action in sent(env.send_request("read")[1])}
+
+
+def test_fast_errors_do_not_improve_rank():
+    env = BalancerEnvironment(count=4)
+    chosen = 0
     for _ in range(80):
-        name, acts = bed.ask("post")
-        server = sent(acts)[0].server
+        request_id, actions = env.send_request("post")
+        server = sent(actions)[0].server
         broken = server == "s0"
-        took += broken
-        bed.now += 5.0 if broken else 100.0
-        bed.end(name, server, AttemptResult.ERROR if broken else AttemptResult.OK, 5.0 if broken else 100.0)
-        bed.period(0.0)
-    assert took <= 4
+        chosen += broken
+        env.now += 5.0 if broken else 100.0
+        env.end_attempt(
+            request_id, server, AttemptResult.ERROR if broken else AttemptResult.OK, 5.0 if broken else 100.0
+        )
+        env.end_period(0.0)
+    assert chosen <= 4
 
 
-def test_a_server_that_was_slow_and_fell_silent_is_tried_again_in_time():
-    bed = Bed(count=2)
+def test_slow_server_without_new_outcomes_is_tried_again_sooner_over_time():
+    env = BalancerEnvironment(count=2)
     for _ in range(40):
-        name, acts = bed.ask()
-        server = sent(acts)[0].server
-        latency = 900.0 if server == "s1" else 100.0
-        bed.now += latency
-        bed.end(name, server, AttemptResult.OK, latency)
+        request_id, actions = env.send_request()
+        server = sent(actions)[0].server
+        latency_ms = 900.0 if server == "s1" else 100.0
+        env.now += latency_ms
+        env.end_attempt(request_id, server, AttemptResult.OK, latency_ms)
 
-    def first_use(bed: Bed) -> int:
-        """How many calls the other server holds when the slow one gets its first."""
-        calls = [act.server for _ in range(12) for act in sent(bed.ask()[1])]
-        return calls.index("s1") if "s1" in calls else len(calls)
+    def requests_before_slow_endpoint(env: BalancerEnvironment) -> int:
+        """How many requests the other server gets before the slow one gets its first."""
+        requests = [action.server for _ in range(12) for action in sent(env.send_request()[1])]
+        return requests.index("s1") if "s1" in requests else len(requests)
 
-    later = copy.deepcopy(bed)
-    later.now += 40000.0
-    assert first_use(later) < first_use(bed)
+    much_later = copy.deepcopy(env)
+    much_later.now += 40000.0
+    assert requests_before_slow_endpoint(much_later) < requests_before_slow_endpoint(env)
 
 
-def test_a_trouble_of_all_leaves_all_in_use():
-    bed = Bed(count=6)
+def test_all_servers_stay_in_use_if_all_become_slow():
+    env = BalancerEnvironment(count=6)
     for _ in range(6):
-        bed.serve()
+        env.complete_request()
     for _ in range(12):
-        bed.serve(latency=900.0)
-    took = [act.server for _ in range(10) for act in sent(bed.ask("read")[1])]
-    assert set(took) == {f"s{at}" for at in range(6)}
+        env.complete_request(latency_ms=900.0)
+    chosen = [action.server for _ in range(10) for action in sent(env.send_request("read")[1])]
+    assert set(chosen) == {f"s{index}" for index in range(6)}
 
 
-def test_errors_at_the_front_move_the_cursor():
-    """Guard: a tier below that refuses reached the front as errors only, and the front went on."""
+def test_errors_move_cursor_at_front_tier_only():
+    """Guard: rejections by a lower tier reach the front tier as errors, and it did not reduce its load."""
     cursors = []
     for tier in (0, 1):
-        bed = Bed(tier=tier)
+        env = BalancerEnvironment(tier=tier)
         for _ in range(4):
-            name, acts = bed.ask("post")
-            bed.end(name, sent(acts)[0].server, AttemptResult.ERROR, 5.0)
-        bed.period()
-        cursors.append(bed.brain.cursor)
+            request_id, actions = env.send_request("post")
+            env.end_attempt(request_id, sent(actions)[0].server, AttemptResult.ERROR, 5.0)
+        env.end_period()
+        cursors.append(env.balancer.cursor)
     assert cursors == [1, 0]
 
 
-def test_an_old_utilisation_does_not_count():
-    """Guard: a node that refuses hears nothing new, and its last reports kept it refusing."""
-    bed = Bed(count=2)
+def test_outdated_utilisation_report_does_not_count():
+    """Guard: a node that rejects requests gets no new load reports, and the last ones kept it rejecting."""
+    env = BalancerEnvironment(count=2)
     for _ in range(6):
-        bed.serve(latency=50.0, load_report={"util": 1.0})
-    bed.period()
-    assert bed.brain.cursor == 1
-    bed.now += 5000.0
-    bed.period()
-    assert bed.brain.cursor == 0
+        env.complete_request(latency_ms=50.0, load_report={"util": 1.0})
+    env.end_period()
+    assert env.balancer.cursor == 1
+    env.now += 5000.0
+    env.end_period()
+    assert env.balancer.cursor == 0
 
 
-def test_the_floor_of_the_table_is_shared_by_all_balancers():
-    """Guard: a floor for each balancer summed, over hundreds of them, to a threshold that never bound."""
+def test_threshold_floor_is_shared_by_all_balancers():
+    """Guard: a floor for each of hundreds of balancers summed to a threshold that never applied."""
     for siblings in (4, 100):
-        bed = Bed(count=20, siblings=siblings)
-        taken = sum(len(sent(bed.ask()[1])) for _ in range(400))
-        assert taken * siblings <= 20 * 7.0 + siblings * (1 + 2.0 * (20 * 7.0 / siblings) ** 0.5)
+        env = BalancerEnvironment(count=20, siblings=siblings)
+        admitted = sum(len(sent(env.send_request()[1])) for _ in range(400))
+        assert admitted * siblings <= 20 * 7.0 + siblings * (1 + 2.0 * (20 * 7.0 / siblings) ** 0.5)
 
 
-def test_many_balancers_aim_at_a_lower_utilisation():
-    """Guard: at size the servers over the median were jammed one by one while the median was under target."""
+def test_utilisation_target_is_lower_with_many_balancers():
+    """Guard: in a large fleet, servers above the median were overloaded while the median was below target."""
     cursors = []
     for siblings in (4, 100):
-        bed = Bed(count=50, siblings=siblings)
+        env = BalancerEnvironment(count=50, siblings=siblings)
         for _ in range(12):
-            bed.serve(latency=50.0, load_report={"util": 0.955})
-        bed.period()
-        cursors.append(bed.brain.cursor)
+            env.complete_request(latency_ms=50.0, load_report={"util": 0.955})
+        env.end_period()
+        cursors.append(env.balancer.cursor)
     assert cursors == [0, 1]
 
 
-def test_a_period_without_answers_does_not_move_the_cursor_left_in_a_jam():
-    """Guard: with one answer in two periods the cursor fell back at each silent one, and the jam stayed."""
-    bed = Bed(count=2)
+def test_period_without_responses_does_not_lower_cursor_under_overload():
+    """Guard: with a response every second period, the cursor fell in the others and overload persisted."""
+    env = BalancerEnvironment(count=2)
     for _ in range(20):
-        bed.serve(latency=50.0)
-    bed.period()
+        env.complete_request(latency_ms=50.0)
+    env.end_period()
     for _ in range(6):
         for _ in range(12):
-            name, acts = bed.ask()
-            if sent(acts):
-                bed.end(name, sent(acts)[0].server, AttemptResult.OK, 950.0)
-        bed.period()
-    high = bed.brain.cursor
-    bed.ask()
-    bed.period()
-    assert bed.brain.cursor == high + 1
-    bed = Bed(count=2)
-    bed.brain.state.cursor = 3
-    bed.period()
-    assert bed.brain.cursor == 2  # nothing in flight: no load
-
-
-def test_calls_sent_before_the_table_bit_do_not_hold_the_cursor_right():
-    """Guard: their latencies came in seconds later, and an idle pool went on refusing on their account."""
-    bed = Bed()
+            request_id, actions = env.send_request()
+            if sent(actions):
+                env.end_attempt(request_id, sent(actions)[0].server, AttemptResult.OK, 950.0)
+        env.end_period()
+    cursor_under_load = env.balancer.cursor
+    env.send_request()
+    env.end_period()
+    assert env.balancer.cursor == cursor_under_load + 1
+    env = BalancerEnvironment(count=2)
+    env.balancer.state.cursor = 3
+    env.end_period()
+    assert env.balancer.cursor == 2  # without requests in flight there is no load
+
+
+def test_requests_sent_before_load_shedding_do_not_raise_cursor():
+    """Guard: their latencies arrived seconds later, and made an idle pool keep rejecting requests."""
+    env = BalancerEnvironment()
     for _ in range(20):
-        bed.serve(latency=50.0)
-    bed.period()
-    old = [(name, sent(acts)[0].server) for name, acts in (bed.ask() for _ in range(8)) if sent(acts)]
-    assert len(old) == 8
-    while bed.brain.cursor < 5:
-        bed.brain.state.window.attempts_ended, bed.brain.state.window.attempts_rejected = 10.0, 9.0
-        bed.period()
-    for name, server in old:
-        bed.end(name, server, AttemptResult.OK, 950.0)
-        bed.period()
-    assert bed.brain.cursor == 0
-    # Calls sent since are heard as ever.
-    while bed.brain.cursor < 5:
-        bed.brain.state.window.attempts_ended, bed.brain.state.window.attempts_rejected = 10.0, 9.0
-        bed.period()
+        env.complete_request(latency_ms=50.0)
+    env.end_period()
+    sent_before = [
+        (request_id, sent(actions)[0].server)
+        for request_id, actions in (env.send_request() for _ in range(8))
+        if sent(actions)
+    ]
+    assert len(sent_before) == 8
+    while env.balancer.cursor < 5:
+        env.balancer.state.window.attempts_ended, env.balancer.state.window.attempts_rejected = 10.0, 9.0
+        env.end_period()
+    for request_id, server in sent_before:
+        env.end_attempt(request_id, server, AttemptResult.OK, 950.0)
+        env.end_period()
+    assert env.balancer.cursor == 0
+    # Requests sent later count as usual.
+    while env.balancer.cursor < 5:
+        env.balancer.state.window.attempts_ended, env.balancer.state.window.attempts_rejected = 10.0, 9.0
+        env.end_period()
     for _ in range(8):
-        bed.serve(latency=950.0)
-    bed.period()
-    assert bed.brain.cursor == 6
+        env.complete_request(latency_ms=950.0)
+    env.end_period()
+    assert env.balancer.cursor == 6
 
 
-def test_a_threshold_of_less_than_one_call_admits_some():
-    """Guard: one call from each of hundreds of balancers kept jammed servers jammed."""
+def test_threshold_below_one_request_admits_some_requests():
+    """Guard: one request from each of hundreds of balancers kept overloaded servers overloaded."""
     admitted = 0
     for seed in range(200):
-        bed = Bed(count=2, seed=seed, siblings=200)
-        bed.brain.state.cursor = len(SLOT_RATIOS) - 1
-        admitted += len(sent(bed.ask("post")[1]))
+        env = BalancerEnvironment(count=2, seed=seed, siblings=200)
+        env.balancer.state.cursor = len(SLOT_RATIOS) - 1
+        admitted += len(sent(env.send_request("post")[1]))
     assert 5 <= admitted <= 60
 
 
-# ----------------------------------------------------------------- membership
+# -------------------------------------------------------------- endpoint list
 
 
 @pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-def test_nothing_new_to_a_server_that_drains_or_is_gone(state):
-    bed = Bed(count=3)
-    bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("s1", "b", state=state),)))
-    assert "s1" not in {bed.serve() for _ in range(12)}
+def test_draining_or_removed_server_gets_no_new_requests(state):
+    env = BalancerEnvironment(count=3)
+    env.handle(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("s1", "b", state=state),)))
+    assert "s1" not in {env.complete_request() for _ in range(12)}
 
 
-def test_a_server_absent_from_a_whole_list_is_gone():
-    bed = Bed(count=3)
-    bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(2)))
-    assert "s2" not in {bed.serve() for _ in range(12)}
+def test_server_missing_from_complete_list_gets_no_new_requests():
+    env = BalancerEnvironment(count=3)
+    env.handle(EndpointListUpdate(EndpointListKind.FULL, make_endpoints(2)))
+    assert "s2" not in {env.complete_request() for _ in range(12)}
 
 
-def test_discovery_is_watched_at_once_and_again_after_failures_with_growing_waits():
-    bed = Bed(count=0, poll_discovery=True)
-    first = type(bed.brain)(bed.brain.settings, 1, 0.0).handle(
+def test_watch_starts_at_once_and_again_after_failures_with_backoff():
+    env = BalancerEnvironment(count=0, poll_discovery=True)
+    first = type(env.balancer)(env.balancer.settings, 1, 0.0).handle(
         0.0, EndpointListUpdate(EndpointListKind.CACHED)
     )
-    assert Watch in kinds(first)
-    waits = []
+    assert Watch in action_types(first)
+    delays_ms = []
     for _ in range(6):
-        acts = bed.give(EndpointListUpdate(EndpointListKind.FAILED))
-        assert kinds(acts) == [SetTimer]
-        waits.append(acts[0].delay_ms)
-        assert kinds(bed.give(TimerFired("watch"))) == [Watch]
-    assert waits[0] < waits[-1] <= 4000.0
+        actions = env.handle(EndpointListUpdate(EndpointListKind.FAILED))
+        assert action_types(actions) == [SetTimer]
+        delays_ms.append(actions[0].delay_ms)
+        assert action_types(env.handle(TimerFired("watch"))) == [Watch]
+    assert delays_ms[0] < delays_ms[-1] <= 4000.0
 
 
-def test_a_discovery_that_is_down_for_hours_is_still_asked_for_again():
-    """Guard: the 1,024th failure in a row overflowed the power, and the module lost the event."""
-    bed = Bed(count=2, poll_discovery=True)
+def test_watch_is_retried_after_thousands_of_failures():
+    """Guard: the 1,024th consecutive failure overflowed the power of 2, and the balancer lost the event."""
+    env = BalancerEnvironment(count=2, poll_discovery=True)
     for _ in range(2000):
-        (wake,) = bed.give(EndpointListUpdate(EndpointListKind.FAILED))
-        assert isinstance(wake, SetTimer)
-        assert wake.delay_ms <= 4000.0
+        (timer,) = env.handle(EndpointListUpdate(EndpointListKind.FAILED))
+        assert isinstance(timer, SetTimer)
+        assert timer.delay_ms <= 4000.0
 
 
-def test_a_failed_list_keeps_the_old_one():
-    bed = Bed(count=2, poll_discovery=True)
-    bed.give(EndpointListUpdate(EndpointListKind.FAILED))
-    assert sent(bed.ask()[1])
+def test_previous_list_stays_in_use_after_failed_update():
+    env = BalancerEnvironment(count=2, poll_discovery=True)
+    env.handle(EndpointListUpdate(EndpointListKind.FAILED))
+    assert sent(env.send_request()[1])
 
 
-def test_a_restart_is_a_new_cold_server():
-    bed = Bed(count=2)
+def test_restarted_server_loses_its_statistics_and_begins_slow_start():
+    env = BalancerEnvironment(count=2)
     for _ in range(6):
-        bed.serve()
-    bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("s0", "a", launched_ms=bed.now),)))
-    assert bed.brain.endpoints["s0"].latency_ratio is None
-    assert [bed.serve(latency=1.0) for _ in range(20)].count("s0") < 10
+        env.complete_request()
+    env.handle(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("s0", "a", launched_ms=env.now),)))
+    assert env.balancer.endpoints["s0"].latency_ratio is None
+    assert [env.complete_request(latency_ms=1.0) for _ in range(20)].count("s0") < 10
 
 
-# ----------------------------------------------------------------------- cold
+# ----------------------------------------------------------------- slow start
 
 
-def test_a_cold_server_gets_its_present_share_of_what_warm_ones_get():
-    bed = Bed(count=4)
-    bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("cold", "a", launched_ms=bed.now),)))
+def test_server_in_slow_start_gets_at_most_its_part_of_a_warm_ones_requests():
+    env = BalancerEnvironment(count=4)
+    env.handle(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("starting", "a", launched_ms=env.now),)))
     counts: dict[str, int] = {}
-    for at in range(150):
-        server = bed.serve(latency=10.0)
+    for index in range(150):
+        server = env.complete_request(latency_ms=10.0)
         counts[server] = counts.get(server, 0) + 1
-        if at % 5 == 0:
-            bed.period(0.0)
-    warm = sum(count for name, count in counts.items() if name != "cold") / 4
-    assert 0 < counts["cold"] <= 0.5 * warm
+        if index % 5 == 0:
+            env.end_period(0.0)
+    warm = sum(count for name, count in counts.items() if name != "starting") / 4
+    assert 0 < counts["starting"] <= 0.5 * warm
 
 
-def test_many_balancers_together_keep_a_cold_server_to_its_share():
-    """Guard: one send a window from each of many balancers summed to a tip-over at full size."""
+def test_many_balancers_together_limit_requests_to_server_in_slow_start():
+    """Guard: one request per window from each balancer of a large fleet together overloaded the server."""
     nodes, warm = 120, 20
-    cold = Endpoint("cold", "a", launched_ms=1000.0)
-    beds = []
+    starting = Endpoint("starting", "a", launched_ms=1000.0)
+    envs = []
     for seed in range(nodes):
-        bed = Bed(count=0, seed=seed, siblings=nodes)
-        bed.give(EndpointListUpdate(EndpointListKind.FULL, (*servers(warm), cold)))
-        beds.append(bed)
-    took = [bed.serve(latency=1.0) for _ in range(40) for bed in beds]
-    mean = len(took) / (warm + 1)
-    assert 0 < took.count("cold") <= 2.5 * 0.2 * mean
-
-
-@pytest.mark.parametrize("calls", [2, 4, 40])
-def test_a_cold_server_is_paced_by_a_servers_ordinary_calls_whatever_is_sent_at_the_time(calls):
-    """Guard: cold servers idled beside jammed ones, as their share was one of the few calls let in."""
-    beds = [Bed(count=4, seed=seed, overload_factor=5.0) for seed in range(40)]
-    took = 0
-    for bed in beds:
-        bed.give(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("cold", "a", launched_ms=bed.now),)))
-        bed.brain.state.peak_completion_rate = (
-            1.0 / bed.brain.period_ms
-        )  # one call a period is a server's ordinary pace
-        bed.brain.state.send_rate = calls * bed.brain.state.peak_completion_rate
-        bed.brain.state.admitted_ratio = min(1.0, calls / len(bed.brain.ready))  # the others were refused
-        cold = bed.brain.endpoints["cold"]
-        took += sum(slow_start_admits(bed.brain.state, bed.now, cold) for _ in range(calls))
-    share = 0.4 * 5.0 * 0.2  # of an ordinary pace, at the server's start
-    assert 0.6 * share < took / len(beds) < 1.5 * share
-
-
-def test_a_cold_pool_still_serves_but_not_all():
-    bed = Bed(count=0)
-    bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(20, launched_ms=bed.now)))
-    count = sum(len(sent(bed.ask()[1])) for _ in range(100))
+        env = BalancerEnvironment(count=0, seed=seed, siblings=nodes)
+        env.handle(EndpointListUpdate(EndpointListKind.FULL, (*make_endpoints(warm), starting)))
+        envs.append(env)
+    chosen = [env.complete_request(latency_ms=1.0) for _ in range(40) for env in envs]
+    mean = len(chosen) / (warm + 1)
+    assert 0 < chosen.count("starting") <= 2.5 * 0.2 * mean
+
+
+@pytest.mark.parametrize("requests", [2, 4, 40])
+def test_slow_start_rate_follows_usual_rate_not_the_current_one(requests):
+    """Guard: a server in slow start idled next to overloaded ones, since it got only its part of the few
+    requests that were admitted."""
+    envs = [BalancerEnvironment(count=4, seed=seed, overload_factor=5.0) for seed in range(40)]
+    chosen = 0
+    for env in envs:
+        env.handle(
+            EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("starting", "a", launched_ms=env.now),))
+        )
+        # A server's usual rate is one request per period.
+        env.balancer.state.peak_completion_rate = 1.0 / env.balancer.period_ms
+        env.balancer.state.send_rate = requests * env.balancer.state.peak_completion_rate
+        # The other requests were rejected.
+        env.balancer.state.admitted_ratio = min(1.0, requests / len(env.balancer.ready))
+        starting = env.balancer.endpoints["starting"]
+        chosen += sum(slow_start_admits(env.balancer.state, env.now, starting) for _ in range(requests))
+    expected = 0.4 * 5.0 * 0.2  # of the usual rate, for a server that has just started
+    assert 0.6 * expected < chosen / len(envs) < 1.5 * expected
+
+
+def test_pool_in_slow_start_admits_some_requests():
+    env = BalancerEnvironment(count=0)
+    env.handle(EndpointListUpdate(EndpointListKind.FULL, make_endpoints(20, launched_ms=env.now)))
+    count = sum(len(sent(env.send_request()[1])) for _ in range(100))
     assert 10 <= count <= 40
 
 
-def test_one_quick_first_outcome_is_not_taken_for_the_quiet_latency():
-    bed = Bed()
-    bed.serve(latency=200.0)  # a fifth of the aim, where this idle pool's usual is 350
-    bed.period()
+def test_one_fast_first_outcome_does_not_set_the_baseline():
+    env = BalancerEnvironment()
+    env.complete_request(
+        latency_ms=200.0
+    )  # a fifth of the objective; the usual latency of this idle pool is 350 ms
+    env.end_period()
     for _ in range(40):
         for _ in range(3):
-            bed.serve(latency=350.0)
-        bed.period()
-    assert bed.brain.cursor == 0
+            env.complete_request(latency_ms=350.0)
+        env.end_period()
+    assert env.balancer.cursor == 0
--- a/tests/balancing/test_recorded_streams.py
+++ b/tests/balancing/test_recorded_streams.py
@@ -1,8 +1,8 @@
-"""The decision module to the letter: seeded small worlds whose whole record of actions has a known digest.
+"""The balancer's actions in seeded simulations, compared with recorded digests.
 
-Each digest was taken when the module was one file. A change that is meant to alter no decision leaves them as
-they are: the same draws in the same order and the same float arithmetic. One that is meant to alter decisions
-records the digest that the failed comparison shows.
+A digest covers every action, in full float precision. A change that must not alter a decision leaves the
+digests as they are: the same random draws in the same order and the same float arithmetic. A change that is
+meant to alter decisions records the digest that the failed comparison shows.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
 from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass, Settings, Tenant
 
-LASTS_MS = 20000.0
+DURATION_MS = 20000.0
 SAFE = ServiceClass(
     "read", latency_objective_ms=400, client_timeout_ms=1500, priority_weight=12, effect=Effect.IDEMPOTENT
 )
@@ -52,8 +52,8 @@
     effect=Effect.IDEMPOTENCY_KEY,
     deduplication_window_ms=300,
 )
-ZONED = replace(KEYED, name="zoned", deduplication_scope=DeduplicationScope.ZONE, priority_weight=0.0)
-CELLED = replace(KEYED, name="celled", deduplication_scope=DeduplicationScope.CELL, late_weight=0.5)
+KEYED_BY_ZONE = replace(KEYED, name="zoned", deduplication_scope=DeduplicationScope.ZONE, priority_weight=0.0)
+KEYED_BY_CELL = replace(KEYED, name="celled", deduplication_scope=DeduplicationScope.CELL, late_weight=0.5)
 STREAM = ServiceClass(
     "tail",
     latency_objective_ms=500,
@@ -62,10 +62,10 @@
     effect=Effect.IDEMPOTENT,
     stream=True,
 )
-REPORTS = ("queue", "util")
+REPORT_FIELDS = ("queue", "util")
 CASES: tuple[dict[str, Any], ...] = (
     {"siblings": 2, "may_cancel": True, "max_attempts": 3, "slow_start_from": 0.2, "slow_start_ms": 3000.0},
-    {"tier": 1, "siblings": 24, "max_attempts": 2, "load_report_fields": REPORTS, "may_cancel": True},
+    {"tier": 1, "siblings": 24, "max_attempts": 2, "load_report_fields": REPORT_FIELDS, "may_cancel": True},
     {
         "siblings": 6,
         "slow_start_from": 0.1,
@@ -80,7 +80,7 @@
         "max_retry_after_ms": 500.0,
         "max_attempts": 4,
         "siblings": 3,
-        "load_report_fields": REPORTS,
+        "load_report_fields": REPORT_FIELDS,
     },
     {"weight_by_work": True, "max_attempts": 3, "poll_discovery": True, "may_cancel": True},
     {
@@ -108,7 +108,7 @@
 }
 
 
-# The digests cover the text of actions and of the learned state under the names they had when recorded.
+# The digests cover actions and learned state as text, with the names that were in use at the recording.
 RECORDED_NAMES = {
     "Reject(": "Refuse(",
     "SetTimer(": "Wake(",
@@ -131,7 +131,7 @@
 
 
 def recorded_summary(text: str) -> str:
-    """The balancer's summary with its counters under the names they were recorded by, and in their order."""
+    """Return the balancer's summary with the names and order of counters in use at the recording."""
     counts, rest = text.split(";", 1)
     for name, recorded in RECORDED_COUNTERS.items():
         counts = counts.replace(name, recorded)
@@ -139,276 +139,304 @@
 
 
 def recorded_form(text: str) -> str:
-    """The text with today's names replaced by those it was recorded under."""
+    """Return the text with current names replaced by those in use at the recording."""
     for name, recorded in RECORDED_NAMES.items():
         text = text.replace(name, recorded)
     return text
 
 
 @dataclass
-class Machine:
-    """A server as the world has it."""
+class Server:
+    """A simulated server."""
 
-    server: Endpoint
-    slowness: float
-    sickness: float  # share of the attempts that end badly
-    busy: int = 0
+    endpoint: Endpoint
+    latency_factor: float
+    failure_rate: float  # ratio of attempts that fail
+    in_flight_count: int = 0
 
 
 @dataclass
 class Attempt:
-    machine: Machine
+    server: Server
     sent_ms: float
-    out: bool = True
+    in_flight: bool = True
 
 
-class World:
-    """Clients, servers, discovery and operators around one balancer, all drawn from one seed."""
+class Simulation:
+    """Clients, servers, discovery, operators and a sibling process around one balancer, from one seed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
         self.case = CASES[seed % len(CASES)]
-        cfg = Settings(classes=(SAFE, UNSAFE, KEYED, ZONED, CELLED, STREAM), zone="a", **self.case)
-        self.kinds = {kind.name: kind for kind in cfg.classes}
+        settings = Settings(
+            classes=(SAFE, UNSAFE, KEYED, KEYED_BY_ZONE, KEYED_BY_CELL, STREAM), zone="a", **self.case
+        )
+        self.service_classes = {service_class.name: service_class for service_class in settings.classes}
         self.now = 1000.0
-        self.balancer = Balancer(cfg, seed, self.now)
+        self.balancer = Balancer(settings, seed, self.now)
         self.digest = xxhash.xxh64()
-        self.names = itertools.count()
-        self.due: list[tuple[float, int, Callable[[], None]]] = []
-        self.machines: dict[str, Machine] = {}
-        self.tries: dict[str, list[Attempt]] = {}
+        self.counter = itertools.count()
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
+        self.servers: dict[str, Server] = {}
+        self.attempts: dict[str, list[Attempt]] = {}
         self.service: dict[str, str] = {}
         self.ended: set[str] = set()
-        self.by_hand: list[tuple[str, float]] = []
-        self.jam = self.rush = 1.0
-        self.was = self.balancer.learned_state()
+        self.ejections: list[tuple[str, float]] = []
+        self.latency_factor = self.request_rate = 1.0
+        self.earlier_state = self.balancer.learned_state()
         for _ in range(self.rng.choice((3, 8, 14))):
             self.launch(None if self.rng.random() < 0.6 else self.now - self.rng.uniform(0.0, 4000.0))
 
     def run(self) -> str:
-        self.give(EndpointListUpdate(EndpointListKind.CACHED, self.listed()))
-        for delay, act in (
-            (0.0, self.client),
-            (0.0, self.weather),
-            (500.0, self.discovery),
-            (700.0, self.operator),
-            (900.0, self.other_process),
-            (200.0, self.prober),
-            (300.0, self.stray),
+        self.handle(EndpointListUpdate(EndpointListKind.CACHED, self.listed()))
+        for delay_ms, action in (
+            (0.0, self.send_request),
+            (0.0, self.change_conditions),
+            (500.0, self.update_list),
+            (700.0, self.eject_or_restore),
+            (900.0, self.sibling_process),
+            (200.0, self.health_check),
+            (300.0, self.unknown_events),
             (50.0, self.observe),
         ):
-            self.at(delay, act)
-        while self.due and self.due[0][0] < 1000.0 + LASTS_MS:
-            self.now, _, act = heapq.heappop(self.due)
-            act()
+            self.schedule(delay_ms, action)
+        while self.events and self.events[0][0] < 1000.0 + DURATION_MS:
+            self.now, _, action = heapq.heappop(self.events)
+            action()
         self.observe()
         return self.digest.hexdigest()
 
-    def at(self, delay: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self.due, (self.now + delay, next(self.names), act))
+    def schedule(self, delay_ms: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (self.now + delay_ms, next(self.counter), action))
 
-    def give(self, event: Event) -> None:
-        acts = self.balancer.handle(self.now, event)
-        self.digest.update(recorded_form(f"{self.now!r} {acts!r}\n").encode())
-        for act in acts:
-            self.obey(act)
+    def handle(self, event: Event) -> None:
+        actions = self.balancer.handle(self.now, event)
+        self.digest.update(recorded_form(f"{self.now!r} {actions!r}\n").encode())
+        for action in actions:
+            self.carry_out(action)
 
     def observe(self) -> None:
-        """What the module tells of itself, and its thresholds."""
-        it = self.balancer
-        rows = [it.threshold(worth, ready) for ready in (0, len(it.ready)) for worth in (1.0, 0.3, 0.0)]
-        said = (
-            recorded_summary(it.summary()),
-            rows,
-            it.learned_state(),
-            it.in_flight(),
-            it.ejected_count,
-            it.cursor,
-            it.period_ms,
+        """Add the balancer's summary, thresholds and state to the digest."""
+        balancer = self.balancer
+        thresholds = [
+            balancer.threshold(priority, ready)
+            for ready in (0, len(balancer.ready))
+            for priority in (1.0, 0.3, 0.0)
+        ]
+        observed = (
+            recorded_summary(balancer.summary()),
+            thresholds,
+            balancer.learned_state(),
+            balancer.in_flight(),
+            balancer.ejected_count,
+            balancer.cursor,
+            balancer.period_ms,
         )
-        self.digest.update(recorded_form(f"{said!r}\n").encode())
-        self.at(170.0, self.observe)
+        self.digest.update(recorded_form(f"{observed!r}\n").encode())
+        self.schedule(170.0, self.observe)
 
-    # ------------------------------------------------------------- the actions
+    # ----------------------------------------------------- handling of actions
 
-    def obey(self, act: Action) -> None:
-        match act:
+    def carry_out(self, action: Action) -> None:
+        match action:
             case SetTimer():
-                self.at(act.delay_ms, lambda: self.give(TimerFired(act.name)))
+                self.schedule(action.delay_ms, lambda: self.handle(TimerFired(action.name)))
             case Watch():
-                self.at(40.0, self.list_again)
+                self.schedule(40.0, self.respond_to_watch)
             case Send():
-                self.serve(act)
+                self.start_attempt(action)
             case Cancel():
-                self.at(1.0, lambda: self.finish(act.id, act.attempt, AttemptResult.CANCELLED))
+                self.schedule(
+                    1.0, lambda: self.end_attempt(action.id, action.attempt, AttemptResult.CANCELLED)
+                )
             case Reject() | Fail():
-                self.ended.add(act.id)
-
-    def serve(self, act: Send) -> None:
-        machine, rng = self.machines[act.server], self.rng
-        tries = self.tries[act.id]
-        at = len(tries)
-        tries.append(Attempt(machine, self.now))
-        machine.busy += 1
-        takes = 90.0 * machine.slowness * self.jam * rng.uniform(0.5, 1.5) * (1.0 + 0.15 * machine.busy)
+                self.ended.add(action.id)
+
+    def start_attempt(self, action: Send) -> None:
+        server, rng = self.servers[action.server], self.rng
+        attempts = self.attempts[action.id]
+        number = len(attempts)
+        attempts.append(Attempt(server, self.now))
+        server.in_flight_count += 1
+        latency_ms = (
+            90.0
+            * server.latency_factor
+            * self.latency_factor
+            * rng.uniform(0.5, 1.5)
+            * (1.0 + 0.15 * server.in_flight_count)
+        )
         result = AttemptResult.OK
-        if rng.random() < machine.sickness:
-            result = rng.choice([item for item in AttemptResult if item is not AttemptResult.OK])
-            takes *= rng.choice((0.05, 1.0))
-        elif machine.busy > 14:
-            result, takes = AttemptResult.REJECTED, 2.0
-        if act.timeout_ms and takes > act.timeout_ms:
-            result, takes = AttemptResult.TIMEOUT, act.timeout_ms
-        kind = self.kinds[self.service[act.id]]
-        if kind.stream and rng.random() < 0.8:
-            which = at if rng.random() < 0.9 else at + 1
-            self.at(0.3 * takes, lambda: self.give(StreamStarted(act.id, which)))
-        self.at(takes, lambda: self.finish(act.id, at, result))
-
-    def finish(self, name: str, at: int, result: AttemptResult) -> None:
-        attempt = self.tries[name][at]
-        if not attempt.out:
+        if rng.random() < server.failure_rate:
+            result = rng.choice([result for result in AttemptResult if result is not AttemptResult.OK])
+            latency_ms *= rng.choice((0.05, 1.0))
+        elif server.in_flight_count > 14:
+            result, latency_ms = AttemptResult.REJECTED, 2.0
+        if action.timeout_ms and latency_ms > action.timeout_ms:
+            result, latency_ms = AttemptResult.TIMEOUT, action.timeout_ms
+        service_class = self.service_classes[self.service[action.id]]
+        if service_class.stream and rng.random() < 0.8:
+            attempt_number = number if rng.random() < 0.9 else number + 1
+            self.schedule(0.3 * latency_ms, lambda: self.handle(StreamStarted(action.id, attempt_number)))
+        self.schedule(latency_ms, lambda: self.end_attempt(action.id, number, result))
+
+    def end_attempt(self, name: str, number: int, result: AttemptResult) -> None:
+        attempt = self.attempts[name][number]
+        if not attempt.in_flight:
             return
-        attempt.out = False
-        machine = attempt.machine
-        machine.busy -= 1
+        attempt.in_flight = False
+        server = attempt.server
+        server.in_flight_count -= 1
         if result is AttemptResult.OK:
             self.ended.add(name)
         event = AttemptOutcome(
             name,
-            at,
-            machine.server.name,
+            number,
+            server.endpoint.name,
             result,
             self.now - attempt.sent_ms,
             result is AttemptResult.OK or (name in self.ended and self.rng.random() < 0.9),
-            self.report(machine),
+            self.load_report(server),
         )
-        self.give(event)
+        self.handle(event)
         if self.rng.random() < 0.02:
-            self.give(event)  # told twice
+            self.handle(event)  # a duplicate
 
-    def report(self, machine: Machine) -> dict[str, float] | None:
+    def load_report(self, server: Server) -> dict[str, float] | None:
         if "load_report_fields" not in self.case or self.rng.random() < 0.1:
             return None
-        full = {
-            "queue": float(max(0, machine.busy - 2)),
-            "util": min(1.0, 0.5 + 0.4 * self.rng.random() + 0.1 * self.jam),
+        values = {
+            "queue": float(max(0, server.in_flight_count - 2)),
+            "util": min(1.0, 0.5 + 0.4 * self.rng.random() + 0.1 * self.latency_factor),
         }
-        return {key: full[key] for key in REPORTS if self.rng.random() < 0.9}
+        return {key: values[key] for key in REPORT_FIELDS if self.rng.random() < 0.9}
 
-    # --------------------------------------------------------------- the world
+    # ------------------------------------------------------ sources of events
 
-    def client(self) -> None:
+    def send_request(self) -> None:
         rng = self.rng
-        self.at(rng.uniform(0.0, 16.0) / self.rush, self.client)
-        name, kind = f"r{next(self.names)}", rng.choice(list(self.kinds.values()))
-        gives_up = self.now + kind.client_timeout_ms * rng.choice((1.0, 1.0, 0.3, 0.0))
-        coming = rng.random() < 0.15
-        self.tries[name], self.service[name] = [], kind.name
+        self.schedule(rng.uniform(0.0, 16.0) / self.request_rate, self.send_request)
+        name, service_class = f"r{next(self.counter)}", rng.choice(list(self.service_classes.values()))
+        deadline_ms = self.now + service_class.client_timeout_ms * rng.choice((1.0, 1.0, 0.3, 0.0))
+        receiving = rng.random() < 0.15
+        self.attempts[name], self.service[name] = [], service_class.name
         request = Request(
             name,
-            kind.name,
-            gives_up,
+            service_class.name,
+            deadline_ms,
             tenant=rng.choice((None, "small", "none", "unknown")),
             cost_hint_ms=rng.choice((None, 5.0, 40.0, 300.0)),
             is_retry=rng.random() < 0.1,
-            receiving=coming,
+            receiving=receiving,
+        )
+        self.handle(request)
+        if receiving:
+            self.schedule(
+                rng.uniform(1.0, 200.0), lambda: self.handle(RequestReceived(name, deadline_ms + 100.0))
+            )
+        self.schedule(
+            service_class.client_timeout_ms * rng.choice((0.1, 1.1, 1.1, 1.1)), lambda: self.cancel(name)
         )
-        self.give(request)
-        if coming:
-            self.at(rng.uniform(1.0, 200.0), lambda: self.give(RequestReceived(name, gives_up + 100.0)))
-        self.at(kind.client_timeout_ms * rng.choice((0.1, 1.1, 1.1, 1.1)), lambda: self.lapse(name))
 
-    def lapse(self, name: str) -> None:
+    def cancel(self, name: str) -> None:
         if name not in self.ended:
             self.ended.add(name)
-            self.give(RequestCancelled(name))
+            self.handle(RequestCancelled(name))
 
-    def weather(self) -> None:
-        self.jam = self.rng.choice((0.5, 1.0, 1.0, 2.0, 6.0))
-        self.rush = self.rng.choice((0.2, 1.0, 2.0, 4.0))
-        for machine in self.machines.values():
-            machine.sickness = self.rng.choice((0.0, 0.0, 0.03, 0.5))
-            machine.slowness = self.rng.choice((0.7, 1.0, 1.0, 1.3, 4.0))
-        self.at(self.rng.uniform(300.0, 1500.0), self.weather)
+    def change_conditions(self) -> None:
+        self.latency_factor = self.rng.choice((0.5, 1.0, 1.0, 2.0, 6.0))
+        self.request_rate = self.rng.choice((0.2, 1.0, 2.0, 4.0))
+        for server in self.servers.values():
+            server.failure_rate = self.rng.choice((0.0, 0.0, 0.03, 0.5))
+            server.latency_factor = self.rng.choice((0.7, 1.0, 1.0, 1.3, 4.0))
+        self.schedule(self.rng.uniform(300.0, 1500.0), self.change_conditions)
 
     def launch(self, launched_ms: float | None) -> Endpoint:
-        at = len(self.machines)
+        number = len(self.servers)
         state = self.rng.choice((EndpointStatus.UP,) * 6 + (EndpointStatus.DRAINING,))
-        server = Endpoint(f"s{at}", "aab"[at % 3], at % 4, state, launched_ms)
-        self.machines[server.name] = Machine(server, 1.0, 0.0)
-        return server
+        endpoint = Endpoint(f"s{number}", "aab"[number % 3], number % 4, state, launched_ms)
+        self.servers[endpoint.name] = Server(endpoint, 1.0, 0.0)
+        return endpoint
 
     def listed(self) -> tuple[Endpoint, ...]:
-        rows = [machine.server for machine in self.machines.values()]
-        return tuple(row for row in rows if row.state is not EndpointStatus.REMOVED)
+        endpoints = [server.endpoint for server in self.servers.values()]
+        return tuple(endpoint for endpoint in endpoints if endpoint.state is not EndpointStatus.REMOVED)
 
-    def list_again(self) -> None:
-        form = self.rng.choice((EndpointListKind.FAILED, EndpointListKind.FULL, EndpointListKind.CACHED))
-        self.give(EndpointListUpdate(form, () if form is EndpointListKind.FAILED else self.listed()))
+    def respond_to_watch(self) -> None:
+        kind = self.rng.choice((EndpointListKind.FAILED, EndpointListKind.FULL, EndpointListKind.CACHED))
+        self.handle(EndpointListUpdate(kind, () if kind is EndpointListKind.FAILED else self.listed()))
 
-    def discovery(self) -> None:
+    def update_list(self) -> None:
         rng = self.rng
-        self.at(rng.uniform(100.0, 900.0), self.discovery)
+        self.schedule(rng.uniform(100.0, 900.0), self.update_list)
         if rng.random() < 0.4:
-            self.give(EndpointListUpdate(EndpointListKind.FAILED))
+            self.handle(EndpointListUpdate(EndpointListKind.FAILED))
             return
-        changed = [self.change(machine) for machine in rng.sample(list(self.machines.values()), k=2)]
-        if len(self.machines) < 24:
+        changed = [self.change_endpoint(server) for server in rng.sample(list(self.servers.values()), k=2)]
+        if len(self.servers) < 24:
             changed.append(self.launch(self.now))
-        whole = rng.random() < 0.3
-        rows = tuple(rng.sample(self.listed(), k=len(self.listed()))) if whole else tuple(changed)
-        self.give(EndpointListUpdate(EndpointListKind.FULL if whole else EndpointListKind.DELTA, rows))
+        complete = rng.random() < 0.3
+        endpoints = tuple(rng.sample(self.listed(), k=len(self.listed()))) if complete else tuple(changed)
+        self.handle(
+            EndpointListUpdate(EndpointListKind.FULL if complete else EndpointListKind.DELTA, endpoints)
+        )
 
-    def change(self, machine: Machine) -> Endpoint:
+    def change_endpoint(self, server: Server) -> Endpoint:
         state = self.rng.choice((EndpointStatus.UP,) * 5 + (EndpointStatus.DRAINING, EndpointStatus.REMOVED))
-        launched = self.now if self.rng.random() < 0.3 else machine.server.launched_ms
-        machine.server = replace(machine.server, state=state, launched_ms=launched)
-        return machine.server
+        launched_ms = self.now if self.rng.random() < 0.3 else server.endpoint.launched_ms
+        server.endpoint = replace(server.endpoint, state=state, launched_ms=launched_ms)
+        return server.endpoint
 
-    def operator(self) -> None:
+    def eject_or_restore(self) -> None:
         rng = self.rng
-        self.at(rng.uniform(50.0, 600.0), self.operator)
-        if self.by_hand and rng.random() < 0.6:
-            address, out_ms = self.by_hand.pop(0)
-            self.give(EndpointRestored(address, out_ms, self.now - rng.uniform(0.0, 100.0)))
+        self.schedule(rng.uniform(50.0, 600.0), self.eject_or_restore)
+        if self.ejections and rng.random() < 0.6:
+            name, ejected_ms = self.ejections.pop(0)
+            self.handle(EndpointRestored(name, ejected_ms, self.now - rng.uniform(0.0, 100.0)))
         else:
-            address = rng.choice([*self.machines, "unheard"])
-            self.by_hand.append((address, self.now))
-            self.give(EndpointEjected(address))
+            name = rng.choice([*self.servers, "unknown"])
+            self.ejections.append((name, self.now))
+            self.handle(EndpointEjected(name))
 
-    def other_process(self) -> None:
+    def sibling_process(self) -> None:
         rng = self.rng
-        self.at(rng.uniform(200.0, 1200.0), self.other_process)
-        held = {address: float(rng.randrange(4)) for address in [*self.machines][:4]}
-        self.give(SiblingProcessLoad(held if rng.random() < 0.3 else {}))
-        what = rng.randrange(6)
-        if what < 2:
-            self.was = self.balancer.learned_state()
-        elif what == 2:
-            base = rng.choice((None, 0.0, self.was.baseline_ratio))
-            changes: dict[str, Any] = {"baseline_ratio": base, "cursor": rng.choice((-3, 4, 99))}
-            self.give(replace(self.was, class_latency_ms={"read": 80.0, "gone": 1.0, "post": 0.0}, **changes))
-        elif what == 3:
-            self.give(StateRestored(self.was, rng.choice((-1.0, 0.0, 2000.0, 16000.0))))
-
-    def prober(self) -> None:
-        self.at(self.rng.uniform(20.0, 400.0), self.prober)
-        machine = self.rng.choice(list(self.machines.values()))
-        self.give(HealthCheckCompleted(machine.server.name, AttemptResult.OK, 3.0, self.report(machine)))
-
-    def stray(self) -> None:
-        """Events of requests, attempts, servers and alarms that the balancer does not know."""
-        self.at(self.rng.uniform(100.0, 700.0), self.stray)
-        over = [name for name in self.tries if name in self.ended][-20:]
-        for name in ("nobody", *over):
-            self.give(AttemptOutcome(name, 7, "unheard", AttemptResult.OK, 5.0, True, {"queue": 1.0}))
-            self.give(RequestReceived(name, self.now + 500.0))
-        self.give(RequestCancelled("nobody"))
-        self.give(StreamStarted("nobody", 0))
-        self.give(TimerFired("unheard"))
+        self.schedule(rng.uniform(200.0, 1200.0), self.sibling_process)
+        in_flight = {name: float(rng.randrange(4)) for name in [*self.servers][:4]}
+        self.handle(SiblingProcessLoad(in_flight if rng.random() < 0.3 else {}))
+        choice = rng.randrange(6)
+        if choice < 2:
+            self.earlier_state = self.balancer.learned_state()
+        elif choice == 2:
+            baseline_ratio = rng.choice((None, 0.0, self.earlier_state.baseline_ratio))
+            changes: dict[str, Any] = {"baseline_ratio": baseline_ratio, "cursor": rng.choice((-3, 4, 99))}
+            self.handle(
+                replace(
+                    self.earlier_state,
+                    class_latency_ms={"read": 80.0, "removed": 1.0, "post": 0.0},
+                    **changes,
+                )
+            )
+        elif choice == 3:
+            self.handle(StateRestored(self.earlier_state, rng.choice((-1.0, 0.0, 2000.0, 16000.0))))
+
+    def health_check(self) -> None:
+        self.schedule(self.rng.uniform(20.0, 400.0), self.health_check)
+        server = self.rng.choice(list(self.servers.values()))
+        self.handle(
+            HealthCheckCompleted(server.endpoint.name, AttemptResult.OK, 3.0, self.load_report(server))
+        )
+
+    def unknown_events(self) -> None:
+        """Pass events of requests, attempts, servers and timers that the balancer does not know."""
+        self.schedule(self.rng.uniform(100.0, 700.0), self.unknown_events)
+        ended_ids = [name for name in self.attempts if name in self.ended][-20:]
+        for name in ("unknown", *ended_ids):
+            self.handle(AttemptOutcome(name, 7, "unknown", AttemptResult.OK, 5.0, True, {"queue": 1.0}))
+            self.handle(RequestReceived(name, self.now + 500.0))
+        self.handle(RequestCancelled("unknown"))
+        self.handle(StreamStarted("unknown", 0))
+        self.handle(TimerFired("unknown"))
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_record_of_every_action_has_the_digest_it_had(seed: int) -> None:
-    assert World(seed).run() == DIGESTS[seed]
+def test_actions_of_simulation_match_recorded_digest(seed: int) -> None:
+    assert Simulation(seed).run() == DIGESTS[seed]
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -1,4 +1,8 @@
-"""The four rules over random legal sequences of events, against a small referee of the wire's rules."""
+"""Property tests of the balancer: its rules hold for random valid sequences of events.
+
+`RuleChecker` drives a balancer and checks each action against a small model of the rules: one final response
+to each request, no second effect, attempts only to endpoints that are up, and limits within the settings.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind, EndpointStatus
 from loadbalancer.service_settings import DeduplicationScope, Effect, ServiceClass, Settings
 
-NEVER = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.ABANDONED)
+NEVER_EXECUTED = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.ABANDONED)
 CLASSES = (
     ServiceClass("safe", 1000, 2500, priority_weight=5, effect=Effect.IDEMPOTENT),
     ServiceClass("late", 1000, 2500, priority_weight=2, late_weight=0.4, effect=Effect.IDEMPOTENT),
@@ -53,155 +57,187 @@
     ),
     ServiceClass("stream", 800, 2000, stream=True, effect=Effect.NON_IDEMPOTENT),
 )
-COLD_MS, TIP_MS = 8000.0, 1500.0
+SLOW_START_MS, WINDOW_MS = 8000.0, 1500.0
 
 
 @dataclass
-class Call:
-    """What the referee knows of one request."""
+class RequestRecord:
+    """A request as the checker has observed it."""
 
-    kind: ServiceClass
-    give_up: float
-    tries: list[tuple[Endpoint, float]] = field(default_factory=list)
+    service_class: ServiceClass
+    deadline_ms: float
+    attempts: list[tuple[Endpoint, float]] = field(default_factory=list)
     results: dict[int, AttemptResult] = field(default_factory=dict)
     ended: bool = False
     streaming: int | None = None
 
-    def out(self) -> list[int]:
-        return [at for at in range(len(self.tries)) if at not in self.results]
+    def attempts_in_flight(self) -> list[int]:
+        return [index for index in range(len(self.attempts)) if index not in self.results]
+
+    def possibly_executed(self) -> list[tuple[Endpoint, float]]:
+        return [
+            attempt
+            for index, attempt in enumerate(self.attempts)
+            if self.results.get(index) not in NEVER_EXECUTED
+        ]
 
-    def may_have_run(self) -> list[tuple[Endpoint, float]]:
-        return [item for at, item in enumerate(self.tries) if self.results.get(at) not in NEVER]
 
+class RuleChecker:
+    """A balancer with a clock and a record of its requests; asserts the rules on every action."""
 
-class Referee:
     def __init__(self, seed: int, max_attempts: int, cancel: bool) -> None:
         self.now = 500.0
-        self.cfg = Settings(
+        self.settings = Settings(
             classes=CLASSES, zone="a", siblings=2, poll_discovery=True, may_cancel=cancel,
-            max_attempts=max_attempts, slow_start_from=0.25, slow_start_ms=COLD_MS, overload_factor=2.5,
+            max_attempts=max_attempts, slow_start_from=0.25, slow_start_ms=SLOW_START_MS, overload_factor=2.5,
         )  # fmt: skip
-        self.brain = Balancer(self.cfg, seed, self.now)
-        self.calls: dict[str, Call] = {}
+        self.balancer = Balancer(self.settings, seed, self.now)
+        self.requests: dict[str, RequestRecord] = {}
         self.listed: dict[str, Endpoint] = {}
-        self.names = 0
+        self.request_count = 0
 
-    def give(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         if isinstance(event, EndpointListUpdate) and event.kind is not EndpointListKind.FAILED:
             if event.kind is not EndpointListKind.DELTA:
                 self.listed = {}
-            self.listed.update({row.name: row for row in event.endpoints})
+            self.listed.update({endpoint.name: endpoint for endpoint in event.endpoints})
         if isinstance(event, Request):
-            kind = next(kind for kind in CLASSES if kind.name == event.service)
-            self.calls[event.id] = Call(kind, event.deadline_ms)
-        for act in self.brain.handle(self.now, event):
-            self.check(act)
-        for name, call in self.calls.items():  # an open request with nothing out would never be answered
-            assert call.ended or call.out(), name
+            service_class = next(each for each in CLASSES if each.name == event.service)
+            self.requests[event.id] = RequestRecord(service_class, event.deadline_ms)
+        for action in self.balancer.handle(self.now, event):
+            self.check_action(action)
+        # A pending request without an attempt in flight would never get a response.
+        for request_id, record in self.requests.items():
+            assert record.ended or record.attempts_in_flight(), request_id
 
-    def check(self, act: Action) -> None:
-        if isinstance(act, Send):
-            self.check_send(act)
-        elif isinstance(act, Reject | Fail):
-            call = self.calls[act.id]
-            assert not call.ended, "a second final answer"
-            ran = call.may_have_run()
-            if isinstance(act, Reject) and ran:
-                keyed_all = (
-                    call.kind.effect is Effect.IDEMPOTENCY_KEY
-                    and call.kind.deduplication_scope is DeduplicationScope.ALL
+    def check_action(self, action: Action) -> None:
+        if isinstance(action, Send):
+            self.check_send(action)
+        elif isinstance(action, Reject | Fail):
+            record = self.requests[action.id]
+            assert not record.ended, "a second final response"
+            executed = record.possibly_executed()
+            if isinstance(action, Reject) and executed:  # a rejection states that a retry is safe
+                key_known_to_all = (
+                    record.service_class.effect is Effect.IDEMPOTENCY_KEY
+                    and record.service_class.deduplication_scope is DeduplicationScope.ALL
+                )
+                assert record.service_class.effect is Effect.IDEMPOTENT or key_known_to_all, (
+                    "an untrue rejection"
                 )
-                assert call.kind.effect is Effect.IDEMPOTENT or keyed_all, "a refusal that is not true"
-            call.ended = True
-        elif isinstance(act, Cancel):
-            assert self.cfg.may_cancel
-            assert act.attempt < len(self.calls[act.id].tries)
+            record.ended = True
+        elif isinstance(action, Cancel):
+            assert self.settings.may_cancel
+            assert action.attempt < len(self.requests[action.id].attempts)
 
-    def check_send(self, act: Send) -> None:
-        call, server = self.calls[act.id], self.listed[act.server]
-        assert not call.ended, "a send after the end"
-        assert server.state is EndpointStatus.UP, "a send to a server that drains or is gone"
-        assert len(call.tries) < self.cfg.max_attempts
-        assert act.timeout_ms >= 0
-        ran = call.may_have_run()
-        if call.kind.effect is not Effect.IDEMPOTENT and ran:
-            assert call.kind.effect is Effect.IDEMPOTENCY_KEY, "an unsafe request sent twice"
-            first, then = ran[0]
-            assert self.now - then <= call.kind.deduplication_window_ms, "sent after the key may be forgotten"
-            assert self.now < act.written_by_ms < then + call.kind.deduplication_window_ms, (
-                "no bound on when it is written"
+    def check_send(self, action: Send) -> None:
+        record, server = self.requests[action.id], self.listed[action.server]
+        assert not record.ended, "an attempt after the final response"
+        assert server.state is EndpointStatus.UP, "an attempt at a draining or removed server"
+        assert len(record.attempts) < self.settings.max_attempts
+        assert action.timeout_ms >= 0
+        executed = record.possibly_executed()
+        if record.service_class.effect is not Effect.IDEMPOTENT and executed:
+            assert record.service_class.effect is Effect.IDEMPOTENCY_KEY, "a retry of an unsafe request"
+            first, sent_ms = executed[0]
+            assert self.now - sent_ms <= record.service_class.deduplication_window_ms, (
+                "a retry after the deduplication window"
             )
-            if call.kind.deduplication_scope is not DeduplicationScope.ALL:
+            assert self.now < action.written_by_ms < sent_ms + record.service_class.deduplication_window_ms, (
+                "no write deadline within the deduplication window"
+            )
+            if record.service_class.deduplication_scope is not DeduplicationScope.ALL:
                 assert server.zone == first.zone
-            if call.kind.deduplication_scope is DeduplicationScope.CELL:
+            if record.service_class.deduplication_scope is DeduplicationScope.CELL:
                 assert server.cell == first.cell
-        call.tries.append((server, self.now))
+        record.attempts.append((server, self.now))
 
-    # the moves that a day may make
+    # The steps of a generated sequence, by the names in STEPS.
 
-    def request(self, kind: int, patience: float) -> None:
-        self.names += 1
-        name = f"q{self.names}"
-        self.give(Request(name, CLASSES[kind % len(CLASSES)].name, self.now + patience))
+    def request(self, class_index: int, time_left_ms: float) -> None:
+        self.request_count += 1
+        request_id = f"q{self.request_count}"
+        self.handle(Request(request_id, CLASSES[class_index % len(CLASSES)].name, self.now + time_left_ms))
 
-    def outcome(self, pick: int, result: AttemptResult, report: bool) -> None:
-        waiting = [(name, at) for name, call in self.calls.items() for at in call.out()]
-        if not waiting:
+    def outcome(self, choice: int, result: AttemptResult, with_report: bool) -> None:
+        candidates = [
+            (request_id, index)
+            for request_id, record in self.requests.items()
+            for index in record.attempts_in_flight()
+        ]
+        if not candidates:
             return
-        name, at = waiting[pick % len(waiting)]
-        call = self.calls[name]
-        server, then = call.tries[at]
-        call.results[at] = result
-        if not call.ended and (result is AttemptResult.OK or call.streaming == at):
-            call.ended = True
-        told = {"queue": 2.0, "util": 0.97} if report else None
-        self.give(AttemptOutcome(name, at, server.name, result, self.now - then, call.ended, told))
+        request_id, index = candidates[choice % len(candidates)]
+        record = self.requests[request_id]
+        server, sent_ms = record.attempts[index]
+        record.results[index] = result
+        if not record.ended and (result is AttemptResult.OK or record.streaming == index):
+            record.ended = True
+        load_report = {"queue": 2.0, "util": 0.97} if with_report else None
+        self.handle(
+            AttemptOutcome(
+                request_id, index, server.name, result, self.now - sent_ms, record.ended, load_report
+            )
+        )
 
-    def lapse(self, pick: int) -> None:
-        if self.calls:
-            name = list(self.calls)[pick % len(self.calls)]
-            self.calls[name].ended = True
-            self.give(RequestCancelled(name))
+    def cancel(self, choice: int) -> None:
+        if self.requests:
+            request_id = list(self.requests)[choice % len(self.requests)]
+            self.requests[request_id].ended = True
+            self.handle(RequestCancelled(request_id))
 
-    def stream(self, pick: int) -> None:
-        waiting = [
-            name for name, call in self.calls.items() if call.kind.stream and call.out() and not call.ended
+    def start_stream(self, choice: int) -> None:
+        candidates = [
+            request_id
+            for request_id, record in self.requests.items()
+            if record.service_class.stream and record.attempts_in_flight() and not record.ended
         ]
-        if waiting:
-            call = self.calls[waiting[pick % len(waiting)]]
-            call.streaming = call.out()[0]
-            self.give(StreamStarted(waiting[pick % len(waiting)], call.streaming))
+        if candidates:
+            record = self.requests[candidates[choice % len(candidates)]]
+            record.streaming = record.attempts_in_flight()[0]
+            self.handle(StreamStarted(candidates[choice % len(candidates)], record.streaming))
 
-    def members(self, form: EndpointListKind, pick: int, state: EndpointStatus, fresh: bool) -> None:
-        rows = [
+    def update_list(
+        self, list_kind: EndpointListKind, choice: int, state: EndpointStatus, restarted: bool
+    ) -> None:
+        endpoints = [
             Endpoint(
-                f"s{at}", "ab"[at % 2], at % 3, launched_ms=self.now if fresh and at == pick % 6 else None
+                f"s{index}",
+                "ab"[index % 2],
+                index % 3,
+                launched_ms=self.now if restarted and index == choice % 6 else None,
             )
-            for at in range(6)
+            for index in range(6)
         ]
-        rows[(pick + 1) % 6].state = state
-        if form is EndpointListKind.DELTA:
-            rows = rows[pick % 6 :]
-        elif form is EndpointListKind.FULL:
-            rows = [row for row in rows if row.state is not EndpointStatus.REMOVED][: 1 + pick % 6]
-        self.give(EndpointListUpdate(form, () if form is EndpointListKind.FAILED else tuple(rows)))
+        endpoints[(choice + 1) % 6].state = state
+        if list_kind is EndpointListKind.DELTA:
+            endpoints = endpoints[choice % 6 :]
+        elif list_kind is EndpointListKind.FULL:
+            endpoints = [endpoint for endpoint in endpoints if endpoint.state is not EndpointStatus.REMOVED][
+                : 1 + choice % 6
+            ]
+        self.handle(
+            EndpointListUpdate(list_kind, () if list_kind is EndpointListKind.FAILED else tuple(endpoints))
+        )
 
 
-MOVES = st.one_of(
+STEPS = st.one_of(
     st.tuples(st.just("request"), st.integers(0, 6), st.floats(1.0, 2500.0)),
     st.tuples(st.just("request"), st.integers(0, 6), st.floats(1.0, 2500.0)),
     st.tuples(st.just("outcome"), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans()),
     st.tuples(st.just("outcome"), st.integers(0, 40), st.sampled_from(list(AttemptResult)), st.booleans()),
-    st.tuples(st.just("lapse"), st.integers(0, 40)),
-    st.tuples(st.just("stream"), st.integers(0, 5)),
+    st.tuples(st.just("cancel"), st.integers(0, 40)),
+    st.tuples(st.just("start_stream"), st.integers(0, 5)),
     st.tuples(
-        st.just("members"),
-        st.sampled_from([form for form in EndpointListKind if form is not EndpointListKind.CACHED]),
+        st.just("update_list"),
+        st.sampled_from(
+            [list_kind for list_kind in EndpointListKind if list_kind is not EndpointListKind.CACHED]
+        ),
         st.integers(0, 11),
         st.sampled_from(list(EndpointStatus)),
         st.booleans(),
     ),
-    st.tuples(st.just("alarm"), st.sampled_from(["period", "watch", "other"])),
+    st.tuples(st.just("timer"), st.sampled_from(["period", "watch", "other"])),
     st.tuples(st.just("wait"), st.floats(0.0, 600.0)),
 )
 
@@ -209,53 +245,53 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(
     seed=st.integers(0, 2**32),
-    attempts=st.integers(1, 4),
+    max_attempts=st.integers(1, 4),
     cancel=st.booleans(),
-    moves=st.lists(MOVES, min_size=10, max_size=120),
+    steps=st.lists(STEPS, min_size=10, max_size=120),
 )
-def test_the_rules_hold_over_any_legal_sequence(seed, attempts, cancel, moves):
-    referee = Referee(seed, attempts, cancel)
-    rows = tuple(Endpoint(f"s{at}", "ab"[at % 2], at % 3) for at in range(6))
-    referee.give(EndpointListUpdate(EndpointListKind.CACHED, rows))
-    for name, *given_ in moves:
-        if name == "wait":
-            referee.now += given_[0]
-        elif name == "alarm":
-            referee.give(TimerFired(given_[0]))
+def test_rules_hold_for_any_valid_event_sequence(seed, max_attempts, cancel, steps):
+    checker = RuleChecker(seed, max_attempts, cancel)
+    endpoints = tuple(Endpoint(f"s{index}", "ab"[index % 2], index % 3) for index in range(6))
+    checker.handle(EndpointListUpdate(EndpointListKind.CACHED, endpoints))
+    for step, *arguments in steps:
+        if step == "wait":
+            checker.now += arguments[0]
+        elif step == "timer":
+            checker.handle(TimerFired(arguments[0]))
         else:
-            getattr(referee, name)(*given_)
-    for _ in range(600):  # at last every attempt ends, as the wire promises
-        if not any(call.out() for call in referee.calls.values()):
+            getattr(checker, step)(*arguments)
+    for _ in range(600):  # the host ends every attempt sooner or later
+        if not any(record.attempts_in_flight() for record in checker.requests.values()):
             break
-        referee.now += 1.0
-        referee.outcome(0, AttemptResult.TIMEOUT, False)
-    assert all(call.ended for call in referee.calls.values())
-    assert referee.brain.pending == {}
+        checker.now += 1.0
+        checker.outcome(0, AttemptResult.TIMEOUT, False)
+    assert all(record.ended for record in checker.requests.values())
+    assert checker.balancer.pending == {}
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
-@given(seed=st.integers(0, 2**32), nodes=st.integers(1, 40), gap=st.floats(1.0, 30.0))
-def test_a_cold_server_keeps_within_its_budget_over_all_balancers(seed, nodes, gap):
-    """In any window all balancers together stay under multiple x present share x what a warm server gets."""
+@given(seed=st.integers(0, 2**32), nodes=st.integers(1, 40), interval_ms=st.floats(1.0, 30.0))
+def test_all_balancers_together_keep_server_in_slow_start_within_capacity(seed, nodes, interval_ms):
+    """Limit in any window of WINDOW_MS: overload factor x current capacity x attempts to a warm server."""
     warm = 12
-    rows = tuple(Endpoint(f"s{at}", "a", 0) for at in range(warm))
-    referees = [Referee(seed + at, 2, True) for at in range(nodes)]
-    for referee in referees:
-        referee.give(EndpointListUpdate(EndpointListKind.CACHED, rows))
-        referee.now += 200.0
-        born = Endpoint("cold", "a", 0, launched_ms=referee.now)
-        referee.give(EndpointListUpdate(EndpointListKind.DELTA, (born,)))
-    sends: deque[float] = deque()
-    for at in range(600):
-        referee = referees[at % nodes]
-        referee.now = 700.0 + at * gap
-        referee.request(0, 2000.0)
-        call = referee.calls[f"q{referee.names}"]
-        sends.extend(then for server, then in call.tries if server.name == "cold")
-        if call.tries:
-            referee.outcome(0, AttemptResult.OK, False)
-        while sends and sends[0] <= referee.now - TIP_MS:
-            sends.popleft()
-        present = 0.25 + 0.75 * min(1.0, at * gap / COLD_MS)
-        budget = 2.5 * present * (TIP_MS / gap) / (warm + 1)
-        assert len(sends) <= budget + 3.0 * (budget / 2.5) ** 0.5 + 2.0
+    endpoints = tuple(Endpoint(f"s{index}", "a", 0) for index in range(warm))
+    checkers = [RuleChecker(seed + index, 2, True) for index in range(nodes)]
+    for checker in checkers:
+        checker.handle(EndpointListUpdate(EndpointListKind.CACHED, endpoints))
+        checker.now += 200.0
+        starting = Endpoint("starting", "a", 0, launched_ms=checker.now)
+        checker.handle(EndpointListUpdate(EndpointListKind.DELTA, (starting,)))
+    sent_times_ms: deque[float] = deque()
+    for index in range(600):
+        checker = checkers[index % nodes]
+        checker.now = 700.0 + index * interval_ms
+        checker.request(0, 2000.0)
+        record = checker.requests[f"q{checker.request_count}"]
+        sent_times_ms.extend(sent_ms for server, sent_ms in record.attempts if server.name == "starting")
+        if record.attempts:
+            checker.outcome(0, AttemptResult.OK, False)
+        while sent_times_ms and sent_times_ms[0] <= checker.now - WINDOW_MS:
+            sent_times_ms.popleft()
+        capacity = 0.25 + 0.75 * min(1.0, index * interval_ms / SLOW_START_MS)
+        budget = 2.5 * capacity * (WINDOW_MS / interval_ms) / (warm + 1)
+        assert len(sent_times_ms) <= budget + 3.0 * (budget / 2.5) ** 0.5 + 2.0
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -16,7 +16,7 @@
 from loadbalancer.node.operator_ejections import EjectionResult
 from loadbalancer.node.state.ejections import FILE_PREFIX, FOLDER_NAME, RETENTION_MS, Ejection, EjectionStore
 from tests.node.admin.test_admin_server import ADMIN_SETTINGS, status
-from tests.support.builders import Bed, sent, servers
+from tests.support.builders import BalancerEnvironment, make_endpoints, sent
 from tests.support.loopback import Caller, Discovery, Held, Peer, ask, listing, request, running, until
 
 ENTER, EXIT = "/maintenance/enter", "/maintenance/exit"
@@ -218,23 +218,23 @@
 
 
 def test_the_module_sends_nothing_to_a_server_out_by_hand_even_when_it_is_listed_anew():
-    bed = Bed(2)
-    bed.give(EndpointEjected("s0"))
-    assert {bed.serve() for _ in range(20)} == {"s1"}
-    bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(2, launched_ms=bed.now - 60_000.0)))
-    assert {bed.serve() for _ in range(20)} == {"s1"}
-    assert [peer.listed.name for peer in bed.brain.ready] == ["s1"]
+    bed = BalancerEnvironment(2)
+    bed.handle(EndpointEjected("s0"))
+    assert {bed.complete_request() for _ in range(20)} == {"s1"}
+    bed.handle(EndpointListUpdate(EndpointListKind.FULL, make_endpoints(2, launched_ms=bed.now - 60_000.0)))
+    assert {bed.complete_request() for _ in range(20)} == {"s1"}
+    assert [peer.listed.name for peer in bed.balancer.ready] == ["s1"]
 
 
 def test_a_server_brought_back_gets_the_next_call_that_a_cold_one_may_have():
-    bed = Bed(3, slow_start_ms=0.0)
-    bed.brain.endpoints["s0"].latency_ratio = 5.0  # ranked last
-    bed.brain.endpoints["s0"].last_outcome_ms = bed.now
-    bed.give(EndpointEjected("s0"))
-    assert "s0" not in {bed.serve() for _ in range(20)}
-    bed.give(EndpointRestored("s0", bed.now - 3000.0, bed.now))
-    assert bed.serve() == "s0"
-    assert bed.serve() != "s0"  # from then on by its rank
+    bed = BalancerEnvironment(3, slow_start_ms=0.0)
+    bed.balancer.endpoints["s0"].latency_ratio = 5.0  # ranked last
+    bed.balancer.endpoints["s0"].last_outcome_ms = bed.now
+    bed.handle(EndpointEjected("s0"))
+    assert "s0" not in {bed.complete_request() for _ in range(20)}
+    bed.handle(EndpointRestored("s0", bed.now - 3000.0, bed.now))
+    assert bed.complete_request() == "s0"
+    assert bed.complete_request() != "s0"  # from then on by its rank
 
 
 @pytest.mark.parametrize(
@@ -246,28 +246,28 @@
     ],  # ms before its return
 )
 def test_a_server_brought_back_is_paced_as_cold_from_its_return_unless_the_list_tells(launched, cold):
-    bed = Bed(1)
+    bed = BalancerEnvironment(1)
     at = None if launched is None else bed.now + launched
-    bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(1, launched_ms=at)))
-    bed.give(EndpointEjected("s0"))
+    bed.handle(EndpointListUpdate(EndpointListKind.FULL, make_endpoints(1, launched_ms=at)))
+    bed.handle(EndpointEjected("s0"))
     out_ms = bed.now - (5_000.0 if cold else 20_000.0)
-    bed.give(EndpointRestored("s0", out_ms, bed.now))
+    bed.handle(EndpointRestored("s0", out_ms, bed.now))
     bed.now += 200.0  # 10.1 s after the launch that the last case lists: warm
-    peer = bed.brain.endpoints["s0"]
-    bed.brain.state.peak_completion_rate, bed.brain.state.send_rate = (
+    peer = bed.balancer.endpoints["s0"]
+    bed.balancer.state.peak_completion_rate, bed.balancer.state.send_rate = (
         1.0,
         100.0,
     )  # as many as 100 servers' ordinary calls
-    passed = sum(slow_start_admits(bed.brain.state, bed.now, peer) for _ in range(200))
+    passed = sum(slow_start_admits(bed.balancer.state, bed.now, peer) for _ in range(200))
     assert (passed < 50) is cold
 
 
 def test_what_a_server_was_known_for_before_its_stay_is_not_held_against_it():
-    bed = Bed(2)
-    peer = bed.brain.endpoints["s0"]
+    bed = BalancerEnvironment(2)
+    peer = bed.balancer.endpoints["s0"]
     peer.latency_ratio, peer.error_rate, peer.reported_queue, peer.utilisation = 5.0, 0.9, 7.0, 1.0
-    bed.give(EndpointEjected("s0"))
-    bed.give(EndpointRestored("s0", bed.now - 3000.0, bed.now))
+    bed.handle(EndpointEjected("s0"))
+    bed.handle(EndpointRestored("s0", bed.now - 3000.0, bed.now))
     assert (peer.latency_ratio, peer.error_rate, peer.reported_queue, peer.utilisation) == (
         None,
         0.0,
@@ -277,9 +277,9 @@
 
 
 def test_a_second_stay_out_starts_anew():
-    bed = Bed(2)
-    bed.give(EndpointEjected("s0"))
-    bed.give(EndpointRestored("s0", bed.now, bed.now))
-    bed.give(EndpointEjected("s0"))
-    assert "s0" not in bed.brain.state.restored
-    assert {act.server for _ in range(8) for act in sent(bed.ask()[1])} == {"s1"}
+    bed = BalancerEnvironment(2)
+    bed.handle(EndpointEjected("s0"))
+    bed.handle(EndpointRestored("s0", bed.now, bed.now))
+    bed.handle(EndpointEjected("s0"))
+    assert "s0" not in bed.balancer.state.restored
+    assert {act.server for _ in range(8) for act in sent(bed.send_request()[1])} == {"s1"}
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -20,7 +20,7 @@
     HandoverFiles,
 )
 from tests.node.test_upgrade import listening
-from tests.support.builders import Bed, sent
+from tests.support.builders import BalancerEnvironment, sent
 from tests.support.loopback import Caller, Held, request, running, until
 
 
@@ -101,29 +101,29 @@
 # -------------------------------------------------------------------- the module
 
 
-def taught(bed: Bed) -> Bed:
+def taught(bed: BalancerEnvironment) -> BalancerEnvironment:
     """A balancer that has served for a while, and seen load."""
     for _ in range(60):
         for _ in range(3):
-            bed.serve("read", 100.0)
-        bed.period()
-    bed.brain.state.cursor = 4
+            bed.complete_request("read", 100.0)
+        bed.end_period()
+    bed.balancer.state.cursor = 4
     return bed
 
 
 def test_a_new_process_starts_at_the_threshold_of_the_old_one():
-    old, new = taught(Bed(4)), Bed(4)
-    assert new.brain.threshold(1.0, 4) > old.brain.threshold(1.0, 4)
-    new.give(old.brain.learned_state())
-    assert new.brain.threshold(1.0, 4) == pytest.approx(old.brain.threshold(1.0, 4))
-    assert new.brain.state.class_latency_ms == old.brain.state.class_latency_ms
-    assert {name: peer.latency_ratio for name, peer in new.brain.endpoints.items()} == {
-        name: peer.latency_ratio for name, peer in old.brain.endpoints.items()
+    old, new = taught(BalancerEnvironment(4)), BalancerEnvironment(4)
+    assert new.balancer.threshold(1.0, 4) > old.balancer.threshold(1.0, 4)
+    new.handle(old.balancer.learned_state())
+    assert new.balancer.threshold(1.0, 4) == pytest.approx(old.balancer.threshold(1.0, 4))
+    assert new.balancer.state.class_latency_ms == old.balancer.state.class_latency_ms
+    assert {name: peer.latency_ratio for name, peer in new.balancer.endpoints.items()} == {
+        name: peer.latency_ratio for name, peer in old.balancer.endpoints.items()
     }
-    base = new.brain.state.baseline_ratio
-    new.serve("read", 900.0)
-    new.period()
-    assert new.brain.state.baseline_ratio == pytest.approx(base, rel=0.1)  # not learned anew from one call
+    base = new.balancer.state.baseline_ratio
+    new.complete_request("read", 900.0)
+    new.end_period()
+    assert new.balancer.state.baseline_ratio == pytest.approx(base, rel=0.1)  # not learned anew from one call
 
 
 @pytest.mark.parametrize(
@@ -136,29 +136,29 @@
     ],
 )
 def test_an_old_process_that_has_only_begun_to_learn_teaches_nothing(change):
-    bed = Bed(4)
-    before = bed.brain.threshold(1.0, 4)
-    bed.give(learned(**change))
-    assert (bed.brain.threshold(1.0, 4), bed.brain.cursor) == (before, 0)
+    bed = BalancerEnvironment(4)
+    before = bed.balancer.threshold(1.0, 4)
+    bed.handle(learned(**change))
+    assert (bed.balancer.threshold(1.0, 4), bed.balancer.cursor) == (before, 0)
 
 
 def test_a_cursor_from_elsewhere_stays_within_the_table():
-    bed = Bed(4)
-    bed.give(learned(cursor=999, class_latency_ms={"gone": 5.0}))
-    assert bed.brain.cursor == len(SLOT_RATIOS) - 1
-    assert bed.brain.state.class_latency_ms == {}
+    bed = BalancerEnvironment(4)
+    bed.handle(learned(cursor=999, class_latency_ms={"gone": 5.0}))
+    assert bed.balancer.cursor == len(SLOT_RATIOS) - 1
+    assert bed.balancer.state.class_latency_ms == {}
 
 
 def test_calls_of_the_process_beside_count_in_the_queue_the_share_and_the_rank():
-    bed = Bed(4)
-    room = int(bed.brain.threshold(1.0, 4))
-    bed.give(SiblingProcessLoad({"s0": room / 2, "s1": room / 2, "gone": 9.0}))
-    refused = [not sent(bed.ask()[1]) for _ in range(10)]
+    bed = BalancerEnvironment(4)
+    room = int(bed.balancer.threshold(1.0, 4))
+    bed.handle(SiblingProcessLoad({"s0": room / 2, "s1": room / 2, "gone": 9.0}))
+    refused = [not sent(bed.send_request()[1]) for _ in range(10)]
     assert all(refused[2:])
-    bed.give(SiblingProcessLoad({"s0": 3.0}))
-    assert sent(bed.ask()[1])[0].server != "s0"
-    bed.give(SiblingProcessLoad({}))
-    assert all(peer.sibling_in_flight == 0.0 for peer in bed.brain.endpoints.values())
+    bed.handle(SiblingProcessLoad({"s0": 3.0}))
+    assert sent(bed.send_request()[1])[0].server != "s0"
+    bed.handle(SiblingProcessLoad({}))
+    assert all(peer.sibling_in_flight == 0.0 for peer in bed.balancer.endpoints.values())
 
 
 # ---------------------------------------------------------------------- the node
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -24,7 +24,7 @@
 from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.discovery.response import DiscoveryResponse
 from loadbalancer.node.state import frame, snapshot
-from tests.support.builders import servers, settings
+from tests.support.builders import make_endpoints, settings
 from tests.support.load import Load
 from tests.support.loopback import Discovery, listing, targets
 from tests.support.node_processes import Node
@@ -150,7 +150,9 @@
     tmp_path: Path, upstream: ServerPool, change: Callable[[Path, DiscoveryResponse], None], rule: str
 ) -> None:
     state = tmp_path / "n0.state"
-    listing = DiscoveryResponse(9, True, servers(1), {"s0": ("127.0.0.1", 9)})  # a server that is not there
+    listing = DiscoveryResponse(
+        9, True, make_endpoints(1), {"s0": ("127.0.0.1", 9)}
+    )  # a server that is not there
     written(state, listing)
     change(state, listing)
     node = stateful(tmp_path, state, upstream)
@@ -233,7 +235,7 @@
 def test_the_module_trusts_restored_load_figures_only_while_they_are_young() -> None:
     fresh, old = (Balancer(settings(), 1, 0.0) for _ in range(2))
     for balancer, age in ((fresh, 1000.0), (old, RATES_TRUSTED_MS + 1.0)):
-        balancer.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, servers(2)))
+        balancer.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, make_endpoints(2)))
         balancer.handle(0.0, StateRestored(LEARNED, age))
     assert fresh.cursor == LEARNED.cursor
     assert fresh.state.peak_completion_rate > 0.9 * LEARNED.peak_completion_rate
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -16,7 +16,7 @@
 from loadbalancer.node.listener import request_parser as request_parser_module
 from loadbalancer.node.node import Node
 from loadbalancer.node.upstream import attempt as upstream_module
-from tests.support.builders import Bed, sent
+from tests.support.builders import BalancerEnvironment, sent
 from tests.support.loopback import Caller, Peer, Scripted, ask, reply, request, running, targets, until
 
 MIB = 1024 * 1024
@@ -680,25 +680,25 @@
 
 
 def test_in_the_module_a_request_still_coming_in_is_no_load_and_its_latency_starts_at_its_end():
-    bed = Bed(2)
-    acts = bed.give(Request("r", "post", bed.now + 2000.0, receiving=True))
+    bed = BalancerEnvironment(2)
+    acts = bed.handle(Request("r", "post", bed.now + 2000.0, receiving=True))
     (send,) = sent(acts)
-    peer = bed.brain.endpoints[send.server]
+    peer = bed.balancer.endpoints[send.server]
     assert (peer.in_flight, peer.attempts_sent_ms) == (0.0, {})
     bed.now += 60_000.0
-    bed.give(RequestReceived("r", bed.now + 2000.0))
+    bed.handle(RequestReceived("r", bed.now + 2000.0))
     assert peer.in_flight == 1.0
     assert list(peer.attempts_sent_ms.values()) == [bed.now]
     bed.now += 100.0
-    bed.end("r", send.server, AttemptResult.OK, 100.0)
-    assert (peer.in_flight, peer.attempts_sent_ms, bed.brain.pending) == (0.0, {}, {})
+    bed.end_attempt("r", send.server, AttemptResult.OK, 100.0)
+    assert (peer.in_flight, peer.attempts_sent_ms, bed.balancer.pending) == (0.0, {}, {})
 
 
 def test_in_the_module_a_request_that_never_arrives_leaves_no_load_behind():
-    bed = Bed(2)
-    (send,) = sent(bed.give(Request("r", "post", bed.now + 2000.0, receiving=True)))
-    bed.give(RequestCancelled("r"))
-    bed.end("r", send.server, AttemptResult.CONNECT_FAILED, done=True)
-    bed.give(RequestReceived("r", bed.now + 2000.0))
-    assert bed.brain.endpoints[send.server].in_flight == 0.0
-    assert not bed.brain.pending
+    bed = BalancerEnvironment(2)
+    (send,) = sent(bed.handle(Request("r", "post", bed.now + 2000.0, receiving=True)))
+    bed.handle(RequestCancelled("r"))
+    bed.end_attempt("r", send.server, AttemptResult.CONNECT_FAILED, request_ended=True)
+    bed.handle(RequestReceived("r", bed.now + 2000.0))
+    assert bed.balancer.endpoints[send.server].in_flight == 0.0
+    assert not bed.balancer.pending
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Small builders that the tests share."""
+"""Builders of settings, endpoints and balancers for tests."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    given: dict[str, Any] = {
+    values: dict[str, Any] = {
         "classes": (SAFE, UNSAFE, KEYED),
         "zone": "a",
         "siblings": 2,
@@ -38,58 +38,62 @@
         "slow_start_ms": 10000.0,
         "overload_factor": 2.5,
     }
-    return Settings(**{**given, **changes})
+    return Settings(**{**values, **changes})
 
 
-def servers(count: int, **changes: Any) -> tuple[Endpoint, ...]:
-    return tuple(Endpoint(name=f"s{at}", zone="ab"[at % 2], **changes) for at in range(count))
+def make_endpoints(count: int, **changes: Any) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(name=f"s{index}", zone="ab"[index % 2], **changes) for index in range(count))
 
 
-class Bed:
-    """A balancer with a clock, a server list and a record of what it sent."""
+class BalancerEnvironment:
+    """A balancer under test, with a clock and a cached list of `count` endpoints."""
 
     def __init__(self, count: int = 4, seed: int = 7, **changes: Any) -> None:
         self.now = 1000.0
-        self.brain = Balancer(settings(**changes), seed=seed, now_ms=self.now)
-        self.names = 0
-        self.give(EndpointListUpdate(EndpointListKind.CACHED, servers(count)))
-
-    def give(self, event: Event, after: float = 0.0) -> list[Action]:
-        self.now += after
-        return self.brain.handle(self.now, event)
-
-    def ask(self, service: str = "read", left: float = 2000.0, **more: Any) -> tuple[str, list[Action]]:
-        self.names += 1
-        name = f"r{self.names}"
-        return name, self.give(Request(name, service, self.now + left, **more))
-
-    def end(
+        self.balancer = Balancer(settings(**changes), seed=seed, now_ms=self.now)
+        self.request_count = 0
+        self.handle(EndpointListUpdate(EndpointListKind.CACHED, make_endpoints(count)))
+
+    def handle(self, event: Event, after_ms: float = 0.0) -> list[Action]:
+        self.now += after_ms
+        return self.balancer.handle(self.now, event)
+
+    def send_request(
+        self, service: str = "read", time_left_ms: float = 2000.0, **fields: Any
+    ) -> tuple[str, list[Action]]:
+        self.request_count += 1
+        request_id = f"r{self.request_count}"
+        return request_id, self.handle(Request(request_id, service, self.now + time_left_ms, **fields))
+
+    def end_attempt(
         self,
-        name: str,
+        request_id: str,
         server: str,
         result: AttemptResult,
-        latency: float = 100.0,
+        latency_ms: float = 100.0,
         attempt: int = 0,
-        **more: Any,
+        **fields: Any,
     ) -> list[Action]:
-        done = more.pop("done", result is AttemptResult.OK)
-        return self.give(AttemptOutcome(name, attempt, server, result, latency, done, **more))
-
-    def serve(self, service: str = "read", latency: float = 100.0, **more: Any) -> str:
-        """One request answered after `latency`; returns the server that took it."""
-        name, acts = self.ask(service)
-        server = sent(acts)[0].server
-        self.now += latency
-        self.end(name, server, AttemptResult.OK, latency, **more)
+        request_ended = fields.pop("request_ended", result is AttemptResult.OK)
+        return self.handle(
+            AttemptOutcome(request_id, attempt, server, result, latency_ms, request_ended, **fields)
+        )
+
+    def complete_request(self, service: str = "read", latency_ms: float = 100.0, **fields: Any) -> str:
+        """Send a request and complete it after `latency_ms`; return the server that handled it."""
+        request_id, actions = self.send_request(service)
+        server = sent(actions)[0].server
+        self.now += latency_ms
+        self.end_attempt(request_id, server, AttemptResult.OK, latency_ms, **fields)
         return server
 
-    def period(self, after: float | None = None) -> list[Action]:
-        return self.give(TimerFired("period"), self.brain.period_ms if after is None else after)
+    def end_period(self, after_ms: float | None = None) -> list[Action]:
+        return self.handle(TimerFired("period"), self.balancer.period_ms if after_ms is None else after_ms)
 
 
-def sent(acts: list[Action]) -> list[Send]:
-    return [act for act in acts if isinstance(act, Send)]
+def sent(actions: list[Action]) -> list[Send]:
+    return [action for action in actions if isinstance(action, Send)]
 
 
-def kinds(acts: list[Action]) -> list[type]:
-    return [type(act) for act in acts]
+def action_types(actions: list[Action]) -> list[type]:
+    return [type(action) for action in actions]
