--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What tests of several files share, and the settings of all."""
+"""Fixtures of several test files, and the settings of pytest and Hypothesis."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 pytest_plugins = ["tests.known_red"]
 
-# Seeded, so that a run can be had again; and no limit on the time an example takes, which on a busy machine
-# is the machine's.
+# Seeded, so that a run can be repeated. Examples have no time limit, as their duration depends on the load of
+# the machine.
 settings.register_profile(
     "steady", derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow]
 )
@@ -21,7 +21,7 @@
 
 @pytest.fixture(scope="session")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Fleet]:
-    """One for all tests of a worker: each begins with `watched`, which mends what is broken."""
+    """A fleet shared by all tests of a worker; `Fleet.under_load` repairs what an earlier test has broken."""
     nodes = Fleet(tmp_path_factory.mktemp("fleet"))
     yield nodes
     nodes.close()
--- a/tests/data/golden/generate_simulator.py
+++ b/tests/data/golden/generate_simulator.py
@@ -1,6 +1,6 @@
 """Records `simulator-input.jsonl` and `simulator-output.jsonl` with commit bf594b0 (package `orchidledge`).
 
-PYTHONPATH=<this worktree> python generate_simulator.py <worktree of bf594b0> <output folder>
+Usage: PYTHONPATH=<this worktree> python generate_simulator.py <worktree of bf594b0> <output folder>
 """
 
 from __future__ import annotations
@@ -52,43 +52,43 @@
 POWER_ON: Row = {"kind": "POWER_ON", "node": 0, "seed": 5, "config": CONFIG}
 
 
-def catalog(ref: int, count: int, **more: Any) -> Row:
+def catalog(ref: int, count: int, **fields: Any) -> Row:
     rows = [
         {
-            "server": f"10.0.0.{at}:1",
-            "zone": "ab"[at % 2],
-            "bay": at % 3,
+            "server": f"10.0.0.{index}:1",
+            "zone": "ab"[index % 2],
+            "bay": index % 3,
             "stageState": "up",
             "launchedMs": None,
         }
-        for at in range(count)
+        for index in range(count)
     ]
-    return {"kind": "CATALOG", "ref": ref, "rows": [row | more for row in rows]}
+    return {"kind": "CATALOG", "ref": ref, "rows": [row | fields for row in rows]}
 
 
 def membership(form: str, ref: int | None, node: int = 0) -> Row:
     return {"kind": "MEMBERSHIP", "node": node, "form": form, "generation": 1, "ref": ref}
 
 
-def request(name: str, lane: str, give_up: float = 9_000.0, **more: Any) -> Row:
+def request(request_id: str, lane: str, deadline_ms: float = 9_000.0, **fields: Any) -> Row:
     row = {
         "kind": "NEW_REQUEST",
         "node": 0,
-        "txn": name,
+        "txn": request_id,
         "lane": lane,
-        "giveUpAtMs": give_up,
+        "giveUpAtMs": deadline_ms,
         "billing": None,
     }
-    return row | {"resource": None, "expectedMs": None, "isRetry": False, "write": False} | more
+    return row | {"resource": None, "expectedMs": None, "isRetry": False, "write": False} | fields
 
 
-def returned(issue: Row, rc: int, attempt: int = 0, **more: Any) -> Row:
+def returned(issue: Row, rc: int, attempt: int = 0, **fields: Any) -> Row:
     row = {"kind": "RETURNED", "node": 0, "txn": issue["txn"], "attempt": attempt, "latencyMs": 80.0}
-    return row | {"server": issue["server"], "rc": rc, "doneFlag": rc == 0, "telemetry": None} | more
+    return row | {"server": issue["server"], "rc": rc, "doneFlag": rc == 0, "telemetry": None} | fields
 
 
 class Conversation:
-    """A running adapter, and all that was said to it and by it."""
+    """A running adapter and its complete input and output so far."""
 
     def __init__(self, root: Path) -> None:
         environment = {**os.environ, "PYTHONPATH": str(root)}
@@ -99,7 +99,7 @@
         self.input, self.output = b"", b""
         self._seq = 0
 
-    def say(self, now: float, *events: Row) -> list[Row]:
+    def send_batch(self, now: float, *events: Row) -> list[Row]:
         self._seq += 1
         rows = [{"kind": "FRAME", "nowMs": now, "seq": self._seq}, *events, {"kind": "GO"}]
         batch = b"".join(orjson.dumps(row) + b"\n" for row in rows)
@@ -115,29 +115,31 @@
             replies.append(orjson.loads(line))
         return replies
 
-    def end(self) -> None:
+    def close(self) -> None:
         assert self._adapter.stdin is not None
         self._adapter.stdin.close()
         self._adapter.wait(10)
 
 
-def issued(replies: list[Row], name: str) -> Row:
-    found = [row for row in replies if row["kind"] == "ISSUE" and row["txn"] == name]
+def issued(replies: list[Row], request_id: str) -> Row:
+    found = [row for row in replies if row["kind"] == "ISSUE" and row["txn"] == request_id]
     if not found:
-        raise ValueError(f"{name} was not sent: {replies}")
+        raise ValueError(f"{request_id} was not sent: {replies}")
     return found[0]
 
 
-def converse(talk: Conversation) -> None:
-    talk.say(1_000.0)
-    talk.say(1_000.0, catalog(0, 4), POWER_ON, membership("cached", 0))
-    each_result(talk)
-    talk.say(2_000.0, request("tenant", "read", billing="t", expectedMs=12.5, isRetry=True))
-    replies = talk.say(2_010.0, request("gone", "read"), {"kind": "LAPSED", "node": 0, "txn": "gone"})
-    talk.say(2_020.0, returned(issued(replies, "gone"), 250, doneFlag=True))
-    replies = talk.say(2_030.0, request("first", "feed"))
+def record_conversation(conversation: Conversation) -> None:
+    conversation.send_batch(1_000.0)
+    conversation.send_batch(1_000.0, catalog(0, 4), POWER_ON, membership("cached", 0))
+    record_each_result(conversation)
+    conversation.send_batch(2_000.0, request("tenant", "read", billing="t", expectedMs=12.5, isRetry=True))
+    replies = conversation.send_batch(
+        2_010.0, request("gone", "read"), {"kind": "LAPSED", "node": 0, "txn": "gone"}
+    )
+    conversation.send_batch(2_020.0, returned(issued(replies, "gone"), 250, doneFlag=True))
+    replies = conversation.send_batch(2_030.0, request("first", "feed"))
     first = issued(replies, "first")
-    seen = {
+    stream_started = {
         "kind": "FIRST",
         "node": 0,
         "txn": "first",
@@ -145,57 +147,63 @@
         "server": first["server"],
         "attempt": 0,
     }
-    talk.say(2_040.0, seen)
-    talk.say(2_050.0, returned(first, 0, telemetry=[3, 0.5]))
+    conversation.send_batch(2_040.0, stream_started)
+    conversation.send_batch(2_050.0, returned(first, 0, telemetry=[3, 0.5]))
     health = {"kind": "HEALTH", "node": 0, "server": "10.0.0.1:1", "rc": 0, "latencyMs": 1.0}
-    talk.say(2_060.0, health | {"telemetry": [4, None]}, health | {"rc": 42, "telemetry": None})
-    talk.say(2_070.0, {"kind": "PEER", "node": 0, "by": 1, "contents": "aGk="})
-    talk.say(
+    conversation.send_batch(
+        2_060.0, health | {"telemetry": [4, None]}, health | {"rc": 42, "telemetry": None}
+    )
+    conversation.send_batch(2_070.0, {"kind": "PEER", "node": 0, "by": 1, "contents": "aGk="})
+    conversation.send_batch(
         2_080.0, {"kind": "ALARM", "node": 0, "name": "period"}, {"kind": "ALARM", "node": 0, "name": "x"}
     )
-    talk.say(2_090.0, membership("failed", None))
-    talk.say(2_100.0, catalog(1, 1, stageState="draining"), membership("delta", 1))
-    talk.say(2_110.0, catalog(2, 1, stageState="removed"), membership("delta", 2))
-    talk.say(2_120.0, catalog(3, 2), membership("full", 3))
-    overload(talk)
-    cold = [catalog(4, 2, launchedMs=3_250.0), membership("full", 4)]
-    talk.say(3_300.0, *cold, *(request(f"cold-{at}", "read") for at in range(5)))
-    talk.say(4_000.0, request("bad lane", "unheard of"), {"kind": "NONSENSE", "node": 7})
-    talk.say(4_010.0, POWER_ON, membership("cached", 3), {"kind": "STOP", "node": 0}, request("late", "read"))
-
-
-def each_result(talk: Conversation) -> None:
-    """Each result of an attempt, for each class."""
+    conversation.send_batch(2_090.0, membership("failed", None))
+    conversation.send_batch(2_100.0, catalog(1, 1, stageState="draining"), membership("delta", 1))
+    conversation.send_batch(2_110.0, catalog(2, 1, stageState="removed"), membership("delta", 2))
+    conversation.send_batch(2_120.0, catalog(3, 2), membership("full", 3))
+    record_overload(conversation)
+    starting = [catalog(4, 2, launchedMs=3_250.0), membership("full", 4)]
+    conversation.send_batch(3_300.0, *starting, *(request(f"cold-{index}", "read") for index in range(5)))
+    conversation.send_batch(4_000.0, request("bad lane", "unheard of"), {"kind": "NONSENSE", "node": 7})
+    conversation.send_batch(
+        4_010.0, POWER_ON, membership("cached", 3), {"kind": "STOP", "node": 0}, request("late", "read")
+    )
+
+
+def record_each_result(conversation: Conversation) -> None:
+    """Record each result of an attempt, for a class of each effect."""
     now = 1_100.0
     for lane in ("read", "post", "points"):
         for rc in RESULTS:
-            name, now = f"{lane}-{rc}", now + 10.0
-            fresh = [POWER_ON, membership("cached", 0)]  # so that one failure hides no other
-            issue = issued(talk.say(now, *fresh, request(name, lane)), name)
-            again = talk.say(now + 5.0, returned(issue, rc, telemetry=[1, 0.25]))
-            for row in again:
+            request_id, now = f"{lane}-{rc}", now + 10.0
+            restart = [POWER_ON, membership("cached", 0)]  # each case begins with a new balancer
+            issue = issued(conversation.send_batch(now, *restart, request(request_id, lane)), request_id)
+            replies = conversation.send_batch(now + 5.0, returned(issue, rc, telemetry=[1, 0.25]))
+            for row in replies:
                 if row["kind"] == "ISSUE":
-                    talk.say(now + 6.0, returned(row, 0, attempt=1))
+                    conversation.send_batch(now + 6.0, returned(row, 0, attempt=1))
 
 
-def overload(talk: Conversation) -> None:
-    """Requests that no server has room for."""
-    replies = talk.say(3_000.0, *(request(f"full-{at}", "post", 3_400.0) for at in range(40)))
+def record_overload(conversation: Conversation) -> None:
+    """Record requests that all servers reject at their limit."""
+    replies = conversation.send_batch(
+        3_000.0, *(request(f"full-{index}", "post", 3_400.0) for index in range(40))
+    )
     issues = [row for row in replies if row["kind"] == "ISSUE"]
-    replies = talk.say(3_050.0, *(returned(row, 254) for row in issues))
+    replies = conversation.send_batch(3_050.0, *(returned(row, 254) for row in issues))
     issues = [row for row in replies if row["kind"] == "ISSUE"]
-    talk.say(3_100.0, *(returned(row, 254, attempt=1) for row in issues))
-    talk.say(3_110.0, *(request(f"more-{at}", "post", 3_120.0) for at in range(10)))
-    talk.say(3_200.0, {"kind": "ALARM", "node": 0, "name": "period"})
+    conversation.send_batch(3_100.0, *(returned(row, 254, attempt=1) for row in issues))
+    conversation.send_batch(3_110.0, *(request(f"more-{index}", "post", 3_120.0) for index in range(10)))
+    conversation.send_batch(3_200.0, {"kind": "ALARM", "node": 0, "name": "period"})
 
 
 def main() -> None:
-    talk = Conversation(Path(sys.argv[1]))
-    converse(talk)
-    talk.end()
-    out = Path(sys.argv[2])
-    (out / "simulator-input.jsonl").write_bytes(talk.input)
-    (out / "simulator-output.jsonl").write_bytes(talk.output)
+    conversation = Conversation(Path(sys.argv[1]))
+    record_conversation(conversation)
+    conversation.close()
+    folder = Path(sys.argv[2])
+    (folder / "simulator-input.jsonl").write_bytes(conversation.input)
+    (folder / "simulator-output.jsonl").write_bytes(conversation.output)
 
 
 if __name__ == "__main__":
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the deploy file names exists and starts."""
+"""The deploy file: its files exist and its commands start."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 def command(key: str) -> list[str]:
-    """The command under this key, with the interpreter of these tests in place of the built one."""
+    """Return the command under this key, with the interpreter of the tests in place of the deployed one."""
     words = shlex.split(DEPLOY[key])
     assert words[:3] == ["exec", ".venv/bin/python", "-m"]
     return [sys.executable, *words[2:]]
 
 
 @pytest.mark.parametrize("key", ["policy", "node"])
-def test_the_files_exist(key):
+def test_listed_files_exist(key):
     assert DEPLOY[key]
     assert all((ROOT / name).exists() for name in DEPLOY[key])
 
 
-def test_sim_answers_an_empty_batch():
-    said = subprocess.run(
+def test_simulator_command_responds_to_empty_batch():
+    output = subprocess.run(
         command("sim"),
         cwd=ROOT,
         input=b'{"kind":"FRAME","nowMs":1.0,"seq":7}\n{"kind":"GO"}\n',
@@ -37,12 +37,12 @@
         timeout=60,
         check=True,
     ).stdout
-    assert orjson.loads(said) == {"kind": "READY", "seq": 7}
+    assert orjson.loads(output) == {"kind": "READY", "seq": 7}
 
 
-def test_run_starts_the_node_which_asks_for_its_configuration():
-    done = subprocess.run(
+def test_run_command_starts_node_which_requires_configuration():
+    process = subprocess.run(
         command("run"), cwd=ROOT, env={}, capture_output=True, timeout=60, text=True, check=False
     )
-    assert done.returncode == 2
-    assert "PROXY_CONFIG is not set" in done.stderr
+    assert process.returncode == 2
+    assert "PROXY_CONFIG is not set" in process.stderr
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail run apart from the verdict, and no others do."""
+"""The option `--known-red` selects or leaves out exactly the tests that KNOWN-RED.txt lists."""
 
 from __future__ import annotations
 
@@ -16,43 +16,43 @@
 @pytest.mark.parametrize("at", [1, 2])
 def test_each(at): assert at == 1
 """
-BAD, TOO, EACH, FIRST, SECOND = (
+BAD, BAD_TOO, EACH_TEST, FIRST, SECOND = (
     f"test_it.py::{name} | pytest test_it.py, seed 7 | it fails | 23\n"
     for name in ("test_bad", "test_bad_too", "test_each", "test_each[1]", "test_each[2]")
 )
 
 
-def play(folder: Path, wanted: str, red: str | None) -> tuple[int, str]:
-    """pytest's exit code and closing line on that suite with this list."""
+def run_suite(folder: Path, option: str, known_red: str | None) -> tuple[int, str]:
+    """Run SUITE with this KNOWN-RED.txt; return pytest's exit code and last two lines of output."""
     (folder / "test_it.py").write_text(SUITE)
     (folder / "pytest.ini").write_text("[pytest]\n")
-    if red is not None:
-        (folder / "KNOWN-RED.txt").write_text(red)
+    if known_red is not None:
+        (folder / "KNOWN-RED.txt").write_text(known_red)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "tests.known_red", "-p", "no:cacheprovider"]
-    done = subprocess.run(
-        [*command, f"--rootdir={folder}", f"--known-red={wanted}", str(folder)],
+    process = subprocess.run(
+        [*command, f"--rootdir={folder}", f"--known-red={option}", str(folder)],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    said = (done.stdout + done.stderr).strip().splitlines()
-    return done.returncode, " ".join(said[-2:])
+    lines = (process.stdout + process.stderr).strip().splitlines()
+    return process.returncode, " ".join(lines[-2:])
 
 
 @pytest.mark.parametrize(
-    ("wanted", "red", "code", "said"),
+    ("option", "known_red", "expected_code", "expected"),
     [
         ("apart", None, 1, "2 failed, 2 passed"),
-        ("apart", BAD, 1, "1 failed, 2 passed, 1 deselected"),  # not test_bad_too as well
+        ("apart", BAD, 1, "1 failed, 2 passed, 1 deselected"),  # but not test_bad_too
         ("apart", BAD + SECOND, 0, "2 passed, 2 deselected"),
-        ("apart", BAD + EACH, 0, "1 passed, 3 deselected"),
+        ("apart", BAD + EACH_TEST, 0, "1 passed, 3 deselected"),
         ("only", BAD + SECOND, 1, "2 failed, 2 deselected"),
-        ("only", EACH, 1, "1 failed, 1 passed, 2 deselected"),
-        ("apart", BAD.replace("bad", "gone"), 4, "not found: test_it.py::test_gone"),
-        ("only", BAD.replace("bad", "gone"), 4, "not found: test_it.py::test_gone"),
+        ("only", EACH_TEST, 1, "1 failed, 1 passed, 2 deselected"),
+        ("apart", BAD.replace("bad", "unknown"), 4, "not found: test_it.py::test_unknown"),
+        ("only", BAD.replace("bad", "unknown"), 4, "not found: test_it.py::test_unknown"),
         ("apart", BAD * 4, 4, "listed twice: test_it.py::test_bad"),
-        ("apart", BAD + TOO + FIRST + SECOND, 5, "4 deselected"),  # none is left out for want of room
+        ("apart", BAD + BAD_TOO + FIRST + SECOND, 5, "4 deselected"),  # the number of entries is not limited
         (
             "apart",
             BAD.replace(" | it fails", ""),
@@ -73,6 +73,8 @@
         ),
     ],
 )
-def test_only_what_is_listed_is_kept_apart(tmp_path, wanted, red, code, said):
-    ended, line = play(tmp_path, wanted, red)
-    assert (ended, said in line) == (code, True), line
+def test_option_selects_or_leaves_out_exactly_the_listed_tests(
+    tmp_path, option, known_red, expected_code, expected
+):
+    exit_code, line = run_suite(tmp_path, option, known_red)
+    assert (exit_code, expected in line) == (expected_code, True), line
--- a/tests/test_settings_bad.py
+++ b/tests/test_settings_bad.py
@@ -1,4 +1,4 @@
-"""Bad, missing and odd settings: one clear line, and exit code 2 where the program is started with them."""
+"""Invalid, missing and unusual settings: a one-line error, and exit code 2 of the program."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from tests.support.loopback import config_row, targets
 
 ROOT = Path(__file__).parents[1]
-GONE = object()
+ABSENT = object()
 HUGE = 1e308
-SHAPES: tuple[Any, ...] = (
-    GONE,
+VALUES: tuple[Any, ...] = (
+    ABSENT,
     None,
     "",
     "x",
@@ -44,7 +44,7 @@
 
 
 def full_row() -> dict[str, Any]:
-    """Every key that a node is told, with settings of each kind."""
+    """Return a configuration with every key that a node reads."""
     row = config_row(
         "127.0.0.1:9",
         known=targets(s0=("127.0.0.1:8", "Ready")),
@@ -72,7 +72,7 @@
             "zones": ["a", "b"],
         },
     )
-    every = {
+    all_keys = {
         "aimStretch": 1.0,
         "credit": 2.0,
         "lateWorth": 0.5,
@@ -80,68 +80,77 @@
         "memorySpanMs": 300.0,
         "stream": False,
     }
-    row["settings"]["categories"] = [every | kind for kind in row["settings"]["categories"]]
+    row["settings"]["categories"] = [
+        all_keys | service_class for service_class in row["settings"]["categories"]
+    ]
     return orjson.loads(
         orjson.dumps(row | {"operator": "127.0.0.1:7", "state_every_ms": 500.0, "state": "s"})
     )
 
 
-def paths(value: Any, at: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    inside = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    for key, item in inside:
-        yield (*at, key)
-        yield from paths(item, (*at, key))
+def key_paths(value: Any, parent: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+    items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    for key, item in items:
+        yield (*parent, key)
+        yield from key_paths(item, (*parent, key))
 
 
-def changed(path: tuple[Any, ...], value: Any) -> bytes:
-    row = at = full_row()
+def config_with(path: tuple[Any, ...], value: Any) -> bytes:
+    row = parent = full_row()
     for key in path[:-1]:
-        at = at[key]
-    if value is GONE:
-        del at[path[-1]]
+        parent = parent[key]
+    if value is ABSENT:
+        del parent[path[-1]]
     else:
-        at[path[-1]] = value
+        parent[path[-1]] = value
     return orjson.dumps(row)
 
 
-def work(config: NodeConfig) -> None:
-    """Requests of each class, served and failed, and some periods: no figure may break the module."""
-    module, now = Balancer(config.settings, config.seed, 0.0), 0.0
-    module.handle(now, EndpointListUpdate(EndpointListKind.CACHED, config.initial_list.endpoints))
-    for turn in range(6):
-        for kind in config.settings.classes:
-            name, now = f"{kind.name}{turn}", now + 10.0
-            request = Request(name, kind.name, now + kind.client_timeout_ms, "north", 3.0)
-            for act in module.handle(now, request):
-                if isinstance(act, Send):
-                    result = AttemptResult.OK if turn % 3 else AttemptResult.ERROR
+def run_requests(config: NodeConfig) -> None:
+    """Run requests of each class, served and failed, and some periods: no setting may break the balancer."""
+    balancer, now = Balancer(config.settings, config.seed, 0.0), 0.0
+    balancer.handle(now, EndpointListUpdate(EndpointListKind.CACHED, config.initial_list.endpoints))
+    for round_number in range(6):
+        for service_class in config.settings.classes:
+            request_id, now = f"{service_class.name}{round_number}", now + 10.0
+            request = Request(
+                request_id, service_class.name, now + service_class.client_timeout_ms, "north", 3.0
+            )
+            for action in balancer.handle(now, request):
+                if isinstance(action, Send):
+                    result = AttemptResult.OK if round_number % 3 else AttemptResult.ERROR
                     report = {"queue": 1.0, "util": 0.5}
-                    module.handle(now, AttemptOutcome(name, 0, act.server, result, 9.0, turn % 3 > 0, report))
-        module.handle(now, TimerFired("period"))
-    entry = module.threshold(1.0, 1)
-    assert 0.0 < entry < 1e30, f"a threshold of {entry} never binds"
-
-
-@pytest.mark.parametrize("path", list(paths(full_row())), ids=lambda path: ".".join(map(str, path)))
-def test_any_key_missing_or_of_any_shape_is_refused_in_one_named_line_or_works(path):
-    for value in SHAPES:
-        data = changed(path, value)
+                    balancer.handle(
+                        now,
+                        AttemptOutcome(
+                            request_id, 0, action.server, result, 9.0, round_number % 3 > 0, report
+                        ),
+                    )
+        balancer.handle(now, TimerFired("period"))
+    threshold = balancer.threshold(1.0, 1)
+    assert 0.0 < threshold < 1e30, f"a threshold of {threshold} never applies"
+
+
+@pytest.mark.parametrize("path", list(key_paths(full_row())), ids=lambda path: ".".join(map(str, path)))
+def test_any_key_with_any_value_gives_one_line_error_or_works(path):
+    for value in VALUES:
+        data = config_with(path, value)
         try:
             config = parse_config(data, {})
         except ValueError as error:
-            said = str(error)
-            assert "\n" not in said, said
-            assert "object has no attribute" not in said, said
-            assert "unhashable" not in said or said.startswith("known: "), said
+            message = str(error)
+            assert "\n" not in message, message
+            assert "object has no attribute" not in message, message
+            assert "unhashable" not in message or message.startswith("known: "), message
             continue
-        work(config)
+        run_requests(config)
 
 
 CLASS = {"name": "read", "aimMs": 100.0, "giveUpMs": 300.0, "effect": "free"}
 
 
 @pytest.mark.parametrize(
-    ("settings", "said"),
+    ("settings", "message"),
     [
         ({"categories": []}, "classes: at least one class is needed"),
         ({"categories": None}, "classes: at least one class is needed"),
@@ -178,16 +187,16 @@
         ({"locality": 3}, "zone: 3 is not a string"),
     ],
 )
-def test_a_bad_setting_is_named_with_its_value(settings, said):
+def test_invalid_setting_is_named_with_its_value(settings, message):
     row = config_row("127.0.0.1:9", settings=settings)
     row["settings"] |= settings  # `bounds` are merged with others
-    with pytest.raises(ValueError) as refused:  # noqa: PT011
+    with pytest.raises(ValueError) as raised:  # noqa: PT011
         parse_config(orjson.dumps(row), {})
-    assert said in str(refused.value)
+    assert message in str(raised.value)
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"seed": "hex"}, "seed: 'hex' is not hexadecimal"),
         ({"seed": "-1f"}, "seed: '-1f' is not hexadecimal"),
@@ -206,97 +215,102 @@
         ({"limits": {"sockets": -4}}, "sockets: -4 is not"),
     ],
 )
-def test_what_a_node_is_told_is_refused_by_name(change, said):
-    with pytest.raises(ValueError) as refused:  # noqa: PT011
+def test_invalid_configuration_key_is_named(change, message):
+    with pytest.raises(ValueError) as raised:  # noqa: PT011
         parse_config(orjson.dumps(config_row("127.0.0.1:9") | change), {})
-    assert str(refused.value).startswith(said)
+    assert str(raised.value).startswith(message)
 
 
-NO_CONFIGURATION = (
+INVALID_DOCUMENTS = (
     *(b"", b"{", b"[]", b"3", b'"x"', b"null", b"[" * 5000, b'{"a":' * 5000, b"\xff\xfe{}"),
     *(b"\xef\xbb\xbf{}", b'{"seed":NaN}', b'{"seed":1e999}', b'{"name":"\\ud800"}'),
 )
 
 
-@pytest.mark.parametrize("data", NO_CONFIGURATION, ids=lambda data: repr(data[:12]))
-def test_what_is_no_configuration_is_refused(data):
-    with pytest.raises(ValueError) as refused:  # noqa: PT011
+@pytest.mark.parametrize("data", INVALID_DOCUMENTS, ids=lambda data: repr(data[:12]))
+def test_invalid_document_raises_one_line_error(data):
+    with pytest.raises(ValueError) as raised:  # noqa: PT011
         parse_config(data, {})
-    assert "\n" not in str(refused.value)
+    assert "\n" not in str(raised.value)
 
 
-def test_keys_that_are_not_known_are_ignored_and_null_is_absent():
-    told = full_row()
-    more = {"novel": [1], "limits": told["limits"] | {"novel": {}}}
-    settings = told["settings"] | {"novel": {"a": 1}, "valueBy": None, "registryMode": None, "locality": None}
+def test_unknown_keys_are_ignored_and_null_counts_as_absent():
+    row = full_row()
+    unknown_keys = {"novel": [1], "limits": row["limits"] | {"novel": {}}}
+    settings = row["settings"] | {"novel": {"a": 1}, "valueBy": None, "registryMode": None, "locality": None}
     settings["categories"] = [
-        kind | {"novel": 1, "keyScope": None, "credit": None} for kind in settings["categories"]
+        service_class | {"novel": 1, "keyScope": None, "credit": None}
+        for service_class in settings["categories"]
     ]
-    found = parse_config(orjson.dumps(told | more | {"settings": settings}), {}).settings
-    assert (found.weight_by_work, found.poll_discovery, found.zone) == (False, False, "")
-    assert {(kind.priority_weight, kind.deduplication_scope) for kind in found.classes} == {
-        (1.0, DeduplicationScope.ALL)
-    }
+    parsed = parse_config(orjson.dumps(row | unknown_keys | {"settings": settings}), {}).settings
+    assert (parsed.weight_by_work, parsed.poll_discovery, parsed.zone) == (False, False, "")
+    assert {
+        (service_class.priority_weight, service_class.deduplication_scope) for service_class in parsed.classes
+    } == {(1.0, DeduplicationScope.ALL)}
 
 
-def test_a_keyed_class_without_its_window_is_never_sent_twice_once_it_may_have_run():
+def test_class_without_deduplication_window_is_not_retried_once_possibly_executed():
     settings = {
         "categories": [CLASS | {"effect": "guarded", "memorySpanMs": None}],
         "bounds": {"maxAttempts": 9},
     }
     config = parse_config(orjson.dumps(config_row("127.0.0.1:9", settings=settings)), {})
-    module = Balancer(config.settings, 1, 0.0)
-    module.handle(0.0, EndpointListUpdate(EndpointListKind.CACHED, (Endpoint("s-1"), Endpoint("s-2"))))
-    (send,) = [act for act in module.handle(1.0, Request("q", "read", 300.0)) if isinstance(act, Send)]
-    acts = module.handle(2.0, AttemptOutcome("q", 0, send.server, AttemptResult.RESET, 1.0, False))
-    assert acts == [Fail("q")]
+    balancer = Balancer(config.settings, 1, 0.0)
+    balancer.handle(0.0, EndpointListUpdate(EndpointListKind.CACHED, (Endpoint("s-1"), Endpoint("s-2"))))
+    (send,) = [
+        action for action in balancer.handle(1.0, Request("q", "read", 300.0)) if isinstance(action, Send)
+    ]
+    actions = balancer.handle(2.0, AttemptOutcome("q", 0, send.server, AttemptResult.RESET, 1.0, False))
+    assert actions == [Fail("q")]
 
 
-# ------------------------------------------------------------------ the program
+# -------------------------------------------------------------- the program
 
 
-def run(path: Path | None, **environment: str) -> subprocess.CompletedProcess[str]:
-    told = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")} | environment
+def run_node(path: Path | None, **environment: str) -> subprocess.CompletedProcess[str]:
+    variables = {
+        key: value for key, value in os.environ.items() if not key.startswith("PROXY_")
+    } | environment
     if path is not None:
-        told["PROXY_CONFIG"] = str(path)
+        variables["PROXY_CONFIG"] = str(path)
     command = [sys.executable, "-m", "loadbalancer"]
     return subprocess.run(
-        command, cwd=ROOT, env=told, capture_output=True, text=True, timeout=60, check=False
+        command, cwd=ROOT, env=variables, capture_output=True, text=True, timeout=60, check=False
     )
 
 
-def one_line(done: subprocess.CompletedProcess[str], code: int) -> str:
-    assert done.returncode == code, done.stderr
-    assert "Traceback" not in done.stderr
-    assert done.stderr.count("\n") == 1
-    assert len(done.stderr) < 600
-    return done.stderr
+def error_line(process: subprocess.CompletedProcess[str], code: int) -> str:
+    assert process.returncode == code, process.stderr
+    assert "Traceback" not in process.stderr
+    assert process.stderr.count("\n") == 1
+    assert len(process.stderr) < 600
+    return process.stderr
 
 
 @pytest.mark.parametrize("content", [None, b"", b"\xff\xfe", b"[]", b"[" * 5000])
-def test_the_program_says_one_line_and_ends_with_2(tmp_path, content):
+def test_program_prints_one_line_and_exits_with_2_on_invalid_file(tmp_path, content):
     path = tmp_path / "config.json"
     if content is not None:
         path.write_bytes(content)
-    assert "bad configuration" in one_line(run(path), 2)
+    assert "bad configuration" in error_line(run_node(path), 2)
 
 
-def test_a_folder_an_unset_and_an_empty_path_end_with_2_too(tmp_path):
-    assert "Is a directory" in one_line(run(tmp_path), 2)
-    assert "PROXY_CONFIG is not set" in one_line(run(None), 2)
-    assert "PROXY_CONFIG is not set" in one_line(run(None, PROXY_CONFIG=""), 2)
+def test_program_exits_with_2_on_directory_unset_or_empty_path(tmp_path):
+    assert "Is a directory" in error_line(run_node(tmp_path), 2)
+    assert "PROXY_CONFIG is not set" in error_line(run_node(None), 2)
+    assert "PROXY_CONFIG is not set" in error_line(run_node(None, PROXY_CONFIG=""), 2)
 
 
 @pytest.mark.parametrize("listen", ["a\0b:80", "a" * 300 + ":80", "a..b:80", "x" * 9000])
-def test_an_address_that_no_listener_takes_ends_with_2(tmp_path, listen):
+def test_program_exits_with_2_on_invalid_listen_address(tmp_path, listen):
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(config_row("127.0.0.1:9") | {"listen": listen}))
-    assert "listen: " in one_line(run(path), 2)
+    assert "listen: " in error_line(run_node(path), 2)
 
 
-def test_a_port_in_use_is_one_line_and_ends_with_1(tmp_path):
-    with socket.create_server(("127.0.0.1", 0)) as taken:
+def test_program_prints_one_line_and_exits_with_1_on_port_in_use(tmp_path):
+    with socket.create_server(("127.0.0.1", 0)) as listener:
         path = tmp_path / "config.json"
-        listen = f"127.0.0.1:{taken.getsockname()[1]}"
+        listen = f"127.0.0.1:{listener.getsockname()[1]}"
         path.write_bytes(orjson.dumps(config_row("127.0.0.1:9") | {"listen": listen}))
-        assert "in use" in one_line(run(path), 1)
+        assert "in use" in error_line(run_node(path), 1)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter on transcripts."""
+"""The simulator adapter: its responses to batches of events."""
 
 from __future__ import annotations
 
@@ -47,33 +47,40 @@
     "tier": 0,
     "valueBy": "request",
     "locality": "a",
-    "unheardOf": {"x": 1},
+    "unknownKey": {"x": 1},
 }
 
 
-def catalog(ref: int = 0, count: int = 3, **more: Any) -> dict[str, Any]:
+def catalog(ref: int = 0, count: int = 3, **fields: Any) -> dict[str, Any]:
     rows = [
-        {"server": f"10.0.0.{at}:1", "zone": "a", "bay": 0, "stageState": "up", "launchedMs": None, **more}
-        for at in range(count)
+        {
+            "server": f"10.0.0.{index}:1",
+            "zone": "a",
+            "bay": 0,
+            "stageState": "up",
+            "launchedMs": None,
+            **fields,
+        }
+        for index in range(count)
     ]
     return {"kind": "CATALOG", "ref": ref, "rows": rows}
 
 
-def start(node: int = 0, config: dict[str, Any] | None = None, ref: int = 0) -> list[dict[str, Any]]:
+def start_node(node: int = 0, config: dict[str, Any] | None = None, ref: int = 0) -> list[dict[str, Any]]:
     return [
         {"kind": "POWER_ON", "node": node, "seed": 5 + node, "config": CONFIG if config is None else config},
         {"kind": "MEMBERSHIP", "node": node, "form": "cached", "generation": 1, "ref": ref},
     ]
 
 
-def request(txn: str, node: int = 0, lane: str = "read", give_up: float = 9000.0) -> dict[str, Any]:
-    row = {"kind": "NEW_REQUEST", "node": node, "txn": txn, "lane": lane, "giveUpAtMs": give_up}
+def request(txn: str, node: int = 0, lane: str = "read", deadline_ms: float = 9000.0) -> dict[str, Any]:
+    row = {"kind": "NEW_REQUEST", "node": node, "txn": txn, "lane": lane, "giveUpAtMs": deadline_ms}
     return row | {"billing": None, "resource": None, "expectedMs": None, "isRetry": False, "write": False}
 
 
-def returned(txn: str, server: str, rc: int, done: bool, **more: Any) -> dict[str, Any]:
+def returned(txn: str, server: str, rc: int, request_ended: bool, **fields: Any) -> dict[str, Any]:
     row = {"kind": "RETURNED", "node": 0, "txn": txn, "attempt": 0, "latencyMs": 80.0, "server": server}
-    return row | {"rc": rc, "doneFlag": done, "telemetry": None} | more
+    return row | {"rc": rc, "doneFlag": request_ended, "telemetry": None} | fields
 
 
 def batch(now: float, seq: int, *events: dict[str, Any]) -> bytes:
@@ -81,26 +88,26 @@
     return b"".join(orjson.dumps(row) + b"\n" for row in rows)
 
 
-def talk(*batches: bytes) -> list[dict[str, Any]]:
+def run_batches(*batches: bytes) -> list[dict[str, Any]]:
     sink = io.BytesIO()
     run(io.BytesIO(b"".join(batches)), sink)
     return [orjson.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def of(rows: list[dict[str, Any]], kind: str) -> list[dict[str, Any]]:
+def rows_of_kind(rows: list[dict[str, Any]], kind: str) -> list[dict[str, Any]]:
     return [row for row in rows if row["kind"] == kind]
 
 
-def test_an_empty_batch_is_answered():
-    assert talk(batch(8412.25, 1)) == [{"kind": "READY", "seq": 1}]
+def test_empty_batch_gets_ready_response():
+    assert run_batches(batch(8412.25, 1)) == [{"kind": "READY", "seq": 1}]
 
 
-def test_a_first_batch_subscribes_and_sends():
-    rows = talk(batch(1000.0, 1, catalog(), *start(), request("q1")))
+def test_first_batch_starts_watch_and_timer_and_sends_request():
+    rows = run_batches(batch(1000.0, 1, catalog(), *start_node(), request("q1")))
     assert rows[-1] == {"kind": "READY", "seq": 1}
-    assert len(of(rows, "OBSERVE")) == 1
-    assert len(of(rows, "SLEEP")) == 1
-    issue = of(rows, "ISSUE")[0]
+    assert len(rows_of_kind(rows, "OBSERVE")) == 1
+    assert len(rows_of_kind(rows, "SLEEP")) == 1
+    issue = rows_of_kind(rows, "ISSUE")[0]
     assert issue["node"] == 0
     assert issue["txn"] == "q1"
     assert issue["server"].startswith("10.0.0.")
@@ -108,7 +115,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lane", "rc", "answer"),
+    ("lane", "rc", "response"),
     [
         ("read", 255, "ISSUE"),
         ("post", 255, "FINISH_ERROR"),
@@ -121,21 +128,23 @@
         ("points", 255, "ISSUE"),
     ],
 )
-def test_each_outcome_of_each_kind(lane, rc, answer):
+def test_attempt_result_is_followed_by_retry_or_failure_by_class(lane, rc, response):
     host = Host()
     host.now = 1000.0
     rows = [
-        row for event in (catalog(), *start(), request("q", lane=lane)) for row in host.handle_event(event)
+        row
+        for event in (catalog(), *start_node(), request("q", lane=lane))
+        for row in host.handle_event(event)
     ]
-    server = of(rows, "ISSUE")[0]["server"]
-    assert [row["kind"] for row in host.handle_event(returned("q", server, rc, False))] == [answer]
+    server = rows_of_kind(rows, "ISSUE")[0]["server"]
+    assert [row["kind"] for row in host.handle_event(returned("q", server, rc, False))] == [response]
 
 
-def test_an_outcome_of_an_ended_request_and_a_lapse_of_one_are_quiet():
+def test_events_of_ended_request_cause_no_actions():
     host = Host()
     host.now = 1000.0
-    rows = [row for event in (catalog(), *start(), request("q")) for row in host.handle_event(event)]
-    server = of(rows, "ISSUE")[0]["server"]
+    rows = [row for event in (catalog(), *start_node(), request("q")) for row in host.handle_event(event)]
+    server = rows_of_kind(rows, "ISSUE")[0]["server"]
     assert [row["kind"] for row in host.handle_event({"kind": "LAPSED", "node": 0, "txn": "q"})] == [
         "RETRACT"
     ]
@@ -143,37 +152,37 @@
     assert host.handle_event(returned("q", server, 0, True, telemetry=[3, 0.5])) == []
 
 
-def test_reports_reach_the_module_in_the_order_of_the_settings():
+def test_load_report_values_are_mapped_in_order_of_settings():
     host = Host()
     host.now = 1000.0
-    rows = [row for event in (catalog(), *start(), request("q")) for row in host.handle_event(event)]
-    server = of(rows, "ISSUE")[0]["server"]
+    rows = [row for event in (catalog(), *start_node(), request("q")) for row in host.handle_event(event)]
+    server = rows_of_kind(rows, "ISSUE")[0]["server"]
     host.handle_event(returned("q", server, 0, True, telemetry=[3, None]))
-    peer = host.nodes[0].balancer.endpoints[server]
-    assert peer.reported_queue == 3
-    assert peer.utilisation is None
+    endpoint = host.nodes[0].balancer.endpoints[server]
+    assert endpoint.reported_queue == 3
+    assert endpoint.utilisation is None
 
 
-def test_a_catalog_number_is_reused_by_event_order():
+def test_later_catalog_replaces_earlier_one_with_same_ref():
     host = Host()
     host.now = 1000.0
-    for event in (catalog(0, 2), *start(0), catalog(0, 5), *start(1)):
+    for event in (catalog(0, 2), *start_node(0), catalog(0, 5), *start_node(1)):
         host.handle_event(event)
     assert [len(host.nodes[node].balancer.endpoints) for node in (0, 1)] == [2, 5]
 
 
-def test_a_stop_and_a_start_within_a_batch_leave_nothing_behind():
+def test_restart_within_a_batch_drops_pending_requests():
     host = Host()
     host.now = 1000.0
-    for event in (catalog(), *start(), request("q"), {"kind": "STOP", "node": 0}, *start()):
+    for event in (catalog(), *start_node(), request("q"), {"kind": "STOP", "node": 0}, *start_node()):
         host.handle_event(event)
     assert host.nodes[0].balancer.pending == {}
 
 
-def test_membership_forms():
+def test_membership_event_failed_delta_and_full():
     host = Host()
     host.now = 1000.0
-    for event in (catalog(), *start()):
+    for event in (catalog(), *start_node()):
         host.handle_event(event)
     failed = host.handle_event(
         {"kind": "MEMBERSHIP", "node": 0, "form": "failed", "generation": 2, "ref": None}
@@ -187,12 +196,12 @@
     assert list(host.nodes[0].balancer.endpoints) == ["10.0.0.0:1"]
 
 
-def test_other_events_are_taken():
+def test_events_without_response_are_accepted():
     host = Host()
     host.now = 1000.0
-    for event in (catalog(), *start()):
+    for event in (catalog(), *start_node()):
         host.handle_event(event)
-    quiet = [
+    events = [
         {"kind": "PEER", "node": 0, "by": 1, "contents": "aGk="},
         {
             "kind": "HEALTH",
@@ -210,13 +219,13 @@
             "server": "10.0.0.1:1",
             "attempt": 0,
         },
-        {"kind": "ALARM", "node": 0, "name": "not ours"},
+        {"kind": "ALARM", "node": 0, "name": "unknown"},
     ]
-    assert [host.handle_event(event) for event in quiet] == [[], [], [], []]
+    assert [host.handle_event(event) for event in events] == [[], [], [], []]
     assert host.nodes[0].balancer.endpoints["10.0.0.1:1"].reported_queue == 4
 
 
-def test_absent_settings_take_their_defaults():
+def test_absent_settings_get_defaults():
     settings = parse_settings({"categories": CONFIG["categories"][:1]})
     assert settings.siblings == 1
     assert settings.tenants == ()
@@ -232,25 +241,25 @@
         {"kind": "NONSENSE", "node": 3},
     ],
 )
-def test_what_goes_wrong_at_a_node_is_its_panic(event, capsys):
+def test_invalid_event_becomes_panic_of_its_node(event, capsys):
     rows = Host().handle_event(event)
     assert [(row["kind"], row["node"]) for row in rows] == [("PANIC", 3)]
     assert rows[0]["bodyText"]
     assert capsys.readouterr().out == ""
 
 
-def test_unknown_kind_at_a_running_node_is_its_panic():
+def test_event_of_unknown_kind_at_running_node_becomes_panic():
     host = Host()
-    for event in (catalog(), *start()):
+    for event in (catalog(), *start_node()):
         host.handle_event(event)
     assert host.handle_event({"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
 
 
-def test_a_request_of_an_unknown_class_is_a_panic_not_a_guess():
+def test_request_of_unknown_class_becomes_panic():
     host = Host()
-    for event in (catalog(), *start()):
+    for event in (catalog(), *start_node()):
         host.handle_event(event)
-    assert host.handle_event(request("q", lane="unheard of"))[0]["kind"] == "PANIC"
+    assert host.handle_event(request("q", lane="unknown"))[0]["kind"] == "PANIC"
 
 
 @pytest.mark.parametrize(
@@ -266,57 +275,59 @@
         b'{"kind":"FRAME","nowMs":1,"seq":1}\n',
     ],
 )
-def test_bad_input_is_named(lines):
+def test_input_that_violates_protocol_raises_wire_error(lines):
     with pytest.raises(WireError):
         run(io.BytesIO(lines), io.BytesIO())
 
 
-def test_the_process_exits_cleanly_at_the_end_and_plainly_on_nonsense():
+def test_process_exits_cleanly_on_valid_input_and_with_error_on_malformed_input():
     command = [sys.executable, "-m", "loadbalancer.simulator_adapter"]
-    good = subprocess.run(command, input=batch(1.0, 1), capture_output=True, cwd=ROOT, check=False)
-    assert (good.returncode, good.stdout, good.stderr) == (0, b'{"kind":"READY","seq":1}\n', b"")
-    bad = subprocess.run(command, input=b"nonsense\n", capture_output=True, cwd=ROOT, check=False)
-    assert bad.returncode != 0
-    assert bad.stdout == b""
-    assert b"not a line of JSON" in bad.stderr
+    valid = subprocess.run(command, input=batch(1.0, 1), capture_output=True, cwd=ROOT, check=False)
+    assert (valid.returncode, valid.stdout, valid.stderr) == (0, b'{"kind":"READY","seq":1}\n', b"")
+    invalid = subprocess.run(command, input=b"nonsense\n", capture_output=True, cwd=ROOT, check=False)
+    assert invalid.returncode != 0
+    assert invalid.stdout == b""
+    assert b"not a line of JSON" in invalid.stderr
 
 
-def test_many_nodes_in_one_process_act_as_in_several():
+def test_nodes_of_one_process_act_independently():
     def events(node: int) -> list[dict[str, Any]]:
-        made = [catalog(), *start(node)]
-        made += [request(f"n{node}-{at}", node, ("read", "post", "points")[at % 3]) for at in range(30)]
-        return [*made, {"kind": "ALARM", "node": node, "name": "period"}]
+        rows = [catalog(), *start_node(node)]
+        rows += [
+            request(f"n{node}-{index}", node, ("read", "post", "points")[index % 3]) for index in range(30)
+        ]
+        return [*rows, {"kind": "ALARM", "node": node, "name": "period"}]
 
-    def played(nodes: list[int]) -> dict[int, list[dict[str, Any]]]:
+    def actions_by_node(nodes: list[int]) -> dict[int, list[dict[str, Any]]]:
         host = Host()
         host.now = 1000.0
-        mixed = [row for rows in zip(*(events(node) for node in nodes), strict=True) for row in rows]
-        acts = [act for event in mixed for act in host.handle_event(event)]
-        return {node: [act for act in acts if act["node"] == node] for node in nodes}
+        interleaved = [row for rows in zip(*(events(node) for node in nodes), strict=True) for row in rows]
+        actions = [action for event in interleaved for action in host.handle_event(event)]
+        return {node: [action for action in actions if action["node"] == node] for node in nodes}
 
-    together = played([0, 1, 2])
-    assert together == {node: played([node])[node] for node in range(3)}
+    together = actions_by_node([0, 1, 2])
+    assert together == {node: actions_by_node([node])[node] for node in range(3)}
 
 
 @pytest.mark.parametrize(
-    ("event", "said"),
+    ("event", "problem"),
     [
-        (request("q", lane="unheard of"), "lane: 'unheard of'"),
+        (request("q", lane="unknown"), "lane: 'unknown'"),
         (returned("q", "10.0.0.0:1", 42, False), "rc: 42"),
     ],
 )
-def test_a_panic_names_the_event_and_the_bad_value(event, said):
+def test_panic_names_event_and_invalid_value(event, problem):
     host = Host()
-    for one in (catalog(), *start()):
-        host.handle_event(one)
+    for setup_event in (catalog(), *start_node()):
+        host.handle_event(setup_event)
     (row,) = host.handle_event(event)
     assert row["kind"] == "PANIC"
     assert event["kind"] in row["bodyText"]
-    assert said in row["bodyText"]
+    assert problem in row["bodyText"]
 
 
 @pytest.mark.parametrize("key", ["name", "aimMs", "giveUpMs"])
-def test_a_missing_setting_is_named(key):
+def test_missing_setting_is_named_in_error(key):
     lane = {name: value for name, value in CONFIG["categories"][0].items() if name != key}
     with pytest.raises(ValueError, match=f"categories.{key}: missing"):
         parse_settings({"categories": [lane]})
