--- a/loadbalancer/balancing/events.py
+++ b/loadbalancer/balancing/events.py
@@ -133,10 +133,10 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaGrant:
-    """The quota granted to this balancer: its part (0 to 1) of the limits that all siblings share, which are
-    the shared parts of T1 and the tenants' quotas.
+    """The quota granted to this balancer: its part (0 to 1) of the limits that all siblings share.
 
-    From `expires_ms` on, the quota is 0. The grant replaces `Settings.siblings`.
+    These limits are the headroom and floor of the thresholds and the tenants' quotas. From `expires_ms` on
+    the quota is 0. The grant replaces `Settings.siblings`.
     """
 
     quota: float
--- a/loadbalancer/balancing/request_lifecycle.py
+++ b/loadbalancer/balancing/request_lifecycle.py
@@ -47,7 +47,7 @@
     def on_request_received(self, now_ms: float, event: RequestReceived) -> None:
         """Start to measure a request, and its attempts in flight, now that its last byte has arrived."""
         pending = self.state.pending.get(event.id)
-        if pending is None or pending.answered:
+        if pending is None or pending.ended:
             return
         pending.admitted_ms = now_ms
         pending.request.receiving = False
@@ -88,7 +88,7 @@
         if event.request_ended:
             pending.streaming = False
             self._end(pending, actions)
-        elif pending.answered:
+        elif pending.ended:
             self._end(pending, actions)
         elif not pending.attempts_in_flight() and not self._send(now_ms, pending, actions):
             self._send_final_response(pending, actions)
@@ -98,7 +98,7 @@
         state = self.state
         timeout_ms = self._timeout_ms(now_ms, pending)
         exhausted = len(pending.attempts) >= state.settings.max_attempts
-        if pending.answered or timeout_ms <= MIN_TIMEOUT_MS or exhausted:
+        if pending.ended or timeout_ms <= MIN_TIMEOUT_MS or exhausted:
             return False
         target = select_endpoint(state, now_ms, pending)
         if target is None:
@@ -152,8 +152,8 @@
 
     def _end(self, pending: PendingRequest, actions: list[Action]) -> None:
         """End a request; its state is dropped once no attempt is in flight."""
-        if not pending.answered:
-            pending.answered = True
+        if not pending.ended:
+            pending.ended = True
             self._cancel_attempts(pending, NO_ATTEMPT, actions)
         if not pending.attempts_in_flight():
             self.state.pending.pop(pending.request.id, None)
--- a/loadbalancer/balancing/state.py
+++ b/loadbalancer/balancing/state.py
@@ -71,8 +71,8 @@
     weight: float
     route_version: int = 0  # the version in force at its admission, used until the request ends
     attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False
-    streaming: bool = False
+    ended: bool = False  # by its final response or because its client has disconnected
+    streaming: bool = False  # its response has begun to stream
 
     def attempts_in_flight(self) -> int:
         """The number of attempts without a result."""
--- a/tests/balancing/test_mechanism.py
+++ b/tests/balancing/test_mechanism.py
@@ -126,7 +126,7 @@
 def test_threshold_headroom_depends_on_endpoints_not_on_completion_rate():
     env, ready = BalancerEnvironment(), 4
     balancer = env.balancer
-    balancer.state.periods_elapsed = 10**6  # past the start
+    balancer.state.periods_elapsed = 10**6  # past the startup phase
     balancer.state.baseline_ratio, balancer.state.mean_latency_objective_ms = 0.1, 1000.0
     for rate in (0.005, 0.05):
         balancer.state.completion_rate = balancer.state.peak_completion_rate = rate
@@ -139,7 +139,7 @@
     thresholds = []
     for util in (0.5, 0.9, None):
         env = BalancerEnvironment(count=4)
-        env.balancer.state.periods_elapsed = 10**6  # past the start
+        env.balancer.state.periods_elapsed = 10**6  # past the startup phase
         for _ in range(12):
             env.complete_request(load_report=None if util is None else {"util": util})
         env.end_period()
@@ -162,7 +162,7 @@
 
 def test_removed_servers_do_not_raise_threshold_of_remaining_ones():
     env = BalancerEnvironment(count=8)
-    env.balancer.state.periods_elapsed = 10**6  # past the start
+    env.balancer.state.periods_elapsed = 10**6  # past the startup phase
     for _ in range(30):
         run_period(env, 400.0)
     threshold_per_endpoint = env.balancer.threshold(1.0, 8) / 8
@@ -184,7 +184,7 @@
     siblings, ready = 24, 10
     envs = [BalancerEnvironment(count=ready, seed=seed, siblings=siblings) for seed in range(siblings)]
     for env in envs:
-        env.balancer.state.periods_elapsed = 10**6  # past the start
+        env.balancer.state.periods_elapsed = 10**6  # past the startup phase
         best = env.balancer.endpoints["s0"]
         best.latency_ratio, best.last_outcome_ms = 0.1, env.now  # ranked far ahead of the others
         for _ in range(20):
@@ -197,7 +197,7 @@
 
 def test_balancer_with_quota_near_zero_still_sends_requests():
     env = BalancerEnvironment(count=2, siblings=400)
-    env.balancer.state.periods_elapsed = 10**6  # past the start
+    env.balancer.state.periods_elapsed = 10**6  # past the startup phase
     for endpoint in env.balancer.endpoints.values():
         endpoint.rounding_offset = 0.0
     assert any(sent(env.send_request()[1]) for _ in range(100))
--- a/tests/balancing/test_recorded_streams.py
+++ b/tests/balancing/test_recorded_streams.py
@@ -279,22 +279,22 @@
             self.schedule(0.3 * latency_ms, lambda: self.handle(StreamStarted(action.id, attempt_number)))
         self.schedule(latency_ms, lambda: self.end_attempt(action.id, number, result))
 
-    def end_attempt(self, name: str, number: int, result: AttemptResult) -> None:
-        attempt = self.attempts[name][number]
+    def end_attempt(self, request_id: str, number: int, result: AttemptResult) -> None:
+        attempt = self.attempts[request_id][number]
         if not attempt.in_flight:
             return
         attempt.in_flight = False
         server = attempt.server
         server.in_flight_count -= 1
         if result is AttemptResult.OK:
-            self.ended.add(name)
+            self.ended.add(request_id)
         event = AttemptOutcome(
-            name,
+            request_id,
             number,
             server.endpoint.name,
             result,
             self.now - attempt.sent_ms,
-            result is AttemptResult.OK or (name in self.ended and self.rng.random() < 0.9),
+            result is AttemptResult.OK or (request_id in self.ended and self.rng.random() < 0.9),
             self.load_report(server),
         )
         self.handle(event)
@@ -315,12 +315,12 @@
     def send_request(self) -> None:
         rng = self.rng
         self.schedule(rng.uniform(0.0, 16.0) / self.request_rate, self.send_request)
-        name, service_class = f"r{next(self.counter)}", rng.choice(list(self.service_classes.values()))
+        request_id, service_class = f"r{next(self.counter)}", rng.choice(list(self.service_classes.values()))
         deadline_ms = self.now + service_class.client_timeout_ms * rng.choice((1.0, 1.0, 0.3, 0.0))
         receiving = rng.random() < 0.15
-        self.attempts[name], self.service[name] = [], service_class.name
+        self.attempts[request_id], self.service[request_id] = [], service_class.name
         request = Request(
-            name,
+            request_id,
             service_class.name,
             deadline_ms,
             tenant=rng.choice((None, "small", "none", "unknown")),
@@ -331,16 +331,17 @@
         self.handle(request)
         if receiving:
             self.schedule(
-                rng.uniform(1.0, 200.0), lambda: self.handle(RequestReceived(name, deadline_ms + 100.0))
+                rng.uniform(1.0, 200.0), lambda: self.handle(RequestReceived(request_id, deadline_ms + 100.0))
             )
         self.schedule(
-            service_class.client_timeout_ms * rng.choice((0.1, 1.1, 1.1, 1.1)), lambda: self.cancel(name)
+            service_class.client_timeout_ms * rng.choice((0.1, 1.1, 1.1, 1.1)),
+            lambda: self.cancel(request_id),
         )
 
-    def cancel(self, name: str) -> None:
-        if name not in self.ended:
-            self.ended.add(name)
-            self.handle(RequestCancelled(name))
+    def cancel(self, request_id: str) -> None:
+        if request_id not in self.ended:
+            self.ended.add(request_id)
+            self.handle(RequestCancelled(request_id))
 
     def change_conditions(self) -> None:
         self.latency_factor = self.rng.choice((0.5, 1.0, 1.0, 2.0, 6.0))
@@ -428,10 +429,10 @@
     def unknown_events(self) -> None:
         """Pass events of requests, attempts, servers and timers that the balancer does not know."""
         self.schedule(self.rng.uniform(100.0, 700.0), self.unknown_events)
-        ended_ids = [name for name in self.attempts if name in self.ended][-20:]
-        for name in ("unknown", *ended_ids):
-            self.handle(AttemptOutcome(name, 7, "unknown", AttemptResult.OK, 5.0, True, {"queue": 1.0}))
-            self.handle(RequestReceived(name, self.now + 500.0))
+        ended_ids = [request_id for request_id in self.attempts if request_id in self.ended][-20:]
+        for request_id in ("unknown", *ended_ids):
+            self.handle(AttemptOutcome(request_id, 7, "unknown", AttemptResult.OK, 5.0, True, {"queue": 1.0}))
+            self.handle(RequestReceived(request_id, self.now + 500.0))
         self.handle(RequestCancelled("unknown"))
         self.handle(StreamStarted("unknown", 0))
         self.handle(TimerFired("unknown"))
--- a/tests/test_settings_bad.py
+++ b/tests/test_settings_bad.py
@@ -249,7 +249,7 @@
     } == {(1.0, DeduplicationScope.ALL)}
 
 
-def test_class_without_deduplication_window_is_not_retried_once_possibly_executed():
+def test_request_without_deduplication_window_fails_once_possibly_executed():
     settings = {
         "categories": [CLASS | {"effect": "guarded", "memorySpanMs": None}],
         "bounds": {"maxAttempts": 9},
