--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -16,7 +16,7 @@
 from loadbalancer.node.listener import request_parser as request_parser_module
 from loadbalancer.node.node import Node
 from loadbalancer.node.upstream import attempt as attempt_module
-from tests.support.builders import Bed, sent
+from tests.support.builders import BalancerEnvironment, sent
 from tests.support.loopback import Caller, Peer, Scripted, ask, reply, request, running, targets, until
 
 MIB = 1024 * 1024
@@ -680,25 +680,25 @@
 
 
 def test_balancer_counts_a_request_as_load_only_from_its_last_byte():
-    bed = Bed(2)
-    actions = bed.give(Request("r", "post", bed.now + 2000.0, receiving=True))
+    env = BalancerEnvironment(2)
+    actions = env.handle(Request("r", "post", env.now + 2000.0, receiving=True))
     (send,) = sent(actions)
-    endpoint = bed.brain.endpoints[send.server]
+    endpoint = env.balancer.endpoints[send.server]
     assert (endpoint.in_flight, endpoint.attempts_sent_ms) == (0.0, {})
-    bed.now += 60_000.0
-    bed.give(RequestReceived("r", bed.now + 2000.0))
+    env.now += 60_000.0
+    env.handle(RequestReceived("r", env.now + 2000.0))
     assert endpoint.in_flight == 1.0
-    assert list(endpoint.attempts_sent_ms.values()) == [bed.now]
-    bed.now += 100.0
-    bed.end("r", send.server, AttemptResult.OK, 100.0)
-    assert (endpoint.in_flight, endpoint.attempts_sent_ms, bed.brain.pending) == (0.0, {}, {})
+    assert list(endpoint.attempts_sent_ms.values()) == [env.now]
+    env.now += 100.0
+    env.end_attempt("r", send.server, AttemptResult.OK, 100.0)
+    assert (endpoint.in_flight, endpoint.attempts_sent_ms, env.balancer.pending) == (0.0, {}, {})
 
 
 def test_balancer_counts_no_load_for_a_request_that_is_never_completed():
-    bed = Bed(2)
-    (send,) = sent(bed.give(Request("r", "post", bed.now + 2000.0, receiving=True)))
-    bed.give(RequestCancelled("r"))
-    bed.end("r", send.server, AttemptResult.CONNECT_FAILED, done=True)
-    bed.give(RequestReceived("r", bed.now + 2000.0))
-    assert bed.brain.endpoints[send.server].in_flight == 0.0
-    assert not bed.brain.pending
+    env = BalancerEnvironment(2)
+    (send,) = sent(env.handle(Request("r", "post", env.now + 2000.0, receiving=True)))
+    env.handle(RequestCancelled("r"))
+    env.end_attempt("r", send.server, AttemptResult.CONNECT_FAILED, request_ended=True)
+    env.handle(RequestReceived("r", env.now + 2000.0))
+    assert env.balancer.endpoints[send.server].in_flight == 0.0
+    assert not env.balancer.pending
