--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -64,7 +64,7 @@
     ) -> None:
         """Use what a renewal's answer states of routes; a malformed one is logged and changes nothing."""
         try:
-            actions = self.participant.on_answer(
+            actions = self.participant.on_lease_response(
                 now, answer.incarnation, lease_end_ms, service_ms, answer.routes
             )
             self.execute(actions)
--- a/loadbalancer/node/discovery/__init__.py
+++ b/loadbalancer/node/discovery/__init__.py
@@ -1,5 +1,5 @@
-"""Service discovery: the endpoint list's wire form, the client that polls for it and the watch that uses it.
+"""Service discovery: wire format of the endpoint list, the client that polls for it, and the watcher.
 
-The protocol is that of PROTOCOL, "Discovery": `GET /discovery/hosts` gives the complete list, and with
-`since` and `timeout_ms` it is a long poll for what has changed since a revision.
+PROTOCOL, "Discovery", defines the protocol: `GET /discovery/hosts` returns the complete list; with `since`
+and `timeout_ms` it is a long poll for the changes after a revision.
 """
--- a/loadbalancer/node/discovery/client.py
+++ b/loadbalancer/node/discovery/client.py
@@ -1,4 +1,4 @@
-"""A client of discovery: one kept connection, one poll at a time."""
+"""A client of discovery, with one persistent connection and one poll at a time."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class _PollExchange:
-    """One poll on a connection: a future for its answer."""
+    """One poll on a connection, with a future for its response."""
 
     def __init__(self) -> None:
         self.response: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
 
     def on_request_sent(self) -> None:
-        """Ignored: a poll may always be repeated, whether or not it was sent."""
+        """Do nothing: a poll may always be repeated, whether or not it was sent."""
 
     def on_stream_started(self, response: Response) -> None:
-        """Never called: lists are received in full."""
+        """Do nothing; never called, since lists are received as complete bodies."""
 
     def on_response(self, response: Response) -> None:
-        """The answer is complete."""
+        """Set the result to the complete response."""
         if not self.response.done():
             self.response.set_result(response)
 
     def on_connection_lost(self, written: bool) -> None:
-        """The connection has ended without a complete answer."""
+        """Fail the poll, since the connection has ended before the response was complete."""
         if not self.response.done():
             self.response.set_exception(DiscoveryConnectionError())
 
@@ -48,19 +48,20 @@
         self._connection: ClientConnection | None = None
 
     async def full_list(self) -> DiscoveryResponse:
-        """Return the complete list; raises as `poll` does."""
+        """Return the complete list; raise the same errors as `poll`."""
         return await self._get(LIST_PATH)
 
     async def poll(self, since: int, wait_ms: int) -> DiscoveryResponse:
-        """Return the changes after revision `since`, or the complete list, after `wait_ms` at the latest.
+        """Return the changes after revision `since`, or the complete list.
 
-        Raise OSError where discovery can't be reached, TimeoutError where no connection comes up in time and
-        DiscoveryError where the answer can't be used. The caller bounds the time of the answer.
+        Discovery waits up to `wait_ms` for a change. Raise OSError if discovery can't be reached,
+        TimeoutError if no connection is established in time, and DiscoveryError if the response can't be
+        used. The caller limits the time that the response may take.
         """
         return await self._get(f"{LIST_PATH}?since={since}&timeout_ms={wait_ms}")
 
     def disconnect(self) -> None:
-        """Drop the connection; the next poll opens another."""
+        """Close the connection; the next poll opens another."""
         if self._connection is not None:
             self._connection.abort()
             self._connection = None
--- a/loadbalancer/node/discovery/poll_policy.py
+++ b/loadbalancer/node/discovery/poll_policy.py
@@ -1,71 +1,71 @@
-"""How long a poll of discovery waits, when it has failed, and how long to back off after that.
+"""Timing of the polls of discovery: how long a poll waits, when it has failed, and the backoff after that.
 
-The bound that all of it keeps is PROTOCOL's: what discovery has counts as known to the node 6 s later, and
-4 s after the configuration names another address (SIGHUP).
+PROTOCOL sets the deadlines: the node must have a change within 6 s after discovery has it, and within 4 s
+after a SIGHUP that changes the address of discovery.
 """
 
 from __future__ import annotations
 
 from random import Random
 
-PROPAGATION_DEADLINE_S = 6.0  # within which the node has to know what discovery has
-ADDRESS_CHANGE_DEADLINE_S = 4.0  # the same, from a change of discovery's address on
-SCHEDULING_SLACK_S = 0.3  # of a deadline, for a busy event loop
-RESPONSE_TIMEOUT_S = 1.2  # a poll without an answer so long after its wait has failed
-CONNECT_TIMEOUT_S = 1.0  # of a poll's time
-LIVENESS_WAIT_MS = 50  # wait of a poll that is to show whether discovery answers at all
-LIVENESS_POLL_S = LIVENESS_WAIT_MS / 1000.0 + RESPONSE_TIMEOUT_S  # the longest such a poll may take
-INITIAL_BACKOFF_S = 0.5  # upper bound of the pause after the first failure
-BACKOFF_FACTOR = 2.0  # by which that bound grows with each further failure
-MAX_BACKOFF_DOUBLINGS = 8  # bounds the exponent; MAX_BACKOFF_S is reached before it
-JITTER_RANGE = (0.5, 1.0)  # part of the bound that is slept
-# A wait that stays silent, its backoff and the poll after it fit into the propagation deadline.
+PROPAGATION_DEADLINE_S = 6.0  # maximum time until the node has a change in discovery
+ADDRESS_CHANGE_DEADLINE_S = 4.0  # the same after a change of discovery's address
+SCHEDULING_SLACK_S = 0.3  # part of a deadline that is reserved for a busy event loop
+RESPONSE_TIMEOUT_S = 1.2  # a poll without a response this long after its wait has failed
+CONNECT_TIMEOUT_S = 1.0  # included in the time of a poll
+LIVENESS_WAIT_MS = 50  # wait of a poll that checks whether discovery responds at all
+LIVENESS_POLL_S = LIVENESS_WAIT_MS / 1000.0 + RESPONSE_TIMEOUT_S  # maximum duration of such a poll
+INITIAL_BACKOFF_S = 0.5  # upper bound of the backoff after the first failure
+BACKOFF_FACTOR = 2.0  # growth of that bound with each further failure
+MAX_BACKOFF_DOUBLINGS = 8  # limits the exponent; MAX_BACKOFF_S is reached earlier
+JITTER_RANGE = (0.5, 1.0)  # fraction of the bound that the backoff takes
+# A poll that gets no response, its backoff and the next poll fit into the propagation deadline.
 MAX_POLL_WAIT_S = (
     PROPAGATION_DEADLINE_S - SCHEDULING_SLACK_S - RESPONSE_TIMEOUT_S - INITIAL_BACKOFF_S - LIVENESS_POLL_S
 )
-# Discovery may return just after a poll that it will not answer: that poll, its backoff and the next one fit.
+# Discovery may recover just after it has missed a poll: that poll, its backoff and the next poll fit.
 MAX_BACKOFF_S = PROPAGATION_DEADLINE_S - SCHEDULING_SLACK_S - 2.0 * LIVENESS_POLL_S
 
 
 class PollPolicy:
-    """Timing of the polls, the same for lists that are pushed and lists that are polled for."""
+    """Timing of the polls; the same in both registry modes (`push` and `ask`)."""
 
     def __init__(self, max_wait_s: float, max_backoff_s: float, rng: Random) -> None:
-        """`max_wait_s` and `max_backoff_s`: upper bounds by the node's settings, below the policy's own."""
+        """`max_wait_s`, `max_backoff_s`: bounds from the node's settings, on top of the policy's own."""
         self._wait_ms = round(min(max_wait_s, MAX_POLL_WAIT_S) * 1000.0)
         self._max_backoff_s = min(max_backoff_s, MAX_BACKOFF_S)
         self._rng = rng
         self.reset()
 
     def reset(self) -> None:
-        """Forget what is known of discovery: at the start, and at a new address."""
-        self._answers = False  # whether the last poll was answered
-        self._failures = 0  # in a row
+        """Return to the initial state, at the start and for a new address of discovery."""
+        self._responding = False  # whether the last poll got a response
+        self._failures = 0  # consecutive failures
 
     @property
     def wait_ms(self) -> int:
-        """How long the next poll asks discovery to wait for a change.
+        """How long the next poll lets discovery wait for a change.
 
-        The wait is short until discovery has answered: a silent discovery is detected within the deadline
-        from the start of the process, from the end of an outage and from a change of address.
+        The wait is short until discovery has responded. A discovery that does not respond is then detected
+        within the deadline after the start of the process, the end of an outage or a change of address.
         """
-        return self._wait_ms if self._answers else min(LIVENESS_WAIT_MS, self._wait_ms)
+        return self._wait_ms if self._responding else min(LIVENESS_WAIT_MS, self._wait_ms)
 
     @property
     def timeout_s(self) -> float:
-        """How long the next poll may take, with the opening of its connection."""
+        """How long the next poll may take, including the time to connect."""
         return self.wait_ms / 1000.0 + RESPONSE_TIMEOUT_S
 
     def record_success(self) -> None:
-        """Discovery has answered."""
-        self._answers, self._failures = True, 0
+        """Record that discovery has responded."""
+        self._responding, self._failures = True, 0
 
     def record_failure(self) -> float:
-        """A poll has failed; return the seconds to back off before the next one.
+        """Record that a poll has failed; return the backoff in seconds before the next poll.
 
-        The jitter keeps nodes whose polls failed in the same moment from polling again in step.
+        The jitter prevents nodes whose polls failed at the same time from polling again at the same time.
         """
-        self._answers = False
+        self._responding = False
         doublings = min(self._failures, MAX_BACKOFF_DOUBLINGS)
         bound_s = min(self._max_backoff_s, INITIAL_BACKOFF_S * BACKOFF_FACTOR**doublings)
         self._failures += 1
--- a/loadbalancer/node/discovery/response.py
+++ b/loadbalancer/node/discovery/response.py
@@ -1,4 +1,4 @@
-"""The endpoint list on the wire: `{"rev": ..., "all": ..., "targets": [...]}` (PROTOCOL, "Discovery")."""
+"""Wire format of the endpoint list: `{"rev": ..., "all": ..., "targets": [...]}` (PROTOCOL, "Discovery")."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryResponse:
-    """An endpoint list or the changes of one.
+    """A complete endpoint list, or the changes to one.
 
-    An endpoint's name is its `uid`, which is the same at every node and over restarts.
+    An endpoint's name is its `uid`, which is the same on every node and does not change with a restart.
     """
 
     revision: int
-    complete: bool  # the complete list, in contrast to the entries that have changed
+    complete: bool  # True: the complete list; False: only the entries that have changed
     endpoints: tuple[Endpoint, ...]
     addresses: dict[str, Address]  # by the endpoint's name
-    service_revision: int = 0  # the list service's revision, the same at all nodes; 0: the agent gives none
+    service_revision: int = 0  # the list service's revision, the same on all nodes; 0 if not given
 
 
-def decode_response(row: object) -> DiscoveryResponse:
-    """Return the list in a decoded JSON body; raise MalformedListError on any other form."""
-    if not isinstance(row, dict):
+def decode_response(body: object) -> DiscoveryResponse:
+    """Return the list in a decoded JSON body; raise MalformedListError if it is malformed."""
+    if not isinstance(body, dict):
         raise NotAListError
     try:
-        revision, complete, targets = _revision_of(row), row["all"], row["targets"]
+        revision, complete, targets = _revision_of(body), body["all"], body["targets"]
         if type(complete) is not bool:
             raise ListFieldError(field="all", value=complete, expected="true or false")
         if not isinstance(targets, list):
@@ -47,7 +47,7 @@
     except (KeyError, TypeError, AttributeError) as error:
         message = f"malformed list: {type(error).__name__}: {error}"
         raise MalformedListError(message) from error
-    service_revision = row.get("origin_rev")
+    service_revision = body.get("origin_rev")
     return DiscoveryResponse(
         revision,
         complete,
@@ -58,7 +58,7 @@
 
 
 def encode_response(response: DiscoveryResponse) -> dict[str, object]:
-    """Return the wire form of a list; endpoints that it removes are left out."""
+    """Return the wire form of a list, without removed endpoints."""
     targets = [
         _target_of(endpoint, response.addresses[endpoint.name])
         for endpoint in response.endpoints
@@ -67,8 +67,8 @@
     return {"rev": response.revision, "all": response.complete, "targets": targets}
 
 
-def _revision_of(row: Mapping[str, Any]) -> int:
-    revision = row["rev"]
+def _revision_of(body: Mapping[str, Any]) -> int:
+    revision = body["rev"]
     if type(revision) is not int or revision < 0:  # `isinstance` would accept a bool
         raise ListFieldError(field="rev", value=revision, expected="a whole number from 0")
     return revision
@@ -90,8 +90,8 @@
         zone=zone,
         cell=int(target.get("pod_group") or 0),
         state=state,
-        launched_ms=float(launched_ms) if launched_ms > 0 else None,  # 0: long ago
-        model=model if isinstance(model, str) else "",  # of any other kind, it is ignored
+        launched_ms=float(launched_ms) if launched_ms > 0 else None,  # 0: unknown or long ago
+        model=model if isinstance(model, str) else "",  # a value of another type is ignored
     )
 
 
--- a/loadbalancer/node/discovery/revision_guard.py
+++ b/loadbalancer/node/discovery/revision_guard.py
@@ -1,9 +1,9 @@
-"""Which revisions of the endpoint list are accepted.
+"""Decides which revisions of the endpoint list are accepted.
 
-A list of an older revision than one received would bring removed endpoints back, so it is rejected. A source
-that was rebuilt from nothing counts its revisions from the start, though, and would be rejected forever.
-Once it has answered with complete older lists for long enough, and with no newer one between, its list is
-accepted. The time keeps a replica that lags for a moment from being taken for a rebuilt source.
+A list with an older revision than one received before would bring removed endpoints back, so it is rejected.
+However, a source that was rebuilt from nothing counts its revisions from the start and would be rejected
+forever. Its list is accepted once it has returned only complete older lists for long enough. That time
+prevents a replica that lags briefly from being mistaken for a rebuilt source.
 """
 
 from __future__ import annotations
@@ -19,24 +19,26 @@
 from loadbalancer.node.discovery.response import DiscoveryResponse
 
 REBUILD_HOLD_S = PROPAGATION_DEADLINE_S - 2.0 * INITIAL_BACKOFF_S - RESPONSE_TIMEOUT_S
-# Shorter after a change of address, where a revision that counts from elsewhere is more likely.
+# Shorter after a change of address, since the revisions of another source often count from a different start.
 ADDRESS_CHANGE_HOLD_S = ADDRESS_CHANGE_DEADLINE_S - 2.0 * INITIAL_BACKOFF_S - SCHEDULING_SLACK_S
 
 
 class RevisionGuard:
-    """Rejects lists of older revisions from one source, until it proves to have been rebuilt."""
+    """Rejects lists with older revisions from one source until the source is found to have been rebuilt."""
 
     def __init__(self) -> None:
-        self.minimum = 0  # the lowest revision accepted; 0 until the source has answered
-        self._older_since: float | None = None  # loop time (s) of the first older complete list in a row
-        self._hold_s = REBUILD_HOLD_S  # how long it has to give them until one is accepted
+        self.minimum = 0  # lowest revision accepted; 0 until the source has responded
+        self._older_since: float | None = (
+            None  # loop time (s) of the first of consecutive older complete lists
+        )
+        self._hold_s = REBUILD_HOLD_S  # how long the source must return older lists until one is accepted
 
     def check(self, response: DiscoveryResponse, since: int, now: float) -> bool:
         """Return whether the response shows a rebuilt source; raise StaleListError if it is too old.
 
-        `since` is the revision that the poll asked for changes after, `now` the event loop's time in s.
+        The poll requested the changes after revision `since`; `now` is the event loop's time in s.
         """
-        if not response.complete:  # changes that came before `since` are not in it
+        if not response.complete:  # it lacks the changes up to `since`
             self.minimum = max(self.minimum, since)
         if response.revision >= self.minimum:
             return False
@@ -45,13 +47,13 @@
         return True
 
     def accept(self, revision: int) -> None:
-        """The node has taken over a list of this revision."""
+        """Record that the node has applied a list with this revision."""
         self.minimum = revision
         self._older_since = None
         self._hold_s = REBUILD_HOLD_S
 
     def reset_for_new_address(self) -> None:
-        """Begin with a new source, whose revisions may count from elsewhere."""
+        """Reset for a new source, whose revisions may count from a different start."""
         self.minimum = 0
         self._older_since = None
         self._hold_s = ADDRESS_CHANGE_HOLD_S
--- a/loadbalancer/node/discovery/watcher.py
+++ b/loadbalancer/node/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""The watch that follows discovery's endpoint list, whatever its polls come to."""
+"""The watcher, which follows discovery's endpoint list and continues after any failure."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 MAX_LOGGED_ERROR_CHARS = 200
 
-# Called with an update, or with FAILED and None when a poll has failed.
+# Called with the kind of an update and its response, or with FAILED and None when a poll has failed.
 UpdateListener = Callable[[EndpointListKind, DiscoveryResponse | None], None]
 
 
 class EndpointListWatcher:
-    """Polls for the list until it is closed. Neither a poll nor `on_update` can end the watch by raising."""
+    """Polls for the list until it is closed; exceptions in a poll or in `on_update` don't end the watch."""
 
     def __init__(
         self, address: Address, revision: int, policy: PollPolicy, on_update: UpdateListener
     ) -> None:
         self._client = DiscoveryClient(address)
-        self._revision = revision  # of the list that the node has
+        self._revision = revision  # revision of the node's list
         self._guard = RevisionGuard()
         self._needs_full_list = False
         self._policy = policy
@@ -39,23 +39,23 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin the watch unless it runs or the watcher has been closed."""
+        """Start the watch unless it is running or the watcher has been closed."""
         if self._task is None and not self._closed:
             self._task = asyncio.create_task(self._follow())
 
     @property
     def address(self) -> Address:
-        """Where the list is followed now."""
+        """Address from which the list is followed now."""
         return self._client.address
 
     def resume_from(self, revision: int) -> None:
-        """Ask for changes after `revision`, which the node knows from its state file."""
+        """Poll for changes after `revision`, which the node has from its state file."""
         self._revision = max(self._revision, revision)
 
     def change_address(self, address: Address) -> None:
         """Follow the list at this address from now on.
 
-        The new address is polled at once, even during a backoff: that is for the old address's failures.
+        The new address is polled at once, even during a backoff, which applies only to the old address.
         """
         if address == self._client.address:
             return
@@ -67,7 +67,7 @@
         self.start()
 
     def close(self) -> None:
-        """End the watch; none can be started after that."""
+        """End the watch permanently."""
         self._closed = True
         self._stop()
 
@@ -84,11 +84,11 @@
                     response = await self._poll()
                 kind = EndpointListKind.FULL if response.complete else EndpointListKind.DELTA
                 self._on_update(kind, response)
-            except Exception as error:  # of any kind, the listener's too: the list has to be followed on
+            except Exception as error:  # of any kind, also of the listener: the watch must continue
                 self._report_failure(error)
                 await asyncio.sleep(self._policy.record_failure())
                 continue
-            # Only now, so that an update which the listener could not take is asked for again.
+            # Only after the listener has returned, so that an update at which it raised is polled for again.
             self._revision = response.revision
             self._guard.accept(response.revision)
             self._failing = False
@@ -109,7 +109,7 @@
             rebuilt = self._guard.check(response, since, asyncio.get_running_loop().time())
         except StaleListError:
             self._needs_full_list = True
-            self._policy.record_success()  # discovery answers, so there is no outage to back off from
+            self._policy.record_success()  # discovery responds, so this is no outage that needs a backoff
             raise
         if rebuilt:
             log.warning(
@@ -120,9 +120,9 @@
             )
 
     def _report_failure(self, error: Exception) -> None:
-        """Log the first failure of a run and any unforeseen one, and notify the listener."""
+        """Log the first of consecutive failures and every unexpected error, and notify the listener."""
         if not isinstance(error, OSError | TimeoutError | ValueError):
-            log.error("watch of discovery at %s:%d failed", *self.address, exc_info=error)
+            log.error("watch of discovery at %s:%d failed unexpectedly", *self.address, exc_info=error)
         elif not self._failing:
             reason = f"{type(error).__name__}: {error}"[:MAX_LOGGED_ERROR_CHARS]
             log.warning("discovery at %s:%d failed, the last list stays in use: %s", *self.address, reason)
@@ -131,4 +131,4 @@
         try:
             self._on_update(EndpointListKind.FAILED, None)
         except Exception:
-            log.exception("a failure of discovery could not be reported to the balancer")
+            log.exception("balancer could not be notified of a failure of discovery")
--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the node has it, and which of its endpoints may be reached."""
+"""The node's endpoint list, and the endpoints in it that may receive requests."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class EndpointList:
-    """What discovery lists, less what operators have ejected.
+    """The endpoint list from discovery, and its available endpoints.
 
-    The balancer gets an event for each change; the pool reaches only endpoints that are up and not ejected.
+    The balancer receives an event for each change. Available are the endpoints that are up and not ejected by
+    an operator; the connection pool connects only to these.
     """
 
     def __init__(
@@ -39,12 +40,12 @@
         self._handle_event = handle_event
         self.endpoints: dict[str, tuple[Endpoint, Address]] = {}  # by name, of any status
         self.revision = 0  # discovery's revision of the list
-        self.service_revision = 0  # the list service's own revision of it; 0 where the agent gives none
-        self.confirmed_ms = -math.inf  # Unix time when discovery last gave or confirmed the list
-        self.available: set[str] = set()  # the endpoints that the pool may reach
+        self.service_revision = 0  # the list service's revision of the list; 0 if the agent gives none
+        self.confirmed_ms = -math.inf  # Unix time when discovery last sent or confirmed the list
+        self.available: set[str] = set()  # endpoints to which the pool may connect
 
     def apply_update(self, kind: EndpointListKind, response: DiscoveryResponse | None) -> None:
-        """Take over an update of discovery; None where a poll has failed."""
+        """Apply an update from discovery; `response` is None if a poll has failed."""
         self._event_counts[f"list {kind.value}"] += 1
         if response is None:
             self._handle_event(EndpointListUpdate(kind))
@@ -62,10 +63,10 @@
         self.apply_change(EndpointListUpdate(kind, response.endpoints))
 
     def apply_change(self, event: Event) -> None:
-        """Give the balancer a change of the endpoints, and let the pool reach those that it may.
+        """Notify the balancer of a change of the endpoints, and set the pool's endpoints.
 
-        The pool loses endpoints only after the balancer has handled the event, so that attempts withdrawn
-        from them are forwarded by the new list.
+        Endpoints are removed from the pool only after the balancer has handled the event, so that attempts
+        withdrawn from them are sent to endpoints of the new list.
         """
         available = self._find_available()
         for name in available:
@@ -78,7 +79,7 @@
         self._listener.ready = self._listener.ready or bool(available)  # ready from the first endpoint on
 
     def complete_list(self) -> DiscoveryResponse:
-        """Return a copy of the present list, in the form of a complete answer of discovery."""
+        """Return a copy of the current list, in the form of a complete response of discovery."""
         return DiscoveryResponse(
             self.revision,
             True,
--- a/loadbalancer/node/state/__init__.py
+++ b/loadbalancer/node/state/__init__.py
@@ -1,1 +1,4 @@
-"""Files that outlive a process or that two processes of a node share: state file, ejections, handover."""
+"""Files that persist across restarts or are shared by two processes of a node.
+
+They are the state file, the files of operators' ejections and the handover files of an upgrade.
+"""
--- a/loadbalancer/node/state/errors.py
+++ b/loadbalancer/node/state/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the node's stored state."""
+"""Errors of the state that a node stores in files."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StateRejectedError(StateError):
-    """A stored file breaks `rule`."""
+    """A stored file violates `rule`."""
 
     def __init__(self, rule: Rule) -> None:
         super().__init__(f"{rule.label} ({rule.description})")
@@ -20,7 +20,7 @@
 
 
 class StoredValueError(StateError):
-    """A field of a stored file holds a value of another kind."""
+    """A field of a stored file has an invalid value."""
 
     def __init__(self, field: str, value: object, expected: str) -> None:
         super().__init__(f"{field}: {value!r} is not {expected}")
--- a/loadbalancer/node/state/frame.py
+++ b/loadbalancer/node/state/frame.py
@@ -1,7 +1,7 @@
-"""The frame of stored files: a header with magic, digest and length, and a MessagePack map as body.
+"""Frame of stored files: a header with magic, digest and length, and a MessagePack map as body.
 
-On disk: MAGIC (4 bytes), the body's xxh64 digest (8 bytes), the body's length in bytes (4 bytes), all
-big-endian, then the body. The digest detects any torn or corrupted file.
+On disk: MAGIC (4 bytes), the xxh64 digest of the body (8 bytes) and the body's length in bytes (4 bytes), all
+big-endian, followed by the body. The digest detects torn and corrupted files.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 
 MAGIC = b"OLST"
 FRAME_HEADER = struct.Struct(">4sQI")
-FORMAT_VERSION = 1  # raised whenever the body changes its meaning; another format is not read
+FORMAT_VERSION = 1  # incremented when the meaning of the body changes; files of another format are rejected
 
-FrameBody = dict[str, Any]  # a decoded body, whose fields its reader checks
+FrameBody = dict[str, Any]  # a decoded body; the reader validates its fields
 
 
 def encode_frame(body: bytes) -> bytes:
-    """Put the header before a body in MessagePack."""
+    """Return a MessagePack body with its header."""
     return FRAME_HEADER.pack(MAGIC, xxhash.xxh64_intdigest(body), len(body)) + body
 
 
 def decode_frame(data: bytes) -> FrameBody:
-    """Return the body of a framed file; raise StateRejectedError with the rule that it breaks."""
-    row = _unpack(_verified_body(data))
-    if not isinstance(row, dict):
+    """Return the body of a framed file; raise StateRejectedError with the violated rule."""
+    body = _unpack(_verified_body(data))
+    if not isinstance(body, dict):
         raise StateRejectedError(Rule.MALFORMED)
-    if row.get("format") != FORMAT_VERSION:
+    if body.get("format") != FORMAT_VERSION:
         raise StateRejectedError(Rule.FORMAT)
-    return row
+    return body
 
 
 def _verified_body(data: bytes) -> bytes:
@@ -51,7 +51,7 @@
 
 def _unpack(body: bytes) -> object:
     try:
-        row: object = msgpack.unpackb(body, strict_map_key=False)
+        value: object = msgpack.unpackb(body, strict_map_key=False)
     except (ValueError, msgpack.UnpackException) as error:
         raise StateRejectedError(Rule.MALFORMED) from error
-    return row
+    return value
--- a/loadbalancer/node/state/handover.py
+++ b/loadbalancer/node/state/handover.py
@@ -1,4 +1,4 @@
-"""State that two processes of a node exchange during an upgrade: a file of each in a directory they share."""
+"""State that two processes of a node exchange during an upgrade, by one file each in a shared directory."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 FOLDER_NAME = "orchidledge-handover"
 FILE_PREFIX = "process-"
-FRESHNESS_MS = 1000.0  # a process whose file is older has ended or hangs
+FRESHNESS_MS = 1000.0  # if its file is older, a process has ended or hangs
 RETENTION_MS = 60_000.0  # a file older than this is removed
 MAX_FILE_BYTES = 256 * 1024
 
 
 class SiblingReport(NamedTuple):
-    """What the other live processes of this node report."""
+    """Report of the other live processes of this node."""
 
-    learned: LearnedState | None  # by the process that wrote last; None without another process
-    in_flight: dict[str, float]  # load at each endpoint, summed over the processes
+    learned: LearnedState | None  # of the process that wrote last; None without another process
+    in_flight: dict[str, float]  # load in flight by endpoint, summed over the processes
 
 
 class _HandoverRecord(NamedTuple):
-    """The contents of one process's file."""
+    """Contents of one process's file."""
 
     written_ms: float  # Unix time
     in_flight: dict[str, float]
@@ -44,7 +44,7 @@
 
 
 class HandoverFiles:
-    """Writes this process's file and reads those of the others."""
+    """Writes this process's file and reads the files of the other processes."""
 
     def __init__(self, folder: Path, process: int) -> None:
         self._folder = folder
@@ -52,17 +52,17 @@
         self._failures = FailureLog()
 
     def write(self, now_ms: float, learned: LearnedState, in_flight: dict[str, float]) -> None:
-        """Replace this process's file; the first failure to do so is logged."""
-        row = {"at_ms": now_ms, "learned": encode_learned(learned), "held": in_flight}
+        """Replace this process's file; the first of consecutive failures is logged."""
+        fields = {"at_ms": now_ms, "learned": encode_learned(learned), "held": in_flight}
         try:
             replace_shared_file(
-                self._folder / self._name, self._folder / f"draft-{self._name}", orjson.dumps(row)
+                self._folder / self._name, self._folder / f"draft-{self._name}", orjson.dumps(fields)
             )
         except OSError as error:
             self._failures.failure("handover file not written: %s", one_line(error))
 
     def read_siblings(self, now_ms: float) -> SiblingReport:
-        """Return what the other processes that still write report; files of long ended ones are removed."""
+        """Return the report of the other live processes; remove files that are older than RETENTION_MS."""
         newest: LearnedState | None = None
         newest_ms = -math.inf
         in_flight: dict[str, float] = {}
@@ -97,7 +97,7 @@
         return [self._folder / name for name in names if name.startswith(FILE_PREFIX) and name != self._name]
 
     def _read(self, path: Path) -> _HandoverRecord | None:
-        """One file's contents; None if it is malformed, or gone because its process has just ended."""
+        """Return a file's contents, or None if it is malformed or its process has just removed it."""
         try:
             with path.open("rb") as opened:
                 return _decode_record(opened.read(MAX_FILE_BYTES))
@@ -109,10 +109,10 @@
 
 
 def _decode_record(data: bytes) -> _HandoverRecord:
-    """Raises ValueError on any file that is malformed."""
-    row = mapping_of(orjson.loads(data), "handover")
+    """Return the contents of a file; raise ValueError if they are malformed."""
+    fields = mapping_of(orjson.loads(data), "handover")
     return _HandoverRecord(
-        written_ms=number_in(row, "at_ms"),
-        in_flight=numbers_in(row, "held"),
-        learned=decode_learned(row.get("learned")),
+        written_ms=number_in(fields, "at_ms"),
+        in_flight=numbers_in(fields, "held"),
+        learned=decode_learned(fields.get("learned")),
     )
--- a/loadbalancer/node/state/inspection.py
+++ b/loadbalancer/node/state/inspection.py
@@ -1,4 +1,4 @@
-"""A state file's verdict and contents as JSON, for `python -m loadbalancer state show`."""
+"""Describes a state file as JSON, for `python -m loadbalancer state show`."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class StateDescription(NamedTuple):
-    """A file's description as JSON text, and whether no rule rejects the file."""
+    """Description of a file as JSON text, and whether the file is accepted."""
 
     text: str
     accepted: bool
 
 
 def describe_state(path: Path, node: str | None = None) -> StateDescription:
-    """Describe a state file; where `node` is given, a file of another node is rejected."""
+    """Describe a state file; if `node` is given, a file of another node is rejected."""
     try:
         body = decode_frame(path.read_bytes())
         if node is not None and body.get("node") != node:
@@ -35,7 +35,7 @@
         return _rejected(Rule.UNREADABLE, "error", str(error))
     except StateRejectedError as error:
         return _rejected(error.rule, "rule", error.rule.explanation)
-    except (TypeError, ValueError):  # a key that JSON can't hold; a path with a null character
+    except (TypeError, ValueError):  # a key that JSON can't represent, or a null character in the path
         return _rejected(Rule.MALFORMED, "rule", Rule.MALFORMED.explanation)
 
 
@@ -44,13 +44,13 @@
 
 
 def _describe(body: FrameBody) -> str:
-    """The summary and the whole body; StateRejectedError where a start would find it malformed."""
-    written_ms, found = decode_body(body)
+    """Return a summary and the complete body; raise StateRejectedError if a node would find it malformed."""
+    written_ms, state = decode_body(body)
     age_ms = time.time() * MS_PER_S - written_ms
     summary = {
         "verdict": "whole",
         "age_ms": round(age_ms) if math.isfinite(age_ms) else None,
-        "listed": 0 if found.endpoint_list is None else len(found.endpoint_list.endpoints),
+        "listed": 0 if state.endpoint_list is None else len(state.endpoint_list.endpoints),
     }
     options = orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS
     return orjson.dumps({**summary, **body}, default=repr, option=options).decode()
--- a/loadbalancer/node/state/learned_codec.py
+++ b/loadbalancer/node/state/learned_codec.py
@@ -1,4 +1,4 @@
-"""The stored form of `LearnedState`, in handover files and in the state file."""
+"""Stored form of `LearnedState`, used in handover files and in the state file."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from loadbalancer.balancing.events import LearnedState
 from loadbalancer.node.state.errors import StoredValueError, StoredValueMissingError
 
-# The field of `LearnedState` for each stored key.
+# Field of `LearnedState` by the stored key.
 LEARNED_FIELDS = {
     "base": "baseline_ratio",
     "level": "latency_ratio",
@@ -24,13 +24,13 @@
 
 
 def encode_learned(learned: LearnedState) -> dict[str, object]:
-    """Return the stored form of what a process has learned."""
+    """Return the stored form of a process's learned state."""
     return {key: getattr(learned, field) for key, field in LEARNED_FIELDS.items()}
 
 
-def decode_learned(row: object) -> LearnedState:
-    """Return what a process had learned, from its stored form; raise StateError where that is malformed."""
-    stored = mapping_of(row, "learned")
+def decode_learned(value: object) -> LearnedState:
+    """Return the learned state from its stored form; raise StateError if that is malformed."""
+    stored = mapping_of(value, "learned")
     return LearnedState(
         baseline_ratio=None if _value(stored, "base") is None else number_in(stored, "base"),
         latency_ratio=number_in(stored, "level"),
@@ -45,27 +45,27 @@
 
 
 def mapping_of(value: object, name: str) -> Mapping[str, Any]:
-    """Return a stored object as it is; raise StoredValueError if it is of another kind."""
+    """Return `value` if it is an object; otherwise raise StoredValueError with `name`."""
     if not isinstance(value, dict):
         raise StoredValueError(name, value, "an object")
     return value
 
 
-def number_in(row: Mapping[str, Any], key: str) -> float:
-    """Return the finite number under a key; raise StateError where there is none."""
-    return _number(key, _value(row, key))
+def number_in(stored: Mapping[str, Any], key: str) -> float:
+    """Return the finite number under a key; raise StateError if there is none."""
+    return _number(key, _value(stored, key))
 
 
-def numbers_in(row: Mapping[str, Any], key: str) -> dict[str, float]:
-    """Return the named numbers under a key, negative ones as 0; raise StateError on any other kind."""
-    named = mapping_of(_value(row, key), key)
-    return {name: max(0.0, _number(key, value)) for name, value in named.items()}
+def numbers_in(stored: Mapping[str, Any], key: str) -> dict[str, float]:
+    """Return the numbers by name under a key, negative ones as 0; raise StateError for any other value."""
+    numbers = mapping_of(_value(stored, key), key)
+    return {name: max(0.0, _number(key, value)) for name, value in numbers.items()}
 
 
-def _value(row: Mapping[str, Any], key: str) -> object:
-    if key not in row:
+def _value(stored: Mapping[str, Any], key: str) -> object:
+    if key not in stored:
         raise StoredValueMissingError(key)
-    return row[key]
+    return stored[key]
 
 
 def _number(key: str, value: object) -> float:
--- a/loadbalancer/node/state/restore.py
+++ b/loadbalancer/node/state/restore.py
@@ -1,4 +1,4 @@
-"""Reading a node's state file at its start."""
+"""Reads a node's state file when the node starts."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 MAX_FILE_BYTES = 64 * 1024 * 1024
 
 
-def read_state(path: Path, node: str, now_ms: float, given_revision: int) -> RestoredState:
-    """Return what the rules accept of the state file; arguments as for `verify_state`.
+def read_state(path: Path, node: str, now_ms: float, configured_revision: int) -> RestoredState:
+    """Return the parts of the state file that the rules accept; arguments as for `verify_state`.
 
-    One log line says what the file gave, or which rule rejected it or a part of it.
+    One log line reports what was restored, or which rule rejected the file or a part of it.
     """
-    found = _read(path, node, now_ms, given_revision)
-    rules = "; ".join(f"{rule.label}, {rule.explanation}" for rule in found.violated_rules)
+    restored = _read(path, node, now_ms, configured_revision)
+    rules = "; ".join(f"{rule.label}, {rule.explanation}" for rule in restored.violated_rules)
     log.info(
         "state %s: %s; age %.0f ms, learned state %s, %d ejected, %d listed",
         path,
         rules or "verified",
-        found.age_ms,
-        "yes" if found.learned is not None else "no",
-        len(found.ejected_since_ms),
-        0 if found.endpoint_list is None else len(found.endpoint_list.endpoints),
+        restored.age_ms,
+        "yes" if restored.learned is not None else "no",
+        len(restored.ejected_since_ms),
+        0 if restored.endpoint_list is None else len(restored.endpoint_list.endpoints),
     )
-    return found
+    return restored
 
 
-def _read(path: Path, node: str, now_ms: float, given_revision: int) -> RestoredState:
+def _read(path: Path, node: str, now_ms: float, configured_revision: int) -> RestoredState:
     try:
         with path.open("rb") as opened:
             data = opened.read(MAX_FILE_BYTES + 1)
-        return verify_state(data, node, now_ms, given_revision)
+        return verify_state(data, node, now_ms, configured_revision)
     except FileNotFoundError:
         return RestoredState(violated_rules=[Rule.MISSING])
     except OSError as error:
@@ -46,5 +46,5 @@
         return RestoredState(violated_rules=[Rule.UNREADABLE])
     except StateRejectedError as error:
         return RestoredState(violated_rules=[error.rule])
-    except ValueError:  # of the path itself, which may hold a null character
+    except ValueError:  # of the path itself, if it contains a null character
         return RestoredState(violated_rules=[Rule.MALFORMED])
--- a/loadbalancer/node/state/rules.py
+++ b/loadbalancer/node/state/rules.py
@@ -1,16 +1,16 @@
-"""The rules by which a state file is accepted, in whole or in part."""
+"""Rules by which a state file, or a part of it, is rejected."""
 
 from __future__ import annotations
 
 from enum import Enum
 
-MAX_LIST_AGE_MS = 300_000.0  # an older list may name endpoints that are gone and lack those started since
+MAX_LIST_AGE_MS = 300_000.0  # an older list may have removed endpoints and lack newer ones
 
 _COLD_START = "a cold start"
 
 
 class Rule(Enum):
-    """A reason to reject a state file or a part of it; log lines and `state show` name it by `label`."""
+    """A reason to reject a state file or a part of it; log lines and `state show` identify it by `label`."""
 
     MISSING = ("missing", "no file", _COLD_START)
     UNREADABLE = ("unreadable", "the file could not be read", _COLD_START)
@@ -42,5 +42,5 @@
 
     @property
     def explanation(self) -> str:
-        """What is wrong, and what the node does about it."""
+        """The reason, and the consequence for the node."""
         return f"{self.description}: {self.consequence}"
--- a/loadbalancer/node/state/snapshot.py
+++ b/loadbalancer/node/state/snapshot.py
@@ -1,7 +1,7 @@
-"""The contents of a node's state file: what it has learned, operators' ejections and its last endpoint list.
+"""Contents of a node's state file: its learned state, operators' ejections and its last endpoint list.
 
-`encode_state` makes the file's bytes, `decode_body` reads what they hold, `verify_state` applies the rules of
-`rules.py` to them.
+`encode_state` returns the file's bytes, `decode_body` reads a body without applying rules, and `verify_state`
+applies the rules of `rules.py`.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from loadbalancer.node.state.rules import MAX_LIST_AGE_MS, Rule
 
 PROGRAM_VERSION = "0.1.0"
-MAX_CLOCK_SKEW_MS = 1000.0  # a file written further in the future is older than a step back of the clock
+MAX_CLOCK_SKEW_MS = 1000.0  # if a file was written further in the future, the clock was set back since
 
 
 @dataclass(slots=True)
 class RestoredState:
-    """What a state file gives; for a cold start, every part is None or empty."""
+    """The accepted parts of a state file; all are None or empty for a cold start."""
 
     age_ms: float = math.inf  # since the file was written
     learned: LearnedState | None = None
     ejected_since_ms: dict[str, float] = field(default_factory=dict)  # Unix ms, by endpoint
     endpoint_list: DiscoveryResponse | None = None
-    violated_rules: list[Rule] = field(default_factory=list)  # that rejected the file or a part of it
+    violated_rules: list[Rule] = field(default_factory=list)  # rules that rejected the file or a part of it
 
 
 def encode_state(
@@ -55,28 +55,28 @@
     return encode_frame(body)
 
 
-def verify_state(data: bytes, node: str, now_ms: float, given_revision: int) -> RestoredState:
-    """Return what the rules accept of a file's bytes for this node at `now_ms` (Unix time).
+def verify_state(data: bytes, node: str, now_ms: float, configured_revision: int) -> RestoredState:
+    """Return the parts of a file that the rules accept for this node at `now_ms` (Unix time).
 
-    `given_revision` is that of the endpoint list in the node's configuration. Raise StateRejectedError where
-    a rule rejects the whole file.
+    `configured_revision` is the revision of the endpoint list in the node's configuration. Raise
+    StateRejectedError if a rule rejects the complete file.
     """
     body = decode_frame(data)
     if body.get("node") != node:
         raise StateRejectedError(Rule.ANOTHER_NODE)
-    written_ms, found = decode_body(body)
+    written_ms, restored = decode_body(body)
     if not math.isfinite(written_ms) or written_ms > now_ms + MAX_CLOCK_SKEW_MS:
-        return RestoredState(ejected_since_ms=found.ejected_since_ms, violated_rules=[Rule.FUTURE])
-    found.age_ms = now_ms - written_ms
-    rule = _rule_against_list(found, given_revision)
+        return RestoredState(ejected_since_ms=restored.ejected_since_ms, violated_rules=[Rule.FUTURE])
+    restored.age_ms = now_ms - written_ms
+    rule = _endpoint_list_violation(restored, configured_revision)
     if rule is not None:
-        found.endpoint_list = None
-        found.violated_rules.append(rule)
-    return found
+        restored.endpoint_list = None
+        restored.violated_rules.append(rule)
+    return restored
 
 
 def decode_body(body: FrameBody) -> tuple[float, RestoredState]:
-    """When the file was written (Unix ms), and all that it holds; StateRejectedError for a malformed body."""
+    """Return when the file was written (Unix ms) and its contents; raise StateRejectedError if malformed."""
     try:
         written_ms = float(body["written_ms"])
         return written_ms, RestoredState(
@@ -88,10 +88,10 @@
         raise StateRejectedError(Rule.MALFORMED) from error
 
 
-def _rule_against_list(found: RestoredState, given_revision: int) -> Rule | None:
-    """The rule that rejects the list of a file that is otherwise accepted; None if it may be used."""
-    if found.age_ms > MAX_LIST_AGE_MS:
+def _endpoint_list_violation(restored: RestoredState, configured_revision: int) -> Rule | None:
+    """Return the rule that rejects the list of an otherwise accepted file, or None if the list is usable."""
+    if restored.age_ms > MAX_LIST_AGE_MS:
         return Rule.LIST_OLD
-    if found.endpoint_list is None or found.endpoint_list.revision <= given_revision:
+    if restored.endpoint_list is None or restored.endpoint_list.revision <= configured_revision:
         return Rule.LIST_BEHIND
     return None
--- a/loadbalancer/node/state/state_file.py
+++ b/loadbalancer/node/state/state_file.py
@@ -1,4 +1,4 @@
-"""The writer of a node's state file: one process at a time, off the event loop."""
+"""Writes a node's state file, from one process at a time and outside the event loop's thread."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 
 
 class StateFile:
-    """One node's state file. Only the process that holds `FILE.lock` writes it."""
+    """A node's state file. Only the process that holds the lock on `FILE.lock` writes it."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.writes = 0  # since the start, as are failures
-        self.failures = 0
+        self.writes = 0  # since the start
+        self.failures = 0  # since the start
         self.last_write_bytes = 0
         self.last_write_s = 0.0  # how long the last write took
-        self._lock: int | None = None  # descriptor of the lock file while this process holds the lock
-        self._write_lock = threading.Lock()  # held by the worker thread that writes
+        self._lock: int | None = None  # file descriptor while this process holds the lock
+        self._write_lock = threading.Lock()  # held by the worker thread during a write
         self._write_in_progress = False
         self._failure_log = FailureLog()
         self._lock_denied = False
 
     def acquire_lock(self) -> bool:
-        """Return whether this process may write.
+        """Return whether this process may write the file.
 
-        The lock is tried for at each call, as the process that holds it may have ended.
+        Each call tries to take the lock, since the process that holds it may have ended.
         """
         if self._lock is not None:
             return True
@@ -63,36 +63,36 @@
     async def write(self, encode: Callable[[], bytes]) -> None:
         """Encode and write the file in a worker thread; a failure is counted and logged.
 
-        While another write is in progress, nothing is written. `encode` runs in the thread, so it must read
-        only what the event loop no longer changes.
+        Do nothing if another write is in progress. `encode` runs in the worker thread, so it must read only
+        data that the event loop does not change.
         """
         if self._write_in_progress or not self.acquire_lock():
             return
         self._write_in_progress = True
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         try:
             size = await asyncio.to_thread(self._encode_and_write, encode)
         except OSError as error:
             self._record_failure(error)
         else:
             self.writes += 1
-            self.last_write_bytes, self.last_write_s = size, loop.time() - began
+            self.last_write_bytes, self.last_write_s = size, loop.time() - started_at
             if self._failure_log.success():
                 log.info("state %s: written again", self.path)
         finally:
             self._write_in_progress = False
 
     def close(self) -> None:
-        """Release the lock, after a write in progress.
+        """Release the lock, after any write in progress has ended.
 
-        A write may outlive the task that asked for it. Without the lock it could replace the newer file of
-        the next process.
+        The write of a cancelled task continues in its thread. If the lock were released earlier, that write
+        could overwrite a newer file of the next process.
         """
         with self._write_lock:
             if self._lock is not None:
                 with contextlib.suppress(OSError):
-                    os.close(self._lock)  # which releases the lock
+                    os.close(self._lock)  # releases the lock
                 self._lock = None
 
     def _encode_and_write(self, encode: Callable[[], bytes]) -> int:
--- a/loadbalancer/node/state_writer.py
+++ b/loadbalancer/node/state_writer.py
@@ -1,4 +1,4 @@
-"""Restoring the node's state from its state file at the start, and writing that file while the node runs."""
+"""Restores the node's state from its state file at the start and writes that file while the node runs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StateWriter:
-    """A component of the node (node/component.py) where the configuration names a state file."""
+    """A component of the node (node/component.py) that is used if the configuration names a state file."""
 
     def __init__(
         self,
@@ -34,32 +34,34 @@
         self._loop = asyncio.get_running_loop()
         self._file = StateFile(path)
         self._node_name = config.name
-        self._given_revision = config.initial_list.revision
+        self._configured_revision = config.initial_list.revision
         self._interval_s = config.state_write_interval_ms / 1000.0
         self._clock = clock
         self._endpoint_list = endpoint_list
         self._ejections = ejections
         self._watcher = watcher
         self._driver = driver
-        self._writes: set[asyncio.Task[None]] = set()  # keeps the tasks alive until they end
+        self._writes: set[asyncio.Task[None]] = set()  # references that keep the tasks alive until they end
         self._timer: asyncio.TimerHandle | None = None
 
     def restore(self) -> None:
-        """Take over what the rules accept of the state file: ejections, then the list, then learned state."""
-        found = read_state(self._file.path, self._node_name, self._clock.unix_ms(), self._given_revision)
-        self._ejections.restore_from_state(found.ejected_since_ms)
-        if found.endpoint_list is not None:
-            self._endpoint_list.apply_update(EndpointListKind.CACHED, found.endpoint_list)
-            self._watcher.resume_from(found.endpoint_list.revision)
-        if found.learned is not None:
-            self._driver.handle_event(StateRestored(found.learned, found.age_ms))
+        """Apply the accepted parts of the state file: ejections, then the list, then the learned state."""
+        restored = read_state(
+            self._file.path, self._node_name, self._clock.unix_ms(), self._configured_revision
+        )
+        self._ejections.restore_from_state(restored.ejected_since_ms)
+        if restored.endpoint_list is not None:
+            self._endpoint_list.apply_update(EndpointListKind.CACHED, restored.endpoint_list)
+            self._watcher.resume_from(restored.endpoint_list.revision)
+        if restored.learned is not None:
+            self._driver.handle_event(StateRestored(restored.learned, restored.age_ms))
 
     async def start(self) -> None:
-        """Write the file now and in each interval from now on."""
+        """Write the file now and periodically from now on."""
         self._write_periodically()
 
     async def stop(self) -> None:
-        """Write the file a last time."""
+        """Write the file one last time."""
         await self._write()
 
     def close(self) -> None:
@@ -69,7 +71,7 @@
             self._timer.cancel()
 
     def metrics(self) -> str:
-        """Return the lines of GET /status/metrics on the state file."""
+        """Return the state file's lines of GET /status/metrics."""
         file = self._file
         return (
             f"proxy.state_writes={file.writes}\nproxy.state_failures={file.failures}\n"
@@ -78,7 +80,7 @@
         )
 
     def write_soon(self) -> None:
-        """Begin a write in a task of its own, apart from the periodic ones."""
+        """Start a write in its own task, independent of the periodic ones."""
         task = asyncio.create_task(self._write())
         self._writes.add(task)
         task.add_done_callback(self._writes.discard)
@@ -88,7 +90,7 @@
         self._timer = self._loop.call_later(self._interval_s, self._write_periodically)
 
     async def _write(self) -> None:
-        # Copies, as the worker thread that encodes them must read nothing that the event loop changes.
+        # Copies, since the worker thread that encodes them must not read data that the event loop changes.
         ejected_since_ms = self._ejections.ejected_since_ms()
         learned = self._driver.balancer.learned_state()
         learned.class_latency_ms = dict(learned.class_latency_ms)
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -153,7 +153,7 @@
         """The process has ended; False where it has no record."""
         left = self._prepared(self.service_of(incarnation)).leave(incarnation)
         if left:
-            self.routes.on_left(incarnation)
+            self.routes.on_removed(incarnation)
         return left
 
     def remove(self, name: str, service: str | None = None) -> list[int]:
@@ -165,7 +165,7 @@
         for group in [NO_SERVICE, *self.services] if service is None else [service]:
             ended += self._prepared(group).remove(name)
         for incarnation in ended:
-            self.routes.on_left(incarnation)
+            self.routes.on_removed(incarnation)
         return ended
 
     def end_service(self, service: str) -> list[int]:
@@ -329,7 +329,7 @@
 
     def _forget(self, incarnation: int) -> None:
         self._service_of.pop(incarnation, None)
-        self.routes.on_left(incarnation)
+        self.routes.on_removed(incarnation)
 
     def _voters(self) -> list[int]:
         live = (MemberState.LIVE, MemberState.DRAINING)
--- a/loadbalancer/routing/__init__.py
+++ b/loadbalancer/routing/__init__.py
@@ -1,22 +1,25 @@
-"""Route versions, switched on all nodes at one moment. Pure: events and times in, events and actions out.
+"""Route versions, which all nodes switch to at the same time by two-phase activation.
 
-- `parse_table`, `find_objections`, `RouteTable` (route_table.py): a version's TOML, and why a node can't
-  take it.
+The package is pure: it takes events and times and returns events and actions.
+
+- `parse_table`, `find_objections`, `RouteTable` (route_table.py): a version's TOML, and the reasons why a
+  node can't apply it.
 - `ActivationCoordinator`, `ActivationOutcome` (coordinator.py, version_record.py): the coordinator, which is
   replicated.
-- `RouteParticipant` (participant.py) and its actions (actions.py): a node's part.
+- `RouteParticipant` (participant.py) and its actions (actions.py): a node's part in an activation.
 
-The invariant: no two nodes whose participation is `following` run different versions, but for the clock bound
-around the activation time of a version, whatever messages are lost, late or repeated and whatever processes
-are paused or restarted. It rests on four rules:
+Invariant: two nodes whose participation is `following` run the same version, except within the clock bound
+around a version's activation time. This holds even if messages are lost, late or duplicated and processes are
+paused or restarted. It depends on four rules:
 
-1. A node votes yes only once it has checked the text and synced it to disk; every member with a live lease
+1. A node votes yes only after it has checked the text and synced it to disk; every member with a live lease
    votes.
 2. The activation time is the log's time at the decision + lease term + clock bound. A renewal sent late
-   enough to keep a lease alive at that time is behind the decision in the log, so its answer announces it.
-3. A node whose lease has ended by its own clock runs version 0 from then on. It follows again only once its
-   disk holds the version in force and a decided one, as an answer under its new lease announces them.
-4. An outcome in the log is final, and a number stands for one activation of one text.
+   enough to keep a lease alive at that time comes after the decision in the log, so its response announces
+   the decision.
+3. A node whose lease has expired by its local clock runs version 0 from then on. It follows again only once
+   its disk has the version in force and any decided version, as announced by a response under its new lease.
+4. An outcome in the log is final, and a number identifies one activation of one text.
 """
 
 from loadbalancer.routing.actions import Action, Apply, CastVote, Delete, Fetch, Store
--- a/loadbalancer/routing/actions.py
+++ b/loadbalancer/routing/actions.py
@@ -1,4 +1,4 @@
-"""Actions of a route participant, which its owner carries out in order."""
+"""Actions returned by a route participant, which its owner executes in order."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Fetch:
-    """Fetch the version's text from the list service; ends in `on_fetched`."""
+    """Fetch the version's text from the list service, then call `on_fetched`."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class Store:
-    """Write the text to disk and sync it; ends in `on_stored`.
+    """Write the text to disk and sync it, then call `on_stored`.
 
-    Writes and deletions of one number are carried out in the order in which they are requested.
+    Writes and deletions of one number are executed in the order in which they are requested.
     """
 
     number: int
@@ -27,15 +27,15 @@
 
 @dataclass(slots=True, frozen=True)
 class CastVote:
-    """Send the vote; `on_vote_acknowledged` follows once the service has answered.
+    """Send the vote; call `on_vote_acknowledged` when the list service has responded.
 
-    A vote that is lost is requested again after a later lease answer.
+    A lost vote is requested again after a later lease response.
     """
 
     incarnation: int
     number: int
     yes: bool
-    reason: str  # of a no
+    reason: str  # why the node votes no; empty if it votes yes
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """Balance by this version from now on."""
+    """Route requests by this version from now on."""
 
     event: RouteVersion
-    due_ms: float  # when it was due, on the node's own clock
+    due_ms: float  # when the switch was due, on the local clock
 
 
 Action = Fetch | Store | CastVote | Delete | Apply
--- a/loadbalancer/routing/error_position.py
+++ b/loadbalancer/routing/error_position.py
@@ -1,7 +1,7 @@
 """Finds the line of a TOML text in which a key is first defined.
 
-tomllib gives no positions. Whether the key is in the table that a prefix of the text parses to only changes
-once with the prefix's length, so bisection over prefixes finds the statement.
+tomllib reports no positions. As a prefix of the text grows, a key appears in the parsed table once and stays
+there, so bisection over the length of the prefix finds the statement.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-MAX_PARSES = 40  # of prefixes of the text
+MAX_PARSES = 40  # prefixes parsed per search
 
 Path = tuple[str | int, ...]  # keys and, in arrays, indices
 
 
 class _Prefix(NamedTuple):
-    """The first lines of the text that parse on their own."""
+    """Leading lines of the text that parse on their own."""
 
     line_count: int
     table: dict[str, Any]
 
 
 def find_line(text: str, path: Path) -> int:
-    """The number, from 1, of the first line of the statement that defines `path`."""
+    """Return the number (from 1) of the first line of the statement that defines `path`."""
     lines = text.split("\n")
     low, high = 0, len(lines)
     attempts = iter(range(MAX_PARSES))
@@ -31,7 +31,7 @@
         middle = (low + high) // 2
         prefix = _next_prefix(lines, middle, high, attempts)
         if prefix is None:
-            high = middle  # no prefix of `middle` to `high` lines parses
+            high = middle  # no prefix of `middle` up to `high` - 1 lines parses
         elif _has(prefix.table, path):
             high = prefix.line_count
         else:
@@ -40,14 +40,14 @@
 
 
 def _next_prefix(lines: list[str], start: int, stop: int, attempts: Iterator[int]) -> _Prefix | None:
-    """The shortest prefix of at least `start` and fewer than `stop` lines that parses."""
+    """Return the shortest prefix of at least `start` and fewer than `stop` lines that parses, if any."""
     for line_count in range(start, stop):
         if next(attempts, None) is None:
             return None
         try:
             return _Prefix(line_count, tomllib.loads("\n".join(lines[:line_count])))
         except ValueError:
-            continue  # it ends within a value of several lines
+            continue  # the prefix ends within a multi-line value
     return None
 
 
--- a/loadbalancer/routing/errors.py
+++ b/loadbalancer/routing/errors.py
@@ -6,7 +6,7 @@
 
 
 def as_one_line(message: str) -> str:
-    """The message with a space for each character that can't be printed, cut to MAX_ERROR_CHARS."""
+    """Replace each unprintable character by a space and truncate the message to MAX_ERROR_CHARS."""
     return "".join(char if char.isprintable() else " " for char in message)[:MAX_ERROR_CHARS]
 
 
@@ -15,9 +15,9 @@
 
 
 class RouteTableError(RoutingError):
-    """A route table's text is not valid.
+    """A route table's text is invalid.
 
-    The message is one printable line that names the key ("text" for the text itself), its line if known, and
+    The message is one printable line with the key ("text" for the text itself), the line number if known, and
     the problem.
     """
 
@@ -28,7 +28,7 @@
 
 
 class MalformedAnnouncementError(RoutingError):
-    """The `routes` of a lease answer do not have the form of an announcement."""
+    """The `routes` of a lease response are not a valid announcement."""
 
     def __init__(self, cause: Exception) -> None:
         super().__init__(f"malformed routes: {type(cause).__name__}: {cause}"[:MAX_ERROR_CHARS])
--- a/loadbalancer/routing/participant.py
+++ b/loadbalancer/routing/participant.py
@@ -1,24 +1,23 @@
 """A node's part in two-phase activation: it stores texts, votes, switches on time and falls back.
 
-Events come in as calls with the node's own clock (`now`, ms); each returns the actions that follow. The owner
-carries them out in order and reports the end of each Fetch, Store and CastVote.
+Events are method calls with the time on the node's local clock (`now`, ms). Each call returns the resulting
+actions; the owner executes them in order and reports the result of each Fetch, Store and CastVote.
 
-A node's participation at a moment (`Participation`):
+A node's participation at a given time (`Participation`):
 
-    detached   no live lease by the node's own clock; runs version 0
-    waiting    a live lease, but the version in force or a decided one is not on this disk yet, or service
-               time has not been known closely enough to switch to the decided one; runs version 0
-    following  a live lease and all required versions on this disk; runs the version in force by the best
-               estimate of service time
+    detached   no live lease by the local clock; the node runs version 0
+    waiting    a live lease, but the version in force or a decided one is not stored yet, or service time is
+               not known closely enough to switch to the decided one; the node runs version 0
+    following  a live lease, and all required versions are stored; the node runs the version in force by its
+               best estimate of service time
 
-Only the end of its lease makes a following node stop following: each member with a live lease votes before a
-decision, and one that comes after it waits until it has stored what is decided. So no two following nodes run
-different versions, but for the clock bound around the activation time.
+A following node stops following only when its lease ends: every member with a live lease votes before a
+decision, and a member that enrols after the decision waits until it has stored the decided version. Two
+following nodes therefore run the same version, except within the clock bound around the activation time.
 
-Order on disk: a text is checked and stored with fsync before the node votes yes. The yes stays true for as
-long as the process runs, and Delete is requested only once the log has ended an activation. A process that
-starts again has what was stored (`on_restored`), runs version 0, and learns the outcome from its first lease
-answer.
+A text is checked and stored with fsync before the node votes yes. The yes remains valid while the process
+runs, since Delete is requested only after the log has ended the activation. A restarted process has the
+stored texts (`on_restored`), runs version 0, and receives the outcome with its first lease response.
 """
 
 from __future__ import annotations
@@ -37,12 +36,12 @@
 from loadbalancer.routing.version_record import digest
 
 MAX_OBJECTION_CHARS = 300
-UNKNOWN_OFFSET = ServiceOffset(0.0, 0.0)  # until the first lease answer
-NO_VERSION = 0  # the neutral version, which needs no copy
+UNKNOWN_OFFSET = ServiceOffset(0.0, 0.0)  # until the first lease response
+NEUTRAL_VERSION = 0  # the neutral version, which needs no copy
 
 
 class Participation(StrEnum):
-    """Whether a node takes part in route versions; the values are what operators read."""
+    """Whether a node follows route versions; operators see the values."""
 
     DETACHED = "detached"
     WAITING = "waiting"
@@ -51,26 +50,26 @@
 
 @dataclass(slots=True)
 class RouteParticipant:
-    """One node's state. All values in the fields but `copies` are immutable, so `copy` is cheap."""
+    """One node's state. All field values except `copies` are immutable, so `copy` is cheap."""
 
-    classes: tuple[str, ...]  # of requests, as this node is configured
-    bound_ms: float  # a node that knows service time less closely than this votes no
-    retry_ms: float = 200.0  # from a fetch or write that failed to the next
-    running_version: int = NO_VERSION  # the version last applied
+    classes: tuple[str, ...]  # request classes in this node's configuration
+    bound_ms: float  # clock bound; a node that knows service time less closely votes no
+    retry_ms: float = 200.0  # delay before a failed fetch or write is retried
+    running_version: int = NEUTRAL_VERSION  # the version last applied
     incarnation: int | None = None
-    lease_end_ms: float | None = None  # own clock; None: no lease
+    lease_end_ms: float | None = None  # local time; None: no lease
     service_offset: ServiceOffset = UNKNOWN_OFFSET
     announced: Announcement | None = None
     endpoints: tuple[Endpoint, ...] | None = None  # None: no endpoint list yet
-    unconfident: frozenset[str] = frozenset()  # names of endpoints in which confidence is none
+    unconfident: frozenset[str] = frozenset()  # names of the endpoints with confidence NONE
     copies: dict[int, VersionCopy] = field(default_factory=dict)
 
     # Events.
 
-    def on_restored(self, found: Iterable[tuple[int, str]]) -> list[Action]:
-        """The process has started with these numbers and texts on disk; unreadable ones are deleted."""
+    def on_restored(self, stored: Iterable[tuple[int, str]]) -> list[Action]:
+        """Handle the start of the process with these numbers and texts on disk; delete unreadable texts."""
         actions: list[Action] = []
-        for number, text in found:
+        for number, text in stored:
             try:
                 self.copies[number] = VersionCopy(
                     digest(text), CopyStage.STORED, table=parse_table(number, text)
@@ -79,7 +78,7 @@
                 actions.append(Delete(number))
         return actions
 
-    def on_answer(
+    def on_lease_response(
         self,
         now: float,
         incarnation: int,
@@ -87,43 +86,44 @@
         service_ms: tuple[float, float],
         routes: dict[str, Any],
     ) -> list[Action]:
-        """An enrolment or a renewal was answered.
+        """Handle the response to an enrolment or a renewal.
 
-        `lease_end_ms` is by the node's own clock, `service_ms` the interval of service time now and `routes`
-        the announcement. They come in one call, so that no lease outlives what is known. An answer older than
-        the last one used changes nothing. Raises MalformedAnnouncementError, and then changes nothing.
+        `lease_end_ms` is a local time, `service_ms` the interval of service time now, `routes` the
+        announcement. They are applied together, so that a lease is never extended without the announcement
+        that came with it. A response older than the last one used changes nothing. Raise
+        MalformedAnnouncementError, without any change, if `routes` is malformed.
         """
-        announced = Announcement.from_answer(routes)
+        announced = Announcement.from_lease_response(routes)
         if self._is_outdated(incarnation, announced):
             return []
-        same = incarnation == self.incarnation
+        same_incarnation = incarnation == self.incarnation
         for number, copy in self.copies.items():
-            acknowledged = copy.vote_acknowledged and same
+            acknowledged = copy.vote_acknowledged and same_incarnation
             self.copies[number] = replace(copy, vote_acknowledged=acknowledged, vote_sent=acknowledged)
-        if same and self.lease_end_ms is not None:
+        if same_incarnation and self.lease_end_ms is not None:
             lease_end_ms = max(lease_end_ms, self.lease_end_ms)
         self.incarnation, self.lease_end_ms, self.announced = incarnation, lease_end_ms, announced
         return self.tick(now, service_ms)
 
     def set_lease_end(self, now: float, lease_end_ms: float | None) -> list[Action]:
-        """The lease ends at another time than the last answer stated; None: it has ended."""
+        """Replace the end of the lease that the last response gave; None: the lease has ended."""
         self.lease_end_ms = lease_end_ms
         return self._step(now)
 
     def on_unregistered(self, now: float) -> list[Action]:
-        """The service has no record of this node, which enrols again, perhaps with a service built anew."""
+        """Handle that the list service, which may have been rebuilt, has no record of this node."""
         self.incarnation = None
         return self.set_lease_end(now, None)
 
     def set_endpoints(
-        self, now: float, servers: tuple[Endpoint, ...], blind: Collection[str] = ()
+        self, now: float, endpoints: tuple[Endpoint, ...], unconfident: Collection[str] = ()
     ) -> list[Action]:
-        """The complete endpoint list, and the names of those in which confidence is none."""
-        self.endpoints, self.unconfident = servers, frozenset(blind)
+        """Set the complete endpoint list and the names of the endpoints with confidence NONE."""
+        self.endpoints, self.unconfident = endpoints, frozenset(unconfident)
         return self._step(now)
 
     def on_fetched(self, now: float, number: int, text: str | None) -> list[Action]:
-        """A fetch has ended; `text` is None where it failed."""
+        """Handle the end of a fetch; `text` is None if it failed."""
         copy = self.copies.get(number)
         if copy is None or copy.stage is not CopyStage.FETCHING:
             return []
@@ -138,39 +138,39 @@
         return self._step(now)
 
     def on_stored(self, now: float, number: int, ok: bool, reason: str = "") -> list[Action]:
-        """A write has ended; `ok`: the text is written and synced, else `reason` says why not."""
+        """Handle the end of a write; `ok`: the text is written and synced, else `reason` is the error."""
         copy = self.copies.get(number)
         if copy is None or copy.stage is not CopyStage.STORING:
             return []
         if ok:
             copy = replace(copy, stage=CopyStage.STORED, text="")
         else:
-            again_at = now + self.retry_ms
+            retry_at_ms = now + self.retry_ms
             copy = replace(
-                copy, stage=CopyStage.READ, store_error=f"not writable: {reason}", retry_at_ms=again_at
+                copy, stage=CopyStage.READ, store_error=f"not writable: {reason}", retry_at_ms=retry_at_ms
             )
         self.copies[number] = copy
         return self._step(now)
 
     def on_vote_acknowledged(self, incarnation: int, number: int) -> None:
-        """The service has the vote that was cast under this incarnation."""
+        """Handle that the list service has received the vote cast under this incarnation."""
         copy = self.copies.get(number)
         if copy is not None and incarnation == self.incarnation:
             self.copies[number] = replace(copy, vote_acknowledged=True)
 
     def tick(self, now: float, service_ms: tuple[float, float] | None = None) -> list[Action]:
-        """Time has passed; `service_ms` is the interval of service time now, if the estimate has changed."""
+        """Handle the passage of time; `service_ms`: interval of service time now, if the estimate changed."""
         if service_ms is not None:
             earliest_ms, latest_ms = service_ms
             self.service_offset = ServiceOffset(earliest_ms - now, latest_ms - now)
         return self._step(now)
 
-    # Reads.
+    # Queries.
 
     def next_tick_ms(self, now: float) -> float | None:
-        """When `tick` has something to do, on the node's own clock.
+        """Return the local time at which `tick` has something to do.
 
-        A time up to `now` means at once, None that time alone changes nothing.
+        A time up to `now` means at once; None means that the passage of time alone changes nothing.
         """
         due_ms = self._retries_ms(now)
         if self.lease_end_ms is not None and self.running_version:
@@ -181,7 +181,7 @@
         return min(due_ms, default=None)
 
     def _retries_ms(self, now: float) -> list[float]:
-        """When failed fetches and writes of wanted versions are to be repeated."""
+        """Return the times at which failed fetches and writes of wanted versions are retried."""
         if self.announced is None or self.participation(now) is Participation.DETACHED:
             return []
         wanted = [(version.number, self.copies.get(version.number)) for version in self.announced.wanted()]
@@ -195,14 +195,14 @@
         ]
 
     def participation(self, now: float) -> Participation:
-        """Whether this node follows the version in force."""
+        """Return whether this node follows the version in force."""
         if self.lease_end_ms is None or now >= self.lease_end_ms or self.announced is None:
             return Participation.DETACHED
         ready = all(self._is_ready(version.number, version.digest) for version in self.announced.required())
         return Participation.FOLLOWING if ready else Participation.WAITING
 
     def status(self, now: float) -> dict[str, Any]:
-        """The node's state for operators, by the names of the JSON body."""
+        """Return the node's state for operators, with the keys of the JSON body."""
         announced = self.announced
         pending = None if announced is None else announced.pending
         return {
@@ -218,21 +218,22 @@
         }
 
     def copy(self) -> RouteParticipant:
-        """A participant that changes independently of this one."""
+        """Return a copy that changes independently of this participant."""
         return replace(self, copies=dict(self.copies))
 
     def key(self) -> tuple[object, ...]:
-        """The whole state as a hashable value."""
+        """Return the complete state as a hashable value."""
         names = [item.name for item in fields(self) if item.name not in ("copies", "endpoints")]
-        plain = tuple(getattr(self, name) for name in names)
-        return (*plain, tuple(sorted(self.copies.items(), key=lambda item: item[0])), repr(self.endpoints))
+        values = tuple(getattr(self, name) for name in names)
+        return (*values, tuple(sorted(self.copies.items(), key=lambda item: item[0])), repr(self.endpoints))
 
-    # Steps.
+    # State changes.
 
     def _is_outdated(self, incarnation: int, announced: Announcement) -> bool:
-        """Whether an answer is older than the last one used.
+        """Return whether a response is older than the last one used.
 
-        An old answer must not delete what has been voted on since, or a yes that is counted would be untrue.
+        An old response must not delete a text that the node has voted yes on since: the coordinator may have
+        counted that yes already.
         """
         if self.announced is None or self.incarnation is None:
             return False
@@ -252,7 +253,7 @@
         return self.announced is not None and self.announced.is_being_prepared(number)
 
     def _delete_obsolete(self, announced: Announcement) -> list[Action]:
-        """Drop copies that the announcement does not name, or names with another text."""
+        """Drop copies that the announcement does not contain, or contains with another text."""
         obsolete = [
             number
             for number, copy in self.copies.items()
@@ -261,7 +262,7 @@
         return [Delete(number) for number in obsolete if self.copies.pop(number).stage is CopyStage.STORED]
 
     def _advance_copy(self, now: float, number: int, text_digest: str) -> list[Action]:
-        """Take the next step with a wanted version: fetch, check, store or vote."""
+        """Take the next step for a wanted version: fetch, check, store or vote."""
         copy = self.copies.get(number)
         if copy is None or (copy.stage is CopyStage.MISSING and now >= copy.retry_at_ms):
             self.copies[number] = VersionCopy(text_digest, CopyStage.FETCHING)
@@ -272,7 +273,7 @@
         if self._is_being_prepared(number):
             copy = self.copies[number] = self._checked(copy)
             if copy.objection is None:
-                return []  # until the endpoint list has arrived
+                return []  # the endpoint list has not arrived yet
             if copy.objection or copy.stage is CopyStage.STORED:
                 return self._vote(number, copy)
         if copy.stage is CopyStage.READ and now >= copy.retry_at_ms:
@@ -281,10 +282,10 @@
         return []
 
     def _confirm_clock(self, number: int, copy: VersionCopy) -> VersionCopy:
-        """Note that service time is known closely enough to switch to this version on time.
+        """Record that service time is known closely enough to switch to this version on time.
 
-        A process that has come after the decision has not checked that by a vote. The version in force needs
-        no switch at an exact moment.
+        A process that started after the decision has not checked this before a vote. The version in force
+        needs no switch at an exact time.
         """
         is_close = self.service_offset.width_ms <= 2 * self.bound_ms
         in_force = self.announced is not None and self.announced.in_force.number == number
@@ -293,7 +294,7 @@
         return copy
 
     def _checked(self, copy: VersionCopy) -> VersionCopy:
-        """The copy with this node's objection to it, if that can be determined now."""
+        """Return the copy with this node's objection to it, if that can be determined now."""
         if copy.store_error and not copy.objection:
             return replace(copy, objection=copy.store_error)
         if copy.objection is not None or self.endpoints is None or copy.table is None:
@@ -311,7 +312,7 @@
         return [CastVote(self.incarnation, number, not copy.objection, copy.objection or "")]
 
     def _switch(self, now: float, announced: Announcement) -> list[Action]:
-        """Apply the version that the node has to run now, if it runs another one."""
+        """Apply the version that the node must run now, if it runs another one."""
         number, due_ms = self._version_to_run(now, announced)
         if number == self.running_version:
             return []
@@ -319,16 +320,16 @@
         return [Apply(RouteVersion(number, self._splits(number)), due_ms)]
 
     def _version_to_run(self, now: float, announced: Announcement) -> tuple[int, float]:
-        """The version's number, and when it was due."""
+        """Return the number of the version to run, and when the switch to it was due."""
         if self.participation(now) is Participation.FOLLOWING:
             return self._version_to_follow(now, announced)
-        return NO_VERSION, now if self.lease_end_ms is None else min(now, self.lease_end_ms)
+        return NEUTRAL_VERSION, now if self.lease_end_ms is None else min(now, self.lease_end_ms)
 
     def _version_to_follow(self, now: float, announced: Announcement) -> tuple[int, float]:
         pending = announced.pending
         if pending is not None and announced.activates_at_ms is not None:
             activation_ms = self._activation_ms(announced.activates_at_ms)
-            # A switch is never undone, though a later estimate may put the activation time after now.
+            # A switch is never undone, even if a later estimate puts the activation time after now.
             if activation_ms <= now or self.running_version == pending.number:
                 return pending.number, min(now, activation_ms)
         return announced.in_force.number, now
@@ -338,7 +339,7 @@
         return {} if copy is None or copy.table is None else copy.table.splits_by_class(self.classes)
 
     def _is_ready(self, number: int, text_digest: str) -> bool:
-        """Whether this text of the version is stored, and the node can switch to it on time."""
+        """Return whether this text of the version is stored and the node can switch to it on time."""
         copy = self.copies.get(number)
         return (
             copy is not None
@@ -348,7 +349,7 @@
         )
 
     def _next_switch_ms(self, now: float) -> float | None:
-        """When the decided version comes into force on the node's own clock; None where none is awaited."""
+        """Return the local time at which a decided version comes into force, or None without a due switch."""
         announced = self.announced
         if announced is None or announced.pending is None or announced.activates_at_ms is None:
             return None
@@ -359,5 +360,5 @@
         return self._activation_ms(announced.activates_at_ms)
 
     def _activation_ms(self, service_ms: float) -> float:
-        """A service time on the node's own clock, by the best estimate."""
+        """Convert a service time to local time by the best estimate."""
         return service_ms - self.service_offset.middle_ms
--- a/loadbalancer/routing/route_table.py
+++ b/loadbalancer/routing/route_table.py
@@ -1,15 +1,15 @@
-"""The table of a route version: for each class of requests, weights of groups of servers, written as TOML.
+"""The table of a route version, as TOML: for each class of requests, the weights of groups of servers.
 
     [[class.read.group]]
     model = "m2"
     az = "a"
     weight = 3.0
 
-    [[class.default.group]]   # the classes that are not named
+    [[class.default.group]]   # for all classes that are not named
     weight = 1.0              # without model and az: every server that matches no earlier group
 
-A server belongs to the first group that it matches. A class without groups, where there is no `default`, is
-balanced as under version 0. `neutral = true`, alone, is version 0's table.
+A server belongs to the first group that it matches. If a class has no groups and there is no `default`, its
+requests are balanced as under version 0. A text of `neutral = true` alone is the table of version 0.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from loadbalancer.routing.errors import RouteTableError, as_one_line
 
 DEFAULT = "default"
-TEXT = "text"  # names the whole text in an error
-CLASS = "class"  # the key of the classes
+TEXT = "text"  # stands for the complete text in an error
+CLASS = "class"  # key of the table of classes
 NEUTRAL = "neutral = true\n"
-MAX_TEXT_BYTES = 16 * 1024  # some 300 groups; bounds the time of a parse
-MAX_LINE_CHARS = 400  # tomllib's time is quadratic in the parts of a dotted key
+MAX_TEXT_BYTES = 16 * 1024  # about 300 groups; bounds the parsing time
+MAX_LINE_CHARS = 400  # tomllib's parsing time is quadratic in the number of parts of a dotted key
 MAX_CLASSES = 64
 MAX_GROUPS = 64
 MAX_WEIGHT = 1e6
@@ -62,24 +62,24 @@
 
 @dataclass(slots=True, frozen=True)
 class RouteTable:
-    """A route version's number and its groups by class, in the text's order."""
+    """A route version's number and its groups by class, in the order of the text."""
 
     number: int
     classes: tuple[tuple[str, tuple[TrafficSplit, ...]], ...]
 
     def splits(self, class_name: str) -> tuple[TrafficSplit, ...]:
-        """The class's groups, else those of `default`; () where it is balanced as under version 0."""
+        """Return the groups of the class or of `default`; () if it is balanced as under version 0."""
         named = dict(self.classes)
         return named.get(class_name, named.get(DEFAULT, ()))
 
     def splits_by_class(self, classes: Iterable[str]) -> dict[str, tuple[TrafficSplit, ...]]:
-        """The groups of those of these classes that have any, as the event RouteVersion carries them."""
+        """Return the groups of each class that has any, in the form of `RouteVersion.classes`."""
         return {name: groups for name in classes if (groups := self.splits(name))}
 
 
 def parse_table(number: int, text: str | bytes) -> RouteTable:
-    """The table of version `number`; raises RouteTableError, whose one line names the key and its line."""
-    text = _bounded(text)
+    """Return the table of version `number`; raise RouteTableError, which names the key and its line."""
+    text = _decode_within_limits(text)
     try:
         data = tomllib.loads(text)
     except RecursionError as error:
@@ -93,7 +93,9 @@
         raise _from_validation(text, error) from error
     if parsed.neutral == bool(parsed.classes):
         raise RouteTableError(CLASS, "a table names classes, or says neutral = true and nothing else")
-    return RouteTable(number, tuple((name, _groups(text, name, row)) for name, row in parsed.classes.items()))
+    return RouteTable(
+        number, tuple((name, _groups(text, name, item)) for name, item in parsed.classes.items())
+    )
 
 
 def find_objections(
@@ -102,9 +104,9 @@
     endpoints: Iterable[Endpoint],
     unconfident: Collection[str] = (),
 ) -> list[str]:
-    """Why a node with these classes and endpoints can't take this version; [] when it can.
+    """Return why a node with these classes and endpoints can't apply this version; [] if it can.
 
-    `unconfident` are the names of endpoints in which confidence is none: a group of such endpoints alone
+    `unconfident` has the names of the endpoints with confidence NONE; a group that has only such endpoints
     can't be served.
     """
     kinds = _ready_kinds(endpoints, unconfident)
@@ -120,7 +122,7 @@
     """The ready endpoints of one model and zone."""
 
     example: Endpoint
-    has_confident: bool  # whether confidence in any of them is more than none
+    has_confident: bool  # whether any of them has a confidence above NONE
 
 
 def _ready_kinds(endpoints: Iterable[Endpoint], unconfident: Collection[str]) -> list[_Kind]:
@@ -136,7 +138,7 @@
 def _unservable_groups(
     class_name: str, groups: tuple[TrafficSplit, ...], kinds: Iterable[_Kind]
 ) -> Iterator[str]:
-    """An objection for each group with a weight that no ready endpoint serves."""
+    """Yield an objection for each group with a positive weight that no ready endpoint can serve."""
     served: dict[TrafficSplit, bool] = {}
     for kind in kinds:
         group = next((group for group in groups if group.matches(kind.example)), None)
@@ -149,7 +151,7 @@
             yield f"class {class_name!r}: {problem} of model {model}, az {zone}"
 
 
-def _bounded(text: str | bytes) -> str:
+def _decode_within_limits(text: str | bytes) -> str:
     try:
         raw = text if isinstance(text, bytes) else text.encode()
         text = raw.decode()
@@ -163,15 +165,15 @@
     return text
 
 
-def _groups(text: str, name: str, row: _Class) -> tuple[TrafficSplit, ...]:
-    groups = tuple(TrafficSplit(item.model, item.az, item.weight) for item in row.group)
+def _groups(text: str, name: str, parsed: _Class) -> tuple[TrafficSplit, ...]:
+    groups = tuple(TrafficSplit(item.model, item.az, item.weight) for item in parsed.group)
     if not any(group.weight > 0 for group in groups):
         raise _error_at(text, (CLASS, name), "no weight is above 0")
-    for at, group in enumerate(groups):
-        for before, earlier in enumerate(groups[:at]):
+    for index, group in enumerate(groups):
+        for earlier_index, earlier in enumerate(groups[:index]):
             if earlier.model in (None, group.model) and earlier.zone in (None, group.zone):
-                problem = f"takes no server: group[{before}] takes all of them"
-                raise _error_at(text, (CLASS, name, "group", at), problem)
+                problem = f"takes no server: group[{earlier_index}] takes all of them"
+                raise _error_at(text, (CLASS, name, "group", index), problem)
     return groups
 
 
@@ -190,7 +192,7 @@
 
 
 def _error_at(text: str, path: Path, problem: str, position: Path | None = None) -> RouteTableError:
-    """The error of the key at `path`, with the line that defines `position` (by default the key itself)."""
+    """Return the error for the key at `path`, with the line that defines `position` (default: the key)."""
     key = "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in path).lstrip(".")
     line = find_line(text, path if position is None else position)
     return RouteTableError(key, problem, line)
--- a/loadbalancer/routing/service_offset.py
+++ b/loadbalancer/routing/service_offset.py
@@ -1,4 +1,4 @@
-"""What a node knows of the difference between service time and its own clock."""
+"""The offset between service time and a node's local clock, as far as the node knows it."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class ServiceOffset(NamedTuple):
-    """Service time less the node's own clock, as an interval in ms."""
+    """Service time minus the node's local clock, as an interval in ms."""
 
     low_ms: float
     high_ms: float
 
     @property
     def width_ms(self) -> float:
-        """How far apart the bounds are."""
+        """Width of the interval."""
         return self.high_ms - self.low_ms
 
     @property
     def middle_ms(self) -> float:
-        """The best estimate."""
+        """Best estimate of the offset."""
         return (self.low_ms + self.high_ms) / 2
--- a/loadbalancer/routing/version_copy.py
+++ b/loadbalancer/routing/version_copy.py
@@ -1,4 +1,4 @@
-"""A node's own copy of a route version, from its fetch to its place on disk."""
+"""A node's local copy of a route version, from the fetch until it is stored on disk."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class CopyStage(Enum):
-    """How far a copy has got; the values are what operators read."""
+    """Progress of a copy; operators see the values."""
 
     FETCHING = "fetching"
-    MISSING = "missing"  # a fetch has failed
-    READ = "read"
+    MISSING = "missing"  # the fetch failed
+    READ = "read"  # fetched and parsed
     UNREADABLE = "unreadable"
     STORING = "storing"
     STORED = "stored"
@@ -27,14 +27,14 @@
     stage: CopyStage
     text: str = ""  # empty once stored
     table: RouteTable | None = None
-    objection: str | None = None  # why the node can't take it; None: not checked yet, "": none
-    store_error: str = ""  # of the last write
-    retry_at_ms: float = 0.0  # own clock: no earlier fetch or write
-    vote_sent: bool = False  # under this incarnation
+    objection: str | None = None  # why the node can't apply the version; None: not checked yet, "": it can
+    store_error: str = ""  # error of the last write
+    retry_at_ms: float = 0.0  # local time before which a failed fetch or write is not retried
+    vote_sent: bool = False  # under the current incarnation
     vote_acknowledged: bool = False  # by the list service
-    clock_confirmed: bool = False  # in force, or service time has been known within the bound
+    clock_confirmed: bool = False  # service time was known within the bound, or the version is in force
 
     @property
     def is_busy(self) -> bool:
-        """Whether a fetch or a write is under way."""
+        """Whether a fetch or a write is in progress."""
         return self.stage in (CopyStage.FETCHING, CopyStage.STORING)
--- a/loadbalancer/routing/version_record.py
+++ b/loadbalancer/routing/version_record.py
@@ -1,7 +1,8 @@
-"""The records of a route version and of its activation, as the replicated log holds them.
+"""Records of a route version and of its activation in the replicated log.
 
-They are pickled in snapshots (registry/stored_form.py): a frozen record as the list of its values, so the
-order of its fields is part of the stored form. Phases are plain strings, which operators and nodes read.
+They are pickled in snapshots (registry/stored_form.py). A frozen record is pickled as the list of its
+values, so the order of its fields is part of the stored form. Phases are plain strings, which operators and
+nodes see.
 """
 
 from __future__ import annotations
@@ -10,39 +11,40 @@
 from dataclasses import dataclass
 
 PREPARING, DECIDED, IN_FORCE, PAST, ABORTED = "preparing", "decided", "in force", "past", "aborted"
-UNKNOWN = "unknown"  # of a version that was never given or is no longer kept
+UNKNOWN = "unknown"  # phase of a number that was never used or is no longer retained
 DIGEST_BYTES = 8
 
 
 def digest(text: str) -> str:
-    """A digest of a version's text, in hexadecimal.
+    """Return a digest of a version's text, in hexadecimal.
 
-    It tells a stored text from the one that a list service built anew has given the same number.
+    A list service that was rebuilt from nothing may use the same number for another text; the digest tells
+    the two apart.
     """
     return hashlib.blake2b(text.encode(errors="surrogatepass"), digest_size=DIGEST_BYTES).hexdigest()
 
 
 @dataclass(slots=True, frozen=True)
 class VersionRecord:
-    """One activation of one text; its number is never used again."""
+    """One activation of one text; its number is never reused."""
 
     number: int
     text: str
     digest: str
     phase: str
-    rollback_of: int | None = None  # the version whose text this one activates again
-    reason: str = ""  # of an abort
+    rollback_of: int | None = None  # number of the version whose text this one activates again
+    reason: str = ""  # why the activation was aborted
     activates_at_ms: float | None = None  # service time, once decided
 
 
 @dataclass(slots=True, frozen=True)
 class PendingActivation:
-    """The activation that is being prepared, or is decided and has yet to come into force."""
+    """The activation that is being prepared, or is decided but not yet in force."""
 
     number: int
     deadline_ms: float  # service time
-    voters: frozenset[int]  # incarnations that are asked to vote
-    required_voters: frozenset[int]  # those whose lease has not expired
+    voters: frozenset[int]  # incarnations that may vote
+    required_voters: frozenset[int]  # voters whose lease has not expired
     yes_voters: frozenset[int] = frozenset()
     activates_at_ms: float | None = None  # service time, once decided
 
@@ -54,9 +56,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ActivationOutcome:
-    """The result of a call on a version: its phase, and the reason of an abort or a rejection.
+    """Result of an operation on a version: its phase, and the reason of an abort or a rejection.
 
-    A call that is `rejected` has changed nothing and can't succeed as it is (HTTP status 409).
+    A `rejected` operation has changed nothing and would fail again if repeated (HTTP status 409).
     """
 
     number: int
--- a/loadbalancer/staleness/confidence.py
+++ b/loadbalancer/staleness/confidence.py
@@ -1,19 +1,28 @@
-"""How confident this node may be in each of its routes, a route being one server as this node may use it.
-
-The maximum age of the evidence, in control periods: HIGH 16, MEDIUM 64, LOW 256, NONE past that or where
-there is none. Evidence is an answer or a load report that this node itself received; a sibling's report of an
-answer, taken at the upper end of its age, supports MEDIUM at best.
-
-Caps. At MEDIUM: the node is detached from the list service, its endpoint list is two or more revisions behind
-or unconfirmed for 6 s, two of its attempts in a row failed, or a sibling's attempt failed certainly later
-than the server last answered here. At LOW: the node is isolated, or nine or more revisions behind, or four
-attempts in a row failed.
-
-Hysteresis. A level is given only if it will still hold at the next update. It falls at once when the evidence
-grows too old or attempts fail; by the node's own state only once that has lasted for 8 periods. It leaves
-NONE at once on any evidence, since such a route is tried by one call at a time. Further it rises one level at
-a time, after the evidence has stayed a quarter younger than the better level's maximum age for as long as
-that age: a route whose evidence comes at intervals around a limit stays below it.
+"""Confidence levels of this node's routes; a route is this node's way to one server.
+
+Evidence is a response or a load report that this node itself received from the server, or a sibling's report
+of a response. A sibling's report counts with the upper bound of its age and supports MEDIUM at best.
+
+The maximum age of the evidence, in control periods, is 16 for HIGH, 64 for MEDIUM and 256 for LOW. The level
+is NONE if the evidence is older or there is none.
+
+Caps limit the level regardless of the evidence's age:
+
+- MEDIUM if the node is detached from the list service, its endpoint list is two or more revisions behind or
+  unconfirmed for 6 s, two of its attempts in a row failed, or a sibling's attempt certainly failed later than
+  the server last responded to this node.
+- LOW if the node is isolated, its endpoint list is nine or more revisions behind, or four of its attempts in
+  a row failed.
+
+Hysteresis keeps levels from flapping:
+
+- A level is given only if it will still hold at the next update.
+- It falls at once when the evidence grows too old or attempts fail. It falls because of the node's own state
+  only after that state has lasted for 8 periods.
+- It leaves NONE at once on any evidence, since such a route is tried by one request at a time.
+- From LOW on it rises one level at a time. The evidence must stay younger than three quarters of the better
+  level's maximum age for as long as that maximum age. A route whose evidence arrives at intervals around a
+  limit therefore stays below that limit.
 """
 
 from __future__ import annotations
@@ -28,24 +37,24 @@
 from loadbalancer.staleness.errors import PeriodOutOfRangeError
 from loadbalancer.staleness.freshness import FreshnessTable
 
-# What the node reaches: the list service; only siblings; neither.
+# The node reaches the list service ("attached"), only siblings ("adrift") or neither ("alone").
 ConnectivityState = Literal["attached", "adrift", "alone"]
 
-MAX_AGE_PERIODS: Final = (16.0, 64.0, 256.0)  # of the evidence for HIGH, MEDIUM, LOW
-RISE_AGE_RATIO: Final = 0.75  # of a level's maximum age: the evidence must be younger to rise to it
-SUSTAINED_PERIODS: Final = 8.0  # that a state of the node must last to lower levels
-MAX_LIST_AGE_MS: Final = 6000.0  # the longest that discovery may be silent
-FAILURE_LIMITS: Final = (2, 4)  # consecutive failures that cap a level at MEDIUM, at LOW
-REVISION_LIMITS: Final = (2, 9)  # revisions behind that cap a level at MEDIUM, at LOW
-_HIGH, _MEDIUM, _LOW, _NONE = range(4)  # indices of LEVELS; a higher one is worse
+MAX_AGE_PERIODS: Final = (16.0, 64.0, 256.0)  # maximum evidence age for HIGH, MEDIUM, LOW
+RISE_AGE_RATIO: Final = 0.75  # of a level's maximum age; to rise to the level, evidence must be younger
+SUSTAINED_PERIODS: Final = 8.0  # how long a node's state must last before it lowers levels
+MAX_LIST_AGE_MS: Final = 6000.0  # maximum time since discovery last confirmed the endpoint list
+FAILURE_LIMITS: Final = (2, 4)  # consecutive failures from which a level is capped at MEDIUM, LOW
+REVISION_LIMITS: Final = (2, 9)  # revisions behind from which a level is capped at MEDIUM, LOW
+_HIGH, _MEDIUM, _LOW, _NONE = range(4)  # indices of LEVELS; a higher index is worse
 
-# The age of the direct and of the reported evidence, the cap by failed attempts and its reason. A plain
-# tuple, as one is made for each server at each update.
+# (age of the direct evidence, age of the reported evidence, cap by failed attempts, reason of that cap). A
+# plain tuple for speed, as one is made for each server at each update.
 _Evidence = tuple[float, float, int, EdgeReason | None]
 
 
 class _NodeCap(NamedTuple):
-    """The best level that the node's own state allows, and why; no reason at HIGH."""
+    """The best level that the node's own state allows, and the reason (None at HIGH)."""
 
     level: int
     reason: EdgeReason | None
@@ -60,7 +69,7 @@
 
 
 class _Route:
-    """A route's current level, and since when its evidence has supported a better one."""
+    """A route's current level and the time since when its evidence has supported a better one."""
 
     __slots__ = ("level", "reported_level", "rising_since")
 
@@ -71,15 +80,15 @@
 
 
 class ConfidenceTracker:
-    """The confidence level of every listed server."""
+    """Tracks the confidence level of every listed server."""
 
     def __init__(
         self, table: FreshnessTable, period_ms: float, update_every_ms: float, round_ms: float = 0.0
     ) -> None:
-        """PeriodOutOfRangeError for a period that is not over 0.
+        """Raise PeriodOutOfRangeError if `period_ms` or `update_every_ms` is not a finite number over 0.
 
         `period_ms`: the control period, a ratio of the shortest latency objective. `update_every_ms`: the
-        longest time between two calls of `update`. `round_ms`: how long a round of probes to all members
+        maximum time between two calls of `update`. `round_ms`: how long a round of probes to all members
         takes; the caller sets it as the fleet grows or shrinks.
         """
         for name, value_ms in (("period_ms", period_ms), ("update_every_ms", update_every_ms)):
@@ -94,12 +103,12 @@
         self._rise_ages_ms = tuple(age * RISE_AGE_RATIO - update_every_ms for age in self._max_ages_ms)
         self._listed: frozenset[str] = frozenset()
         self._routes: dict[str, _Route] = {}
-        self._current_cap = _NO_CAP  # by the node's state as it is now,
-        self._sustained_cap = _NO_CAP  # and as it applies, once that state has lasted
+        self._current_cap = _NO_CAP  # by the node's state now
+        self._sustained_cap = _NO_CAP  # the cap in effect; a worse state must last before it counts
         self._worse_since: float | None = None
 
     def update(self, now: float, connectivity: ConnectivityState) -> dict[str, Confidence]:
-        """Judge every route anew; returns the levels that are new or changed, by server. O(servers)."""
+        """Update every route's level; return the new or changed levels by server. O(servers)."""
         self._update_node_cap(now, connectivity)
         if self._table.endpoint_list.servers is not self._listed:
             self._listed = self._table.endpoint_list.servers
@@ -114,11 +123,11 @@
 
     @property
     def levels(self) -> dict[str, Confidence]:
-        """The current level of every route, by server."""
+        """Current level of every route, by server."""
         return {server: LEVELS[route.level] for server, route in self._routes.items()}
 
     def edge_statuses(self, now: float) -> list[EdgeStatus]:
-        """Every edge for operators: the servers by name, then the siblings."""
+        """Return the status of every edge for operators: servers sorted by name, then siblings."""
         newest = self._table.newest_revision
         servers = [
             server_status(
@@ -138,7 +147,7 @@
     # ------------------------------------------------------------- internals
 
     def _update_node_cap(self, now: float, connectivity: ConnectivityState) -> None:
-        """Lift the node's cap at once; tighten it once the worse state has lasted."""
+        """Relax the node's cap at once; tighten it only after the worse state has lasted."""
         self._current_cap = self._node_cap(now, connectivity)
         if self._current_cap.level <= self._sustained_cap.level:
             self._sustained_cap, self._worse_since = self._current_cap, None
@@ -148,19 +157,19 @@
             self._sustained_cap, self._worse_since = self._current_cap, None
 
     def _node_cap(self, now: float, connectivity: ConnectivityState) -> _NodeCap:
-        """The strictest cap by the node's state; of equal ones the first."""
-        listing = self._table.endpoint_list
-        behind = self._table.newest_revision - listing.revision
+        """Return the strictest cap by the node's state; the first of equally strict ones."""
+        endpoint_list = self._table.endpoint_list
+        behind = self._table.newest_revision - endpoint_list.revision
         caps = [_CONNECTIVITY_CAPS[connectivity]]
         medium_limit, low_limit = REVISION_LIMITS
         if behind >= medium_limit:
             caps.append(_NodeCap(_MEDIUM if behind < low_limit else _LOW, EdgeReason.LIST_BEHIND))
-        if now - listing.confirmed_at > MAX_LIST_AGE_MS:
+        if now - endpoint_list.confirmed_at > MAX_LIST_AGE_MS:
             caps.append(_NodeCap(_MEDIUM, EdgeReason.LIST_OLD))
         return max(caps, key=lambda cap: cap.level)
 
     def _update_route(self, now: float, server: str, route: _Route) -> None:
-        """Move a route's level as the module's docstring says."""
+        """Lower or raise a route's level by the rules in the module's docstring."""
         direct_age, reported_age, failure_cap, _ = self._evidence(now, server)
         age = direct_age if direct_age < reported_age else reported_age
         level = bisect_left(self._hold_ages_ms, age)
@@ -185,20 +194,20 @@
             route.level, route.rising_since = route.level - 1, now
 
     def _evidence(self, now: float, server: str) -> _Evidence:
-        """The upper ends of the evidence's ages, and what failed attempts allow at best."""
+        """Return the upper bounds of the evidence's ages and the cap by failed attempts."""
         observation = self._table.observations.get(server)
         gossip = self._table.gossip.get(server)
-        answered_at = -math.inf if observation is None else observation.answered_at
-        reported_age = math.inf if gossip is None else now - gossip.answered_at
+        responded_at = -math.inf if observation is None else observation.responded_at
+        reported_age = math.inf if gossip is None else now - gossip.responded_at
         if observation is not None and observation.consecutive_failures >= FAILURE_LIMITS[0]:
             cap = _MEDIUM if observation.consecutive_failures < FAILURE_LIMITS[1] else _LOW
-            return now - answered_at, reported_age, cap, EdgeReason.FAILURES
-        if gossip is not None and gossip.failed_at > answered_at:
-            return now - answered_at, reported_age, _MEDIUM, EdgeReason.SIBLING_FAILURE
-        return now - answered_at, reported_age, _HIGH, None
+            return now - responded_at, reported_age, cap, EdgeReason.FAILURES
+        if gossip is not None and gossip.failed_at > responded_at:
+            return now - responded_at, reported_age, _MEDIUM, EdgeReason.SIBLING_FAILURE
+        return now - responded_at, reported_age, _HIGH, None
 
     def _reason(self, now: float, server: str, level: int) -> EdgeReason:
-        """Why the level is no better, or what it is based on."""
+        """Return why the level is no better, or what the level is based on."""
         direct_age, reported_age, cap, reason = self._evidence(now, server)
         if direct_age == reported_age == math.inf:
             return EdgeReason.NO_EVIDENCE
--- a/loadbalancer/staleness/freshness.py
+++ b/loadbalancer/staleness/freshness.py
@@ -1,8 +1,9 @@
-"""What this process knows and from whom: its own observations and those that siblings reported.
+"""The table of observations of servers: this process's own and those that siblings reported.
 
-An observation has an origin (an incarnation, or this process), a version that rises at its origin and the
-origin's time. A time of another clock is converted to an interval of local time on receipt, and ages by the
-local clock alone from then on. The process's own observations have exact times. All times are in ms.
+An observation has an origin (this process, or a sibling by its incarnation), a version that the origin
+increments, and the time on the origin's clock. On receipt, a time of another clock is converted to an
+interval of local time; from then on only the local clock is used for its age. The process's own observations
+have exact times. All times are in ms.
 """
 
 from __future__ import annotations
@@ -25,31 +26,31 @@
 )
 from loadbalancer.staleness.report_selection import ReportSelection
 
-REORDER_WINDOW: Final = (
-    64  # a report up to so many behind the last is out of order; further behind, a restart
-)
+# A report whose sequence number is behind the last one by up to this is out of order. If it is further
+# behind, the sibling has restarted its sequence.
+REORDER_WINDOW: Final = 64
 
-# Module-level names, since looking up an enum's member by attribute is slow on the path of a call.
+# Module-level names, since looking up an enum member by attribute is slow on the request path.
 _OK, _ERROR, _REJECTED = AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED
-_INCONCLUSIVE: Final = (AttemptResult.CANCELLED, AttemptResult.ABANDONED)  # these say nothing of the server
+_INCONCLUSIVE: Final = (AttemptResult.CANCELLED, AttemptResult.ABANDONED)  # no information about the server
 
 
 class Observation:
-    """What this process itself observed of one server."""
+    """This process's own observation of one server."""
 
     __slots__ = (
-        "answered_at",
         "attempted_at",
         "consecutive_failures",
         "load",
         "load_at",
         "outcome",
+        "responded_at",
         "version",
     )
 
     def __init__(self) -> None:
         self.version = 0
-        self.attempted_at = self.answered_at = self.load_at = -math.inf
+        self.attempted_at = self.responded_at = self.load_at = -math.inf
         self.outcome: AttemptResult | None = None
         self.consecutive_failures = 0
         self.load: float | None = None  # a ratio of the server's capacity
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SiblingState:
-    """A sibling's last report of itself; intervals are of local time."""
+    """State of a sibling by its last report; intervals are in local time."""
 
     sequence: int
     sent_at: Interval
@@ -67,17 +68,17 @@
 
 
 class ReportRejection(StrEnum):
-    """Why a sibling's report was not used."""
+    """Why a sibling's report was rejected."""
 
     MALFORMED = "malformed"
-    UNKNOWN_MEMBER = "unknown-member"  # no member has the report's origin
-    OUT_OF_ORDER = "out-of-order"  # a later report of the origin was used before
+    UNKNOWN_MEMBER = "unknown-member"  # the report's origin is not a member
+    OUT_OF_ORDER = "out-of-order"  # a later report of the origin has been accepted
     FROM_FUTURE = "from-future"  # sent at a time that is certainly later than now
 
 
 @dataclass(slots=True)
 class ReportCounts:
-    """Siblings' reports since the start, accepted and rejected by reason."""
+    """Counts of siblings' reports since the start: accepted ones, and rejected ones by reason."""
 
     accepted: int = 0
     rejected: Counter[ReportRejection] = field(default_factory=Counter)
@@ -93,26 +94,26 @@
 
 
 class FreshnessTable:
-    """Own observations and siblings' reports; memory is bounded by the endpoint list and the members."""
+    """Own observations and siblings' reports; memory is bounded by the number of endpoints and members."""
 
     def __init__(self, clock_offsets: ClockOffsets) -> None:
-        """`clock_offsets`: into which the process samples its calls, with siblings' incarnations as peers."""
+        """`clock_offsets`: offsets of the siblings by incarnation, to which the owner adds samples."""
         self.clock_offsets = clock_offsets
         self.counts = ReportCounts()
         self.endpoint_list = EndpointListState()
-        # Every member but this process; None: it has reported nothing.
+        # Every member except this process; None until the member has reported.
         self.siblings: dict[Hashable, SiblingState | None] = {}
-        self.observations: dict[str, Observation] = {}  # by server, the one observed last at the end
+        self.observations: dict[str, Observation] = {}  # by server, the latest observation last
         self.gossip: dict[str, GossipReports] = {}  # by server
         self._pools: dict[str, wire.PoolState] = {}
         self._selection = ReportSelection()
-        self._version = 0  # of the latest observation
-        self._sequence = 0  # of the latest report
+        self._version = 0  # version of the latest observation
+        self._sequence = 0  # sequence number of the latest report sent
 
     # ----------------------------------------------------- own observations
 
     def record_outcome(self, now: float, server: str, outcome: AttemptResult) -> None:
-        """An attempt at a server ended. Runs on the path of every call."""
+        """Record the outcome of an attempt; runs on the path of every request."""
         if outcome in _INCONCLUSIVE:
             return
         observation = self._observe(server)
@@ -121,36 +122,36 @@
         observation.attempted_at = now
         observation.outcome = outcome
         if outcome is _OK:
-            observation.answered_at = now
+            observation.responded_at = now
             if observation.consecutive_failures:
                 observation.consecutive_failures = 0
                 self._selection.flip(server)
             return
         if outcome is _REJECTED or outcome is _ERROR:
-            observation.answered_at = now
+            observation.responded_at = now
         if outcome is not _REJECTED:
             observation.consecutive_failures += 1
             if observation.consecutive_failures == 1:
                 self._selection.flip(server)
 
     def record_load(self, now: float, server: str, load: float) -> None:
-        """A server reported its load, a ratio of its capacity; a value that is not a quantity is dropped."""
+        """Record a server's reported load, a ratio of its capacity; an invalid value is ignored."""
         if not (isinstance(load, int | float) and 0.0 <= load <= wire.MAX_QUANTITY):
             return
         observation = self._observe(server)
         if observation is not None:
             observation.load = float(load)
-            observation.load_at = observation.answered_at = now
+            observation.load_at = observation.responded_at = now
 
     def record_pool(
         self, now: float, in_flight: float, cursor: int, threshold: float, pool: str = ""
     ) -> None:
-        """This process's own state of a pool; pools past the report's limits are left out."""
+        """Record this process's state of a pool; pools beyond the limits of a report are left out."""
         if pool in self._pools or (len(self._pools) < wire.MAX_POOLS and len(pool) <= wire.MAX_NAME_CHARS):
             self._pools[pool] = wire.PoolState(pool, now, in_flight, cursor, threshold)
 
     def confirm_list(self, now: float, revision: int, servers: Collection[str] | None = None) -> None:
-        """The endpoint list was confirmed at `now`; `servers`: all its names, None: unchanged."""
+        """Record that discovery confirmed the list at `now`; `servers`: all names, None if unchanged."""
         self.endpoint_list.confirmed_at = now
         self.endpoint_list.revision = revision
         if servers is None:
@@ -164,26 +165,26 @@
     # ------------------------------------------------------------- siblings
 
     def set_members(self, incarnations: Collection[Hashable]) -> None:
-        """All members but this process; what a former one reported of itself is dropped."""
-        for gone in self.siblings.keys() - set(incarnations):
-            del self.siblings[gone]
-            self.clock_offsets.forget(gone)
+        """Set the members except this process; drop the state of members that have departed."""
+        for departed in self.siblings.keys() - set(incarnations):
+            del self.siblings[departed]
+            self.clock_offsets.forget(departed)
         for incarnation in incarnations:
             self.siblings.setdefault(incarnation, None)
 
     def make_report(self, now: float) -> bytes:
-        """The encoded report to send now: at most 48 servers, in under 64 KiB."""
+        """Return the encoded report to send now, with at most 48 servers and under 64 KiB."""
         self._sequence += 1
-        listing = self.endpoint_list
+        endpoint_list = self.endpoint_list
         report = wire.FreshnessReport(
             version=wire.FORMAT_VERSION,
             sequence=self._sequence,
             sent_at=now,
-            list_revision=listing.revision,
-            list_confirmed_at=listing.confirmed_at if listing.confirmed_at > -math.inf else None,
+            list_revision=endpoint_list.revision,
+            list_confirmed_at=endpoint_list.confirmed_at if endpoint_list.confirmed_at > -math.inf else None,
             pools=list(self._pools.values()),
             servers=[
-                self._encodable(name)
+                self._wire_observation(name)
                 for name in self._selection.select(reversed(self.observations))
                 if 0 < len(name) <= wire.MAX_NAME_CHARS
             ],
@@ -191,7 +192,7 @@
         return wire.encode(report)
 
     def receive_report(self, now: float, origin: Hashable, payload: object) -> ReportRejection | None:
-        """Use a sibling's report, which may come repeatedly. None: used; else why it was rejected."""
+        """Apply a sibling's report, which may arrive repeatedly; return None or why it was rejected."""
         if origin not in self.siblings:
             return self._reject(ReportRejection.UNKNOWN_MEMBER)
         report = wire.decode(payload)
@@ -202,12 +203,11 @@
             return self._reject(ReportRejection.OUT_OF_ORDER)
         reading = self.clock_offsets.reading(origin, now)
         sent_at = to_local_time(reading, now, report.sent_at)
-        if (
-            sent_at is None
-        ):  # the origin's clock was set since its last sample; the next call measures it anew
+        if sent_at is None:
+            # The origin's clock was set after its last sample; the next call samples it again.
             self.clock_offsets.forget(origin)
             return self._reject(ReportRejection.FROM_FUTURE)
-        if earlier is not None and earlier.sequence == report.sequence:  # the same report on another call
+        if earlier is not None and earlier.sequence == report.sequence:  # the same report in another call
             sent_at = intersect_or_latest(earlier.sent_at, sent_at)
         self.siblings[origin] = _sibling_state(report, sent_at, reading, now)
         self._add_gossip(origin, reading, now, report)
@@ -216,14 +216,14 @@
 
     @property
     def newest_revision(self) -> int:
-        """The newest revision of the endpoint list that this process or a sibling holds."""
+        """Newest revision of the endpoint list that this process or any sibling has."""
         reported = (sibling.list_revision for sibling in self.siblings.values() if sibling is not None)
         return max(self.endpoint_list.revision, max(reported, default=0))
 
     # ------------------------------------------------------------- internals
 
     def _observe(self, server: str) -> Observation | None:
-        """The server's observation, versioned anew and moved to the end; None for an unlisted server."""
+        """Return the server's observation with a new version, moved to the end; None if it is not listed."""
         observation = self.observations.pop(server, None)
         if observation is None:
             if server not in self.endpoint_list.servers:
@@ -235,7 +235,7 @@
         observation.version = self._version
         return observation
 
-    def _encodable(self, server: str) -> wire.ServerObservation:
+    def _wire_observation(self, server: str) -> wire.ServerObservation:
         observation = self.observations[server]
         attempted = observation.outcome is not None
         return wire.ServerObservation(
@@ -243,7 +243,7 @@
             version=observation.version,
             attempted_at=observation.attempted_at if attempted else observation.load_at,
             outcome=observation.outcome,
-            answered_at=observation.answered_at if observation.answered_at > -math.inf else None,
+            responded_at=observation.responded_at if observation.responded_at > -math.inf else None,
             load=observation.load,
             load_at=observation.load_at if observation.load is not None else None,
         )
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -194,7 +194,7 @@
     log = proposed(1, 2, 3)
     log.on_lease_expired(1)
     log.on_lease_expired(2)
-    log.on_left(3)
+    log.on_removed(3)
     log.apply_due(1500, TTL, BOUND)
     assert log.outcome(1).phase == "preparing"
     log.vote(3, 1, yes=True)  # late, of a row that is gone
@@ -246,7 +246,7 @@
 def told(
     follower: RouteParticipant, log: ActivationCoordinator, now: float, incarnation: int = 1
 ) -> list[Any]:
-    return follower.on_answer(now, incarnation, now + TTL, (now - 1, now + 1), log.announcement())
+    return follower.on_lease_response(now, incarnation, now + TTL, (now - 1, now + 1), log.announcement())
 
 
 def test_a_vote_follows_the_check_and_the_store_and_is_repeated_until_heard() -> None:
@@ -315,7 +315,7 @@
 @pytest.mark.parametrize("edge", ["stored", "voted", "decided", "in force"])
 def test_a_process_that_starts_again_at_any_edge_learns_the_outcome_from_its_first_answer(edge: str) -> None:
     log = proposed(1) if edge in ("stored", "voted") else decided(at=-150)
-    log.on_left(1)
+    log.on_removed(1)
     log.on_attached(2)
     if edge == "in force":
         log.apply_due(270, TTL, BOUND)
@@ -358,7 +358,7 @@
     follower, _ = node(proposed(1), "fetched")
     before = follower.key()
     with pytest.raises(ValueError, match="malformed routes"):
-        follower.on_answer(10, 1, 500, (0, 20), {"pending": None} | routes)
+        follower.on_lease_response(10, 1, 500, (0, 20), {"pending": None} | routes)
     assert follower.key() == before
 
 
@@ -501,7 +501,7 @@
             self.soon(20, self.tell, process, fact, *told)
             return
         self.tick(process)
-        if fact == "on_answer":
+        if fact == "on_lease_response":
             middle = self.now + self.rng.uniform(-6, 6)
             told = (*told[:2], (middle - 9, middle + 9), told[2])
         self.carry(process, getattr(process.follower, fact)(self.clock(process), *told))
@@ -536,7 +536,7 @@
             if process is not self.nodes[process.at] or process.incarnation is not None:
                 return
             for old in [one for one in self.leases if one % 3 == process.at]:
-                self.command(self.log.on_left, old)
+                self.command(self.log.on_removed, old)
                 del self.leases[old]
             incarnation = process.incarnation = next(self.order) * 3 + process.at
         elif incarnation not in self.leases:
@@ -545,7 +545,9 @@
         self.lapsed.discard(incarnation)
         self.command(self.log.on_attached, incarnation)
         if self.rng.random() < 0.9 or not self.faults:
-            self.later(process, "on_answer", incarnation, sent + process.skew + TTL, self.log.announcement())
+            self.later(
+                process, "on_lease_response", incarnation, sent + process.skew + TTL, self.log.announcement()
+            )
 
     def fetch(self, process: Process, action: Fetch) -> None:
         text = self.log.text(action.number) if self.reached(process) else None
--- a/tests/staleness/test_staleness.py
+++ b/tests/staleness/test_staleness.py
@@ -371,7 +371,9 @@
         before = ticker.level if ticker.changes else Confidence.NONE
         ticker.run(draw.choice([EVERY, EVERY, 8 * EVERY]))
         age = (
-            ticker.now - ticker.table.observations["s"].answered_at if ticker.table.observations else math.inf
+            ticker.now - ticker.table.observations["s"].responded_at
+            if ticker.table.observations
+            else math.inf
         )
         assert ticker.level is not Confidence.HIGH or age <= MAX_AGE_PERIODS[0] * P
         assert ticker.level is not Confidence.MEDIUM or age <= MAX_AGE_PERIODS[1] * P
