--- a/tests/node/discovery/test_discovery_lists.py
+++ b/tests/node/discovery/test_discovery_lists.py
@@ -1,4 +1,4 @@
-"""Whatever a list, its listener or a call may raise, the watch goes on."""
+"""The watch of discovery continues after malformed lists and after any exception of a poll or a listener."""
 
 from __future__ import annotations
 
@@ -12,77 +12,84 @@
 from loadbalancer.endpoints import EndpointListKind
 from loadbalancer.node.discovery.response import decode_response
 from tests.support.clocks import run
-from tests.support.discoveries import MODES, PROPAGATION_DEADLINE_S, Source, now, row, watching
+from tests.support.discoveries import (
+    MODES,
+    PROPAGATION_DEADLINE_S,
+    StubDiscovery,
+    list_body,
+    now,
+    running_watcher,
+)
 
 
-def target(**more: Any) -> dict[str, Any]:
-    return {"uid": "s1", "endpoint": "127.0.0.1:1", "state": "Ready", "boot_ms": 0} | more
+def target(**fields: Any) -> dict[str, Any]:
+    return {"uid": "s1", "endpoint": "127.0.0.1:1", "state": "Ready", "boot_ms": 0} | fields
 
 
-def changed(**more: Any) -> bytes:
-    return row(9, targets=[target(**more)])
+def list_with_target(**fields: Any) -> bytes:
+    return list_body(9, targets=[target(**fields)])
 
 
 MALFORMED = {
-    "nothing": b"",
-    "no JSON": b"{",
-    "two lists": row(9) * 2,
-    "no object": b"[]",
+    "empty body": b"",
+    "not JSON": b"{",
+    "two lists": list_body(9) * 2,
+    "not an object": b"[]",
     "null": b"null",
-    "a text": b'"rev"',
-    "not UTF-8": row(9)[:-1] + b',"x":"\xff"}',
-    "a lone surrogate": row(9)[:-1] + b',"x":"\\ud800"}',
+    "a string": b'"rev"',
+    "not UTF-8": list_body(9)[:-1] + b',"x":"\xff"}',
+    "a lone surrogate": list_body(9)[:-1] + b',"x":"\\ud800"}',
     "NaN": b'{"rev":NaN,"all":true,"targets":[]}',
     "infinity": b'{"rev":1e999,"all":true,"targets":[]}',
-    "an int past any float": changed(boot_ms=7).replace(b":7", b":" + b"7" * 400),
-    "nested past any depth": b'{"rev":9,"all":true,"targets":' + b"[" * 100_000 + b"]" * 100_000 + b"}",
+    "an int too large for a float": list_with_target(boot_ms=7).replace(b":7", b":" + b"7" * 400),
+    "nested too deeply": b'{"rev":9,"all":true,"targets":' + b"[" * 100_000 + b"]" * 100_000 + b"}",
     "no rev": b'{"all":true,"targets":[]}',
-    "rev a bool": row(True),
-    "rev a float": row(9).replace(b"9", b"9.0"),
-    "rev past 64 bits": row(9).replace(b"9", b"9" * 30),
-    "rev below 0": row(-9),
-    "rev a text": row(9).replace(b"9", b'"9"'),
-    "all a number": row(9, 1),  # type: ignore[arg-type]
-    "targets an object": row(9, targets={}),
-    "targets null": row(9, targets=None),
-    "a target null": row(9, targets=[None]),
-    "a target a list": row(9, targets=[[]]),
-    "a target a text": row(9, targets=["s1"]),
-    "no uid": row(9, targets=[{"endpoint": "127.0.0.1:1", "state": "Ready"}]),
-    "uid a list": changed(uid=["s1"]),
-    "uid a number": changed(uid=1),
-    "no endpoint": row(9, targets=[{"uid": "s1", "state": "Ready"}]),
-    "endpoint null": changed(endpoint=None),
-    "endpoint with no port": changed(endpoint="127.0.0.1"),
-    "port past any": changed(endpoint="127.0.0.1:70000"),
-    "port of other digits": changed(endpoint="127.0.0.1:\u0663"),
-    "az a list": changed(az=["a"]),
-    "az a number": changed(az=1),
-    "pod_group a word": changed(pod_group="x"),
-    "pod_group a list": changed(pod_group=[1]),
-    "pod_group with too many digits": changed(pod_group="1" * 5000),
-    "state unknown": changed(state="Odd"),
-    "state a list": changed(state=["Ready"]),
-    "boot_ms a text": changed(boot_ms="long ago"),
-    "boot_ms a list": changed(boot_ms=[1]),
-    "boot_ms infinite": changed(boot_ms=7).replace(b":7", b":1e999"),
+    "rev a bool": list_body(True),
+    "rev a float": list_body(9).replace(b"9", b"9.0"),
+    "rev over 64 bits": list_body(9).replace(b"9", b"9" * 30),
+    "rev negative": list_body(-9),
+    "rev a string": list_body(9).replace(b"9", b'"9"'),
+    "all a number": list_body(9, 1),  # type: ignore[arg-type]
+    "targets an object": list_body(9, targets={}),
+    "targets null": list_body(9, targets=None),
+    "a target null": list_body(9, targets=[None]),
+    "a target a list": list_body(9, targets=[[]]),
+    "a target a string": list_body(9, targets=["s1"]),
+    "no uid": list_body(9, targets=[{"endpoint": "127.0.0.1:1", "state": "Ready"}]),
+    "uid a list": list_with_target(uid=["s1"]),
+    "uid a number": list_with_target(uid=1),
+    "no endpoint": list_body(9, targets=[{"uid": "s1", "state": "Ready"}]),
+    "endpoint null": list_with_target(endpoint=None),
+    "endpoint with no port": list_with_target(endpoint="127.0.0.1"),
+    "port too large": list_with_target(endpoint="127.0.0.1:70000"),
+    "port in non-ASCII digits": list_with_target(endpoint="127.0.0.1:\u0663"),
+    "az a list": list_with_target(az=["a"]),
+    "az a number": list_with_target(az=1),
+    "pod_group a word": list_with_target(pod_group="x"),
+    "pod_group a list": list_with_target(pod_group=[1]),
+    "pod_group with too many digits": list_with_target(pod_group="1" * 5000),
+    "state unknown": list_with_target(state="Odd"),
+    "state a list": list_with_target(state=["Ready"]),
+    "boot_ms a string": list_with_target(boot_ms="long ago"),
+    "boot_ms a list": list_with_target(boot_ms=[1]),
+    "boot_ms infinite": list_with_target(boot_ms=7).replace(b":7", b":1e999"),
 }
 
 
 @pytest.mark.parametrize("text", MALFORMED.values(), ids=MALFORMED)
-def test_a_malformed_list_is_a_failure_and_the_watch_goes_on(text):
+def test_watch_continues_after_malformed_list(text):
     async def main():
-        await (source := Source(rev=2)).open()
-        async with watching(source) as (_, listener):
-            await listener.learned(2)
-            source.act, source.text = "spoilt", text
-            began = source.change()
-            while listener.heard[-1][1] is not EndpointListKind.FAILED:
-                assert len(listener.heard) == 1, "taken"
-                await listener.next()
-            source.act = "answer"
-            assert await listener.learned(3) - began < 1.0
-            assert {rev for _, _, rev in listener.heard} <= {0, 2, 3}  # nothing of it was taken
+        await (discovery := StubDiscovery(rev=2)).open()
+        async with running_watcher(discovery) as (_, recorder):
+            await recorder.wait_for_revision(2)
+            discovery.behavior, discovery.body = "given body", text
+            changed_at = discovery.change()
+            while recorder.updates[-1][1] is not EndpointListKind.FAILED:
+                assert len(recorder.updates) == 1, "the malformed list was accepted"
+                await recorder.next()
+            discovery.behavior = "respond"
+            assert await recorder.wait_for_revision(3) - changed_at < 1.0
+            assert {rev for _, _, rev in recorder.updates} <= {0, 2, 3}  # the malformed list was not applied
 
     run(main())
 
@@ -90,15 +97,18 @@
 @pytest.mark.parametrize(
     ("text", "servers"),
     [
-        (orjson.dumps(orjson.loads(changed()), option=orjson.OPT_INDENT_2), 1),
-        (b"\r\n\t " + changed().replace(b",", b" ,\n\t") + b"\n\n", 1),
-        (changed(capacity_hint="what?", model=7, later={"deep": [1]}), 1),  # nothing that the node reads
-        (changed(pod_group=None, boot_ms=None, az=None), 1),
-        (changed(boot_ms=-1, pod_group=2**62), 1),
-        (row(9, targets=[target(state="Gone"), target()]), 2),  # twice: the last holds
+        (orjson.dumps(orjson.loads(list_with_target()), option=orjson.OPT_INDENT_2), 1),
+        (b"\r\n\t " + list_with_target().replace(b",", b" ,\n\t") + b"\n\n", 1),
+        (
+            list_with_target(capacity_hint="what?", model=7, later={"deep": [1]}),
+            1,
+        ),  # no field that the node reads
+        (list_with_target(pod_group=None, boot_ms=None, az=None), 1),
+        (list_with_target(boot_ms=-1, pod_group=2**62), 1),
+        (list_body(9, targets=[target(state="Gone"), target()]), 2),  # listed twice: the last entry counts
     ],
 )
-def test_a_list_in_another_dress_is_taken(text, servers):
+def test_list_with_unusual_but_valid_form_is_accepted(text, servers):
     listing = decode_response(orjson.loads(text))
     assert (listing.revision, len(listing.endpoints), set(listing.addresses)) == (9, servers, {"s1"})
     assert listing.endpoints[-1].launched_ms is None
@@ -115,46 +125,46 @@
 
 
 @MODES
-@pytest.mark.parametrize("form", [EndpointListKind.DELTA, EndpointListKind.FAILED])
+@pytest.mark.parametrize("kind", [EndpointListKind.DELTA, EndpointListKind.FAILED])
 @pytest.mark.parametrize("error", FAULTS, ids=lambda error: type(error).__name__)
-def test_a_listener_that_raises_leaves_a_watch_running_and_is_told_again(pause_s, form, error):
+def test_watch_continues_after_listener_raises_and_repeats_update(max_backoff_s, kind, error):
     async def main():
-        await (source := Source(rev=2)).open()
-        async with watching(source, pause_s) as (_, listener):
-            await listener.learned(2)
-            listener.raises = {form: error}
-            if form is EndpointListKind.FAILED:
-                source.fall_silent("reset")
-            began = source.change()
-            assert await listener.learned(3) - began < PROPAGATION_DEADLINE_S
-            assert not listener.raises
-            began = source.change()
-            assert await listener.learned(4) - began < 0.1  # and is followed on
+        await (discovery := StubDiscovery(rev=2)).open()
+        async with running_watcher(discovery, max_backoff_s) as (_, recorder):
+            await recorder.wait_for_revision(2)
+            recorder.errors = {kind: error}
+            if kind is EndpointListKind.FAILED:
+                discovery.break_connections("reset")
+            changed_at = discovery.change()
+            assert await recorder.wait_for_revision(3) - changed_at < PROPAGATION_DEADLINE_S
+            assert not recorder.errors
+            changed_at = discovery.change()
+            assert await recorder.wait_for_revision(4) - changed_at < 0.1  # the watch continues as before
 
     run(main())
 
 
 @MODES
-@pytest.mark.parametrize("error", [*FAULTS, OSError(errno.EMFILE, "no descriptor left"), OSError()])
-def test_whatever_a_call_raises_the_next_one_comes(pause_s, error, monkeypatch):
-    """A descriptor may be lacking for the connection when clients hold all others."""
+@pytest.mark.parametrize("error", [*FAULTS, OSError(errno.EMFILE, "no file descriptor left"), OSError()])
+def test_watch_continues_after_any_error_of_connecting(max_backoff_s, error, monkeypatch):
+    """Connecting fails with EMFILE, for example, when clients' connections use all file descriptors."""
 
     async def main():
-        await (source := Source(rev=2)).open()
-        async with watching(source, pause_s) as (_, listener):
-            await listener.learned(2)
+        await (discovery := StubDiscovery(rev=2)).open()
+        async with running_watcher(discovery, max_backoff_s) as (_, recorder):
+            await recorder.wait_for_revision(2)
             loop = asyncio.get_running_loop()
             with monkeypatch.context() as patch:
 
-                def refuse(*_: Any, **__: Any) -> Any:
+                def fail(*_: Any, **__: Any) -> Any:
                     raise error
 
-                patch.setattr(loop, "create_connection", refuse)
-                source.fall_silent("reset")
-                source.change()
-                while [form for _, form, _ in listener.heard].count(EndpointListKind.FAILED) < 6:
-                    await listener.next()
-            back = now()
-            assert await listener.learned(3) - back < PROPAGATION_DEADLINE_S
+                patch.setattr(loop, "create_connection", fail)
+                discovery.break_connections("reset")
+                discovery.change()
+                while [kind for _, kind, _ in recorder.updates].count(EndpointListKind.FAILED) < 6:
+                    await recorder.next()
+            recovered_at = now()
+            assert await recorder.wait_for_revision(3) - recovered_at < PROPAGATION_DEADLINE_S
 
     run(main())
--- a/tests/node/discovery/test_discovery_silence.py
+++ b/tests/node/discovery/test_discovery_silence.py
@@ -1,4 +1,4 @@
-"""What discovery has is learned within 6 s of when it could be had, whatever its calls come to."""
+"""Changes in discovery reach the node within the deadlines, also after failed polls and address changes."""
 
 from __future__ import annotations
 
@@ -16,51 +16,50 @@
     MODES,
     PROPAGATION_DEADLINE_S,
     PUSH_BACKOFF_S,
-    Luck,
-    Source,
+    FixedUniform,
+    StubDiscovery,
     now,
-    watching,
+    running_watcher,
 )
 
-# ------------------------------------------------------------------------- the clock
+# ------------------------------------------------------------------------- timing policy
 
 
 @MODES
-def test_what_a_silent_watch_misses_is_learned_in_time(pause_s):
-    policy = PollPolicy(20.0, pause_s, Luck(1.0))
+def test_poll_without_response_and_next_poll_fit_deadline(max_backoff_s):
+    policy = PollPolicy(20.0, max_backoff_s, FixedUniform(1.0))
     policy.record_success()
-    silent_s = policy.timeout_s
-    assert silent_s + policy.record_failure() + policy.timeout_s < PROPAGATION_DEADLINE_S
+    lost_poll_s = policy.timeout_s
+    assert lost_poll_s + policy.record_failure() + policy.timeout_s < PROPAGATION_DEADLINE_S
 
 
 @MODES
-def test_the_call_after_any_number_of_failures_comes_in_time(pause_s):
-    """The worst: discovery is back right after a call was sent that it will never answer."""
-    policy = PollPolicy(20.0, pause_s, Luck(1.0))
-    pauses = []
-    for _ in range(5000):  # some hours of an outage
-        unheard_s = policy.timeout_s
-        pauses.append(policy.record_failure())
-        assert unheard_s + pauses[-1] + policy.timeout_s < PROPAGATION_DEADLINE_S
-    assert pauses == sorted(pauses)
-    assert pauses[-1] == (
-        PUSH_BACKOFF_S if pause_s == PUSH_BACKOFF_S else pytest.approx(3.2)
-    )  # backs off where it may crowd
+def test_poll_after_any_number_of_failures_fits_deadline(max_backoff_s):
+    """The worst case: discovery recovers just after a poll was sent to which it will never respond."""
+    policy = PollPolicy(20.0, max_backoff_s, FixedUniform(1.0))
+    backoffs = []
+    for _ in range(5000):  # an outage of several hours
+        lost_poll_s = policy.timeout_s
+        backoffs.append(policy.record_failure())
+        assert lost_poll_s + backoffs[-1] + policy.timeout_s < PROPAGATION_DEADLINE_S
+    assert backoffs == sorted(backoffs)
+    # Where the settings allow it, the backoff grows up to the maximum that the deadline leaves.
+    assert backoffs[-1] == (PUSH_BACKOFF_S if max_backoff_s == PUSH_BACKOFF_S else pytest.approx(3.2))
     policy.record_success()
-    assert policy.record_failure() == pauses[0]
+    assert policy.record_failure() == backoffs[0]
 
 
 @MODES
-def test_pauses_are_drawn_apart_at_every_failure(pause_s):
-    fleet = [PollPolicy(20.0, pause_s, Random(seed)) for seed in range(40)]
+def test_jitter_spreads_backoffs_of_nodes_at_every_failure(max_backoff_s):
+    policies = [PollPolicy(20.0, max_backoff_s, Random(seed)) for seed in range(40)]
     for _ in range(6):
-        pauses = sorted(policy.record_failure() for policy in fleet)
-        assert pauses[-1] > 1.8 * pauses[0]
-        assert max(later - earlier for earlier, later in itertools.pairwise(pauses)) < 0.1 * pauses[-1]
+        backoffs = sorted(policy.record_failure() for policy in policies)
+        assert backoffs[-1] > 1.8 * backoffs[0]
+        assert max(later - earlier for earlier, later in itertools.pairwise(backoffs)) < 0.1 * backoffs[-1]
 
 
-def test_settings_may_leave_less():
-    policy = PollPolicy(0.1, 0.1, Luck(1.0))
+def test_settings_lower_wait_and_backoff():
+    policy = PollPolicy(0.1, 0.1, FixedUniform(1.0))
     assert policy.wait_ms == 50
     policy.record_success()
     assert policy.wait_ms == 100
@@ -68,82 +67,88 @@
 
 
 @MODES
-@pytest.mark.parametrize("how", ["silent", "drip"])
-@pytest.mark.parametrize("into_s", [0.0, 0.7, 2.7])
-def test_a_watch_that_falls_silent_is_opened_anew_in_time(pause_s, how, into_s):
-    """Guard: a wait of 5 s that fell silent was noticed 6.2 s after it began."""
+@pytest.mark.parametrize("fault", ["silent", "drip"])
+@pytest.mark.parametrize("delay_s", [0.0, 0.7, 2.7])
+def test_stalled_connection_is_replaced_within_deadline(max_backoff_s, fault, delay_s):
+    """A connection may stall during a long poll.
+
+    With a wait of 5 s this was detected only 6.2 s after the poll began, after the deadline.
+    """
 
     async def main():
-        await (source := Source(rev=2)).open()
-        async with watching(source, pause_s) as (_, listener):
-            began = await listener.learned(2)
-            await asyncio.sleep(into_s)
-            fell_silent = source.fall_silent(how)
-            assert fell_silent - began < 2.75  # in the first long wait
-            source.change()
-            assert await listener.learned(3) - fell_silent < PROPAGATION_DEADLINE_S
-            assert source.connections == 2
+        await (discovery := StubDiscovery(rev=2)).open()
+        async with running_watcher(discovery, max_backoff_s) as (_, recorder):
+            began = await recorder.wait_for_revision(2)
+            await asyncio.sleep(delay_s)
+            stalled_at = discovery.break_connections(fault)
+            assert stalled_at - began < 2.75  # during the first long poll
+            discovery.change()
+            assert await recorder.wait_for_revision(3) - stalled_at < PROPAGATION_DEADLINE_S
+            assert discovery.connections == 2
 
     run(main())
 
 
-# ------------------------------------------------- older versions, a move, and the end
+# ------------------------------------------------- lower revisions, address changes, closing
 
 
 @MODES
-@pytest.mark.parametrize("known", [41, 2], ids=["known before the start", "heard"])
-def test_a_discovery_that_counts_again_is_followed_in_time(pause_s, known):
-    """Guard: it told nothing but changes since its own version, which were refused as stale for good, or were
-    taken for all that is new."""
+@pytest.mark.parametrize("known", [41, 2], ids=["known before start", "received"])
+def test_rebuilt_discovery_with_lower_revision_is_followed_within_deadline(max_backoff_s, known):
+    """A discovery that is rebuilt from nothing counts its revisions from the start.
+
+    Its response to a poll has only the changes since one of its own revisions. Such responses were rejected
+    permanently as stale, or were applied as if they had all changes.
+    """
 
     async def main():
-        await (source := Source(rev=41)).open()
-        async with watching(source, pause_s, known) as (_, listener):
+        await (discovery := StubDiscovery(rev=41)).open()
+        async with running_watcher(discovery, max_backoff_s, known) as (_, recorder):
             if known == 2:
-                await listener.learned(41)
-            source.fall_silent("reset")
-            began = source.change(7)
-            while not any((form, rev) == (EndpointListKind.FULL, 7) for _, form, rev in listener.heard):
-                await listener.next()
-                assert now() - began < PROPAGATION_DEADLINE_S
+                await recorder.wait_for_revision(41)
+            discovery.break_connections("reset")
+            changed_at = discovery.change(7)
+            while not any((kind, rev) == (EndpointListKind.FULL, 7) for _, kind, rev in recorder.updates):
+                await recorder.next()
+                assert now() - changed_at < PROPAGATION_DEADLINE_S
 
     run(main())
 
 
 @MODES
-@pytest.mark.parametrize("act", ["silent", "drip", "reset", "cut", "no length", "302", "500", "503"])
+@pytest.mark.parametrize("fault", ["silent", "drip", "reset", "cut", "no length", "302", "500", "503"])
 @pytest.mark.parametrize("outage_s", [0.1, 3.0, 8.0])
-def test_discovery_that_fails_from_the_start_is_followed_at_its_return(pause_s, act, outage_s):
+def test_discovery_that_fails_from_start_is_followed_after_recovery(max_backoff_s, fault, outage_s):
     async def main():
-        await (source := Source(rev=2, act=act)).open()
-        async with watching(source, pause_s) as (_, listener):
+        await (discovery := StubDiscovery(rev=2, behavior=fault)).open()
+        async with running_watcher(discovery, max_backoff_s) as (_, recorder):
             await asyncio.sleep(outage_s)
-            source.act = "answer"
-            assert await listener.learned(2) - outage_s < PROPAGATION_DEADLINE_S
+            discovery.behavior = "respond"
+            assert await recorder.wait_for_revision(2) - outage_s < PROPAGATION_DEADLINE_S
 
     run(main())
 
 
 @MODES
-@pytest.mark.parametrize("old", ["answer", "silent", "503", "reset"])
+@pytest.mark.parametrize("old", ["respond", "silent", "503", "reset"])
 @pytest.mark.parametrize("after_s", [0.0, 0.4, 1.5])
-def test_a_move_is_followed_at_once_whatever_the_old_address_does(pause_s, old, after_s):
-    """After SIGHUP a change counts as told 4 s later; a second SIGHUP to the same address changes nothing."""
+def test_new_address_is_polled_at_once_in_any_state_of_old_address(max_backoff_s, old, after_s):
+    """The deadline after SIGHUP is 4 s; a second SIGHUP with the same address changes nothing."""
 
     async def main():
-        await (source := Source(act=old)).open()
-        await (new := Source(rev=3)).open()
-        async with watching(source, pause_s) as (watcher, listener):
+        await (discovery := StubDiscovery(behavior=old)).open()
+        await (new := StubDiscovery(rev=3)).open()
+        async with running_watcher(discovery, max_backoff_s) as (watcher, recorder):
             await asyncio.sleep(after_s)
-            moved = now()
+            switched_at = now()
             watcher.change_address(new.address)
             watcher.change_address(new.address)
-            assert await listener.learned(3) - moved < 0.1
+            assert await recorder.wait_for_revision(3) - switched_at < 0.1
             assert new.connections == 1
-            watcher.change_address(source.address)
+            watcher.change_address(discovery.address)
             watcher.change_address(new.address)
             new.change()
-            assert await listener.learned(4) - moved < 0.3
+            assert await recorder.wait_for_revision(4) - switched_at < 0.3
         new.close()
 
     run(main())
@@ -151,38 +156,41 @@
 
 @MODES
 @pytest.mark.parametrize("lower", [3, 40])
-def test_a_move_to_where_versions_count_from_lower_is_followed_in_time(pause_s, lower):
-    """Guard: its whole list was taken 4.55 s after SIGHUP, as that of a source rebuilt at the old address."""
+def test_new_address_with_lower_revision_is_followed_within_deadline(max_backoff_s, lower):
+    """The revisions of another discovery may be lower than those of the old address.
+
+    Its complete list was accepted only 4.55 s after SIGHUP, since it was held back for as long as the list of
+    a source rebuilt at the old address.
+    """
 
     async def main():
-        await (source := Source(rev=41)).open()
-        await (new := Source(rev=lower)).open()
-        async with watching(source, pause_s) as (watcher, listener):
-            await listener.learned(41)
-            moved = now()
+        await (discovery := StubDiscovery(rev=41)).open()
+        await (new := StubDiscovery(rev=lower)).open()
+        async with running_watcher(discovery, max_backoff_s) as (watcher, recorder):
+            await recorder.wait_for_revision(41)
+            switched_at = now()
             watcher.change_address(new.address)
-            while not any((form, rev) == (EndpointListKind.FULL, lower) for _, form, rev in listener.heard):
-                await listener.next()
-            assert (
-                2.0 < now() - moved < ADDRESS_CHANGE_DEADLINE_S
-            )  # a replica that only lags has some time to catch up
+            while not any((kind, rev) == (EndpointListKind.FULL, lower) for _, kind, rev in recorder.updates):
+                await recorder.next()
+            # The lower bound gives a replica that only lags time to catch up.
+            assert 2.0 < now() - switched_at < ADDRESS_CHANGE_DEADLINE_S
         new.close()
 
     run(main())
 
 
-def test_no_watch_begins_after_the_end():
+def test_closed_watcher_starts_no_watch():
     async def main():
-        await (source := Source(rev=2)).open()
-        await (new := Source(rev=3)).open()
-        async with watching(source) as (watcher, listener):
-            await listener.learned(2)
+        await (discovery := StubDiscovery(rev=2)).open()
+        await (new := StubDiscovery(rev=3)).open()
+        async with running_watcher(discovery) as (watcher, recorder):
+            await recorder.wait_for_revision(2)
             watcher.close()
             watcher.change_address(new.address)
             watcher.start()
             await asyncio.sleep(10.0)
             assert not new.connections
-            assert len(listener.heard) == 1
+            assert len(recorder.updates) == 1
         new.close()
 
     run(main())
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -1,4 +1,4 @@
-"""Ejections by operators: their files, their admin requests and what the balancer makes of them."""
+"""Ejections by operators: their files, the admin requests and their effect in the balancer."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 # ------------------------------------------------------------------------ files
 
 
-def test_a_ban_said_to_one_process_is_read_by_the_other_and_by_a_later_one(tmp_path):
-    one, two = EjectionStore(tmp_path / "x"), EjectionStore(tmp_path / "x")
-    assert two.read_changes(0.0) == []  # nothing was ever out
-    assert one.eject("s/1 ü", 1000.0)
-    assert two.read_changes(2000.0) == ["s/1 ü"]
-    assert two.get("s/1 ü") == Ejection(1000.0)
-    assert two.read_changes(2100.0) == []  # told once
-    assert two.restore("s/1 ü", 5000.0)
-    assert one.read_changes(5100.0) == ["s/1 ü"]
-    assert one.get("s/1 ü") == Ejection(1000.0, 5000.0)
+def test_ejection_in_one_process_is_read_by_others_and_by_later_ones(tmp_path):
+    first, second = EjectionStore(tmp_path / "x"), EjectionStore(tmp_path / "x")
+    assert second.read_changes(0.0) == []  # nothing has ever been ejected
+    assert first.eject("s/1 ü", 1000.0)
+    assert second.read_changes(2000.0) == ["s/1 ü"]
+    assert second.get("s/1 ü") == Ejection(1000.0)
+    assert second.read_changes(2100.0) == []  # reported only once
+    assert second.restore("s/1 ü", 5000.0)
+    assert first.read_changes(5100.0) == ["s/1 ü"]
+    assert first.get("s/1 ü") == Ejection(1000.0, 5000.0)
     later = EjectionStore(tmp_path / "x")
     later.read_changes(6000.0)
     assert later.get("s/1 ü") == Ejection(1000.0, 5000.0)
     assert not later.is_ejected("s/1 ü")
 
 
-def test_putting_a_server_out_twice_is_undone_by_one_call_back(tmp_path):
+def test_repeated_ejection_is_ended_by_one_restore(tmp_path):
     store = EjectionStore(tmp_path)
     store.eject("s", 1000.0)
     store.eject("s", 2000.0)
@@ -49,7 +49,7 @@
     assert not store.is_ejected("s")
 
 
-def test_a_return_from_long_ago_is_forgotten_with_its_file(tmp_path):
+def test_ended_ejection_is_removed_with_its_file_after_retention(tmp_path):
     store = EjectionStore(tmp_path)
     store.eject("s", 0.0)
     store.restore("s", 1.0)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", '{"out_ms": "x", "back_ms": null}', "\0" * 4096])
-def test_a_file_that_cannot_be_read_keeps_its_server_out_and_is_logged(tmp_path, caplog, text):
+def test_unreadable_file_ejects_its_endpoint_and_is_logged(tmp_path, caplog, text):
     (tmp_path / (FILE_PREFIX + "s")).write_text(text)
     (tmp_path / "something else").write_text(text)
     store = EjectionStore(tmp_path)
@@ -71,7 +71,7 @@
     assert not store.is_ejected("s")
 
 
-def test_a_folder_that_takes_no_file_is_a_no_and_the_ban_holds_in_this_process(tmp_path, caplog):
+def test_unwritable_folder_fails_request_and_ejection_holds_in_process(tmp_path, caplog):
     (tmp_path / "file").write_text("")
     store = EjectionStore(tmp_path / "file")
     assert store.read_changes(0.0) == []
@@ -79,20 +79,20 @@
     assert store.is_ejected("s")
     assert not store.restore("s", 1.0)
     assert store.is_ejected("s")
-    assert len(caplog.records) == 1  # once for the stretch
+    assert len(caplog.records) == 1  # once for consecutive failures
 
 
-def test_without_a_folder_bans_are_kept_in_memory():
+def test_ejections_without_folder_are_held_in_memory():
     store = EjectionStore(None)
     assert store.eject("s", 0.0)
     assert store.read_changes(1.0) == []
     assert store.is_ejected("s")
 
 
-# --------------------------------------------------------------------- the calls
+# ------------------------------------------------------------- admin requests
 
 
-def test_a_server_out_by_hand_gets_nothing_new_and_finishes_what_it_has():
+def test_ejected_endpoint_gets_no_new_requests_and_finishes_its_own():
     async def main():
         first, second = Held(), Held()
         async with running(first, second, **ADMIN_SETTINGS) as node:
@@ -116,9 +116,9 @@
     asyncio.run(main())
 
 
-def test_an_attempt_that_waits_to_connect_to_it_goes_elsewhere():
+def test_attempt_that_waits_to_connect_to_ejected_endpoint_is_forwarded():
     async def main():
-        # A listener whose queue is full: connections to it never come up.
+        # The listener's backlog is full, so connections to it are never established.
         with socket.create_server(("127.0.0.1", 0), backlog=0) as silent, socket.socket() as filler:
             filler.connect(silent.getsockname())
             server = Peer()
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("path", [ENTER, EXIT])
 @pytest.mark.parametrize(("body", "expected"), [(b"s9", 404), (b"", 404), (b"\xff\xfe", 400)])
-def test_an_unknown_id_is_told_no(path, body, expected):
+def test_invalid_endpoint_name_is_rejected(path, body, expected):
     async def main():
         async with running(Peer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", path, body) == expected
@@ -148,7 +148,7 @@
     asyncio.run(main())
 
 
-def test_the_ban_holds_whatever_the_list_says():
+def test_ejection_holds_after_list_update():
     async def main():
         server, other = Peer(), Peer()
         await server.start()
@@ -157,7 +157,7 @@
         discovery = Discovery()
         async with running(server, discovery=discovery, **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", ENTER, b"s0") == 200
-            discovery.news.append(news)  # for the next call: the first stays silent and is given up
+            discovery.news.append(news)  # for the next poll: the first gets no response and times out
             await until(lambda: "s1" in node.endpoint_list.endpoints)
             for at in range(10):
                 assert (await ask(node, request(name=f"q{at}"))).status == 200
@@ -167,17 +167,17 @@
     asyncio.run(main())
 
 
-def test_the_ban_binds_a_second_process_and_one_started_later(tmp_path):
+def test_ejection_applies_to_sibling_process_and_one_started_later(tmp_path):
     async def main():
         server = Peer()
         async with running(server, tmpdir=str(tmp_path), **ADMIN_SETTINGS) as old:
             new = Node(old.config)
-            new.listener.listen = _nowhere  # type: ignore[method-assign]
+            new.listener.listen = _skip_listen  # type: ignore[method-assign]
             await new.start()
             assert await status(old, "PUT", ENTER, b"s0") == 200
-            await until(lambda: not new.endpoint_list.available)  # by its own look at the folder
+            await until(lambda: not new.endpoint_list.available)  # when it reads the folder
             later = Node(old.config)
-            later.listener.listen = _nowhere  # type: ignore[method-assign]
+            later.listener.listen = _skip_listen  # type: ignore[method-assign]
             await later.start()
             assert not later.endpoint_list.available
             assert await status(later, "PUT", EXIT, b"s0") == 200
@@ -188,11 +188,11 @@
     asyncio.run(main())
 
 
-async def _nowhere(*_: object) -> None:
-    """Stands for the clients' address, which the first node has."""
+async def _skip_listen(*_: object) -> None:
+    """Replaces listening for clients, since the first node uses the address."""
 
 
-def test_a_call_back_right_after_the_other_process_was_told_is_not_lost(tmp_path):
+def test_restore_right_after_ejection_in_other_process_takes_effect(tmp_path):
     async def main():
         async with running(Peer(), tmpdir=str(tmp_path), **ADMIN_SETTINGS) as node:
             EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
@@ -203,7 +203,7 @@
     asyncio.run(main())
 
 
-def test_without_a_door_the_folder_is_not_looked_at_again(tmp_path):
+def test_folder_is_not_read_again_without_admin_server(tmp_path):
     async def main():
         async with running(Peer(), tmpdir=str(tmp_path)) as node:
             EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
@@ -214,10 +214,10 @@
     assert os.listdir(Path(tmp_path)) == [FOLDER_NAME]
 
 
-# -------------------------------------------------------------------- the module
+# ------------------------------------------------------------------ the balancer
 
 
-def test_the_module_sends_nothing_to_a_server_out_by_hand_even_when_it_is_listed_anew():
+def test_balancer_does_not_select_ejected_endpoint_after_full_list():
     bed = Bed(2)
     bed.give(EndpointEjected("s0"))
     assert {bed.serve() for _ in range(20)} == {"s1"}
@@ -226,7 +226,7 @@
     assert [peer.listed.name for peer in bed.brain.ready] == ["s1"]
 
 
-def test_a_server_brought_back_gets_the_next_call_that_a_cold_one_may_have():
+def test_restored_endpoint_gets_next_request_allowed_in_slow_start():
     bed = Bed(3, slow_start_ms=0.0)
     bed.brain.endpoints["s0"].latency_ratio = 5.0  # ranked last
     bed.brain.endpoints["s0"].last_outcome_ms = bed.now
@@ -234,35 +234,33 @@
     assert "s0" not in {bed.serve() for _ in range(20)}
     bed.give(EndpointRestored("s0", bed.now - 3000.0, bed.now))
     assert bed.serve() == "s0"
-    assert bed.serve() != "s0"  # from then on by its rank
+    assert bed.serve() != "s0"  # from then on it is selected by its rank
 
 
 @pytest.mark.parametrize(
-    ("launched", "cold"),
+    ("launched", "slow_start"),
     [
         (None, True),
         (-50_000.0, True),
         (-9_900.0, False),
-    ],  # ms before its return
+    ],  # ms relative to its restoration
 )
-def test_a_server_brought_back_is_paced_as_cold_from_its_return_unless_the_list_tells(launched, cold):
+def test_restored_endpoint_is_in_slow_start_unless_list_shows_it_warm(launched, slow_start):
     bed = Bed(1)
     at = None if launched is None else bed.now + launched
     bed.give(EndpointListUpdate(EndpointListKind.FULL, servers(1, launched_ms=at)))
     bed.give(EndpointEjected("s0"))
-    out_ms = bed.now - (5_000.0 if cold else 20_000.0)
-    bed.give(EndpointRestored("s0", out_ms, bed.now))
-    bed.now += 200.0  # 10.1 s after the launch that the last case lists: warm
+    ejected_ms = bed.now - (5_000.0 if slow_start else 20_000.0)
+    bed.give(EndpointRestored("s0", ejected_ms, bed.now))
+    bed.now += 200.0  # in the last case 10.1 s after the listed launch, so not in slow start
     peer = bed.brain.endpoints["s0"]
-    bed.brain.state.peak_completion_rate, bed.brain.state.send_rate = (
-        1.0,
-        100.0,
-    )  # as many as 100 servers' ordinary calls
-    passed = sum(slow_start_admits(bed.brain.state, bed.now, peer) for _ in range(200))
-    assert (passed < 50) is cold
+    # The balancer sends as many requests as 100 servers usually get.
+    bed.brain.state.peak_completion_rate, bed.brain.state.send_rate = 1.0, 100.0
+    admitted = sum(slow_start_admits(bed.brain.state, bed.now, peer) for _ in range(200))
+    assert (admitted < 50) is slow_start
 
 
-def test_what_a_server_was_known_for_before_its_stay_is_not_held_against_it():
+def test_restored_endpoint_starts_without_earlier_statistics():
     bed = Bed(2)
     peer = bed.brain.endpoints["s0"]
     peer.latency_ratio, peer.error_rate, peer.reported_queue, peer.utilisation = 5.0, 0.9, 7.0, 1.0
@@ -276,7 +274,7 @@
     )
 
 
-def test_a_second_stay_out_starts_anew():
+def test_second_ejection_applies_after_first_has_ended():
     bed = Bed(2)
     bed.give(EndpointEjected("s0"))
     bed.give(EndpointRestored("s0", bed.now, bed.now))
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -1,4 +1,4 @@
-"""What an old process hands over to a new one, and how both count each other's calls."""
+"""Handover of learned state to a new process, and how both processes count each other's requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def learned(**changes: object) -> LearnedState:
-    given = {
+    fields = {
         "baseline_ratio": 0.2,
         "latency_ratio": 0.25,
         "cursor": 5,
@@ -36,30 +36,30 @@
         "class_latency_ms": {"read": 100.0},
         "endpoint_latency_ratios": {"s0": 2.0},
     }
-    return LearnedState(**given | changes)  # type: ignore[arg-type]
+    return LearnedState(**fields | changes)  # type: ignore[arg-type]
 
 
 # ------------------------------------------------------------------------ files
 
 
-def test_a_process_reads_what_the_others_wrote_and_not_its_own(tmp_path):
-    one, two, three = (HandoverFiles(tmp_path / "x", number) for number in (1, 2, 3))
-    assert three.read_siblings(0.0) == (None, {})  # the first process
-    one.write(1000.0, learned(cursor=1), {"s0": 2.0, "s1": 1.0})
-    two.write(1100.0, learned(cursor=2), {"s0": 3.0})
-    three.write(1200.0, learned(cursor=3), {"s0": 9.0})
-    assert three.read_siblings(1200.0) == (learned(cursor=2), {"s0": 5.0, "s1": 1.0})
-    two.close()
-    assert three.read_siblings(1200.0) == (learned(cursor=1), {"s0": 2.0, "s1": 1.0})
+def test_process_reads_files_of_others_and_not_its_own(tmp_path):
+    first, second, third = (HandoverFiles(tmp_path / "x", number) for number in (1, 2, 3))
+    assert third.read_siblings(0.0) == (None, {})  # the first process
+    first.write(1000.0, learned(cursor=1), {"s0": 2.0, "s1": 1.0})
+    second.write(1100.0, learned(cursor=2), {"s0": 3.0})
+    third.write(1200.0, learned(cursor=3), {"s0": 9.0})
+    assert third.read_siblings(1200.0) == (learned(cursor=2), {"s0": 5.0, "s1": 1.0})
+    second.close()
+    assert third.read_siblings(1200.0) == (learned(cursor=1), {"s0": 2.0, "s1": 1.0})
 
 
-def test_a_process_that_has_stopped_writing_says_nothing_and_its_file_goes(tmp_path):
-    one, two = HandoverFiles(tmp_path, 1), HandoverFiles(tmp_path, 2)
-    one.write(0.0, learned(), {"s0": 2.0})
-    assert two.read_siblings(FRESHNESS_MS)[1] == {"s0": 2.0}
-    assert two.read_siblings(FRESHNESS_MS + 1.0) == (None, {})
+def test_file_of_ended_process_is_ignored_and_later_removed(tmp_path):
+    first, second = HandoverFiles(tmp_path, 1), HandoverFiles(tmp_path, 2)
+    first.write(0.0, learned(), {"s0": 2.0})
+    assert second.read_siblings(FRESHNESS_MS)[1] == {"s0": 2.0}
+    assert second.read_siblings(FRESHNESS_MS + 1.0) == (None, {})
     assert list(tmp_path.iterdir())
-    two.read_siblings(RETENTION_MS + 1.0)
+    second.read_siblings(RETENTION_MS + 1.0)
     assert not list(tmp_path.iterdir())
 
 
@@ -74,35 +74,35 @@
         lambda row: row["learned"].update(class_ms={"read": "slow"}),
     ],
 )
-def test_a_malformed_file_is_passed_over_and_logged_once(tmp_path, caplog, change):
-    one, two = HandoverFiles(tmp_path, 1), HandoverFiles(tmp_path, 2)
-    one.write(0.0, learned(), {"s0": 2.0})
+def test_malformed_file_is_ignored_and_logged_once(tmp_path, caplog, change):
+    first, second = HandoverFiles(tmp_path, 1), HandoverFiles(tmp_path, 2)
+    first.write(0.0, learned(), {"s0": 2.0})
     path = tmp_path / f"{FILE_PREFIX}1"
-    row = orjson.loads(path.read_bytes())
-    change(row)
-    path.write_bytes(orjson.dumps(row))
+    fields = orjson.loads(path.read_bytes())
+    change(fields)
+    path.write_bytes(orjson.dumps(fields))
     for _ in range(3):
-        assert two.read_siblings(0.0) == (None, {})
+        assert second.read_siblings(0.0) == (None, {})
     path.write_bytes(b"\0")
-    assert two.read_siblings(0.0) == (None, {})
+    assert second.read_siblings(0.0) == (None, {})
     assert len(caplog.records) == 1
 
 
-def test_a_folder_that_takes_no_file_is_logged_once(tmp_path, caplog):
+def test_unusable_folder_is_logged_once(tmp_path, caplog):
     (tmp_path / "file").write_text("")
-    one = HandoverFiles(tmp_path / "file", 1)
+    first = HandoverFiles(tmp_path / "file", 1)
     for _ in range(3):
-        one.write(0.0, learned(), {})
-        assert one.read_siblings(0.0) == (None, {})
-    one.close()
+        first.write(0.0, learned(), {})
+        assert first.read_siblings(0.0) == (None, {})
+    first.close()
     assert len(caplog.records) == 1
 
 
-# -------------------------------------------------------------------- the module
+# ------------------------------------------------------------------ the balancer
 
 
-def taught(bed: Bed) -> Bed:
-    """A balancer that has served for a while, and seen load."""
+def under_load(bed: Bed) -> Bed:
+    """Let the balancer serve requests under load for a while, so that it learns."""
     for _ in range(60):
         for _ in range(3):
             bed.serve("read", 100.0)
@@ -111,8 +111,8 @@
     return bed
 
 
-def test_a_new_process_starts_at_the_threshold_of_the_old_one():
-    old, new = taught(Bed(4)), Bed(4)
+def test_new_process_starts_with_threshold_of_old_process():
+    old, new = under_load(Bed(4)), Bed(4)
     assert new.brain.threshold(1.0, 4) > old.brain.threshold(1.0, 4)
     new.give(old.brain.learned_state())
     assert new.brain.threshold(1.0, 4) == pytest.approx(old.brain.threshold(1.0, 4))
@@ -123,7 +123,7 @@
     base = new.brain.state.baseline_ratio
     new.serve("read", 900.0)
     new.period()
-    assert new.brain.state.baseline_ratio == pytest.approx(base, rel=0.1)  # not learned anew from one call
+    assert new.brain.state.baseline_ratio == pytest.approx(base, rel=0.1)  # one request does not replace it
 
 
 @pytest.mark.parametrize(
@@ -135,26 +135,26 @@
         {"mean_latency_objective_ms": 0.0},
     ],
 )
-def test_an_old_process_that_has_only_begun_to_learn_teaches_nothing(change):
+def test_incomplete_learned_state_is_not_applied(change):
     bed = Bed(4)
     before = bed.brain.threshold(1.0, 4)
     bed.give(learned(**change))
     assert (bed.brain.threshold(1.0, 4), bed.brain.cursor) == (before, 0)
 
 
-def test_a_cursor_from_elsewhere_stays_within_the_table():
+def test_cursor_of_other_process_is_limited_to_table():
     bed = Bed(4)
-    bed.give(learned(cursor=999, class_latency_ms={"gone": 5.0}))
+    bed.give(learned(cursor=999, class_latency_ms={"unknown": 5.0}))
     assert bed.brain.cursor == len(SLOT_RATIOS) - 1
     assert bed.brain.state.class_latency_ms == {}
 
 
-def test_calls_of_the_process_beside_count_in_the_queue_the_share_and_the_rank():
+def test_requests_of_sibling_process_count_in_admission_and_ranking():
     bed = Bed(4)
-    room = int(bed.brain.threshold(1.0, 4))
-    bed.give(SiblingProcessLoad({"s0": room / 2, "s1": room / 2, "gone": 9.0}))
-    refused = [not sent(bed.ask()[1]) for _ in range(10)]
-    assert all(refused[2:])
+    capacity = int(bed.brain.threshold(1.0, 4))
+    bed.give(SiblingProcessLoad({"s0": capacity / 2, "s1": capacity / 2, "unknown": 9.0}))
+    rejected = [not sent(bed.ask()[1]) for _ in range(10)]
+    assert all(rejected[2:])
     bed.give(SiblingProcessLoad({"s0": 3.0}))
     assert sent(bed.ask()[1])[0].server != "s0"
     bed.give(SiblingProcessLoad({}))
@@ -164,7 +164,7 @@
 # ---------------------------------------------------------------------- the node
 
 
-def test_both_processes_of_an_upgrade_count_each_others_calls_until_one_ends(tmp_path):
+def test_processes_in_upgrade_count_each_others_requests_until_one_ends(tmp_path):
     async def main():
         raw, server = listening(), Held()
         shared = {"accept_fd": str(os.dup(raw.fileno())), "tmpdir": str(tmp_path)}
@@ -174,7 +174,7 @@
             await until(lambda: server.seen)
             new = Node(old.config)
             assert new.sibling_process is not None
-            # As both run in one process here.
+            # Both nodes run in the test's process, so the new one needs another process number.
             new.sibling_process.handover = HandoverFiles(tmp_path / FOLDER_NAME, os.getpid() + 1)
             old.sibling_process.exchange()
             new.endpoint_list.apply_update(EndpointListKind.CACHED, new.config.initial_list)
@@ -194,7 +194,7 @@
     asyncio.run(main())
 
 
-def test_a_node_with_a_socket_of_its_own_hands_nothing_over(tmp_path):
+def test_node_with_own_listening_socket_writes_no_handover_file(tmp_path):
     async def main():
         async with running(Held(), tmpdir=str(tmp_path)) as node:
             node.periodic_tasks.tick(node.loop.time())
--- a/tests/node/state/test_inspection.py
+++ b/tests/node/state/test_inspection.py
@@ -1,4 +1,4 @@
-"""`state show` on a file with a right digest whose fields are of another kind, and a node's start with it."""
+"""State files with a valid digest and invalid fields: their description and a node's start with them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def stored(**fields: object) -> bytes:
-    """A state file with these fields in place of its own."""
+    """Return a valid state file with these fields replaced or added."""
     learned = LearnedState(
         baseline_ratio=1.0,
         latency_ratio=1.0,
@@ -32,8 +32,8 @@
         class_latency_ms={},
         endpoint_latency_ratios={},
     )
-    whole = encode_state("n0", NOW_MS, learned, {}, DiscoveryResponse(2, True, (), {}))
-    body = msgpack.unpackb(whole[FRAME_HEADER.size :])
+    data = encode_state("n0", NOW_MS, learned, {}, DiscoveryResponse(2, True, (), {}))
+    body = msgpack.unpackb(data[FRAME_HEADER.size :])
     return encode_frame(msgpack.packb(body | fields))
 
 
@@ -53,7 +53,7 @@
     ],
     ids=str,
 )
-def test_a_field_of_another_kind_is_named_by_its_rule_and_keeps_no_node_from_its_start(
+def test_invalid_field_is_malformed_and_does_not_prevent_start(
     tmp_path: Path, fields: dict[str, object]
 ) -> None:
     path = tmp_path / "state"
@@ -68,7 +68,7 @@
     [{"more": b"\xff"}, {"more": {1: 2}}, {"written_ms": float("nan")}, {"written_ms": float("inf")}],
     ids=str,
 )
-def test_what_json_can_not_hold_is_shown_all_the_same(tmp_path: Path, fields: dict[str, object]) -> None:
+def test_value_that_json_cannot_represent_is_described(tmp_path: Path, fields: dict[str, object]) -> None:
     path = tmp_path / "state"
     path.write_bytes(stored(**fields))
     description = describe_state(path)
@@ -76,8 +76,12 @@
     read_state(path, "n0", NOW_MS, 0)
 
 
-def test_a_whole_file_is_shown_with_its_contents(tmp_path: Path) -> None:
+def test_valid_file_is_described_with_its_contents(tmp_path: Path) -> None:
     path = tmp_path / "state"
     path.write_bytes(stored())
-    shown = orjson.loads(describe_state(path, "n0").text)
-    assert (shown["verdict"], shown["listed"], shown["learned"]["cursor"]) == ("whole", 0, 3)
+    description = orjson.loads(describe_state(path, "n0").text)
+    assert (description["verdict"], description["listed"], description["learned"]["cursor"]) == (
+        "whole",
+        0,
+        3,
+    )
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -1,4 +1,4 @@
-"""The state file across crashes: nodes killed, files torn and flipped, disks full, clocks gone back."""
+"""The state file after kills of the node, file corruption, full disks and clocks that were set back."""
 
 from __future__ import annotations
 
@@ -42,39 +42,39 @@
     servers.close()
 
 
-def stateful(folder: Path, state: Path, upstream: ServerPool, **row: Any) -> Node:
-    return Node(folder, upstream.known(), state=str(state), **row)
+def node_with_state(folder: Path, state: Path, upstream: ServerPool, **config: Any) -> Node:
+    return Node(folder, upstream.known(), state=str(state), **config)
 
 
-def on_a_full_disk(arguments: list[str], log: Path, env: dict[str, str]) -> subprocess.Popen[bytes]:
-    """A full disk, as the process sees one: writes past 64 bytes of a file fail with EFBIG."""
+def start_on_full_disk(arguments: list[str], log: Path, env: dict[str, str]) -> subprocess.Popen[bytes]:
+    """Start a process for which the disk appears full: writes beyond 64 bytes of a file fail with EFBIG."""
 
-    def cap() -> None:
+    def limit_file_size() -> None:
         resource.setrlimit(resource.RLIMIT_FSIZE, (64, 64))
 
     environment = {**os.environ, "PYTHONPATH": str(ROOT), **env}
     process = subprocess.Popen(
         [sys.executable, *arguments],
-        stdout=subprocess.PIPE,  # a pipe, which the limit does not bind, unlike the log's file
+        stdout=subprocess.PIPE,  # a pipe, to which the limit does not apply, unlike a log file
         stderr=subprocess.STDOUT,
         env=environment,
-        preexec_fn=cap,
+        preexec_fn=limit_file_size,
     )
 
-    def copy() -> None:
+    def copy_output() -> None:
         assert process.stdout is not None
-        with log.open("ab", buffering=0) as out:
+        with log.open("ab", buffering=0) as file:
             for line in process.stdout:
-                out.write(line)
+                file.write(line)
 
-    threading.Thread(target=copy, daemon=True).start()
+    threading.Thread(target=copy_output, daemon=True).start()
     return process
 
 
-def served(port: int) -> None:
-    """Until one request is answered 200."""
+def wait_until_served(port: int) -> None:
+    """Wait until a request gets a response with status 200."""
 
-    def one() -> bool:
+    def request_succeeds() -> bool:
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=1)
         try:
             name = f"probe-{time.monotonic_ns()}"
@@ -83,47 +83,48 @@
         finally:
             connection.close()
 
-    until(one, what="a request served")
+    until(request_succeeds, what="a request served")
 
 
-def written(
+def write_state(
     path: Path, listing: DiscoveryResponse, node: str = "n0", at_ms: float | None = None, **body: Any
 ) -> None:
     data = snapshot.encode_state(node, time.time() * 1000.0 if at_ms is None else at_ms, LEARNED, {}, listing)
-    if body:  # a body of another shape, digested as it should be
-        row = msgpack.unpackb(data[frame.FRAME_HEADER.size :]) | body
-        raw = msgpack.packb(row)
+    if body:  # another body, with a valid digest
+        fields = msgpack.unpackb(data[frame.FRAME_HEADER.size :]) | body
+        raw = msgpack.packb(fields)
         data = frame.encode_frame(raw)
     path.write_bytes(data)
 
 
-def test_kill_9_at_50_seeded_moments_leaves_a_whole_file_and_no_request_twice(
+def test_kill_9_at_50_random_times_leaves_valid_file_and_no_request_twice(
     tmp_path: Path, upstream: ServerPool
 ) -> None:
     state = tmp_path / "state" / "n0.state"
-    node = stateful(tmp_path, state, upstream, state_every_ms=5)
+    node = node_with_state(tmp_path, state, upstream, state_every_ms=5)
     rng = Random(20261201)
     for kill in range(50):
         node.start()
         client = Load(node.port, f"k{kill}-")
-        if kill == 0:  # a start killed before its first write leaves no file, which is no test of the writes
+        if kill == 0:  # a kill before the first write would leave no file and test nothing
             until(state.exists, what="the first write")
-        time.sleep(rng.uniform(0.0, 0.15))  # a seeded moment, most often while a write is under way
+        time.sleep(rng.uniform(0.0, 0.15))  # most often, a write is in progress at that time
         node.kill()
         client.finish()
-        # A call the node sent just before its kill may reach the server later: ids differ in every round.
+        # A request sent just before the kill may reach the server later, so ids differ in every round.
         assert upstream.most() <= 1, "a request reached its server twice"
-        if state.exists():  # the rename leaves the old file or the new one, never a part
+        if state.exists():  # the rename leaves the old file or the new one, never a mix
             frame.decode_frame(state.read_bytes())
-        assert len(node.lines("state ")) >= kill + 1, "a start that did not say what it made of the file"
+        assert len(node.lines("state ")) >= kill + 1, "a start did not log what it restored from the file"
     node.start()
-    served(node.port)
+    wait_until_served(node.port)
     node.stop()
     starts = node.lines(f"state {state}:")
-    said = Counter(line.split(f"{state}: ")[1].split(",")[0].split(";")[0] for line in starts)
-    assert set(said) <= {"missing", "list behind"}, said  # the list given at each start is as new as its own
-    assert said["missing"] <= 1, said
-    assert sum("learned state yes" in line for line in starts) >= 40, said
+    verdicts = Counter(line.split(f"{state}: ")[1].split(",")[0].split(";")[0] for line in starts)
+    # "list behind", since the configured list is as new as the stored one.
+    assert set(verdicts) <= {"missing", "list behind"}, verdicts
+    assert verdicts["missing"] <= 1, verdicts
+    assert sum("learned state yes" in line for line in starts) >= 40, verdicts
 
 
 def _torn(data: bytes, rng: Random) -> bytes:
@@ -140,23 +141,23 @@
     [
         (lambda path, listing: path.write_bytes(_torn(path.read_bytes(), Random(1))), "torn"),
         (lambda path, listing: path.write_bytes(_flipped(path.read_bytes(), Random(2))), "digest"),
-        (lambda path, listing: written(path, listing, format=0), "format"),
-        (lambda path, listing: written(path, listing, node="n9"), "another node"),
-        (lambda path, listing: written(path, listing, at_ms=time.time() * 1000.0 + 3.6e6), "future"),
-        (lambda path, listing: written(path, listing, at_ms=time.time() * 1000.0 - 6e5), "list old"),
+        (lambda path, listing: write_state(path, listing, format=0), "format"),
+        (lambda path, listing: write_state(path, listing, node="n9"), "another node"),
+        (lambda path, listing: write_state(path, listing, at_ms=time.time() * 1000.0 + 3.6e6), "future"),
+        (lambda path, listing: write_state(path, listing, at_ms=time.time() * 1000.0 - 6e5), "list old"),
     ],
 )
-def test_a_bad_file_is_never_trusted_and_the_node_serves(
+def test_invalid_state_file_is_rejected_and_node_serves(
     tmp_path: Path, upstream: ServerPool, change: Callable[[Path, DiscoveryResponse], None], rule: str
 ) -> None:
     state = tmp_path / "n0.state"
-    listing = DiscoveryResponse(9, True, servers(1), {"s0": ("127.0.0.1", 9)})  # a server that is not there
-    written(state, listing)
+    listing = DiscoveryResponse(9, True, servers(1), {"s0": ("127.0.0.1", 9)})  # no server listens there
+    write_state(state, listing)
     change(state, listing)
-    node = stateful(tmp_path, state, upstream)
+    node = node_with_state(tmp_path, state, upstream)
     node.start()
     try:
-        served(node.port)
+        wait_until_served(node.port)
         [line] = node.lines(f"state {state}:")
         assert f": {rule}, " in line
         if rule not in ("future", "list old"):
@@ -165,16 +166,14 @@
         node.stop()
 
 
-def test_a_full_disk_costs_one_line_and_a_counter_and_service_goes_on(
-    tmp_path: Path, upstream: ServerPool
-) -> None:
+def test_full_disk_is_logged_once_and_counted_and_node_serves(tmp_path: Path, upstream: ServerPool) -> None:
     state = tmp_path / "n0.state"
-    node = stateful(tmp_path, state, upstream, state_every_ms=20)
-    node.start(on_a_full_disk)
+    node = node_with_state(tmp_path, state, upstream, state_every_ms=20)
+    node.start(start_on_full_disk)
     client = Load(node.port)
     try:
         until(lambda: node.metric("proxy.state_failures") >= 5, what="failed writes counted")
-        served(node.port)
+        wait_until_served(node.port)
     finally:
         outcomes = client.finish()
         node.stop()
@@ -183,46 +182,42 @@
     assert not state.exists()
 
 
-def test_of_two_processes_on_one_file_one_writes_and_the_other_takes_over(
-    tmp_path: Path, upstream: ServerPool
-) -> None:
+def test_second_process_writes_state_file_only_after_first_ends(tmp_path: Path, upstream: ServerPool) -> None:
     state = tmp_path / "n0.state"
-    first = stateful(tmp_path, state, upstream, state_every_ms=20)
-    second = stateful(tmp_path, state, upstream, state_every_ms=20)
+    first = node_with_state(tmp_path, state, upstream, state_every_ms=20)
+    second = node_with_state(tmp_path, state, upstream, state_every_ms=20)
     first.start()
-    until(lambda: first.metric("proxy.state_writes") > 0, what="the first writing")
+    until(lambda: first.metric("proxy.state_writes") > 0, what="a write of the first process")
     second.start()
     try:
-        until(lambda: second.lines("another process writes it"), what="the second standing back")
+        until(lambda: second.lines("another process writes it"), what="the second process not writing")
         assert second.metric("proxy.state_writes") == 0
         first.kill()
-        until(lambda: second.metric("proxy.state_writes") > 0, what="the second taking over")
+        until(lambda: second.metric("proxy.state_writes") > 0, what="a write of the second process")
         assert second.lines("this process writes it from now on")
         frame.decode_frame(state.read_bytes())
     finally:
         second.stop()
 
 
-def test_a_restart_while_discovery_is_down_serves_the_restored_list(
-    tmp_path: Path, upstream: ServerPool
-) -> None:
+def test_restart_during_discovery_outage_serves_restored_list(tmp_path: Path, upstream: ServerPool) -> None:
     discovery = Served(Discovery(listing(5, True, s1=(f"127.0.0.1:{upstream.port()}", "Ready"))))
     state = tmp_path / "n0.state"
-    # the platform's list is old: its server has gone
-    gone = targets(s0=(f"127.0.0.1:{free_port()}", "Ready"))
+    # The list in the node's configuration is outdated: its server has been removed.
+    outdated = targets(s0=(f"127.0.0.1:{free_port()}", "Ready"))
     push = {"registryMode": "push"}
-    node = Node(tmp_path, gone, discovery.port, state=str(state), state_every_ms=20, settings=push)
+    node = Node(tmp_path, outdated, discovery.port, state=str(state), state_every_ms=20, settings=push)
     node.start()
     try:
-        served(node.port)
-        so_far = node.metric("proxy.state_writes")  # the list is in the next but one for sure
-        until(lambda: node.metric("proxy.state_writes") > so_far + 1, what="the list written")
+        wait_until_served(node.port)
+        writes = node.metric("proxy.state_writes")  # the second write from now certainly has the list
+        until(lambda: node.metric("proxy.state_writes") > writes + 1, what="the list written")
     finally:
         node.kill()
         discovery.close()
     node.start()
     try:
-        served(node.port)
+        wait_until_served(node.port)
         [line] = [line for line in node.lines(f"state {state}:")][-1:]
         assert "verified" in line
         assert "1 listed" in line
@@ -230,7 +225,7 @@
         node.stop()
 
 
-def test_the_module_trusts_restored_load_figures_only_while_they_are_young() -> None:
+def test_balancer_applies_restored_rates_only_if_recent() -> None:
     fresh, old = (Balancer(settings(), 1, 0.0) for _ in range(2))
     for balancer, age in ((fresh, 1000.0), (old, RATES_TRUSTED_MS + 1.0)):
         balancer.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, servers(2)))
@@ -240,6 +235,5 @@
     assert old.cursor == 0
     assert old.state.peak_completion_rate < 0.4 * LEARNED.peak_completion_rate
     for balancer, age in ((fresh, 1000.0), (old, RATES_TRUSTED_MS + 1.0)):
-        assert (
-            balancer.endpoints["s0"].last_outcome_ms == -age
-        )  # the verdict fades from when it was last heard
+        # The endpoint's statistics decay from the time of its last outcome.
+        assert balancer.endpoints["s0"].last_outcome_ms == -age
--- a/tests/stored/test_node_data.py
+++ b/tests/stored/test_node_data.py
@@ -1,6 +1,6 @@
-"""What a node of commit bf594b0 left on its disk is read whole, and is written the same way now.
+"""Files that a node of commit bf594b0 stored are read completely and written with the same bytes.
 
-The fixtures are described in tests/data/release_bf594b0/README.md.
+tests/data/release_bf594b0/README.md describes these files.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def node(tmp_path: Path) -> Path:
-    """A copy of the node's files, which a reader may change."""
+    """A copy of the node's files, since reading may change them."""
     return shutil.copytree(DATA / "node", tmp_path / "node")
 
 
@@ -40,59 +40,59 @@
     return {path.name: path.read_bytes() for path in folder.iterdir()}
 
 
-def test_a_state_file_is_read_whole_and_written_as_the_same_bytes() -> None:
-    found = read_state(STATE, "n0", WRITTEN_MS + 1_000.0, 0)
-    assert (found.age_ms, found.violated_rules) == (1_000.0, [])
-    assert found.learned is not None
-    assert found.endpoint_list is not None
-    written = encode_state("n0", WRITTEN_MS, found.learned, found.ejected_since_ms, found.endpoint_list)
+def test_state_file_is_read_and_written_with_the_same_bytes() -> None:
+    stored = read_state(STATE, "n0", WRITTEN_MS + 1_000.0, 0)
+    assert (stored.age_ms, stored.violated_rules) == (1_000.0, [])
+    assert stored.learned is not None
+    assert stored.endpoint_list is not None
+    written = encode_state("n0", WRITTEN_MS, stored.learned, stored.ejected_since_ms, stored.endpoint_list)
     assert written == STATE.read_bytes()
 
 
-def test_a_state_file_is_shown_with_its_contents() -> None:
+def test_state_show_prints_contents_of_state_file() -> None:
     command = [sys.executable, "-m", "loadbalancer", "state", "show", str(STATE), "--node", "n0"]
-    shown = subprocess.run(command, capture_output=True, cwd=ROOT, check=True)
-    row = orjson.loads(shown.stdout)
-    summary = {key: row.pop(key) for key in ("verdict", "age_ms", "listed")}
+    process = subprocess.run(command, capture_output=True, cwd=ROOT, check=True)
+    body = orjson.loads(process.stdout)
+    summary = {key: body.pop(key) for key in ("verdict", "age_ms", "listed")}
     assert (summary["verdict"], summary["listed"]) == ("whole", 2)
-    assert row == EXPECTED["state"]
-    assert orjson.dumps(row) == orjson.dumps(EXPECTED["state"])
+    assert body == EXPECTED["state"]
+    assert orjson.dumps(body) == orjson.dumps(EXPECTED["state"])
 
 
-def test_route_versions_are_read_and_written_as_the_same_bytes(node: Path, tmp_path: Path) -> None:
+def test_route_versions_are_read_and_written_with_the_same_bytes(node: Path, tmp_path: Path) -> None:
     expected = [(number, text) for number, text in EXPECTED["routes"]]
     store = RouteStore(node / "routes")
     assert store.load_all() == expected
     store.close()
-    again = RouteStore(tmp_path / "again")
+    rewritten = RouteStore(tmp_path / "rewritten")
     for number, text in expected:
-        again.write(number, text).result()
-    again.close()
-    assert files(tmp_path / "again") == files(DATA / "node" / "routes")
+        rewritten.write(number, text).result()
+    rewritten.close()
+    assert files(tmp_path / "rewritten") == files(DATA / "node" / "routes")
 
 
-def test_ejections_are_read_and_written_as_the_same_bytes(node: Path, tmp_path: Path) -> None:
+def test_ejections_are_read_and_written_with_the_same_bytes(node: Path, tmp_path: Path) -> None:
     expected = EXPECTED["ejections"]
-    found = EjectionStore(node / "ejections")
-    assert sorted(found.read_changes(WRITTEN_MS)) == sorted(expected)
-    again = EjectionStore(tmp_path / "again")
-    for name, row in expected.items():
-        assert found.get(name) == Ejection(row["out_ms"], row["back_ms"])
-        again.eject(name, row["out_ms"])
-        if row["back_ms"] is not None:
-            again.restore(name, row["back_ms"])
-    assert files(tmp_path / "again") == files(DATA / "node" / "ejections")
-
-
-def test_what_a_process_hands_over_is_read_and_written_as_the_same_bytes(node: Path, tmp_path: Path) -> None:
-    learned, held = HandoverFiles(node / "handover", NEW_PROCESS).read_siblings(WRITTEN_MS)
+    stored = EjectionStore(node / "ejections")
+    assert sorted(stored.read_changes(WRITTEN_MS)) == sorted(expected)
+    rewritten = EjectionStore(tmp_path / "rewritten")
+    for name, times in expected.items():
+        assert stored.get(name) == Ejection(times["out_ms"], times["back_ms"])
+        rewritten.eject(name, times["out_ms"])
+        if times["back_ms"] is not None:
+            rewritten.restore(name, times["back_ms"])
+    assert files(tmp_path / "rewritten") == files(DATA / "node" / "ejections")
+
+
+def test_handover_file_is_read_and_written_with_the_same_bytes(node: Path, tmp_path: Path) -> None:
+    learned, in_flight = HandoverFiles(node / "handover", NEW_PROCESS).read_siblings(WRITTEN_MS)
     assert learned is not None
-    assert held == EXPECTED["handover"]["held"]
-    HandoverFiles(tmp_path / "again", OLD_PROCESS).write(WRITTEN_MS, learned, held)
-    assert files(tmp_path / "again") == files(DATA / "node" / "handover")
+    assert in_flight == EXPECTED["handover"]["held"]
+    HandoverFiles(tmp_path / "rewritten", OLD_PROCESS).write(WRITTEN_MS, learned, in_flight)
+    assert files(tmp_path / "rewritten") == files(DATA / "node" / "handover")
 
 
-def test_two_processes_of_a_node_share_the_folders_that_they_always_shared(tmp_path: Path) -> None:
+def test_shared_folders_of_node_processes_keep_their_names(tmp_path: Path) -> None:
     config = parse_config(orjson.dumps(config_row("127.0.0.1:1")), {"TMPDIR": str(tmp_path)})
     assert config.ejections_folder == tmp_path / "orchidledge-maintenance"
     assert config.handover_folder == tmp_path / "orchidledge-handover"
--- a/tests/support/discoveries.py
+++ b/tests/support/discoveries.py
@@ -1,4 +1,4 @@
-"""A discovery that does to each call what a test says, and a watcher that follows it."""
+"""A stub discovery with configurable faults, and a running watcher with a recorder of its updates."""
 
 from __future__ import annotations
 
@@ -18,55 +18,56 @@
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
 from tests.support.loopback import read_message, reply
 
-PROPAGATION_DEADLINE_S = 6.0  # by the operators' terms, not by the program's own constant
-ADDRESS_CHANGE_DEADLINE_S = 4.0  # so too, from SIGHUP on
-PUSH_BACKOFF_S, POLL_BACKOFF_S = 0.5, 5.0  # the longest pause that a node's settings leave it
-MODES = pytest.mark.parametrize("pause_s", [PUSH_BACKOFF_S, POLL_BACKOFF_S], ids=["push", "ask"])
+# Deadlines from PROTOCOL, on purpose not taken from the program's constants.
+PROPAGATION_DEADLINE_S = 6.0
+ADDRESS_CHANGE_DEADLINE_S = 4.0  # from SIGHUP on
+PUSH_BACKOFF_S, POLL_BACKOFF_S = 0.5, 5.0  # maximum backoff by a node's settings in each registry mode
+MODES = pytest.mark.parametrize("max_backoff_s", [PUSH_BACKOFF_S, POLL_BACKOFF_S], ids=["push", "ask"])
 
 
-class Luck(Random):
-    """Every draw at one end of its range."""
+class FixedUniform(Random):
+    """A generator whose `uniform` always returns the same position in the range, from 0.0 to 1.0."""
 
-    def __init__(self, end: float) -> None:
+    def __init__(self, position: float) -> None:
         super().__init__(0)
-        self.end = end
+        self.position = position
 
     def uniform(self, a: float, b: float) -> float:
-        return a + (b - a) * self.end
+        return a + (b - a) * self.position
 
 
-def row(rev: int, whole: bool = True, **more: Any) -> bytes:
-    return orjson.dumps({"rev": rev, "all": whole, "targets": []} | more)
+def list_body(rev: int, complete: bool = True, **fields: Any) -> bytes:
+    return orjson.dumps({"rev": rev, "all": complete, "targets": []} | fields)
 
 
 @dataclass
-class Source:
-    """A discovery that holds a version, and does to each call what the test has set."""
+class StubDiscovery:
+    """A discovery with a list of one revision, which handles each poll by `behavior`."""
 
     rev: int = 1
-    act: str = "answer"
-    text: bytes = b""  # of a 200 that is spoilt
-    calls: list[str] = field(default_factory=list)
+    behavior: str = "respond"  # or a fault, or an HTTP status; see `_respond`
+    body: bytes = b""  # of the 200 response of "given body"
+    polls: list[str] = field(default_factory=list)
     connections: int = 0
 
     def __post_init__(self) -> None:
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
         self.writers: set[asyncio.StreamWriter] = set()
-        self.lost: dict[asyncio.StreamWriter, str] = {}  # connections on which nothing good comes any more
+        self.faulty: dict[asyncio.StreamWriter, str] = {}  # behavior by connection, instead of `behavior`
 
     async def open(self, port: int = 0) -> None:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.address = self.server.sockets[0].getsockname()[:2]
 
     def change(self, rev: int | None = None) -> float:
-        """Something new is there from now on; when."""
+        """Change the list's revision; return the time."""
         self.rev = self.rev + 1 if rev is None else rev
-        self.news.set()
-        self.news = asyncio.Event()
+        self.changed.set()
+        self.changed = asyncio.Event()
         return now()
 
     def close(self) -> None:
-        """Its listener and what is open: as a process that dies."""
+        """Close the listener and abort all connections, as when the process ends."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
@@ -77,83 +78,86 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
                 target = (await read_message(reader)).first[1]
-                self.calls.append(target)
-                await self._answer(target, writer)
+                self.polls.append(target)
+                await self._respond(target, writer)
 
-    def fall_silent(self, how: str) -> float:
-        """What is open now brings nothing whole any more; what is opened anew is served. When."""
-        self.lost |= dict.fromkeys(self.writers, how)
+    def break_connections(self, behavior: str) -> float:
+        """Give all open connections this faulty behavior; new connections work. Return the time."""
+        self.faulty |= dict.fromkeys(self.writers, behavior)
         return now()
 
-    async def _answer(self, target: str, writer: asyncio.StreamWriter) -> None:
-        asked = "since" in target
+    async def _respond(self, target: str, writer: asyncio.StreamWriter) -> None:
+        is_long_poll = "since" in target
         since, _, wait = target.partition("since=")[2].partition("&timeout_ms=")
-        if self.act == "answer" and asked and int(since) >= self.rev:
+        if self.behavior == "respond" and is_long_poll and int(since) >= self.rev:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.news.wait(), int(wait) / 1000.0)
-        act = self.lost.get(writer, self.act)
-        if act == "answer":
-            writer.write(reply(200, row(self.rev, not asked)))
-        elif act == "silent":
+                await asyncio.wait_for(self.changed.wait(), int(wait) / 1000.0)
+        behavior = self.faulty.get(writer, self.behavior)
+        if behavior == "respond":
+            writer.write(reply(200, list_body(self.rev, not is_long_poll)))
+        elif behavior == "silent":
             await asyncio.Event().wait()
-        elif act == "drip":
+        elif behavior == "drip":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
             while not writer.is_closing():
                 writer.write(b" ")
                 await asyncio.sleep(0.1)
-        elif act == "cut":
-            writer.write(reply(200, row(self.rev))[:-9])
+        elif behavior == "cut":
+            writer.write(reply(200, list_body(self.rev))[:-9])
             writer.close()
-        elif act == "reset":
+        elif behavior == "reset":
             writer.transport.abort()
-        elif act == "no length":
-            writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + row(self.rev))
+        elif behavior == "no length":
+            writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + list_body(self.rev))
             writer.close()
-        elif act == "spoilt":
-            writer.write(reply(200, self.text))
+        elif behavior == "given body":
+            writer.write(reply(200, self.body))
         else:
-            writer.write(reply(int(act), Location="http://127.0.0.1:1/"))
+            writer.write(reply(int(behavior), Location="http://127.0.0.1:1/"))
 
 
 def now() -> float:
     return asyncio.get_running_loop().time()
 
 
-class Listener:
-    """What the node hears, and when; raises at what it hears if told to."""
+class UpdateRecorder:
+    """Records the watcher's updates with their times; raises the errors set in `errors`."""
 
     def __init__(self) -> None:
-        self.heard: list[tuple[float, EndpointListKind, int]] = []
-        self.raises: dict[EndpointListKind, BaseException] = {}  # once each
-        self.more = asyncio.Event()
+        self.updates: list[tuple[float, EndpointListKind, int]] = []
+        self.errors: dict[EndpointListKind, BaseException] = {}  # by kind of update, each raised once
+        self.received = asyncio.Event()
 
-    def __call__(self, form: EndpointListKind, news: DiscoveryResponse | None) -> None:
-        if (error := self.raises.pop(form, None)) is not None:
+    def __call__(self, kind: EndpointListKind, response: DiscoveryResponse | None) -> None:
+        if (error := self.errors.pop(kind, None)) is not None:
             raise error
-        self.more.set()
-        self.heard.append((now(), form, 0 if news is None else news.revision))
+        self.received.set()
+        self.updates.append((now(), kind, 0 if response is None else response.revision))
 
-    async def learned(self, rev: int) -> float:
-        """When this version, or a later one, was heard."""
-        while not (at := [at for at, _, had in self.heard if had >= rev]):
+    async def wait_for_revision(self, rev: int) -> float:
+        """Return the time of the first update with this revision or a later one."""
+        while not (times := [time for time, _, revision in self.updates if revision >= rev]):
             await self.next()
-        return at[0]
+        return times[0]
 
     async def next(self) -> None:
-        """Until something is heard; a watch that has ended fails the test by this limit."""
-        self.more.clear()
-        await asyncio.wait_for(self.more.wait(), 60.0)
+        """Wait for the next update; fails after 60 s, as when the watch has ended."""
+        self.received.clear()
+        await asyncio.wait_for(self.received.wait(), 60.0)
 
 
 @contextlib.asynccontextmanager
-async def watching(
-    source: Source, pause_s: float = PUSH_BACKOFF_S, known: int = 1, luck: float = 1.0
-) -> AsyncIterator[tuple[EndpointListWatcher, Listener]]:
-    listener = Listener()
-    watcher = EndpointListWatcher(source.address, known, PollPolicy(20.0, pause_s, Luck(luck)), listener)
+async def running_watcher(
+    discovery: StubDiscovery, max_backoff_s: float = PUSH_BACKOFF_S, known: int = 1, jitter: float = 1.0
+) -> AsyncIterator[tuple[EndpointListWatcher, UpdateRecorder]]:
+    """A watcher that starts with revision `known`; `jitter`: position in the range of the backoff jitter."""
+    recorder = UpdateRecorder()
+    watcher = EndpointListWatcher(
+        discovery.address, known, PollPolicy(20.0, max_backoff_s, FixedUniform(jitter)), recorder
+    )
     watcher.start()
     try:
-        yield watcher, listener
+        yield watcher, recorder
     finally:
         watcher.close()
-        source.close()
+        discovery.close()
