--- a/loadbalancer/node/discovery/poll_policy.py
+++ b/loadbalancer/node/discovery/poll_policy.py
@@ -11,7 +11,7 @@
 PROPAGATION_DEADLINE_S = 6.0  # maximum time until the node has a change in discovery
 ADDRESS_CHANGE_DEADLINE_S = 4.0  # the same after a change of discovery's address
 SCHEDULING_SLACK_S = 0.3  # part of a deadline that is reserved for a busy event loop
-RESPONSE_TIMEOUT_S = 1.2  # a poll without a response this long after its wait has failed
+RESPONSE_TIMEOUT_S = 1.2  # a poll fails if it has no response this long after its wait
 CONNECT_TIMEOUT_S = 1.0  # included in the time of a poll
 LIVENESS_WAIT_MS = 50  # wait of a poll that checks whether discovery responds at all
 LIVENESS_POLL_S = LIVENESS_WAIT_MS / 1000.0 + RESPONSE_TIMEOUT_S  # maximum duration of such a poll
--- a/loadbalancer/node/discovery/revision_guard.py
+++ b/loadbalancer/node/discovery/revision_guard.py
@@ -19,7 +19,7 @@
 from loadbalancer.node.discovery.response import DiscoveryResponse
 
 REBUILD_HOLD_S = PROPAGATION_DEADLINE_S - 2.0 * INITIAL_BACKOFF_S - RESPONSE_TIMEOUT_S
-# Shorter after a change of address, since the revisions of another source often count from a different start.
+# Shorter after a change of address, since revisions that count from a different start are more likely then.
 ADDRESS_CHANGE_HOLD_S = ADDRESS_CHANGE_DEADLINE_S - 2.0 * INITIAL_BACKOFF_S - SCHEDULING_SLACK_S
 
 
@@ -28,9 +28,8 @@
 
     def __init__(self) -> None:
         self.minimum = 0  # lowest revision accepted; 0 until the source has responded
-        self._older_since: float | None = (
-            None  # loop time (s) of the first of consecutive older complete lists
-        )
+        # Loop time (s) of the first of consecutive older complete lists.
+        self._older_since: float | None = None
         self._hold_s = REBUILD_HOLD_S  # how long the source must return older lists until one is accepted
 
     def check(self, response: DiscoveryResponse, since: int, now: float) -> bool:
--- a/loadbalancer/node/state/handover.py
+++ b/loadbalancer/node/state/handover.py
@@ -97,7 +97,7 @@
         return [self._folder / name for name in names if name.startswith(FILE_PREFIX) and name != self._name]
 
     def _read(self, path: Path) -> _HandoverRecord | None:
-        """Return a file's contents, or None if it is malformed or its process has just removed it."""
+        """Return a file's contents, or None if it can't be used or its process has just removed it."""
         try:
             with path.open("rb") as opened:
                 return _decode_record(opened.read(MAX_FILE_BYTES))
--- a/loadbalancer/node/state/rules.py
+++ b/loadbalancer/node/state/rules.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-MAX_LIST_AGE_MS = 300_000.0  # an older list may have removed endpoints and lack newer ones
+MAX_LIST_AGE_MS = 300_000.0  # an older list may contain removed endpoints and lack newer ones
 
 _COLD_START = "a cold start"
 
--- a/loadbalancer/routing/coordinator.py
+++ b/loadbalancer/routing/coordinator.py
@@ -19,8 +19,8 @@
    before its activation time. A member that enrols after the decision follows no version until it has stored
    the decided one (participant.py).
 4. The coordinator does not wait for a member whose lease has expired in the log or that has departed: by the
-   member's local clock its lease ended earlier, or its process has ended. A yes counts when the member is
-   attached again, since a process keeps what it has stored until it ends.
+   member's local clock its lease ended earlier, or its process has ended. The member's yes still counts when
+   it is attached again, since a process keeps what it has stored until it ends.
 5. A version is decided once every required voter, and at least one member, has voted yes. Its activation time
    is log_ms + lease term + clock bound. A renewal that a node sends later than activation time - lease term -
    clock bound comes after the decision in the log, so its response announces the decision.
--- a/loadbalancer/routing/participant.py
+++ b/loadbalancer/routing/participant.py
@@ -6,8 +6,8 @@
 A node's participation at a given time (`Participation`):
 
     detached   no live lease by the local clock; the node runs version 0
-    waiting    a live lease, but the version in force or a decided one is not stored yet, or service time is
-               not known closely enough to switch to the decided one; the node runs version 0
+    waiting    a live lease, but the version in force or a decided one is not stored yet, or service time has
+               not been known closely enough to switch to the decided one; the node runs version 0
     following  a live lease, and all required versions are stored; the node runs the version in force by its
                best estimate of service time
 
@@ -111,7 +111,7 @@
         return self._step(now)
 
     def on_unregistered(self, now: float) -> list[Action]:
-        """Handle that the list service, which may have been rebuilt, has no record of this node."""
+        """End the lease: the list service, which may have been rebuilt, has no record of this node."""
         self.incarnation = None
         return self.set_lease_end(now, None)
 
--- a/loadbalancer/routing/version_record.py
+++ b/loadbalancer/routing/version_record.py
@@ -58,7 +58,7 @@
 class ActivationOutcome:
     """Result of an operation on a version: its phase, and the reason of an abort or a rejection.
 
-    A `rejected` operation has changed nothing and would fail again if repeated (HTTP status 409).
+    A `rejected` operation has changed nothing and can't succeed in the current state (HTTP status 409).
     """
 
     number: int
--- a/loadbalancer/staleness/clock_offsets.py
+++ b/loadbalancer/staleness/clock_offsets.py
@@ -68,14 +68,14 @@
 
     def add(self, sample: Interval, taken_at: float, drift: float) -> SampleVerdict:
         """Add a sample taken at local time `taken_at`; `drift` is the widening of all bounds at that time."""
-        verdict = self._classify(sample, drift)
+        verdict = self._insert(sample, drift)
         self.low, self.high = _intersection(self.samples)
         if self.outlier is not None:
             self.low, self.high = min(self.low, self.outlier[0]), max(self.high, self.outlier[1])
         self.newest = max(self.newest, taken_at)
         return verdict
 
-    def _classify(self, sample: Interval, drift: float) -> SampleVerdict:
+    def _insert(self, sample: Interval, drift: float) -> SampleVerdict:
         if not self.samples or _overlap(sample, _intersection(self.samples), drift):
             self.samples.append(sample)
             self.outlier = None
