--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -192,7 +192,7 @@
         at = next(number for number, other in enumerate(self.nodes) if other.name == node.name)
         follower = self._touch(at).follower
         s = closest(own, sent, told.answered_ms, follower)
-        self._act(at, follower.on_answer(own, core.incarnation, core.lease_end_ms, s, told.routes))
+        self._act(at, follower.on_lease_response(own, core.incarnation, core.lease_end_ms, s, told.routes))
 
     def _unknown(self, node: Node, own: float) -> None:
         at = next(number for number, other in enumerate(self.nodes) if other.name == node.name)
