--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -66,12 +66,12 @@
 @pytest.mark.parametrize(
     "change",
     [
-        lambda row: row.clear(),
-        lambda row: row.update(at_ms="now"),
-        lambda row: row.update(held=[1]),
-        lambda row: row.update(held={"s0": None}),
-        lambda row: row["learned"].pop("peak"),
-        lambda row: row["learned"].update(class_ms={"read": "slow"}),
+        lambda fields: fields.clear(),
+        lambda fields: fields.update(at_ms="now"),
+        lambda fields: fields.update(held=[1]),
+        lambda fields: fields.update(held={"s0": None}),
+        lambda fields: fields["learned"].pop("peak"),
+        lambda fields: fields["learned"].update(class_ms={"read": "slow"}),
     ],
 )
 def test_malformed_file_is_ignored_and_logged_once(tmp_path, caplog, change):
