--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -180,14 +180,14 @@
     def _time_enrolment(self) -> None:
         """Note when the first answer comes, ahead of what the part does with it."""
         lease = self.part.lease_client
-        carry_on = lease.on_answer
+        carry_on = lease.on_lease_response
 
         def first(now: float, answer: Any) -> None:
             self.figures.enrolments.add((time.monotonic() - self._began) * 1000.0)
-            lease.on_answer = carry_on
+            lease.on_lease_response = carry_on
             carry_on(now, answer)
 
-        lease.on_answer = first
+        lease.on_lease_response = first
 
     async def _see_servers(self) -> None:
         """Facts on servers go out with the probes' payloads, as many as calls would make."""
--- a/loadbalancer/node/control/__init__.py
+++ b/loadbalancer/node/control/__init__.py
@@ -1,9 +1,9 @@
-"""The node's control plane: membership in a fleet, its lease, gossip and route activation (docs/fleet.md).
+"""The node's control plane: group membership, the lease, gossip and route activation (docs/fleet.md).
 
-It exists only where the configuration names `members`. The packages `membership`, `staleness` and `routing`
-decide; this package has the sockets, timers and files, and the order of events: what an answer of the list
-service states reaches every part in the same turn of the event loop, and the balancer learns of quota,
-confidence and route versions through typed events only.
+A node has a control plane only if its configuration has a `members` section. The packages `membership`,
+`staleness` and `routing` make the decisions; this package provides their sockets, timers and files, and
+orders their events: all parts process a response of the list service in the same turn of the event loop, and
+the balancer is notified of quota, confidence and route versions through typed events only.
 """
 
 from loadbalancer.node.control.control_plane import ControlPlane
--- a/loadbalancer/node/control/background_tasks.py
+++ b/loadbalancer/node/control/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run in the background and end with their owner."""
+"""Background tasks that are cancelled when their owner closes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class BackgroundTasks:
-    """A set of running tasks; one that raises logs a line and does not affect the others."""
+    """A set of running tasks; an exception in one is logged and does not affect the others."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run a coroutine until it ends or `close` is called."""
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -1,4 +1,4 @@
-"""Assembles the control plane of a node and passes facts between its parts."""
+"""Assembles a node's control plane and passes events between its parts."""
 
 from __future__ import annotations
 
@@ -47,39 +47,44 @@
 
 log = logging.getLogger("loadbalancer")
 
-NONCE_BYTES: Final = 8  # distinguishes one start of a process from another
+NONCE_BYTES: Final = 8  # of the start id, which distinguishes two starts of the same node
 SEED_BYTES: Final = 8
 
 
 class ControlPlane:
-    """A component of the node (node/component.py) where the configuration names `members`.
+    """A component of the node (node/component.py), present if the configuration has a `members` section.
 
-    Its fields are the parts that it assembles: the lease, the probe transport, the route activation, the
-    freshness of what the node knows, and its view of the group.
+    Its attributes are the parts that it assembles: the lease client, the probe transport, the route
+    activator, the freshness tracker and the view of the group.
     """
 
     def __init__(
         self,
         config: NodeConfig,
         clock: Clock,
-        servers: EndpointList,
+        endpoint_list: EndpointList,
         watcher: EndpointListWatcher,
         driver: BalancerDriver,
     ) -> None:
-        """`config.membership` is present; the other arguments are the node's own components."""
+        """`config.membership` must not be None; the other arguments are components of the node."""
         assert config.membership is not None
         self.settings = settings = config.membership
         self.clock = MembershipClock(clock, settings.clock_offset_ms)
         self.clock_offsets = ClockOffsets()
-        self._name, self._servers, self._notify_balancer = config.name, servers, driver.handle_event
-        self._granted: QuotaGrant | None = None  # the last one that the balancer was notified of
+        self._name, self._endpoint_list, self._notify_balancer = (
+            config.name,
+            endpoint_list,
+            driver.handle_event,
+        )
+        self._last_grant: QuotaGrant | None = None  # that the balancer was notified of
         self._client = RegistryClient(lambda: watcher.address)
-        rng = Random(int.from_bytes(os.urandom(SEED_BYTES), "big"))  # the balancer's draws are its own
+        # Separate from the balancer's generator, so that the control plane does not change its sequence.
+        rng = Random(int.from_bytes(os.urandom(SEED_BYTES), "big"))
         self.lease_client = self._make_lease_client(rng)
         self.probe_transport = self._make_probe_transport(rng, config.membership_descriptors // 2)
         self.route_activator = self._make_route_activator(config)
         self.freshness = FreshnessTracker(
-            settings, self.clock, self.clock_offsets, servers, driver, self._on_levels
+            settings, self.clock, self.clock_offsets, endpoint_list, driver, self._on_levels
         )
         self.group = GroupView(self.lease_client, self.probe_transport)
         self.freshness.connectivity = lambda: self.group.connectivity(self.clock.now_ms()).value
@@ -99,7 +104,7 @@
         settings, nonce = self.settings, secrets.token_hex(NONCE_BYTES)
         lease = MemberLease(self._name, settings.listen, settings.zone, nonce, rng, settings.service)
         client = LeaseClient(lease, self._client, self.clock, ServiceTimeEstimate(self.clock_offsets))
-        client.on_answer = self._on_answer
+        client.on_lease_response = self._on_lease_response
         client.on_lease_lost = self._on_lease_lost
         client.on_quota_change = self._on_quota_change
         return client
@@ -126,10 +131,10 @@
     # ------------------------------------------------- as a component of the node
 
     async def start(self) -> None:
-        """Start all parts; the node serves callers already.
+        """Start all parts; the node already serves clients.
 
-        The node listens for probes before it enrols: that shows that no other process of this node is alive
-        (membership/quota_ledger.py).
+        The node enrols only once it listens for probes: being able to bind the address shows that no other
+        process of this node is alive (membership/quota_ledger.py).
         """
         self.route_activator.start()
         self._on_quota_change()
@@ -137,15 +142,15 @@
         self.probe_transport.listen(self.settings.address, self.lease_client.start)
 
     def begin_drain(self) -> None:
-        """Announce to the group that this node drains."""
+        """Announce to the group that this node is draining."""
         self.lease_client.begin_drain()
 
     async def stop(self) -> None:
-        """Leave the group, after the last request has been answered."""
+        """Leave the group; call this after the last request has ended."""
         await self.lease_client.leave()
 
     def close(self) -> None:
-        """Release timers, sockets and files at once."""
+        """Release timers, sockets and files immediately."""
         self.lease_client.close()
         self.probe_transport.close()
         self.route_activator.close()
@@ -153,14 +158,14 @@
         self._client.close()
 
     def metrics(self) -> str:
-        """The lines of GET /status/metrics."""
+        """Return the control plane's lines of GET /status/metrics."""
         return self._status.metrics()
 
     def admin_routes(self) -> AdminRoutes:
-        """The admin server's calls on the control plane."""
+        """Return the admin server's handlers of the control plane, by method and path."""
         return {
-            (b"GET", b"/status/members"): lambda _: _ok(self._status.members_status()),
-            (b"GET", b"/status/routes"): lambda _: _ok(self._status.routes_status()),
+            (b"GET", b"/status/members"): lambda _: _ok_response(self._status.members_status()),
+            (b"GET", b"/status/routes"): lambda _: _ok_response(self._status.routes_status()),
             (b"PUT", b"/routes/halt"): lambda body: self._forward("routes/halt", body),
             (b"PUT", b"/routes/rollback"): lambda body: self._forward("routes/rollback", body),
         }
@@ -170,11 +175,11 @@
 
     # ------------------------------------------------------------ between the parts
 
-    def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
-        """Pass what a lease answer states to all parts, in the same turn of the event loop."""
+    def _on_lease_response(self, now: float, response: LeaseAnswer) -> None:
+        """Pass the content of a lease response to all parts, in the same turn of the event loop."""
         lease = self.lease_client.member_lease
         detector = self.probe_transport.detector
-        detector.set_incarnation(answer.incarnation)
+        detector.set_incarnation(response.incarnation)
         siblings = [
             Sibling(member.incarnation, member.name, member.address)
             for member in lease.members
@@ -182,55 +187,55 @@
         ]
         self.probe_transport.execute(detector.set_members(now, siblings))
         self.freshness.set_members(
-            [sibling.incarnation for sibling in siblings if sibling.incarnation != answer.incarnation]
+            [sibling.incarnation for sibling in siblings if sibling.incarnation != response.incarnation]
         )
         service_ms = self.lease_client.service_ms(now)
         if service_ms is not None:
-            self.route_activator.on_lease_answer(now, lease.lease_end_ms, service_ms, answer)
-        self.lease_client.set_revisions(answer.revision, int(answer.routes.get("rev", 0)))
+            self.route_activator.on_lease_response(now, lease.lease_end_ms, service_ms, response)
+        self.lease_client.set_revisions(response.revision, int(response.routes.get("rev", 0)))
 
     def _on_lease_lost(self, now: float) -> None:
         self.route_activator.execute(self.route_activator.participant.on_unregistered(now))
 
     def _on_quota_change(self) -> None:
-        """Notify the balancer of the quota and its end, so that no timer here has to end it in time."""
+        """Notify the balancer of the quota and its end; the balancer itself stops using it at that time."""
         quota = self.lease_client.member_lease.quota(self.clock.now_ms())
         grant = QuotaGrant(quota.quota, quota.members, self.clock.to_node_ms(quota.until_ms))
-        if grant != self._granted:
-            self._granted = grant
+        if grant != self._last_grant:
+            self._last_grant = grant
             self._notify_balancer(grant)
 
     def _before_tick(self, now: float) -> None:
-        """Set what the next probes state of this node, and use what siblings stated of themselves."""
+        """Set the content of the next probes, and pass siblings' reports to a lease that is not attached."""
         lease, detector = self.lease_client.member_lease, self.probe_transport.detector
         service_ms = self.lease_client.service_ms(now)
         if service_ms is not None and lease.incarnation is not None:
             detector.set_quota_status(now, lease.quota_status(now), max(0.0, service_ms[0]))
         if not lease.is_attached(now):
-            lease.on_sibling_reports(now, self._sibling_statements(now))
+            lease.on_sibling_reports(now, self._sibling_reports(now))
             self._on_quota_change()
         detector.set_view(self.freshness.current_report(now))
 
-    def _sibling_statements(self, now: float) -> dict[int, SiblingReport]:
-        """What siblings stated of themselves, each at the earliest time it may have been by this clock."""
-        statements = {}
-        for incarnation, (standing, stated_at) in self.probe_transport.detector.quota_reports().items():
-            local = self.clock_offsets.to_local(REGISTRY_PEER, now, stated_at)
-            if local is not None:
-                statements[incarnation] = SiblingReport(standing, local[0])
-        return statements
-
-    def _on_report(self, viewed: ViewReceived) -> None:
-        """A sibling's report: its call's times sample the sibling's clock, before the report is used."""
-        if viewed.probe_sent_ms is not None:
+    def _sibling_reports(self, now: float) -> dict[int, SiblingReport]:
+        """Return the siblings' quota reports, each with its earliest possible time by this node's clock."""
+        reports = {}
+        for incarnation, (quota_status, reported_at) in self.probe_transport.detector.quota_reports().items():
+            local_interval = self.clock_offsets.to_local(REGISTRY_PEER, now, reported_at)
+            if local_interval is not None:
+                reports[incarnation] = SiblingReport(quota_status, local_interval[0])
+        return reports
+
+    def _on_report(self, report: ViewReceived) -> None:
+        """Sample the sibling's clock from the times of the probe, then use the report that it carried."""
+        if report.probe_sent_ms is not None:
             self.clock_offsets.add_sample(
-                viewed.incarnation,
-                viewed.probe_sent_ms,
-                viewed.sent_at_ms,
-                viewed.sent_at_ms,
-                viewed.received_ms,
+                report.incarnation,
+                report.probe_sent_ms,
+                report.sent_at_ms,
+                report.sent_at_ms,
+                report.received_ms,
             )
-        self.freshness.receive_report(viewed)
+        self.freshness.receive_report(report)
 
     def _on_reachability_change(self, changed: ReachabilityChanged) -> None:
         log.info(
@@ -238,21 +243,23 @@
         )
 
     def _on_levels(self, levels: dict[str, Confidence]) -> None:
-        """Notify the balancer of confidence levels that changed, and the participant of servers to avoid."""
+        """Notify the balancer of changed confidence levels and the participant of unconfirmed servers."""
         self._notify_balancer(ConfidenceUpdate(levels))
         now = self.clock.now_ms()
-        listed = tuple(server for server, _ in self._servers.endpoints.values())
+        listed = tuple(server for server, _ in self._endpoint_list.endpoints.values())
         unconfirmed = _unconfirmed(self.freshness.levels())
         self.route_activator.execute(self.route_activator.participant.set_endpoints(now, listed, unconfirmed))
 
 
 def _unconfirmed(levels: Mapping[str, Confidence]) -> list[str]:
-    """The servers without evidence, where others have better: as in the balancer, a table of low levels alone
-    distinguishes no server from another."""
+    """Return the servers with confidence NONE, or none of them if no server has MEDIUM or HIGH.
+
+    As in the balancer, levels that are low throughout do not distinguish one server from another.
+    """
     if not any(level in (Confidence.HIGH, Confidence.MEDIUM) for level in levels.values()):
         return []
     return [server for server, level in levels.items() if level is Confidence.NONE]
 
 
-def _ok(status: MembersStatus | RoutesStatus) -> AdminResponse:
+def _ok_response(status: MembersStatus | RoutesStatus) -> AdminResponse:
     return AdminResponse(HTTPStatus.OK, status_bodies.encode(status))
--- a/loadbalancer/node/control/errors.py
+++ b/loadbalancer/node/control/errors.py
@@ -4,21 +4,21 @@
 
 
 class ControlPlaneError(ValueError):
-    """Base of the package's errors."""
+    """Base class of the package's errors."""
 
 
-class LeaseAnswerError(ControlPlaneError):
-    """The body of an answer to an enrolment or a renewal is malformed."""
+class LeaseResponseError(ControlPlaneError):
+    """The body of the response to an enrolment or a renewal is malformed."""
 
     def __init__(self, problem: str) -> None:
-        """`problem`: what the decoder says, with the place of the wrong value."""
-        super().__init__(f"answer: {problem}")
+        """`problem`: the decoder's message, which includes the path of the invalid value."""
+        super().__init__(f"malformed response: {problem}")
 
 
-class WatchAnswerError(ControlPlaneError):
-    """The list service answered a watch with another status than 200, or with no JSON object."""
+class WatchResponseError(ControlPlaneError):
+    """The response to a watch poll has another status than 200, or its body is not a JSON object."""
 
     def __init__(self, status: int) -> None:
-        """`status`: of the HTTP answer."""
-        super().__init__(f"watch answered {status}")
+        """`status`: the status of the HTTP response."""
+        super().__init__(f"invalid watch response, status {status}")
         self.status = status
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -1,7 +1,7 @@
 """Feeds the freshness table and derives confidence levels from it.
 
-This node's observations go in as they happen, confidence levels come out periodically, and reports go to
-siblings and come from them on the probes' payloads.
+This node's observations are recorded as they happen, and confidence levels are updated periodically. Reports
+are exchanged with siblings as a part of the probes' payloads.
 """
 
 from __future__ import annotations
@@ -26,38 +26,41 @@
     FreshnessTable,
 )
 
-MAX_UPDATE_PERIODS: Final = 4.0  # control periods between two updates of the confidence levels, at most,
-MIN_UPDATE_MS: Final = 50.0  # but no less time than this, which bounds the CPU time of updates
+# The interval between two updates of the confidence levels is at most this many of the balancer's control
+# periods, or MIN_UPDATE_MS if that is longer, which bounds the CPU time of updates.
+MAX_UPDATE_PERIODS: Final = 4.0
+MIN_UPDATE_MS: Final = 50.0
 
 
 class _ListVersion(NamedTuple):
-    """The endpoint list as last passed to the table: discovery's revision and its last confirmation."""
+    """Identifies the endpoint list last passed to the table: its revision and its last confirmation."""
 
     revision: int
     confirmed_ms: float
 
 
 class FreshnessTracker:
-    """Keeps the freshness table current; `on_levels` is called with the confidence levels that changed."""
+    """Keeps the freshness table up to date; calls `on_levels` with the confidence levels that changed."""
 
     def __init__(
         self,
         settings: MembershipSettings,
         clock: MembershipClock,
         clock_offsets: ClockOffsets,
-        servers: EndpointList,
+        endpoint_list: EndpointList,
         driver: BalancerDriver,
         on_levels: Callable[[dict[str, Confidence]], None],
     ) -> None:
         self.connectivity: Callable[[], ConnectivityState] = lambda: "alone"
         self.table = FreshnessTable(clock_offsets)
-        self._settings, self._clock, self._servers = settings, clock, servers
+        self._settings, self._clock, self._endpoint_list = settings, clock, endpoint_list
         self._driver, self._on_levels = driver, on_levels
         period_ms = driver.balancer.period_ms
-        # A level has to hold until the next update: updates too rare for the maximum ages would give none.
-        longest_ms = max(MIN_UPDATE_MS, MAX_UPDATE_PERIODS * period_ms)
-        self._update_every_ms = min(settings.confidence_period_ms, longest_ms)
-        self._confidence = ConfidenceTracker(self.table, period_ms, self._update_every_ms)
+        # A level must remain valid until the next update; with a longer interval than the maximum ages of the
+        # evidence, no server would get a level.
+        max_interval_ms = max(MIN_UPDATE_MS, MAX_UPDATE_PERIODS * period_ms)
+        self._update_interval_ms = min(settings.confidence_period_ms, max_interval_ms)
+        self._confidence = ConfidenceTracker(self.table, period_ms, self._update_interval_ms)
         self._timer = RestartableTimer(self._update)
         self._list_version: _ListVersion | None = None
         self._rejections = RejectionLog("freshness: %d reports rejected, the last from %d: %s")
@@ -66,11 +69,11 @@
 
     @property
     def rejected_reports(self) -> int:
-        """Siblings' reports that were rejected since the start."""
+        """Number of siblings' reports that were rejected since the start."""
         return self._rejections.count
 
     def start(self) -> None:
-        """Update the confidence levels now and periodically."""
+        """Update the confidence levels now and then periodically."""
         self._update()
 
     def close(self) -> None:
@@ -78,11 +81,11 @@
         self._timer.cancel()
 
     def levels(self) -> dict[str, Confidence]:
-        """The current confidence level of every listed server."""
+        """Return the current confidence level of every listed server."""
         return self._confidence.levels
 
     def record_outcome(self, outcome: AttemptOutcome) -> None:
-        """An attempt at a server ended. Runs on the path of every call."""
+        """Record the end of an attempt; this runs for every attempt and has to be fast."""
         now = self._clock.now_ms()
         self.table.record_outcome(now, outcome.server, outcome.result)
         if outcome.load_report:
@@ -91,18 +94,18 @@
                 self.table.record_load(now, outcome.server, load)
 
     def set_members(self, incarnations: Collection[int]) -> None:
-        """All members of the group but this node."""
+        """Set the members of the group, without this node."""
         self.table.set_members(incarnations)
         self._confidence.round_ms = self._settings.probe_period_ms * max(1, len(incarnations))
 
-    def receive_report(self, viewed: ViewReceived) -> None:
-        """Use a sibling's report."""
-        rejection = self.table.receive_report(viewed.received_ms, viewed.incarnation, viewed.view)
+    def receive_report(self, report: ViewReceived) -> None:
+        """Pass a sibling's report to the table; count it if it is rejected."""
+        rejection = self.table.receive_report(report.received_ms, report.incarnation, report.view)
         if rejection is not None:
-            self._rejections.add(viewed.incarnation, rejection)
+            self._rejections.add(report.incarnation, rejection)
 
     def current_report(self, now: float) -> bytes:
-        """The encoded report for the next probes; made anew once a probe period."""
+        """Return the encoded report for the next probes; it is refreshed once per probe period."""
         if now - self._reported_at >= self._settings.probe_period_ms:
             in_flight, cursor, threshold = self._driver.balancer.pool()
             self.table.record_pool(now, in_flight, cursor, threshold)
@@ -110,31 +113,31 @@
         return self._report
 
     def edge_statuses(self, now: float) -> list[EdgeStatus]:
-        """The status of every edge, for operators."""
+        """Return the status of every edge, for operators."""
         return self._confidence.edge_statuses(now)
 
     # ------------------------------------------------------------- internals
 
     def _update(self) -> None:
         now = self._clock.now_ms()
-        self._follow_list()
+        self._pass_endpoint_list()
         changed = self._confidence.update(now, self.connectivity())
         if changed:
             self._on_levels(changed)
-        self._timer.schedule(self._clock.to_loop_time(now + self._update_every_ms))
+        self._timer.schedule(self._clock.to_loop_time(now + self._update_interval_ms))
 
-    def _follow_list(self) -> None:
-        """Pass the endpoint list to the table where it was changed or confirmed."""
-        servers = self._servers
-        version = _ListVersion(servers.revision, servers.confirmed_ms)
+    def _pass_endpoint_list(self) -> None:
+        """Pass the endpoint list to the table if it was changed or confirmed since the last update."""
+        endpoint_list = self._endpoint_list
+        version = _ListVersion(endpoint_list.revision, endpoint_list.confirmed_ms)
         if version == self._list_version:
             return
         unchanged = self._list_version is not None and version.revision == self._list_version.revision
         self._list_version = version
-        if version.confirmed_ms < 0.0:  # not confirmed by discovery yet
+        if version.confirmed_ms < 0.0:  # not yet confirmed by discovery
             confirmed_at = self._clock.now_ms()
         else:
             confirmed_at = self._clock.from_node_ms(version.confirmed_ms)
         self.table.confirm_list(
-            confirmed_at, servers.service_revision, None if unchanged else list(servers.endpoints)
+            confirmed_at, endpoint_list.service_revision, None if unchanged else list(endpoint_list.endpoints)
         )
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -1,4 +1,4 @@
-"""The node's lease: sends the calls that `MemberLease` asks for, and uses their answers."""
+"""The node's lease: sends the calls that `MemberLease` requests and processes their responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.control.background_tasks import BackgroundTasks
 from loadbalancer.node.control.clock import MembershipClock
-from loadbalancer.node.control.registry_client import RegistryClient, decode_lease_answer
+from loadbalancer.node.control.registry_client import RegistryClient, decode_lease_response
 from loadbalancer.node.control.registry_watch import RegistryWatch, Revisions
 from loadbalancer.node.control.service_time import ServiceTimeEstimate
 from loadbalancer.node.control.timers import RestartableTimer
@@ -29,15 +29,15 @@
 ENROLMENT: Final = "enrol"
 RENEWAL: Final = "renew"
 DEPARTURE: Final = "leave"
-LEAVE_TIMEOUT_S: Final = 0.5  # how long a process that ends waits for its leave to be acknowledged
-MAX_LOGGED_CHARS: Final = 200  # of an error's text or an answer's body
+LEAVE_TIMEOUT_S: Final = 0.5  # how long a stopping process waits for the response to its `leave`
+MAX_LOGGED_CHARS: Final = 200  # of an error message or a response body
 
 
 class LeaseClient:
     """Enrols this process at the list service and renews its lease.
 
-    `on_answer(now, answer)` is called with every answer that was used, `on_lease_lost(now)` when the service
-    does not know this process any more, `on_quota_change()` when the quota has changed or may have.
+    `on_lease_response(now, response)` is called with every response that was accepted, `on_lease_lost(now)`
+    when the service no longer knows this process, `on_quota_change()` when the quota may have changed.
     """
 
     def __init__(
@@ -47,14 +47,14 @@
         clock: MembershipClock,
         service_time: ServiceTimeEstimate,
     ) -> None:
-        """`service_time`: takes the times of the calls."""
+        """`service_time`: the estimate to update with the send and receive times of the calls."""
         self.member_lease = member_lease
-        self.on_answer: Callable[[float, LeaseAnswer], None] = lambda now, answer: None
+        self.on_lease_response: Callable[[float, LeaseAnswer], None] = lambda now, response: None
         self.on_lease_lost: Callable[[float], None] = lambda now: None
         self.on_quota_change: Callable[[], None] = lambda: None
         self.failures = 0
-        self.mismatched_answers = 0  # answers to other calls than the one they came to
-        self.rejected_renewals = 0  # of those that reached the service too late by the time they stated
+        self.mismatched_responses = 0  # responses that belong to another call than the one they arrived for
+        self.rejected_renewals = 0  # rejected because of the send time that they stated
         self._failing = False
         self._client, self._clock, self._service_time = client, clock, service_time
         self._timer = RestartableTimer(self._tick)
@@ -73,20 +73,20 @@
         self._tasks.close()
 
     def service_ms(self, now: float) -> Interval | None:
-        """The current service time in ms, as an interval; None until the service has answered."""
+        """Return the current service time in ms as an interval, or None if there is no sample."""
         return self._service_time.interval_ms(now)
 
     def set_revisions(self, members: int, routes: int) -> None:
-        """The revisions that the last answer stated; the watch waits for later ones."""
+        """Set the revisions of the last response; the watch waits for later ones."""
         self._watch.revisions = Revisions(members, routes)
 
     def begin_drain(self) -> None:
-        """Announce that this node drains; it keeps its quota until `leave`."""
+        """Announce that this node is draining; it keeps its quota until `leave`."""
         self.member_lease.begin_draining(self._clock.now_ms())
         self._tick()
 
     async def leave(self) -> None:
-        """Give the quota up, after the last request has been answered, and notify the service."""
+        """Release the quota and notify the service; call this after the last request has ended."""
         if self.member_lease.incarnation is None:
             return
         self.member_lease.leave(self._clock.now_ms())
@@ -97,7 +97,7 @@
                 await self._leave_acknowledged.wait()
         except TimeoutError:
             log.warning(
-                "lease: the list service has not acknowledged that this node leaves; the lease will expire"
+                "lease: no response from the list service to this node's leave; the lease will expire"
             )
 
     # ------------------------------------------------------------- internals
@@ -112,66 +112,70 @@
             self._timer.schedule(self._clock.to_loop_time(max(due, now)))
 
     def _on_registry_change(self) -> None:
-        """Members or routes have changed: renew soon, as the answer states the changes."""
+        """Renew soon, as the response to a renewal contains the changed members or routes."""
         self.member_lease.on_watch_event(self._clock.now_ms())
         self._tick()
 
     async def _send(self, call: RegistryCall) -> None:
         sent_at = self._clock.now_ms()
         try:
-            reply = await self._client.post(call.path, _numbered(call), call.timeout_ms)
-            self._on_reply(sent_at, call, reply)
+            http_response = await self._client.post(call.path, _body_with_number(call), call.timeout_ms)
+            self._on_http_response(sent_at, call, http_response)
         except (OSError, TimeoutError, ValueError) as error:
             self._on_failure(self._clock.now_ms(), call, f"{type(error).__name__}: {one_line(error)}")
         self._tick()
 
-    def _on_reply(self, sent_at: float, call: RegistryCall, reply: web.ReceivedResponse) -> None:
-        """ValueError for a malformed body."""
+    def _on_http_response(
+        self, sent_at: float, call: RegistryCall, http_response: web.ReceivedResponse
+    ) -> None:
+        """Process a response by its status; raise ValueError for a malformed body."""
         now = self._clock.now_ms()
-        if reply.status == HTTPStatus.NOT_FOUND and call.path == RENEWAL:
+        if http_response.status == HTTPStatus.NOT_FOUND and call.path == RENEWAL:
             self._on_unknown(now, call)
-        elif reply.status == HTTPStatus.CONFLICT and call.path == ENROLMENT:
-            self._on_enrolment_rejected(now, call, reply.body)
-        elif reply.status == HTTPStatus.CONFLICT and call.path == RENEWAL:
-            self._on_renewal_rejected(now, call, reply.body)
-        elif reply.status != HTTPStatus.OK:
-            self._on_failure(now, call, f"answered {reply.status}")
+        elif http_response.status == HTTPStatus.CONFLICT and call.path == ENROLMENT:
+            self._on_enrolment_rejected(now, call, http_response.body)
+        elif http_response.status == HTTPStatus.CONFLICT and call.path == RENEWAL:
+            self._on_renewal_rejected(now, call, http_response.body)
+        elif http_response.status != HTTPStatus.OK:
+            self._on_failure(now, call, f"response with status {http_response.status}")
         elif call.path in (ENROLMENT, RENEWAL):
-            self._use(sent_at, now, call, decode_lease_answer(reply.body))
+            self._on_lease_response(sent_at, now, call, decode_lease_response(http_response.body))
         else:
             self.member_lease.on_departure_acknowledged(now, call.number)
             if call.path == DEPARTURE:
                 self._leave_acknowledged.set()
 
-    def _use(self, sent_at: float, now: float, call: RegistryCall, answer: LeaseAnswer) -> None:
-        if not self._answers(call, answer):
-            self.mismatched_answers += 1
-            self._on_failure(now, call, f"answered as another call, {self.mismatched_answers} so far")
+    def _on_lease_response(
+        self, sent_at: float, now: float, call: RegistryCall, response: LeaseAnswer
+    ) -> None:
+        if not self._belongs_to(call, response):
+            self.mismatched_responses += 1
+            self._on_failure(now, call, f"response to another call, {self.mismatched_responses} so far")
             return
-        self._service_time.add_answer(sent_at, now, answer)
+        self._service_time.add_response(sent_at, now, response)
         incarnation = self.member_lease.incarnation
-        if not self.member_lease.on_grant(now, call.number, answer, answer.ttl_ms):
+        if not self.member_lease.on_grant(now, call.number, response, response.ttl_ms):
             self.failures += 1
             return
-        if incarnation not in (None, answer.incarnation):  # enrolled again, and the earlier record was gone
+        if incarnation not in (None, response.incarnation):  # enrolled again after its record was removed
             self.on_lease_lost(now)
         if self._failing:
-            log.info("lease: the list service answers again, incarnation %d", answer.incarnation)
+            log.info("lease: the list service responds again, incarnation %d", response.incarnation)
         self._failing = False
-        self.on_answer(now, answer)
+        self.on_lease_response(now, response)
         self.on_quota_change()
 
-    def _answers(self, call: RegistryCall, answer: LeaseAnswer) -> bool:
-        """Whether this is the answer to this call, and not to an earlier one or another member's."""
-        if call.path == RENEWAL and answer.incarnation != call.body["incarnation"]:
+    def _belongs_to(self, call: RegistryCall, response: LeaseAnswer) -> bool:
+        """Whether the response is to this call, and not to an earlier call or to another member's."""
+        if call.path == RENEWAL and response.incarnation != call.body["incarnation"]:
             return False
-        if answer.call is UNSET:  # of an instance that does not repeat the number
-            return not self._service_time.is_older(answer)
-        return answer.call == call.number
+        if response.call is UNSET:  # from an instance of an earlier release, which does not echo the number
+            return not self._service_time.is_older(response)
+        return response.call == call.number
 
     def _on_unknown(self, now: float, call: RegistryCall) -> None:
-        log.warning("lease: this process is not known to the list service; it enrols again")
-        self._service_time.discard()  # the service may have been rebuilt, with a clock and terms of its own
+        log.warning("lease: this process is unknown to the list service; it enrols again")
+        self._service_time.discard()  # the service may have been rebuilt, with another clock and other terms
         self.member_lease.on_failure(now, call.number, unknown=True)
         self.on_lease_lost(now)
         self.on_quota_change()
@@ -184,10 +188,10 @@
         self.on_quota_change()
 
     def _on_renewal_rejected(self, now: float, call: RegistryCall, body: bytes) -> None:
-        """The service takes the renewal to be late or from the future: the estimate behind it is suspect."""
+        """Discard the service time estimate, as the service finds the renewal late or from the future."""
         self.rejected_renewals += 1
         self._count_failure(
-            f"renewal rejected, {self.rejected_renewals} so far, this process enrols again: stated "
+            f"renewal rejected, {self.rejected_renewals} so far, this process enrols again: stated send time "
             f"{call.body['sent']}, {self._service_time.describe(now)}: {body[:MAX_LOGGED_CHARS]!r}"
         )
         self._service_time.discard()
@@ -199,13 +203,13 @@
         self.member_lease.on_enrolment_rejected(now, call.number)
 
     def _count_failure(self, message: str) -> None:
-        """Count a failure; the first of a series is logged."""
+        """Count a failure; log it if it is the first since the last success."""
         self.failures += 1
         if not self._failing:
             log.warning("lease: %s", message)
         self._failing = True
 
 
-def _numbered(call: RegistryCall) -> dict[str, object]:
-    """The call's body, with the number that the answer to an enrolment or a renewal repeats."""
+def _body_with_number(call: RegistryCall) -> dict[str, object]:
+    """Return the call's body, with the call number that the response to an enrolment or renewal echoes."""
     return call.body if call.path not in (ENROLMENT, RENEWAL) else {**call.body, "call": call.number}
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -1,4 +1,4 @@
-"""Transport of the failure detector: the listener for probes, the outgoing probes, and the tick timer."""
+"""Transport of the failure detector: the listener for probes, outgoing probes and the tick timer."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 PROBE_PATH: Final = "/members/ask"
 INDIRECT_PROBE_PATH: Final = "/members/ask-through"
-INDIRECT_TIMEOUT_S: Final = 3.0  # an indirect probe without a result by then is rejected
-LISTEN_RETRY_PAUSE_S: Final = 0.2
+INDIRECT_TIMEOUT_S: Final = 3.0  # an indirect probe without an ack by then is rejected
+LISTEN_RETRY_S: Final = 0.2
 MAX_BODY_BYTES: Final = 64 * 1024
-MAX_INDIRECT_PROBES: Final = 128  # on behalf of other members at once; a further one is rejected
+MAX_INDIRECT_PROBES: Final = 128  # in flight on behalf of other members; further ones are rejected
 MAX_CONNECTIONS: Final = 128
 MIN_TICK_MS: Final = 1.0  # between two ticks
 MAX_LOGGED_METHOD_CHARS: Final = 20
@@ -43,19 +43,20 @@
 
 
 class ProbeTransport:
-    """Carries out the actions of a failure detector.
+    """Executes the actions of a failure detector.
 
-    `before_tick(now)` sets what goes out with the next probes; `on_report` and `on_change` receive what comes
-    in. Malformed input raises nothing: it is counted, and logged now and then.
+    `before_tick(now)` is called before each tick to set the content of the next probes, `on_report` with each
+    report of a sibling, and `on_change` with each change of a sibling's reachability. Malformed input raises
+    no exception; it is counted, and logged at a limited rate.
     """
 
     def __init__(
         self, detector: FailureDetector, clock: MembershipClock, max_connections: int = MAX_CONNECTIONS
     ) -> None:
-        """`max_connections`: accepted from any peers, and as many again held open to members."""
+        """`max_connections`: limit of accepted connections, and also of idle connections to members."""
         self.detector = detector
         self.before_tick: Callable[[float], None] = lambda now: None
-        self.on_report: Callable[[ViewReceived], None] = lambda viewed: None
+        self.on_report: Callable[[ViewReceived], None] = lambda report: None
         self.on_change: Callable[[ReachabilityChanged], None] = lambda changed: None
         self.probes_sent = self.probes_received = 0
         self._clock = clock
@@ -63,18 +64,18 @@
         self._tasks = BackgroundTasks()
         self._server: asyncio.Server | None = None
         self._call_numbers = count(1)
-        self._waiting: dict[int, asyncio.Future[bytes | None]] = {}  # indirect probes by their call's number
+        self._pending_indirect: dict[int, asyncio.Future[bytes | None]] = {}  # acks awaited, by call number
         self._rejections = RejectionLog("members: call rejected (%d so far): %s")
         self._client = web.HttpClient(max_connections)
         self._limits = web.ServerLimits(body=MAX_BODY_BYTES, connections=max_connections)
 
     @property
     def rejected_calls(self) -> int:
-        """Calls to this node that were rejected since the start."""
+        """Number of calls to this node that were rejected since the start."""
         return self._rejections.count
 
     def listen(self, address: Address, on_listening: Callable[[], None]) -> None:
-        """Listen as soon as the address is free: in an upgrade the old process of this node ends first."""
+        """Listen as soon as the address is free; in an upgrade this node's old process has to end first."""
         self._tasks.spawn(self._listen(address, on_listening))
 
     def close(self) -> None:
@@ -86,7 +87,7 @@
             self._server.close()
 
     def execute(self, actions: Sequence[Action]) -> None:
-        """Carry out the failure detector's actions, in their order."""
+        """Execute the failure detector's actions in order."""
         for action in actions:
             match action:
                 case Probe():
@@ -94,9 +95,9 @@
                 case IndirectProbe():
                     self._tasks.spawn(self._probe(action, INDIRECT_PROBE_PATH))
                 case Ack():
-                    waiting = self._waiting.pop(action.call, None)
-                    if waiting is not None and not waiting.done():
-                        waiting.set_result(action.payload)
+                    ack = self._pending_indirect.pop(action.call, None)
+                    if ack is not None and not ack.done():
+                        ack.set_result(action.payload)
                 case ViewReceived():
                     self.on_report(action)
                 case ReachabilityChanged():
@@ -115,21 +116,21 @@
         try:
             address = parse_address(action.address)
             timeout_s = action.timeout_ms / _MS_PER_S
-            reply = await self._client.send(address, "POST", path, action.payload, timeout_s)
+            response = await self._client.send(address, "POST", path, action.payload, timeout_s)
         except (OSError, TimeoutError, ValueError) as error:
             refused = isinstance(error, ConnectionRefusedError)
             self.execute(self.detector.on_failure(self._clock.now_ms(), action.id, refused))
             return
-        if reply.status == HTTPStatus.OK:
-            self.execute(self.detector.on_ack(self._clock.now_ms(), action.id, reply.body))
+        if response.status == HTTPStatus.OK:
+            self.execute(self.detector.on_ack(self._clock.now_ms(), action.id, response.body))
         else:
             self.execute(self.detector.on_failure(self._clock.now_ms(), action.id, refused=False))
 
-    # ---------------------------------------------------------- being probed
+    # ------------------------------------------------------- incoming probes
 
     async def _listen(self, address: Address, on_listening: Callable[[], None]) -> None:
         retrying = tenacity.AsyncRetrying(
-            wait=tenacity.wait_fixed(LISTEN_RETRY_PAUSE_S),
+            wait=tenacity.wait_fixed(LISTEN_RETRY_S),
             retry=tenacity.retry_if_exception_type(OSError),
             before_sleep=self._log_first_failure,
         )
@@ -146,7 +147,7 @@
             )
 
     async def _handle(self, call: web.HttpRequest) -> web.HttpResponse:
-        """Answer a peer's call; raises nothing, and ends within `INDIRECT_TIMEOUT_S`."""
+        """Respond to a peer's call within `INDIRECT_TIMEOUT_S`; malformed input raises no exception."""
         self.probes_received += 1
         if call.method != "POST" or call.path not in (PROBE_PATH, INDIRECT_PROBE_PATH):
             return self._reject(
@@ -157,26 +158,26 @@
         if call.path == PROBE_PATH:
             payload, actions = self.detector.on_probe(now, call.body)
             self.execute(actions)
-            return self._answer(payload)
-        if len(self._waiting) >= MAX_INDIRECT_PROBES:
+            return self._respond(payload)
+        if len(self._pending_indirect) >= MAX_INDIRECT_PROBES:
             return self._reject(HTTPStatus.SERVICE_UNAVAILABLE, "too many indirect probes")
         return await self._handle_indirect_probe(now, call.body)
 
     async def _handle_indirect_probe(self, now: float, body: bytes) -> web.HttpResponse:
         number = next(self._call_numbers)
-        waiting = self._waiting[number] = asyncio.get_running_loop().create_future()
+        ack = self._pending_indirect[number] = asyncio.get_running_loop().create_future()
         try:
             self.execute(self.detector.on_indirect_probe(now, number, body))
             async with asyncio.timeout(INDIRECT_TIMEOUT_S):
-                payload = await waiting
+                payload = await ack
         except TimeoutError:
             return self._reject(HTTPStatus.SERVICE_UNAVAILABLE, "indirect probe timed out")
         finally:
-            self._waiting.pop(number, None)
-        return self._answer(payload)
+            self._pending_indirect.pop(number, None)
+        return self._respond(payload)
 
-    def _answer(self, payload: bytes | None) -> web.HttpResponse:
-        """The ack, or a rejection where the failure detector could not decode the probe."""
+    def _respond(self, payload: bytes | None) -> web.HttpResponse:
+        """Return the ack, or a rejection if `payload` is None as the detector could not decode the probe."""
         if payload is None:
             return self._reject(HTTPStatus.BAD_REQUEST, "malformed probe")
         return web.HttpResponse(HTTPStatus.OK, payload)
--- a/loadbalancer/node/control/registry_client.py
+++ b/loadbalancer/node/control/registry_client.py
@@ -1,4 +1,4 @@
-"""Calls to the list service, through the agent beside this node."""
+"""Calls to the list service through the agent next to this node."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 from loadbalancer.membership.messages import LeaseAnswer
 from loadbalancer.node.address import Address
-from loadbalancer.node.control.errors import LeaseAnswerError
+from loadbalancer.node.control.errors import LeaseResponseError
 from loadbalancer.node.http import service_http as web
 
-MAX_IDLE_CONNECTIONS: Final = 2  # the watch has one of its own while it is open
+MAX_IDLE_CONNECTIONS: Final = 2  # the watch uses one of its own while a poll is open
 _MS_PER_S: Final = 1000.0
 
-_lease_answer = msgspec.json.Decoder(LeaseAnswer)
+_lease_response_decoder = msgspec.json.Decoder(LeaseAnswer)
 
 
-def decode_lease_answer(body: bytes) -> LeaseAnswer:
-    """The answer to an enrolment or a renewal; LeaseAnswerError for a malformed one."""
+def decode_lease_response(body: bytes) -> LeaseAnswer:
+    """Decode the response to an enrolment or a renewal; raise LeaseResponseError if it is malformed."""
     try:
-        return _lease_answer.decode(body)
+        return _lease_response_decoder.decode(body)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise LeaseAnswerError(str(error)) from error
+        raise LeaseResponseError(str(error)) from error
 
 
 class RegistryClient:
-    """The list service's calls under /fleet/.
+    """Sends the list service's calls under /fleet/.
 
-    Each raises OSError or TimeoutError where no answer comes in time. Connections are reused; a call whose
-    connection proves closed is sent again on a new one, so that the service may receive it twice.
+    A call raises OSError or TimeoutError if it gets no response in time. Connections are reused. A call that
+    finds its connection closed is sent again on a new one, so the service may receive it twice.
     """
 
     def __init__(self, address: Callable[[], Address]) -> None:
-        """`address`: of the agent; asked at each call, since discovery may move."""
+        """`address`: returns the agent's address; called for each call, as a reload may change it."""
         self._address = address
         self._client = web.HttpClient(MAX_IDLE_CONNECTIONS)
 
@@ -48,7 +48,7 @@
         return await self._call("GET", target, b"", timeout_ms)
 
     def close(self) -> None:
-        """Close the idle connections; a later call opens one of its own."""
+        """Close the idle connections; a later call opens a new one."""
         self._client.close()
 
     async def _call(self, method: str, target: str, body: bytes, timeout_ms: float) -> web.ReceivedResponse:
--- a/loadbalancer/node/control/registry_watch.py
+++ b/loadbalancer/node/control/registry_watch.py
@@ -10,54 +10,55 @@
 import msgspec
 import orjson
 
-from loadbalancer.node.control.errors import WatchAnswerError
+from loadbalancer.node.control.errors import WatchResponseError
 from loadbalancer.node.control.registry_client import RegistryClient
 from loadbalancer.node.http import service_http as web
 
-# A poll that a network cut leaves open costs little: the answers to renewals state the same changes.
+# A poll that a partition leaves open until this timeout does little harm: the responses to renewals contain
+# the same changes.
 WATCH_TIMEOUT_MS: Final = 20_000.0
-WATCH_SLACK_MS: Final = 1_500.0  # for the answer to a poll that the service lets time out
-RETRY_PAUSE_S: Final = 0.5  # after a poll that failed
-RENEWAL_POLL_S: Final = 0.05
-RENEWAL_POLLS: Final = 10  # how often, at most, the next poll waits for the renewal that a change calls for
+WATCH_SLACK_MS: Final = 1_500.0  # added to the timeout for the service's response at the end of the poll
+RETRY_PAUSE_S: Final = 0.5  # after a failed poll
+RENEWAL_CHECK_S: Final = 0.05  # between two checks whether the renewal has been answered
+MAX_RENEWAL_CHECKS: Final = 10  # the next poll starts after these even without a renewal
 
 
 class Revisions(NamedTuple):
-    """What a watch compares: the revisions of the group's members and of the routes."""
+    """The revisions that a watch compares: of the group's members and of the routes."""
 
     members: int
     routes: int
 
 
-class WatchAnswer(msgspec.Struct, frozen=True, rename={"members": "rev", "routes": "routes_rev"}):
-    """The body of an answer, whose values are only compared with the known revisions."""
+class WatchResponse(msgspec.Struct, frozen=True, rename={"members": "rev", "routes": "routes_rev"}):
+    """The body of a watch response; its values are only compared with the known revisions."""
 
     members: object = None
     routes: object = None
 
 
 class RegistryWatch:
-    """Polls the list service and calls `on_change` when another revision than the known ones is out.
+    """Polls the list service and calls `on_change` when a revision differs from the known ones.
 
-    What has changed is stated by the next renewal's answer, which sets `revisions`.
+    The changes themselves come with the response to the next renewal, after which the owner sets `revisions`.
     """
 
     def __init__(
         self, client: RegistryClient, incarnation: Callable[[], int | None], on_change: Callable[[], None]
     ) -> None:
-        """`incarnation`: of this process, None before it is enrolled."""
+        """`incarnation`: returns this process's incarnation, or None before it is enrolled."""
         self.revisions = Revisions(0, 0)
         self._client, self._incarnation, self._on_change = client, incarnation, on_change
 
     async def run(self) -> None:
-        """Poll until cancelled; a poll that fails is repeated after a pause."""
+        """Poll until cancelled; retry a failed poll after RETRY_PAUSE_S."""
         while True:
             try:
-                answer = _decode(await self._poll())
+                revisions = _decode(await self._poll())
             except (OSError, TimeoutError, ValueError):
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            if (answer.members, answer.routes) != self.revisions:
+            if (revisions.members, revisions.routes) != self.revisions:
                 self._on_change()
                 await self._wait_for_renewal()
 
@@ -70,17 +71,17 @@
         return await self._client.get(target, WATCH_TIMEOUT_MS + WATCH_SLACK_MS)
 
     async def _wait_for_renewal(self) -> None:
-        """Wait for the renewal that a change calls for, so that the next poll starts from its revisions."""
+        """Wait for the renewal that follows a change, so that the next poll uses the new revisions."""
         before = self.revisions
-        for _ in range(RENEWAL_POLLS):
-            await asyncio.sleep(RENEWAL_POLL_S)
+        for _ in range(MAX_RENEWAL_CHECKS):
+            await asyncio.sleep(RENEWAL_CHECK_S)
             if self.revisions != before:
                 return
 
 
-def _decode(reply: web.ReceivedResponse) -> WatchAnswer:
-    """ValueError for anything but a JSON object with status 200."""
-    body = orjson.loads(reply.body)
-    if reply.status != HTTPStatus.OK or not isinstance(body, dict):
-        raise WatchAnswerError(reply.status)
-    return msgspec.convert(body, WatchAnswer)
+def _decode(response: web.ReceivedResponse) -> WatchResponse:
+    """Decode a watch response; raise ValueError unless it is a JSON object with status 200."""
+    body = orjson.loads(response.body)
+    if response.status != HTTPStatus.OK or not isinstance(body, dict):
+        raise WatchResponseError(response.status)
+    return msgspec.convert(body, WatchResponse)
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -1,4 +1,4 @@
-"""Two-phase route activation: fetches and stores versions, votes, and switches at the decided moment."""
+"""Two-phase route activation: fetches and stores versions, votes, and switches at the decided time."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 log = logging.getLogger("loadbalancer")
 
 CALL_TIMEOUT_MS: Final = 2_000.0
-LATE_SWITCH_MS: Final = 50.0  # a switch so much after its moment is logged as a warning
-MAX_LOGGED_CHARS: Final = 200  # of an error's text
+LATE_SWITCH_MS: Final = 50.0  # a switch delayed by more than this is logged as a warning
+MAX_LOGGED_CHARS: Final = 200  # of an error message
 
 
 class RouteActivator:
-    """Carries out the actions of this node's participant in the two-phase activation."""
+    """Executes the actions of this node's participant in the two-phase activation."""
 
     def __init__(
         self,
@@ -38,53 +38,56 @@
         store: RouteStore | None,
         notify: Callable[[Event], None],
     ) -> None:
-        """`store` is None where the node prepares no versions; `notify` passes events to the balancer."""
+        """`notify` passes an event to the balancer.
+
+        `store` is None if the configuration names no folder for routes; the node then prepares no versions.
+        """
         self.participant = participant
         self.switches = 0
-        self.last_delay_ms = 0.0  # between the last switch and its moment
+        self.last_delay_ms = 0.0  # of the last switch, after its decided time
         self._client, self._clock, self._store, self._notify_balancer = client, clock, store, notify
         self._timer = RestartableTimer(self._tick)
-        self._due_ms = math.inf  # when a switch, or the end of the lease, is due
+        self._due_ms = math.inf  # time of the next switch or of the lease's expiry, whichever is first
         self._tasks = BackgroundTasks()
 
     def start(self) -> None:
-        """Take over the versions on disk."""
+        """Load the versions on disk."""
         if self._store is not None:
             self.execute(self.participant.on_restored(self._store.load_all()))
 
     def close(self) -> None:
-        """Stop calls and timers at once, and wait for a write to disk under way."""
+        """Cancel calls and timers, and wait for a disk write in progress."""
         self._timer.cancel()
         self._tasks.close()
         if self._store is not None:
             self._store.close()
 
-    def on_lease_answer(
-        self, now: float, lease_end_ms: float, service_ms: Interval, answer: LeaseAnswer
+    def on_lease_response(
+        self, now: float, lease_end_ms: float, service_ms: Interval, response: LeaseAnswer
     ) -> None:
-        """Use what a renewal's answer states of routes; a malformed one is logged and changes nothing."""
+        """Process the routes in a lease response; a malformed one is logged and ignored."""
         try:
             actions = self.participant.on_answer(
-                now, answer.incarnation, lease_end_ms, service_ms, answer.routes
+                now, response.incarnation, lease_end_ms, service_ms, response.routes
             )
             self.execute(actions)
         except ValueError as error:
-            log.warning("routes: malformed answer ignored: %s", error)
+            log.warning("routes: malformed lease response ignored: %s", error)
 
     def execute(self, actions: Sequence[Action]) -> None:
-        """Carry out the participant's actions, in their order."""
+        """Execute the participant's actions in order."""
         for action in actions:
             self._execute_action(action)
         self._reschedule()
 
     def run_if_due(self) -> None:
-        """Make a switch that is due. Runs before each event of the balancer.
+        """Make a switch that is due. The balancer's driver calls this before each event.
 
-        After the process was stopped the event loop handles input before timers, and no request may be
-        admitted under a version that has ended.
+        The timer alone is too late: after a process was suspended, the event loop handles input before
+        timers, and no request may be admitted under a route version that is no longer in force.
         """
         if self._due_ms <= self._clock.now_ms():
-            self._due_ms = math.inf  # the events that the switch passes to the balancer call this again
+            self._due_ms = math.inf  # prevents recursion: the switch passes an event to the balancer
             self._tick()
 
     # ------------------------------------------------------------- internals
@@ -119,17 +122,17 @@
         self._notify_balancer(action.event)
         self.switches += 1
         self.last_delay_ms = max(0.0, self._clock.now_ms() - action.due_ms)
-        write_line = log.warning if self.last_delay_ms > LATE_SWITCH_MS else log.info
-        write_line(
+        log_switch = log.warning if self.last_delay_ms > LATE_SWITCH_MS else log.info
+        log_switch(
             "routes: version %d in force, %.1f ms after its moment", action.event.number, self.last_delay_ms
         )
 
     async def _fetch(self, number: int) -> None:
         text = None
         try:
-            reply = await self._client.get(f"routes/{number}", CALL_TIMEOUT_MS)
-            if reply.status == HTTPStatus.OK:
-                text = reply.body.decode()
+            response = await self._client.get(f"routes/{number}", CALL_TIMEOUT_MS)
+            if response.status == HTTPStatus.OK:
+                text = response.body.decode()
         except (OSError, TimeoutError, ValueError) as error:
             log.warning("routes: version %d not fetched: %s", number, one_line(error)[:MAX_LOGGED_CHARS])
         self.execute(self.participant.on_fetched(self._clock.now_ms(), number, text))
@@ -141,7 +144,7 @@
         self.execute(self.participant.on_stored(self._clock.now_ms(), action.number, not problem, problem))
 
     async def _write_to_disk(self, action: Store) -> str:
-        """Returns why the version could not be stored, in one line; "" once it is on disk."""
+        """Return "" once the version is on disk, or else a one-line reason why it can't be stored."""
         if self._store is None:
             return "the configuration names no folder for routes"
         try:
@@ -158,10 +161,10 @@
             "why": action.reason,
         }
         if not action.yes:
-            log.warning("routes: version %d: this node votes no: %s", action.number, action.reason)
+            log.warning("routes: version %d rejected by this node's vote: %s", action.number, action.reason)
         try:
-            reply = await self._client.post("routes/vote", body, CALL_TIMEOUT_MS)
+            response = await self._client.post("routes/vote", body, CALL_TIMEOUT_MS)
         except (OSError, TimeoutError):
-            return  # a later renewal's answer asks for the vote again
-        if reply.status == HTTPStatus.OK:
+            return  # the response to a later renewal requests the vote again
+        if response.status == HTTPStatus.OK:
             self.participant.on_vote_acknowledged(action.incarnation, action.number)
--- a/loadbalancer/node/control/route_store.py
+++ b/loadbalancer/node/control/route_store.py
@@ -1,4 +1,4 @@
-"""The prepared route versions of this node on disk: a file for each, framed as the state file, synced."""
+"""This node's prepared route versions on disk: one synced file per version, framed as the state file is."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 log = logging.getLogger("loadbalancer")
 
 SUFFIX: Final = ".route"
-MAX_LOGGED_CHARS: Final = 200  # of an error's text
+MAX_LOGGED_CHARS: Final = 200  # of an error message
 
 
 class StoredRoute(NamedTuple):
@@ -29,35 +29,35 @@
 
 
 class RouteStore:
-    """Writes and removes versions in the order of the calls, in one worker thread."""
+    """Writes and removes versions in one worker thread, in the order of the calls."""
 
     def __init__(self, folder: Path) -> None:
-        """`folder`: made at the first write."""
+        """`folder`: created at the first write."""
         self._folder = folder
         self._worker = ThreadPoolExecutor(1, thread_name_prefix="routes")
 
     def load_all(self) -> list[StoredRoute]:
-        """Every version on disk; a file that can't be decoded is logged and left in place."""
+        """Return all versions on disk; a file that can't be decoded is logged and left in place."""
         stored = []
         with contextlib.suppress(FileNotFoundError):
             for path in sorted(self._folder.glob(f"*{SUFFIX}")):
                 try:
-                    row = decode_frame(path.read_bytes())
-                    stored.append(StoredRoute(int(row["number"]), str(row["text"])))
+                    fields = decode_frame(path.read_bytes())
+                    stored.append(StoredRoute(int(fields["number"]), str(fields["text"])))
                 except (OSError, ValueError, KeyError, TypeError) as error:
                     log.warning("routes: %s ignored: %s", path, one_line(error)[:MAX_LOGGED_CHARS])
         return stored
 
     def write(self, number: int, text: str) -> Future[None]:
-        """Done once the version is on disk and synced; OSError if it can't be written."""
+        """Write a version; the future completes once it is synced to disk, or fails with OSError."""
         return self._worker.submit(self._write, number, text)
 
     def remove(self, number: int) -> Future[None]:
-        """Done once the version is deleted from the disk."""
+        """Delete a version; the future completes once it is deleted from the disk."""
         return self._worker.submit(self._remove, number)
 
     def close(self) -> None:
-        """Wait for a write under way: the next process of an upgrade uses the same folder."""
+        """Wait for a write in progress, as the next process of an upgrade uses the same folder."""
         self._worker.shutdown(wait=True, cancel_futures=True)
 
     def _path(self, number: int) -> Path:
--- a/loadbalancer/node/control/service_time.py
+++ b/loadbalancer/node/control/service_time.py
@@ -1,4 +1,4 @@
-"""What this node knows of service time, from the four times of its calls to the list service."""
+"""This node's estimate of service time, from the send and receive times of its calls to the list service."""
 
 from __future__ import annotations
 
@@ -9,57 +9,59 @@
 from loadbalancer.staleness import ClockOffsets
 from loadbalancer.staleness.clock_offsets import Interval
 
-REGISTRY_PEER: Final = "service"  # the list service among the peers of the clock offsets
+REGISTRY_PEER: Final = "service"  # the list service's key among the peers of `ClockOffsets`
 
 
 class ServiceTimeEstimate:
-    """The estimate of service time, which is by the clock of the list service's leader.
+    """An interval that contains service time, the clock of the list service's leader.
 
-    Times are ms, `now` and `sent_at` by this node's clock. Samples of one leader's clock say nothing of
-    another's, so each leader's first answer begins the estimate anew.
+    All times are in ms; `now` and `sent_at` are by this node's clock. Samples of one leader's clock are
+    invalid for another leader, so the first response of each leader restarts the estimate.
     """
 
     def __init__(self, clock_offsets: ClockOffsets) -> None:
-        """`clock_offsets`: where the samples are held, under REGISTRY_PEER."""
+        """`clock_offsets`: stores the samples under the key REGISTRY_PEER."""
         self._clock_offsets = clock_offsets
-        self._term = 0  # of the leader that the samples are of
-        self._answered_ms = -math.inf  # service time of the last answer
+        self._term = 0  # Raft term of the leader whose clock was sampled
+        self._last_response_ms = -math.inf  # service time at which the last response was sent
         self._sampled_at = 0.0
 
     def interval_ms(self, now: float) -> Interval | None:
-        """Service time now, as an interval; None where nothing is known of it."""
+        """Return the current service time as an interval, or None if there is no sample."""
         return self._clock_offsets.to_peer(REGISTRY_PEER, now, now)
 
     def best_ms(self, now: float) -> float | None:
-        """The middle of the interval."""
+        """Return the middle of the interval, or None if there is no sample."""
         interval = self.interval_ms(now)
         return None if interval is None else sum(interval) / 2
 
-    def is_older(self, answer: LeaseAnswer) -> bool:
-        """Whether this answer was given before the last one, and so to an earlier call."""
-        if answer.term != self._term:
-            return answer.term < self._term
-        return answer.received_ms < self._answered_ms
+    def is_older(self, response: LeaseAnswer) -> bool:
+        """Whether this response belongs to an earlier call than the last response does."""
+        if response.term != self._term:
+            return response.term < self._term
+        return response.received_ms < self._last_response_ms
 
-    def add_answer(self, sent_at: float, now: float, answer: LeaseAnswer) -> None:
-        """Use the times of a call that was sent at `sent_at` and whose answer has arrived now."""
-        if answer.term != self._term:
+    def add_response(self, sent_at: float, now: float, response: LeaseAnswer) -> None:
+        """Add the times of a call that was sent at `sent_at` and whose response arrived at `now`."""
+        if response.term != self._term:
             self.discard()
-        self._term, self._answered_ms = answer.term, answer.answered_ms
-        self._clock_offsets.add_sample(REGISTRY_PEER, sent_at, answer.received_ms, answer.answered_ms, now)
+        self._term, self._last_response_ms = response.term, response.answered_ms
+        self._clock_offsets.add_sample(
+            REGISTRY_PEER, sent_at, response.received_ms, response.answered_ms, now
+        )
         self._sampled_at = now
 
     def discard(self) -> None:
-        """Drop the estimate: the list service contradicts it, or another leader's clock counts."""
+        """Drop the estimate because the list service contradicts it or another leader's clock applies."""
         self._clock_offsets.forget(REGISTRY_PEER)
-        self._term, self._answered_ms = 0, -math.inf
+        self._term, self._last_response_ms = 0, -math.inf
 
     def describe(self, now: float) -> str:
-        """The estimate in words, for a log line."""
+        """Return the estimate as text for a log line."""
         interval = self.interval_ms(now)
         if interval is None:
-            return "service time is not known"
+            return "service time is unknown"
         age_ms = now - self._sampled_at
         return (
-            f"service time is taken to be {interval[0]:.1f} to {interval[1]:.1f}, sampled {age_ms:.0f} ms ago"
+            f"estimated service time {interval[0]:.1f} to {interval[1]:.1f}, last sampled {age_ms:.0f} ms ago"
         )
--- a/loadbalancer/node/control/status_bodies.py
+++ b/loadbalancer/node/control/status_bodies.py
@@ -1,6 +1,6 @@
-"""What operators see of the control plane: the bodies of GET /status/members and GET /status/routes.
+"""The JSON bodies of GET /status/members and GET /status/routes, for operators.
 
-Attributes have the standard terms; `rename` maps them to the keys that operators read.
+`rename` maps attribute names to the JSON keys, which are fixed because operators' tools read them.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class SiblingStatus(msgspec.Struct, frozen=True, rename={"reachability": "hearing"}):
-    """One other member of the group, in the order of its keys."""
+    """The status of another member of the group; the field order is that of the JSON keys."""
 
     name: str
     incarnation: int
     address: str
-    state: str  # of its lease, as the list service last stated
+    state: str  # of its lease, as last received from the list service
     reachability: Reachability
     verdict: Verdict
 
@@ -29,32 +29,32 @@
 class MembersStatus(
     msgspec.Struct, frozen=True, rename={"connectivity": "stand", "quota": "share", "member_count": "rows"}
 ):
-    """The body of GET /status/members, in the order of its keys; times in ms."""
+    """The body of GET /status/members; the field order is that of the JSON keys; times in ms."""
 
     name: str
     service: str
-    incarnation: int | None  # None: not enrolled
+    incarnation: int | None  # None if not enrolled
     connectivity: Connectivity
-    standing: str  # what this node states of its quota to siblings
-    quota: float  # of what the group may take, 0 to 1
+    standing: str  # the quota status that this node reports to siblings, in lower case
+    quota: float  # this node's part of the group's limits, 0 to 1
     member_count: int
     elector: bool
     lease_ms: float  # until the lease expires
     now_ms: float
-    service_ms: Interval | None  # service time; None until the list service has answered
+    service_ms: Interval | None  # service time; None until the first response of the list service
     routes: Mapping[str, object]
     health: int  # the failure detector's local health multiplier
-    ignored: Mapping[str, int]  # malformed or outdated gossip by reason
+    ignored: Mapping[str, int]  # number of ignored messages and updates, by reason
     siblings: list[SiblingStatus]
 
 
 class RoutesStatus(msgspec.Struct, frozen=True, rename={"connectivity": "stand"}):
-    """The body of GET /status/routes, in the order of its keys."""
+    """The body of GET /status/routes; the field order is that of the JSON keys."""
 
     connectivity: Connectivity
     edges: list[EdgeStatus]
 
 
 def encode(status: MembersStatus | RoutesStatus) -> bytes:
-    """The status as JSON; the keys of its maps may be numbers."""
+    """Encode the status as JSON; the keys of its mappings may be numbers."""
     return orjson.dumps(msgspec.to_builtins(status), option=orjson.OPT_NON_STR_KEYS)
--- a/loadbalancer/node/control/status_reporter.py
+++ b/loadbalancer/node/control/status_reporter.py
@@ -1,4 +1,4 @@
-"""Reports the control plane's state to operators: status bodies and metrics."""
+"""Status bodies and metrics of the control plane, for operators."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StatusReporter:
-    """Reads the parts of the control plane; changes nothing in them."""
+    """Reads the state of the control plane's parts without changing it."""
 
     def __init__(
         self,
@@ -32,19 +32,19 @@
         freshness: FreshnessTracker,
         group: GroupView,
     ) -> None:
-        """`name`: of this node; `service`: whose nodes are its group, "" for all nodes."""
+        """`name`: this node's name; `service`: the service whose nodes form its group, "" for all nodes."""
         self._name, self._service, self._clock = name, service, clock
         self._lease_client, self._probe_transport = lease_client, probe_transport
         self._route_activator, self._freshness, self._group = route_activator, freshness, group
 
     def members_status(self) -> MembersStatus:
-        """The body of GET /status/members."""
+        """Return the body of GET /status/members."""
         now, lease, detector = (
             self._clock.now_ms(),
             self._lease_client.member_lease,
             self._probe_transport.detector,
         )
-        granted = lease.quota(now)
+        grant = lease.quota(now)
         return MembersStatus(
             name=self._name,
             service=self._service,
@@ -52,7 +52,7 @@
             connectivity=self._group.connectivity(now),
             standing=lease.quota_status(now).name.lower(),
             quota=lease.quota_in_force(now),
-            member_count=granted.members,
+            member_count=grant.members,
             elector=lease.elector,
             lease_ms=max(0.0, lease.lease_end_ms - now) if lease.incarnation is not None else 0.0,
             now_ms=now,
@@ -64,14 +64,14 @@
         )
 
     def routes_status(self) -> RoutesStatus:
-        """The body of GET /status/routes."""
+        """Return the body of GET /status/routes."""
         now = self._clock.now_ms()
         return RoutesStatus(
             connectivity=self._group.connectivity(now), edges=self._freshness.edge_statuses(now)
         )
 
     def metrics(self) -> str:
-        """The lines of GET /status/metrics, `proxy.NAME=VALUE` each."""
+        """Return the control plane's lines of GET /status/metrics, each `proxy.NAME=VALUE`."""
         now = self._clock.now_ms()
         verdicts = Counter(self._group.verdicts(now).values())
         metrics: dict[str, float] = {f"members_{verdict.value}": verdicts[verdict] for verdict in Verdict}
--- a/tests/node/control/test_lease_recovery.py
+++ b/tests/node/control/test_lease_recovery.py
@@ -170,7 +170,7 @@
         assert known[0] <= world.service.service_ms() <= known[1]
         assert max(await world.times_to_lease_ms([member], 12 * TTL_MS)) < LIMIT_MS
         assert member.quota() == pytest.approx(1 / 3)
-        assert (member.client.mismatched_answers, world.service.rejections) == (1, 0)
+        assert (member.client.mismatched_responses, world.service.rejections) == (1, 0)
         world.close()
 
     run(main())
@@ -189,7 +189,7 @@
         fault.injects = True
         await fault.injected.wait()
         assert max(await world.times_to_lease_ms([member], 12 * TTL_MS)) < LIMIT_MS
-        assert member.client.mismatched_answers == 1
+        assert member.client.mismatched_responses == 1
         world.close()
 
     run(main())
@@ -215,7 +215,7 @@
         await world.until_no_call_is_in_flight()  # its answer would extend the lease
         member.network.fault = late
         lease_end_ms = member.core.lease_end_ms
-        while member.client.mismatched_answers == 0:
+        while member.client.mismatched_responses == 0:
             assert member.core.lease_end_ms == lease_end_ms
             await pause(1.0)
         assert member.core.lease_end_ms == lease_end_ms
@@ -246,7 +246,7 @@
         await swapped.wait()
         assert max(await world.times_to_lease_ms([member], 12 * TTL_MS)) < LIMIT_MS
         assert member.core.incarnation == incarnation != other.core.incarnation
-        assert member.client.mismatched_answers == 1
+        assert member.client.mismatched_responses == 1
         world.close()
 
     run(main())
--- a/tests/registry/test_groups_upgrade.py
+++ b/tests/registry/test_groups_upgrade.py
@@ -14,7 +14,7 @@
 from msgspec import UNSET
 
 from loadbalancer.membership import MemberLease
-from loadbalancer.node.control.registry_client import decode_lease_answer
+from loadbalancer.node.control.registry_client import decode_lease_response
 from loadbalancer.node.http.service_http import ReceivedResponse
 from tests.registry.test_registry_fleet import Member
 from tests.support.group_registry import LIMIT_S, GroupRegistry, GroupSampler
@@ -218,7 +218,7 @@
         if made["status"] != 200:
             core.on_failure(now, call.number)
             continue
-        answer = decode_lease_answer(orjson.dumps(made["answer"]))
+        answer = decode_lease_response(orjson.dumps(made["answer"]))
         assert (answer.target_quota, answer.since_revision, answer.service) == (UNSET, UNSET, "")
         assert core.on_grant(now + 1.0, call.number, answer, answer.ttl_ms)
     assert (core.incarnation, core.revision, core.elector) == (1, 3, True)
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -100,7 +100,7 @@
         core = MemberLease(self.name, self.address, self.zone, start, Random(start), self.service)
         self.words = {}
         self.lease = LeaseClient(core, self.line, self._clock, ServiceTimeEstimate(ClockOffsets()))
-        self.lease.on_answer, self.lease.on_lease_lost = self._on_answer, self._on_gone
+        self.lease.on_lease_response, self.lease.on_lease_lost = self._on_answer, self._on_gone
         if watches:
             self.lease.start()
         else:
--- a/tests/support/lease_world.py
+++ b/tests/support/lease_world.py
@@ -166,7 +166,7 @@
         self.core = MemberLease(name, f"127.0.0.1:{10_000 + number}", "z", f"{name}-{seed}", Random(seed))
         service_time = ServiceTimeEstimate(self.offsets)
         self.client = LeaseClient(self.core, self.network, self.clock, service_time)
-        self.client.on_answer = self._on_answer
+        self.client.on_lease_response = self._on_answer
         self.answered_at_ms = 0.0  # the true time at which the last answer that was used was given
         self.client._tick()
 
