--- a/tests/node/admin/test_admin_server.py
+++ b/tests/node/admin/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin server, and the requests that it answers."""
+"""The admin server and its requests, over real connections."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 ADMIN_SETTINGS = {"operator": "127.0.0.1:0"}
 
 
-def call(method: str, path: str, body: bytes = b"") -> bytes:
+def encode_request(method: str, path: str, body: bytes = b"") -> bytes:
     return f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
@@ -44,10 +44,10 @@
 
 
 async def status(node: Node, method: str, path: str, body: bytes = b"") -> int:
-    return (await send_request(node, call(method, path, body))).status
+    return (await send_request(node, encode_request(method, path, body))).status
 
 
-def test_status_is_yes_once_there_is_a_server_to_send_to():
+def test_status_is_200_only_with_an_endpoint():
     async def main():
         async with running(**ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 503
@@ -57,7 +57,7 @@
     asyncio.run(main())
 
 
-def test_without_an_operators_address_there_is_no_door():
+def test_node_without_admin_address_has_no_admin_server():
     async def main():
         async with running(Peer()) as node:
             with pytest.raises(AssertionError):
@@ -69,16 +69,16 @@
 @pytest.mark.parametrize(
     ("data", "expected"),
     [
-        (call("GET", "/nothing"), 404),
-        (call("POST", "/standby"), 405),
-        (call("GET", "/status?verbose=1"), 200),
+        (encode_request("GET", "/nothing"), 404),
+        (encode_request("POST", "/standby"), 405),
+        (encode_request("GET", "/status?verbose=1"), 200),
         (b"NOT HTTP\r\n\r\n", 400),
-        (call("PUT", "/standby", b"x" * 40_000), 413),
+        (encode_request("PUT", "/standby", b"x" * 40_000), 413),
         (b"PUT /active HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 200),
         (b"GET /status HTTP/1.1\r\nHost: x\r\n\r\ntrailing nonsense", 200),
     ],
 )
-def test_calls_get_a_yes_or_a_no(data, expected):
+def test_request_gets_expected_status(data, expected):
     async def main():
         async with running(Peer(), **ADMIN_SETTINGS) as node:
             assert (await send_request(node, data)).status == expected
@@ -86,7 +86,7 @@
     asyncio.run(main())
 
 
-def test_a_fault_behind_a_call_is_a_no_and_the_door_stays_open(caplog):
+def test_handler_exception_returns_500_and_server_stays_open(caplog):
     async def main():
         def broken(_: bytes) -> AdminResponse:
             raise KeyError("x")
@@ -103,47 +103,47 @@
 
 @pytest.mark.parametrize("leave", LEAVING)
 @pytest.mark.parametrize("later", [False, True])
-def test_an_operator_that_leaves_as_its_answer_goes_out_is_no_fault(leave: Leave, later: bool, caplog):
+def test_client_disconnect_before_response_logs_nothing(leave: Leave, later: bool, caplog):
     async def main():
-        caller, gone = socket.socket(), []
+        client, disconnects = socket.socket(), []
 
-        def left(_: bytes) -> AdminResponse:  # between the call and its answer, with no turn of the loop
-            gone.append(leave(caller))
+        def disconnect(_: bytes) -> AdminResponse:  # between request and response, in one turn of the loop
+            disconnects.append(leave(client))
             return AdminResponse(200)
 
-        async def left_later(body: bytes) -> AdminResponse:
-            return left(body)
+        async def disconnect_later(body: bytes) -> AdminResponse:
+            return disconnect(body)
 
-        server = AdminServer({(b"GET", b"/left"): left_later if later else left})
+        server = AdminServer({(b"GET", b"/left"): disconnect_later if later else disconnect})
         await server.open(("127.0.0.1", 0))
-        caller.connect(server.address)
-        caller.sendall(call("GET", "/left"))
-        await until(lambda: gone and not server._connections)
+        client.connect(server.address)
+        client.sendall(encode_request("GET", "/left"))
+        await until(lambda: disconnects and not server._connections)
         server.close()
-        caller.close()
+        client.close()
 
     asyncio.run(main())
     assert not caplog.records
 
 
-def test_callers_that_finish_no_call_keep_nobody_out_and_are_closed(monkeypatch):
+def test_incomplete_requests_do_not_block_others_and_time_out(monkeypatch):
     async def main():
         async with running(Peer(), **ADMIN_SETTINGS) as node:
-            held = [
+            idle = [
                 await asyncio.open_connection(*node.admin_server.address) for _ in range(MAX_CONNECTIONS + 4)
             ]
             assert await status(node, "GET", "/status") == 200
-            assert await held[0][0].read() == b""  # the oldest went
+            assert await idle[0][0].read() == b""  # the oldest connection was closed
             monkeypatch.setattr(admin_connection, "REQUEST_TIMEOUT_S", 0.0)
             reader, _ = await asyncio.open_connection(*node.admin_server.address)
             assert (await read_message(reader)).status == 408
-            for _, writer in held:
+            for _, writer in idle:
                 writer.close()
 
     asyncio.run(main())
 
 
-def test_an_address_in_use_is_a_failed_start():
+def test_node_start_fails_if_admin_address_is_in_use():
     async def main():
         other = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         with pytest.raises(OSError, match="address already in use"):
@@ -154,15 +154,15 @@
     asyncio.run(main())
 
 
-def test_the_environments_address_comes_before_the_files_and_a_bad_one_is_said():
-    row = orjson.dumps(config_row("127.0.0.1:1", operator="127.0.0.1:7"))
-    assert parse_config(row).admin_address == ("127.0.0.1", 7)
-    assert parse_config(row, {"PROXY_OPERATOR": "127.0.0.1:8"}).admin_address == ("127.0.0.1", 8)
+def test_admin_address_of_environment_overrides_file_and_is_validated():
+    config = orjson.dumps(config_row("127.0.0.1:1", operator="127.0.0.1:7"))
+    assert parse_config(config).admin_address == ("127.0.0.1", 7)
+    assert parse_config(config, {"PROXY_OPERATOR": "127.0.0.1:8"}).admin_address == ("127.0.0.1", 8)
     with pytest.raises(ValueError, match="'nowhere' is not an address"):
-        parse_config(row, {"PROXY_OPERATOR": "nowhere"})
+        parse_config(config, {"PROXY_OPERATOR": "nowhere"})
 
 
-def test_standby_says_no_lets_idle_callers_go_and_finishes_what_is_held():
+def test_standby_rejects_new_closes_idle_and_finishes_in_flight_requests():
     async def main():
         server = Held()
         async with running(server, **ADMIN_SETTINGS) as node:
@@ -171,47 +171,47 @@
             busy.writer.write(request())
             await until(lambda: server.seen)
             assert await status(node, "PUT", "/standby") == 200
-            assert await status(node, "PUT", "/standby") == 200  # said twice is said once
+            assert await status(node, "PUT", "/standby") == 200  # a repetition has no effect
             assert await status(node, "GET", "/status") == 503
             assert await idle.reader.read() == b""
             late = await Caller.to(node)
-            answer = await late.ask(UP)
-            assert (answer.status, answer.headers["connection"]) == (503, "close")
+            response = await late.ask(UP)
+            assert (response.status, response.headers["connection"]) == (503, "close")
             server.release.set()
-            answer = await busy.answer()
-            assert (answer.status, answer.headers["connection"]) == (200, "close")
+            response = await busy.answer()
+            assert (response.status, response.headers["connection"]) == (200, "close")
             await until(lambda: not node.listener.connections)
 
     asyncio.run(main())
 
 
-def test_active_ends_the_drain_and_connections_are_kept_again():
+def test_active_ends_standby_and_connections_stay_open():
     async def main():
         async with running(Peer(), **ADMIN_SETTINGS) as node:
             await status(node, "PUT", "/standby")
             assert await status(node, "PUT", "/active") == 200
             assert await status(node, "GET", "/status") == 200
-            caller = await Caller.to(node)
-            assert (await caller.ask(UP)).status == 200
-            assert node.listener._drain_timer is None  # which would have closed it
-            assert (await caller.ask(request())).status == 200
+            client = await Caller.to(node)
+            assert (await client.ask(UP)).status == 200
+            assert node.listener._drain_timer is None  # would close the connection
+            assert (await client.ask(request())).status == 200
 
     asyncio.run(main())
 
 
-def test_a_node_that_leaves_service_does_not_become_active_again():
+def test_active_is_rejected_while_node_stops():
     async def main():
         server = Held()
         async with running(server, **ADMIN_SETTINGS) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request())
+            client = await Caller.to(node)
+            client.writer.write(request())
             await until(lambda: server.seen)
             stopping = asyncio.create_task(node.stop())
             await until(lambda: node.stopping)
             assert await status(node, "PUT", "/active") == 503
             assert await status(node, "GET", "/status") == 503
             server.release.set()
-            assert (await caller.answer()).status == 200
+            assert (await client.answer()).status == 200
             await stopping
 
     asyncio.run(main())
--- a/tests/node/admin/test_metrics.py
+++ b/tests/node/admin/test_metrics.py
@@ -1,4 +1,4 @@
-"""What the node reports of itself at the admin server."""
+"""The metrics that a node reports at its admin server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from loadbalancer.balancing.events import Request
 from loadbalancer.node.admin.metrics import NodeMetrics
 from loadbalancer.node.node import Node
-from tests.node.admin.test_admin_server import ADMIN_SETTINGS, call, send_request, status
+from tests.node.admin.test_admin_server import ADMIN_SETTINGS, encode_request, send_request, status
 from tests.support.loopback import (
     Caller,
     Held,
@@ -26,20 +26,20 @@
 )
 
 
-async def figures(node: Node) -> dict[str, int]:
-    answer = await send_request(node, call("GET", "/status/metrics"))
-    assert answer.status == 200
-    pairs = (line.split("=") for line in answer.body.decode().splitlines())
+async def read_metrics(node: Node) -> dict[str, int]:
+    response = await send_request(node, encode_request("GET", "/status/metrics"))
+    assert response.status == 200
+    pairs = (line.split("=") for line in response.body.decode().splitlines())
     return {name.removeprefix("proxy."): int(value) for name, value in pairs}
 
 
-def test_the_text_names_every_class_from_the_start():
-    found = NodeMetrics(["read", "post"])
-    found.count_response("read", 200)
+def test_text_has_all_classes_and_kinds_even_at_zero():
+    metrics = NodeMetrics(["read", "post"])
+    metrics.count_response("read", 200)
     for code in (429, 503):
-        found.count_response("post", code)
-    found.count_response("post", 504)
-    assert found.render(3, 12, 1).decode().splitlines() == [
+        metrics.count_response("post", code)
+    metrics.count_response("post", 504)
+    assert metrics.render(3, 12, 1).decode().splitlines() == [
         "proxy.replies.read.success=1",
         "proxy.replies.read.overload=0",
         "proxy.replies.read.error=0",
@@ -55,7 +55,7 @@
     ]
 
 
-def test_reloads_are_counted_good_and_failed(tmp_path, monkeypatch):
+def test_reloads_are_counted_by_success_and_failure(tmp_path, monkeypatch):
     async def main():
         async with running(Peer(), **ADMIN_SETTINGS) as node:
             path = tmp_path / "config.json"
@@ -65,13 +65,13 @@
             path.write_bytes(orjson.dumps(config_row("127.0.0.1:1")))
             reload(node)
             reload(node)
-            found = await figures(node)
-            assert (found["reload_success"], found["reload_failure"]) == (2, 1)
+            metrics = await read_metrics(node)
+            assert (metrics["reload_success"], metrics["reload_failure"]) == (2, 1)
 
     asyncio.run(main())
 
 
-def test_answers_are_counted_by_class_and_kind_whoever_worded_them():
+def test_responses_of_server_and_node_are_counted_by_class_and_kind():
     async def main():
         async def script(message):
             return reply(200 if message.headers["req-id"].startswith("q") else 500)
@@ -81,63 +81,63 @@
                 assert (await ask(node, request(name=f"q{at}"))).status == 200
             assert (await ask(node, request("post", name="x"))).status == 502
             assert (await ask(node, b"GET /nothing HTTP/1.1\r\nReq-Id: z\r\n\r\n")).status == 404
-            found = await figures(node)
-            assert found["replies.read.success"] == 3
-            assert found["replies.post.error"] == 1
-            assert sum(value for name, value in found.items() if name.startswith("replies")) == 4
-            assert found["dispatches"] == 4
+            metrics = await read_metrics(node)
+            assert metrics["replies.read.success"] == 3
+            assert metrics["replies.post.error"] == 1
+            assert sum(value for name, value in metrics.items() if name.startswith("replies")) == 4
+            assert metrics["dispatches"] == 4
 
     asyncio.run(main())
 
 
-def test_refusals_of_the_module_and_over_the_limit_are_overload():
+def test_rejections_by_balancer_and_request_limit_count_as_overload():
     async def main():
         server = Held()
         async with running(server, bounds={"maxOpen": 1}, **ADMIN_SETTINGS) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request(name="held"))
+            client = await Caller.to(node)
+            client.writer.write(request(name="held"))
             await until(lambda: server.seen)
             assert (await ask(node, request("post", name="more"))).status == 503
-            assert (await figures(node))["replies.post.overload"] == 1
+            assert (await read_metrics(node))["replies.post.overload"] == 1
             server.release.set()
-            await caller.answer()
+            await client.answer()
             node.driver.balancer = Scripted(
                 lambda event: [Reject("no")] if isinstance(event, Request) else []
             )
             assert (await ask(node, request(name="no"))).status == 503
-            assert (await figures(node))["replies.read.overload"] == 1
+            assert (await read_metrics(node))["replies.read.overload"] == 1
 
     asyncio.run(main())
 
 
-def test_concurrent_and_targets_are_those_of_the_moment():
+def test_concurrent_and_targets_show_current_values():
     async def main():
         server = Held()
         async with running(server, Peer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", "/maintenance/enter", b"s1") == 200
-            callers = [await Caller.to(node) for _ in range(3)]
-            for at, caller in enumerate(callers):
-                caller.writer.write(request(name=f"q{at}"))
+            clients = [await Caller.to(node) for _ in range(3)]
+            for index, client in enumerate(clients):
+                client.writer.write(request(name=f"q{index}"))
             await until(lambda: len(server.seen) == 3)
-            found = await figures(node)
-            assert (found["concurrent"], found["targets"], found["targets_disabled"]) == (3, 2, 1)
+            metrics = await read_metrics(node)
+            assert (metrics["concurrent"], metrics["targets"], metrics["targets_disabled"]) == (3, 2, 1)
             server.release.set()
-            for caller in callers:
-                await caller.answer()
+            for client in clients:
+                await client.answer()
             assert await status(node, "PUT", "/maintenance/exit", b"s1") == 200
-            found = await figures(node)
-            assert (found["concurrent"], found["targets"], found["targets_disabled"]) == (0, 2, 0)
+            metrics = await read_metrics(node)
+            assert (metrics["concurrent"], metrics["targets"], metrics["targets_disabled"]) == (0, 2, 0)
 
     asyncio.run(main())
 
 
-def test_an_attempt_that_never_connects_is_no_dispatch():
+def test_attempt_without_connection_is_not_counted_as_dispatch():
     async def main():
-        gone = Peer()
-        async with running(gone, **ADMIN_SETTINGS) as node:
-            gone._server.close()
-            await gone._server.wait_closed()
+        closed = Peer()
+        async with running(closed, **ADMIN_SETTINGS) as node:
+            closed._server.close()
+            await closed._server.wait_closed()
             assert (await ask(node, request(name="q"))).status == 503
-            assert (await figures(node))["dispatches"] == 0
+            assert (await read_metrics(node))["dispatches"] == 0
 
     asyncio.run(main())
--- a/tests/node/control/test_lease_recovery.py
+++ b/tests/node/control/test_lease_recovery.py
@@ -1,5 +1,5 @@
-"""A member that can reach the list service has a lease again within a bounded time, whatever it believed of
-service time before, and however it came to believe it. Clocks are injected."""
+"""A member that can reach the list service regains its lease within a bounded time, however wrong its
+estimate of service time was. Clocks are injected."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tests.support.lease_world import TTL_MS, Deliver, LeaseWorld, pause, run
 from tests.support.lease_world_faults import OlderAnswer, ReplayedAnswer, StoppedInCall, believe_wrongly
 
-LIMIT_MS = 2.4 * TTL_MS  # two terms and a backoff
-AGES = (0.2, 0.24, 0.26, 0.5, 1.0, 3.0, 10.0)  # in terms
+LIMIT_MS = 2.4 * TTL_MS  # two lease terms and a backoff
+AGES = (0.2, 0.24, 0.26, 0.5, 1.0, 3.0, 10.0)  # in lease terms
 
 
 @pytest.mark.parametrize("age", AGES)
-def test_an_older_answer_in_place_of_a_newer_costs_no_lease(tmp_path: Path, age: float) -> None:
+def test_lease_recovers_after_older_response_replaces_newer(tmp_path: Path, age: float) -> None:
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=3)
         await world.until_settled()
@@ -32,10 +32,8 @@
 
 
 @pytest.mark.parametrize("terms", [-3.0, -1.0, -0.5, -0.26, -0.24, 0.24, 0.26, 0.5, 0.9])
-def test_a_clock_of_the_list_service_that_is_set_without_a_new_term_costs_no_lease(
-    tmp_path: Path, terms: float
-) -> None:
-    """As where the leader's machine is suspended, which sets its clock back beside the others'."""
+def test_leases_recover_after_leader_clock_jumps_within_term(tmp_path: Path, terms: float) -> None:
+    """Suspending the leader's machine sets its clock back relative to the others without an election."""
 
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=3)
@@ -48,7 +46,7 @@
 
 
 @pytest.mark.parametrize("terms", [0.24, 0.26, 0.5, 1.0, 3.0])
-def test_a_member_whose_clock_is_set_has_its_lease_again(tmp_path: Path, terms: float) -> None:
+def test_lease_recovers_after_member_clock_jumps(tmp_path: Path, terms: float) -> None:
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=3)
         await world.until_settled()
@@ -61,11 +59,9 @@
     run(main())
 
 
-def test_a_leader_that_continues_service_time_from_its_log_leaves_no_member_without_a_lease(
-    tmp_path: Path,
-) -> None:
-    """After all instances' machines were restarted none knows service time: it goes on from the log's last
-    stamp, behind what every member believes by the whole outage."""
+def test_leases_recover_after_leader_resumes_service_time_from_log(tmp_path: Path) -> None:
+    """After a restart of all instances' machines, service time resumes from the last timestamp in the log. It
+    is then behind every member's estimate by the duration of the outage."""
 
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=3)
@@ -74,7 +70,7 @@
         world.service.lead(ServiceClock())
         while not world.service.leads():
             await pause(5.0)
-        assert world.service.service_ms() < before_ms + 0.5 * TTL_MS  # a term and more has passed
+        assert world.service.service_ms() < before_ms + 0.5 * TTL_MS  # more than a lease term has passed
         assert max(await world.times_to_lease_ms(world.members, 12 * TTL_MS)) < LIMIT_MS
         world.close()
 
@@ -82,9 +78,7 @@
 
 
 @pytest.mark.parametrize("terms", [0.3, 1.2, 5.0])
-def test_a_process_that_is_stopped_in_the_middle_of_a_call_has_its_lease_again(
-    tmp_path: Path, terms: float
-) -> None:
+def test_lease_recovers_after_process_is_paused_during_call(tmp_path: Path, terms: float) -> None:
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=3)
         await world.until_settled()
@@ -97,9 +91,7 @@
 
 
 @pytest.mark.parametrize("terms", [-10.0, -1.0, -0.26, -0.24, 0.24, 0.26, 1.0, 10.0])
-def test_a_tight_and_wrong_estimate_is_dropped_once_the_service_rejects_it(
-    tmp_path: Path, terms: float
-) -> None:
+def test_rejected_renewal_discards_narrow_wrong_time_estimate(tmp_path: Path, terms: float) -> None:
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=3)
         await world.until_settled()
@@ -111,41 +103,41 @@
     run(main())
 
 
-def test_a_hundred_members_that_are_all_wrong_at_once_are_no_storm_for_the_leader(tmp_path: Path) -> None:
+def test_hundred_wrong_estimates_do_not_overload_leader(tmp_path: Path) -> None:
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=100)
         await world.until_settled()
-        usual = world.service.most_calls_within(TTL_MS, since=world.now_ms() - 2 * TTL_MS)
+        usual_calls = world.service.most_calls_within(TTL_MS, since=world.now_ms() - 2 * TTL_MS)
         await world.until_no_call_is_in_flight()
         start = world.now_ms()
         for member in world.members:
             believe_wrongly(member, world, -TTL_MS)
         assert max(await world.times_to_lease_ms(world.members, 12 * TTL_MS)) < LIMIT_MS
         await pause(2 * TTL_MS)
-        assert world.service.rejections == 100  # one each
-        assert world.service.most_calls_within(TTL_MS, since=start) < 2 * usual
+        assert world.service.rejections == 100  # one per member
+        assert world.service.most_calls_within(TTL_MS, since=start) < 2 * usual_calls
         world.close()
 
     run(main())
 
 
-def test_renewals_that_are_rejected_again_and_again_are_said_ever_more_seldom(tmp_path: Path) -> None:
-    """As where the way to the service is much slower than the way back: the estimate is wrong each time."""
+def test_repeatedly_rejected_renewals_back_off(tmp_path: Path) -> None:
+    """If the network is much slower towards the service than back, each new estimate is wrong again."""
 
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=20)
         await world.until_settled()
         start = world.now_ms()
-        usual = world.service.most_calls_within(TTL_MS, since=start - 2 * TTL_MS)
+        usual_calls = world.service.most_calls_within(TTL_MS, since=start - 2 * TTL_MS)
 
-        async def rejected(path: str, body: Mapping[str, object], deliver: Deliver) -> ReceivedResponse:
-            answer = b'{"error":"sent 200 ms ago by service time"}'
-            return await deliver() if path == "enrol" else ReceivedResponse(409, {}, answer)
+        async def reject(path: str, body: Mapping[str, object], deliver: Deliver) -> ReceivedResponse:
+            rejection = b'{"error":"sent 200 ms ago by service time"}'
+            return await deliver() if path == "enrol" else ReceivedResponse(409, {}, rejection)
 
         for member in world.members:
-            member.network.fault = rejected
+            member.network.fault = reject
         await pause(10 * TTL_MS)
-        assert world.service.most_calls_within(TTL_MS, since=start + 4 * TTL_MS) < 2 * usual
+        assert world.service.most_calls_within(TTL_MS, since=start + 4 * TTL_MS) < 2 * usual_calls
         world.close()
 
     run(main())
@@ -153,8 +145,9 @@
 
 @pytest.mark.parametrize("repeats_number", [True, False], ids=["numbered", "of an earlier release"])
 @pytest.mark.parametrize("path", ["renew", "enrol"])
-def test_an_answer_to_an_earlier_call_grants_nothing(tmp_path: Path, path: str, repeats_number: bool) -> None:
-    """It grants the whole, of which others have their parts by now; neither has its time any use."""
+def test_response_to_earlier_call_grants_nothing(tmp_path: Path, path: str, repeats_number: bool) -> None:
+    """The replayed response grants the complete quota, of which other members hold parts by now. Its times
+    must not be used either."""
 
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=1)
@@ -165,9 +158,9 @@
         await world.until_settled()
         fault.injects = True
         await fault.injected.wait()
-        known = member.client.service_ms(member.clock.now_ms())
-        assert known is not None
-        assert known[0] <= world.service.service_ms() <= known[1]
+        estimate = member.client.service_ms(member.clock.now_ms())
+        assert estimate is not None
+        assert estimate[0] <= world.service.service_ms() <= estimate[1]
         assert max(await world.times_to_lease_ms([member], 12 * TTL_MS)) < LIMIT_MS
         assert member.quota() == pytest.approx(1 / 3)
         assert (member.client.mismatched_responses, world.service.rejections) == (1, 0)
@@ -176,7 +169,7 @@
     run(main())
 
 
-def test_an_answer_of_a_leader_that_was_replaced_grants_nothing(tmp_path: Path) -> None:
+def test_response_of_replaced_leader_grants_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=1)
         member = world.members[0]
@@ -195,25 +188,25 @@
     run(main())
 
 
-def test_the_answer_to_a_call_that_was_given_up_is_not_taken_for_one_to_the_next(tmp_path: Path) -> None:
-    """The next call never came: a lease that runs from it would outlast the service's."""
+def test_response_to_timed_out_call_is_not_accepted_for_next_call(tmp_path: Path) -> None:
+    """The next call never reaches the service, so a lease counted from it would outlast the service's."""
 
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=3)
         await world.until_settled()
         member = world.members[0]
-        kept: list[ReceivedResponse] = []
+        late_responses: list[ReceivedResponse] = []
 
-        async def late(path: str, body: Mapping[str, object], deliver: Deliver) -> ReceivedResponse:
-            if kept:
+        async def delay(path: str, body: Mapping[str, object], deliver: Deliver) -> ReceivedResponse:
+            if late_responses:
                 member.network.fault = None
-                return kept[0]
-            kept.append(await deliver())
+                return late_responses[0]
+            late_responses.append(await deliver())
             await pause(TTL_MS)
-            return kept[0]
+            return late_responses[0]
 
-        await world.until_no_call_is_in_flight()  # its answer would extend the lease
-        member.network.fault = late
+        await world.until_no_call_is_in_flight()  # whose response would extend the lease
+        member.network.fault = delay
         lease_end_ms = member.core.lease_end_ms
         while member.client.mismatched_responses == 0:
             assert member.core.lease_end_ms == lease_end_ms
@@ -225,8 +218,9 @@
     run(main())
 
 
-def test_an_answer_to_another_members_renewal_grants_nothing(tmp_path: Path) -> None:
-    """As from a batch whose answers have changed places: the numbers of their calls may be the same."""
+def test_response_to_another_members_renewal_grants_nothing(tmp_path: Path) -> None:
+    """A batch of renewals may return its responses in the wrong order, and two members' calls may have the
+    same number."""
 
     async def main() -> None:
         world = LeaseWorld(tmp_path, members=3)
@@ -236,9 +230,9 @@
 
         async def swap(path: str, body: Mapping[str, object], deliver: Deliver) -> ReceivedResponse:
             member.network.fault = None
-            answer = await world.service.post(path, {**body, "incarnation": other.core.incarnation})
+            response = await world.service.post(path, {**body, "incarnation": other.core.incarnation})
             swapped.set()
-            return answer
+            return response
 
         await world.until_no_call_is_in_flight()
         incarnation = member.core.incarnation
--- a/tests/node/control/test_registry_client.py
+++ b/tests/node/control/test_registry_client.py
@@ -1,4 +1,4 @@
-"""A node's calls to the agent beside it: connections are kept, and one that proves closed does no harm."""
+"""A node's calls to its agent: connections are reused, and a call that finds one closed is sent again."""
 
 from __future__ import annotations
 
@@ -6,41 +6,42 @@
 
 from loadbalancer.node.control.registry_client import RegistryClient
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
 
 class CountingServer:
-    """Answers every request with `{}`; on each connection at most `answers` times, then it closes."""
+    """Responds to every request with `{}`; closes each connection after `max_requests`."""
 
-    def __init__(self, answers: int) -> None:
+    def __init__(self, max_requests: int) -> None:
         self.connections = 0
-        self._answers = answers
+        self._max_requests = max_requests
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        for _ in range(self._answers):
+        for _ in range(self._max_requests):
             head = await reader.readuntil(b"\r\n\r\n")
             size = int(head.lower().split(b"content-length:")[1].split()[0])
             await reader.readexactly(size)
-            writer.write(ANSWER)
+            writer.write(RESPONSE)
         writer.close()
 
 
-async def connections_of(calls: int, answers: int) -> int:
-    stand_in = CountingServer(answers)
-    server = await asyncio.start_server(stand_in.serve, "127.0.0.1", 0)
+async def count_connections(calls: int, max_requests: int) -> int:
+    """Make the calls, all of which must succeed, and return how many connections they took."""
+    stub_agent = CountingServer(max_requests)
+    server = await asyncio.start_server(stub_agent.serve, "127.0.0.1", 0)
     address = server.sockets[0].getsockname()
-    agent = RegistryClient(lambda: address)
+    client = RegistryClient(lambda: address)
     for _ in range(calls):
-        assert (await agent.post("renew", {"seq": 1}, 5_000.0)).body == b"{}"
-    agent.close()
+        assert (await client.post("renew", {"seq": 1}, 5_000.0)).body == b"{}"
+    client.close()
     server.close()
-    return stand_in.connections
+    return stub_agent.connections
 
 
-def test_calls_go_on_one_connection() -> None:
-    assert asyncio.run(connections_of(calls=5, answers=100)) == 1
+def test_calls_reuse_one_connection() -> None:
+    assert asyncio.run(count_connections(calls=5, max_requests=100)) == 1
 
 
-def test_a_connection_that_the_agent_closes_costs_no_call() -> None:
-    assert asyncio.run(connections_of(calls=6, answers=2)) == 3
+def test_call_succeeds_after_agent_closed_connection() -> None:
+    assert asyncio.run(count_connections(calls=6, max_requests=2)) == 3
--- a/tests/node/http/test_service_http.py
+++ b/tests/node/http/test_service_http.py
@@ -1,4 +1,4 @@
-"""The client that keeps its connections (service_http.py): which are used again, and which never."""
+"""`HttpClient` of service_http.py: which connections it reuses and which it closes."""
 
 from __future__ import annotations
 
@@ -14,67 +14,67 @@
     return reply(200, message.first[1].encode())
 
 
-async def _ask(client: HttpClient, peer: Peer, target: str, timeout_s: float = 5.0) -> str:
-    return (await client.send(("127.0.0.1", peer.port), "GET", target, timeout_s=timeout_s)).body.decode()
+async def _get(client: HttpClient, server: Peer, target: str, timeout_s: float = 5.0) -> str:
+    return (await client.send(("127.0.0.1", server.port), "GET", target, timeout_s=timeout_s)).body.decode()
 
 
-def test_a_connection_is_used_again_and_a_new_one_made_where_the_other_side_has_closed() -> None:
+def test_client_reuses_connection_and_opens_new_one_if_server_closed_it() -> None:
     async def run() -> None:
-        closing = False
+        server_closes = False
 
         async def script(message: Message) -> bytes | None:
-            return None if closing else await _echo(message)
+            return None if server_closes else await _echo(message)
 
-        peer, client = await Peer(script).start(), HttpClient()
-        assert [await _ask(client, peer, f"/{at}") for at in range(3)] == ["/0", "/1", "/2"]
-        assert peer.connections == 1
-        closing = True  # the kept one ends unanswered, so the call is said on a new one, which ends as well
+        server, client = await Peer(script).start(), HttpClient()
+        assert [await _get(client, server, f"/{at}") for at in range(3)] == ["/0", "/1", "/2"]
+        assert server.connections == 1
+        server_closes = True  # the idle connection closes without a response, and so does the new one
         with pytest.raises(ConnectionError):
-            await _ask(client, peer, "/3")
-        assert [message.first[1] for message in peer.seen[3:]] == ["/3", "/3"]
-        closing = False
-        assert await _ask(client, peer, "/4") == "/4"
-        peer.stop()
-        await until(lambda: not client._idle)  # closed by the other side while idle: not held on to
+            await _get(client, server, "/3")
+        assert [message.first[1] for message in server.seen[3:]] == ["/3", "/3"]
+        server_closes = False
+        assert await _get(client, server, "/4") == "/4"
+        server.stop()
+        await until(lambda: not client._idle)  # an idle connection that the server closes is dropped
         with pytest.raises(ConnectionRefusedError):
-            await _ask(client, peer, "/5")
+            await _get(client, server, "/5")
 
     asyncio.run(run())
 
 
-def test_an_answer_that_comes_after_its_call_was_given_up_is_nobody_elses() -> None:
+def test_late_response_of_timed_out_request_reaches_no_other_request() -> None:
     async def run() -> None:
-        late = asyncio.Event()
+        responding = asyncio.Event()
 
         async def script(message: Message) -> bytes:
             if message.first[1] == "/slow":
-                await late.wait()
+                await responding.wait()
             return await _echo(message)
 
-        peer, client = await Peer(script).start(), HttpClient()
-        assert await _ask(client, peer, "/0") == "/0"
+        server, client = await Peer(script).start(), HttpClient()
+        assert await _get(client, server, "/0") == "/0"
         with pytest.raises(TimeoutError):
-            await _ask(client, peer, "/slow", timeout_s=0.05)
-        late.set()
-        assert [await _ask(client, peer, f"/{at}") for at in range(3)] == ["/0", "/1", "/2"]
-        assert peer.connections == 2
-        peer.stop()
+            await _get(client, server, "/slow", timeout_s=0.05)
+        responding.set()
+        assert [await _get(client, server, f"/{at}") for at in range(3)] == ["/0", "/1", "/2"]
+        assert server.connections == 2
+        server.stop()
 
     asyncio.run(run())
 
 
-def test_idle_connections_are_bounded_in_number_and_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_limits_number_and_age_of_idle_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        peer, client = await Peer(_echo).start(), HttpClient(max_idle=2)
-        await asyncio.gather(*(_ask(client, peer, f"/{at}") for at in range(5)))
-        assert peer.connections == 5
+        server, client = await Peer(_echo).start(), HttpClient(max_idle=2)
+        await asyncio.gather(*(_get(client, server, f"/{at}") for at in range(5)))
+        assert server.connections == 5
         assert len(client._idle) == 2
         monkeypatch.setattr(HttpClient, "IDLE_TIMEOUT_S", 0.0)
-        await _ask(client, peer, "/5")
-        assert len(client._idle) == 1  # the one just used: the other has been idle for too long
+        await _get(client, server, "/5")
+        assert len(client._idle) == 1  # the one just used; the other exceeded the idle timeout
         client.close()
         assert not client._idle
         assert not client._by_address
-        peer.stop()
+        server.stop()
 
     asyncio.run(run())
