--- a/bench/fleet_detection.py
+++ b/bench/fleet_detection.py
@@ -16,7 +16,7 @@
 from bench.fleet_world import LIMIT_S, Figures, Plan, Samples, Tail, World, cpu_ms, spread
 from bench.renewals import renewals
 from loadbalancer.membership import Reachability
-from tests.support.invariant_sampler import min_share
+from tests.support.invariant_sampler import min_quota
 from tests.support.registry_processes import until
 
 STEP_S = 0.02  # between the moments at which shares are summed
@@ -226,7 +226,7 @@
     end = time.monotonic()
     moments = [cut + STEP_S * step for step in range(int((end - cut) / STEP_S))]
     sums = [(moment, _latest_sum(samples, moment)) for moment in moments]
-    sure = [sum(min_share(of, moment) for of in samples.of) for moment in moments]
+    sure = [sum(min_quota(of, moment) for of in samples.of) for moment in moments]
     low = [moment for moment, total in sums if total < 0.95]
     low_cut, low_heal = (
         STEP_S * sum((moment < healed) is before for moment in low) for before in (True, False)
@@ -254,6 +254,6 @@
     for of in samples.of:
         for sample in reversed(of):
             if sample.answered_s <= moment:
-                total += sample.share
+                total += sample.quota
                 break
     return total
--- a/tests/fleet/test_groups_small.py
+++ b/tests/fleet/test_groups_small.py
@@ -1,8 +1,7 @@
-"""Groups of one and of two, as node processes with faults between them, and a node whose service changes at a
-restart. There is no third node that could bridge.
+"""Groups of one and two node processes with faults between them, and nodes that change their service.
 
-The quotas of each service, every request's answer and the recovery from the faults are checked by
-`under_load` in each.
+Such a group has no third node that could forward an indirect probe. In each test, `under_load` checks the
+quotas of each service, the response to every request, and the recovery from faults.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 from tests.support.node_fleet import TTL_MS, WAIT_LIMIT_S, Fleet
 from tests.support.registry_processes import until
 
-ALONE, FIRST, SECOND = 0, 1, 2  # the only node in front of `pay`, and two in front of `find`
+ALONE, FIRST, SECOND = 0, 1, 2  # ALONE is the only node of service `pay`; the other two are of `find`
 PAIR = (FIRST, SECOND)
 
 
@@ -27,149 +26,153 @@
     nodes.close()
 
 
-def lease_ended(status: Status) -> bool:
+def lease_expired(status: Status) -> bool:
     return bool(status["lease_ms"] == 0.0)
 
 
-def verdict_on_others(status: Status) -> set[str]:
-    return {row["verdict"] for row in status["siblings"]}
+def sibling_verdicts(status: Status) -> set[str]:
+    return {sibling["verdict"] for sibling in status["siblings"]}
 
 
-def takes(share: float) -> Any:
-    return lambda status: abs(status["share"] - share) < 1e-6
+def has_quota(quota: float) -> Any:
+    """Return a check for `Fleet.wait_until_all`."""
+    return lambda status: abs(status["share"] - quota) < 1e-6
 
 
-def shares(samples: list[Sample]) -> set[float]:
-    return {round(sample.share, 6) for sample in samples}
+def quotas(samples: list[Sample]) -> set[float]:
+    return {round(sample.quota, 6) for sample in samples}
 
 
-def rows(fleet: Fleet, service: str) -> list[dict[str, Any]]:
-    found: list[dict[str, Any]] = fleet.service("GET", f"members?service={service}")[1]["members"]
-    return found
+def member_records(fleet: Fleet, service: str) -> list[dict[str, Any]]:
+    records: list[dict[str, Any]] = fleet.call_service("GET", f"members?service={service}")[1]["members"]
+    return records
 
 
-def until_rows(fleet: Fleet, service: str, wanted: list[tuple[str, str]]) -> None:
-    """Until the log has just these rows of the service, by name and state."""
+def until_records(fleet: Fleet, service: str, expected: list[tuple[str, str]]) -> None:
+    """Wait until the list service has exactly these member records of the service, by name and state."""
 
-    def there() -> bool:
-        return sorted((row["name"], row["state"]) for row in rows(fleet, service)) == wanted
+    def equal() -> bool:
+        return (
+            sorted((record["name"], record["state"]) for record in member_records(fleet, service)) == expected
+        )
 
-    until(there, WAIT_LIMIT_S, f"{wanted} in front of {service}")
+    until(equal, WAIT_LIMIT_S, f"{expected} as the members of {service}")
 
 
 def older_and_younger(fleet: Fleet) -> tuple[int, int]:
-    """The two nodes by rank: of two, the older one wins the tie."""
-    rank = {row["name"]: row["rank"] for row in rows(fleet, "find")}
-    older, younger = sorted(PAIR, key=lambda at: rank[f"n{at}"])
+    """Return the two nodes of `find` by rank; in a group of two, the older one wins the tie."""
+    rank = {record["name"]: record["rank"] for record in member_records(fleet, "find")}
+    older, younger = sorted(PAIR, key=lambda index: rank[f"n{index}"])
     return older, younger
 
 
-def until_samples(watch: StatusSampler, count: int) -> None:
-    """Until every node has been read so often again."""
-    before = [len(samples) for samples in watch.samples]
+def until_samples(sampler: StatusSampler, count: int) -> None:
+    """Wait until there are `count` further samples of every node."""
+    before = [len(samples) for samples in sampler.samples]
     until(
-        lambda: all(len(now) >= was + count for now, was in zip(watch.samples, before, strict=True)),
+        lambda: all(len(now) >= was + count for now, was in zip(sampler.samples, before, strict=True)),
         WAIT_LIMIT_S,
         "samples of all nodes",
     )
 
 
-def test_one_and_two_keep_serving_without_the_list_service_and_the_older_without_the_other(
-    fleet: Fleet,
-) -> None:
-    with fleet.under_load() as watch:
+def test_small_groups_keep_quotas_detached_and_younger_yields_if_isolated(fleet: Fleet) -> None:
+    with fleet.under_load() as sampler:
         older, younger = older_and_younger(fleet)
         fleet.cut_service(ALONE, FIRST, SECOND)
-        fleet.wait_until_all("leases at an end", lease_ended)
+        fleet.wait_until_all("expired leases", lease_expired)
         assert fleet.status(ALONE)["standing"] == fleet.status(older)["standing"] == "holding"
-        until_samples(watch, 20)
-        for at, share in ((ALONE, 1.0), (FIRST, 0.5), (SECOND, 0.5)):
-            assert shares(watch.samples[at]) == {share}
-        fleet.net.cut(*((at,) for at in PAIR))
-        fleet.wait_until_all("the younger one's yield", takes(0.0), younger)
-        until_samples(watch, 20)
-        assert shares(watch.samples[older]) == {0.5}
-        assert shares(watch.samples[ALONE]) == {1.0}
-
-
-def test_two_that_reach_the_list_service_and_not_each_other_keep_their_shares(fleet: Fleet) -> None:
-    with fleet.under_load() as watch:
-        fleet.net.cut(*((at,) for at in PAIR))
+        until_samples(sampler, 20)
+        for index, quota in ((ALONE, 1.0), (FIRST, 0.5), (SECOND, 0.5)):
+            assert quotas(sampler.samples[index]) == {quota}
+        fleet.net.cut(*((index,) for index in PAIR))
+        fleet.wait_until_all("quota yielded by the younger node", has_quota(0.0), younger)
+        until_samples(sampler, 20)
+        assert quotas(sampler.samples[older]) == {0.5}
+        assert quotas(sampler.samples[ALONE]) == {1.0}
+
+
+def test_pair_with_link_fault_keeps_quotas_while_attached(fleet: Fleet) -> None:
+    with fleet.under_load() as sampler:
+        fleet.net.cut(*((index,) for index in PAIR))
         fleet.wait_until_all(
-            "neither hearing the other", lambda status: "present" not in verdict_on_others(status), *PAIR
+            "neither node of the pair present at the other",
+            lambda status: "present" not in sibling_verdicts(status),
+            *PAIR,
         )
-        until_samples(watch, int(2 * TTL_MS / 30))
-        assert [shares(samples) for samples in watch.samples] == [{1.0}, {0.5}, {0.5}]
+        until_samples(sampler, int(2 * TTL_MS / 30))
+        assert [quotas(samples) for samples in sampler.samples] == [{1.0}, {0.5}, {0.5}]
 
 
-def test_of_two_the_older_takes_all_once_the_other_has_died_and_the_younger_waits_for_it(
-    fleet: Fleet,
-) -> None:
-    with fleet.under_load() as watch:
+def test_older_of_pair_gets_all_after_death_of_younger_but_not_vice_versa(fleet: Fleet) -> None:
+    """Of a pair, only the older node may get the other's quota; the younger one waits for its return."""
+    with fleet.under_load() as sampler:
         older, younger = older_and_younger(fleet)
         fleet.kill(younger)
         fleet.wait_until_shared(older)
         fleet.start(younger)
         fleet.wait_until_shared(*PAIR)
         fleet.kill(older)
-        until_rows(fleet, "find", [(f"n{at}", "lapsed" if at == older else "live") for at in PAIR])
-        until_samples_of(watch, younger, 20)
+        until_records(
+            fleet, "find", [(f"n{index}", "lapsed" if index == older else "live") for index in PAIR]
+        )
+        until_samples_of(sampler, younger, 20)
         assert fleet.status(younger)["share"] == 0.5
-        before = {row["name"]: row["incarnation"] for row in rows(fleet, "find")}
+        before = {record["name"]: record["incarnation"] for record in member_records(fleet, "find")}
         fleet.start(older)
         fleet.wait_until_shared(*PAIR)
-        after = {row["name"]: row["incarnation"] for row in rows(fleet, "find")}
+        after = {record["name"]: record["incarnation"] for record in member_records(fleet, "find")}
         assert after[f"n{older}"] > max(before.values())
         assert after[f"n{younger}"] == before[f"n{younger}"]
 
 
-def until_samples_of(watch: StatusSampler, at: int, count: int) -> None:
-    before = len(watch.samples[at])
-    until(lambda: len(watch.samples[at]) >= before + count, WAIT_LIMIT_S, f"samples of n{at}")
+def until_samples_of(sampler: StatusSampler, index: int, count: int) -> None:
+    before = len(sampler.samples[index])
+    until(lambda: len(sampler.samples[index]) >= before + count, WAIT_LIMIT_S, f"samples of n{index}")
 
 
-def rename_service(fleet: Fleet, at: int, service: str) -> None:
-    """From its next start on, this node names another service."""
-    fleet.services[at] = service
-    fleet.nodes[at].row["members"]["service"] = service
+def configure_service(fleet: Fleet, index: int, service: str) -> None:
+    """Configure another service for this node, from its next start on."""
+    fleet.services[index] = service
+    fleet.nodes[index].row["members"]["service"] = service
 
 
-def test_a_node_whose_service_changes_at_a_restart_leaves_one_group_and_joins_the_other(
-    fleet: Fleet,
-) -> None:
+def test_node_with_new_service_after_restart_changes_group(fleet: Fleet) -> None:
+    """The first restart follows a SIGTERM, at which the node leaves its group, the second a SIGKILL."""
     with fleet.under_load():
         older, younger = older_and_younger(fleet)
         first = fleet.status(younger)["incarnation"]
         fleet.terminate(younger)
-        until_rows(fleet, "find", [(f"n{older}", "live")])
+        until_records(fleet, "find", [(f"n{older}", "live")])
         fleet.wait_until_shared(older)
-        rename_service(fleet, younger, "pay")
+        configure_service(fleet, younger, "pay")
         fleet.start(younger)
         fleet.wait_until_shared(ALONE, younger)
         second = fleet.status(younger)["incarnation"]
         assert second > first
-        fleet.kill(younger)  # and by no word of its own:
-        rename_service(fleet, younger, "find")
+        fleet.kill(younger)  # without a leave
+        configure_service(fleet, younger, "find")
         fleet.start(younger)
         fleet.wait_until_shared(older, younger)
         assert fleet.status(younger)["incarnation"] > second
-        fleet.wait_until_shared(ALONE)  # the lease of the one before has ended, and n0 is the older of two
+        fleet.wait_until_shared(ALONE)  # the earlier lease has expired, and n0 is the older of the two
 
 
-def test_the_last_node_of_a_service_leaves_nothing_behind_once_it_runs_under_another(fleet: Fleet) -> None:
-    """Killed, and nobody of its group is there to say so: its own first renewal elsewhere does."""
+def test_no_record_remains_after_last_node_of_service_changes_service(fleet: Fleet) -> None:
+    """The node is killed, and no other member of its group remains to report that. Its own first renewal in
+    the other group does."""
     with fleet.under_load():
         first = fleet.status(ALONE)["incarnation"]
         fleet.kill(ALONE)
-        rename_service(fleet, ALONE, "find")
+        configure_service(fleet, ALONE, "find")
         fleet.start(ALONE)
         fleet.wait_until_shared(ALONE, *PAIR)
-        until_rows(fleet, "pay", [])
+        until_records(fleet, "pay", [])
         fleet.terminate(ALONE)
-        rename_service(fleet, ALONE, "pay")
+        configure_service(fleet, ALONE, "pay")
         fleet.start(ALONE)
         fleet.wait_until_shared(ALONE)
         fleet.wait_until_shared(*PAIR)
-        until_rows(fleet, "pay", [("n0", "live")])
-        until_rows(fleet, "find", [("n1", "live"), ("n2", "live")])
+        until_records(fleet, "pay", [("n0", "live")])
+        until_records(fleet, "find", [("n1", "live"), ("n2", "live")])
         assert fleet.status(ALONE)["incarnation"] > first + 1
--- a/tests/fleet/test_soak.py
+++ b/tests/fleet/test_soak.py
@@ -1,4 +1,4 @@
-"""One run of the soak (bench/soak.py), short and seeded. Among its faults are older answers to renewals."""
+"""One short, seeded run of the soak test (bench/soak.py); its faults include older responses to renewals."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 SEED, SECONDS = 3, 20.0
 
 
-def test_a_fleet_under_a_schedule_of_faults_keeps_every_rule_and_is_whole_again(tmp_path: Path) -> None:
-    row = soak(SEED, SECONDS, tmp_path)
-    assert "broken" not in row, row
-    assert row["requests"]
+def test_fleet_keeps_invariants_and_recovers_from_scheduled_faults(tmp_path: Path) -> None:
+    result = soak(SEED, SECONDS, tmp_path)
+    assert "broken" not in result, result
+    assert result["requests"]
--- a/tests/registry/test_groups_crowd.py
+++ b/tests/registry/test_groups_crowd.py
@@ -58,7 +58,7 @@
     assert hollows.call(enrolled) < 1_000  # it was amid them
     hollows.until("all enrolled", lambda now: enrolled() == 1_000)
     hollows.until("all renewed since", lambda now: all(member.renewals >= 2 for member in members))
-    there = {row["incarnation"]: row for row in registry.rows()}
+    there = {row["incarnation"]: row for row in registry.records()}
     assert {member.core.incarnation: (member.name, member.service) for member in members} == {
         number: (row["name"], row["service"]) for number, row in there.items()
     }
@@ -98,7 +98,7 @@
     hollows.until("three enrolled", lambda now: all(one.enrolled for one in kept))
     leader = registry.leader()
     asyncio.run(fill(registry.http[leader], "full", MAX_GROUP_MEMBERS - len(kept)))
-    before = {row["incarnation"] for row in registry.rows("full")}
+    before = {row["incarnation"] for row in registry.records("full")}
     assert len(before) == MAX_GROUP_MEMBERS
     [further] = hollows.add("full", 1)
     [elsewhere] = hollows.add("not-full", 1)
@@ -126,6 +126,6 @@
     hollows.start([restarted])  # its address is its predecessor's: it takes its place
     hollows.until("the restarted process enrolled", lambda now: restarted.incarnations[-1] > first)
     until(lambda: renewed.renewals > times, LIMIT_S, "a renewal while the group is full")
-    after = {row["incarnation"] for row in registry.rows("full")}
+    after = {row["incarnation"] for row in registry.records("full")}
     assert after == before - {first} | {restarted.incarnations[-1]}
     assert [one.gone for one in kept] == [0, 0, 0]
--- a/tests/registry/test_groups_faults.py
+++ b/tests/registry/test_groups_faults.py
@@ -56,7 +56,7 @@
     for group in (big, *others):
         hollows.until_shared(group)
     revisions = {f"other-{at}": others[at][0].core.revision for at in range(10)}
-    ranks = {row["name"]: row["rank"] for row in registry.rows("big")}
+    ranks = {row["name"]: row["rank"] for row in registry.records("big")}
     big.sort(key=lambda member: ranks[member.name])
     reach, cut_off = big[0::2], big[1::2]  # the reaching half has the lowest rank: it wins the tie
     hollows.parted = lambda one, other: (one in reach) is not (other in reach)
@@ -196,7 +196,7 @@
     hollows.start([upgraded])
     until(lambda: registry.states("").get(upgraded.name) == "lapsed", LIMIT_S, "its earlier lease lapsed")
     hollows.until("what is left taken", lambda now: _takes(upgraded, now, 1 / 2))
-    assert [row["share"] for row in registry.rows("")] == [pytest.approx(1 / 3)]
+    assert [row["share"] for row in registry.records("")] == [pytest.approx(1 / 3)]
     first, second = upgraded.incarnations
     status, said = registry.call("DELETE", f"members/{upgraded.name}?service=")
     assert (status, said) == (200, {"removed": [first]})
@@ -285,7 +285,7 @@
     """Until every one of these knows the rows of the list service as they are."""
 
     def agreed() -> bool:
-        there = {(row["incarnation"], row["state"]) for row in registry.rows(service)}
+        there = {(row["incarnation"], row["state"]) for row in registry.records(service)}
         known = hollows.call(
             lambda: [{(row.incarnation, row.state) for row in one.core.members} for one in members]
         )
@@ -308,14 +308,14 @@
     until(lambda: faults.waiting, LIMIT_S, "a renewal that waits")
     come = hollows.add(service, 4)
     hollows.start(come[:2])
-    until(lambda: len(registry.rows(service)) == 6, LIMIT_S, "two changes to be told")
+    until(lambda: len(registry.records(service)) == 6, LIMIT_S, "two changes to be told")
     faults.held = False
     until_agreed(registry, hollows, members + come[:2], service)
     for at, one in enumerate(come[2:], 2):
         hollows.start([one])
         until_agreed(registry, hollows, members + come[: at + 1], service)
     hollows.leave([members.pop()])
-    until(lambda: len(registry.rows(service)) == 7, LIMIT_S, "the row that has left removed")
+    until(lambda: len(registry.records(service)) == 7, LIMIT_S, "the row that has left removed")
     until_agreed(registry, hollows, members + come, service)
     assert faults.injected > 0
     hollows.until_shared(members + come)
--- a/tests/registry/test_groups_upgrade.py
+++ b/tests/registry/test_groups_upgrade.py
@@ -39,7 +39,7 @@
 @pytest.fixture
 def registry(tmp_path: Path) -> Iterator[GroupRegistry]:
     """Without groups, on the data folders that a test may have put there."""
-    cluster = GroupRegistry(tmp_path, TTL_MS, on=())
+    cluster = GroupRegistry(tmp_path, TTL_MS, grouped=())
     yield cluster
     cluster.stop()
 
@@ -106,7 +106,7 @@
     assert all(member.told["elector"] for member in (a, b, c))
     assert [member.told["incarnation"] for member in (a, b, c)] == [1, 2, 3]
 
-    registry.on = {0, 1, 2}
+    registry.grouped = {0, 1, 2}
     registry.restart(0, 1, 2)
     renew_until_shared([a, b, c], 1 / 3)
     moved: list[Hollow] = []
@@ -161,15 +161,15 @@
         status, said = registry.call("DELETE", path)
         assert (status, said) == (400, {"error": "groups are off at the instance that leads"})
 
-    registry.on = {0, 1}  # after this, one of them leads:
+    registry.grouped = {0, 1}  # after this, one of them leads:
     registry.restart(0, 1)
     lead_with(registry, 2)
     new = hollows.add("pay", 2)
     hollows.start(new)
     hollows.until("old and new sharing", takes(old + new, 1 / 5))
-    assert [row["service"] for row in registry.rows()] == [""] * 3 + ["pay"] * 2
+    assert [row["service"] for row in registry.records()] == [""] * 3 + ["pay"] * 2
 
-    registry.on = set()  # and now one without: what is in a group stays there
+    registry.grouped = set()  # and now one without: what is in a group stays there
     registry.restart(2, 0)
     lead_with(registry, 1)
     [early] = hollows.add("find", 1)
@@ -177,7 +177,7 @@
     hollows.until("all sharing", takes([*old, *new, early], 1 / 6))
     assert registry.states("find") == {}  # it is among those that name no service, and counts everywhere
 
-    registry.on = {0, 1, 2}
+    registry.grouped = {0, 1, 2}
     registry.restart(1, 0, 2)
     assert [member.gone for member in (*old, *new, early)] == [0] * 6
     hollows.run(early.leave())
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -27,7 +27,7 @@
 from loadbalancer.node.http.service_http import ReceivedResponse
 from loadbalancer.staleness import ClockOffsets
 from tests.support.faults import LoopThread
-from tests.support.group_registry import LIMIT_S, MOST
+from tests.support.group_registry import LIMIT_S, MAX_QUOTA_SUM
 from tests.support.registry_processes import Registry, until
 
 SAMPLE_S = 0.02
@@ -231,7 +231,7 @@
             totals[member.service] = totals.get(member.service, 0.0) + member.taking(now)
         everywhere = totals.pop("", 0.0)
         for service, total in (totals or {"": 0.0}).items():
-            if total + everywhere > MOST:
+            if total + everywhere > MAX_QUOTA_SUM:
                 self.broken.append(f"{service!r}: {total} and {everywhere} of members that name none")
 
     async def _speak(self) -> None:
