--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -84,7 +84,7 @@
         self.probe_transport = self._make_probe_transport(rng, config.membership_descriptors // 2)
         self.route_activator = self._make_route_activator(config)
         self.freshness = FreshnessTracker(
-            settings, self.clock, self.clock_offsets, endpoint_list, driver, self._on_levels
+            settings, self.clock, self.clock_offsets, endpoint_list, driver, self._on_confidence_change
         )
         self.group = GroupView(self.lease_client, self.probe_transport)
         self.freshness.connectivity = lambda: self.group.connectivity(self.clock.now_ms()).value
@@ -242,7 +242,7 @@
             "members: incarnation %d is %s, was %s", changed.incarnation, changed.new.value, changed.old.value
         )
 
-    def _on_levels(self, levels: dict[str, Confidence]) -> None:
+    def _on_confidence_change(self, levels: dict[str, Confidence]) -> None:
         """Notify the balancer of changed confidence levels and the participant of unconfirmed servers."""
         self._notify_balancer(ConfidenceUpdate(levels))
         now = self.clock.now_ms()
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -40,7 +40,7 @@
 
 
 class FreshnessTracker:
-    """Keeps the freshness table up to date; calls `on_levels` with the confidence levels that changed."""
+    """Keeps the freshness table up to date; calls `on_confidence_change` with the levels that changed."""
 
     def __init__(
         self,
@@ -49,12 +49,12 @@
         clock_offsets: ClockOffsets,
         endpoint_list: EndpointList,
         driver: BalancerDriver,
-        on_levels: Callable[[dict[str, Confidence]], None],
+        on_confidence_change: Callable[[dict[str, Confidence]], None],
     ) -> None:
         self.connectivity: Callable[[], ConnectivityState] = lambda: "alone"
         self.table = FreshnessTable(clock_offsets)
         self._settings, self._clock, self._endpoint_list = settings, clock, endpoint_list
-        self._driver, self._on_levels = driver, on_levels
+        self._driver, self._on_confidence_change = driver, on_confidence_change
         period_ms = driver.balancer.period_ms
         # A level must remain valid until the next update; with a longer interval than the maximum ages of the
         # evidence, no server would get a level.
@@ -123,7 +123,7 @@
         self._pass_endpoint_list()
         changed = self._confidence.update(now, self.connectivity())
         if changed:
-            self._on_levels(changed)
+            self._on_confidence_change(changed)
         self._timer.schedule(self._clock.to_loop_time(now + self._update_interval_ms))
 
     def _pass_endpoint_list(self) -> None:
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -54,7 +54,7 @@
         self.on_quota_change: Callable[[], None] = lambda: None
         self.failures = 0
         self.mismatched_responses = 0  # responses that belong to another call than the one they arrived for
-        self.rejected_renewals = 0  # rejected because of the send time that they stated
+        self.rejected_renewals = 0  # rejected because of the send time stated in them
         self._failing = False
         self._client, self._clock, self._service_time = client, clock, service_time
         self._timer = RestartableTimer(self._tick)
@@ -68,7 +68,7 @@
         self._tasks.spawn(self._watch.run())
 
     def close(self) -> None:
-        """Stop all calls and timers at once."""
+        """Cancel all calls and timers immediately."""
         self._timer.cancel()
         self._tasks.close()
 
@@ -120,12 +120,12 @@
         sent_at = self._clock.now_ms()
         try:
             http_response = await self._client.post(call.path, _body_with_number(call), call.timeout_ms)
-            self._on_http_response(sent_at, call, http_response)
+            self._process_response(sent_at, call, http_response)
         except (OSError, TimeoutError, ValueError) as error:
             self._on_failure(self._clock.now_ms(), call, f"{type(error).__name__}: {one_line(error)}")
         self._tick()
 
-    def _on_http_response(
+    def _process_response(
         self, sent_at: float, call: RegistryCall, http_response: web.ReceivedResponse
     ) -> None:
         """Process a response by its status; raise ValueError for a malformed body."""
@@ -139,13 +139,13 @@
         elif http_response.status != HTTPStatus.OK:
             self._on_failure(now, call, f"response with status {http_response.status}")
         elif call.path in (ENROLMENT, RENEWAL):
-            self._on_lease_response(sent_at, now, call, decode_lease_response(http_response.body))
+            self._process_lease_response(sent_at, now, call, decode_lease_response(http_response.body))
         else:
             self.member_lease.on_departure_acknowledged(now, call.number)
             if call.path == DEPARTURE:
                 self._leave_acknowledged.set()
 
-    def _on_lease_response(
+    def _process_lease_response(
         self, sent_at: float, now: float, call: RegistryCall, response: LeaseAnswer
     ) -> None:
         if not self._belongs_to(call, response):
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -79,7 +79,7 @@
         self._tasks.spawn(self._listen(address, on_listening))
 
     def close(self) -> None:
-        """Close the listener and all connections at once."""
+        """Close the listener and all connections immediately."""
         self._timer.cancel()
         self._tasks.close()
         self._client.close()
