--- a/loadbalancer/node/control/registry_client.py
+++ b/loadbalancer/node/control/registry_client.py
@@ -13,7 +13,7 @@
 from loadbalancer.node.control.errors import LeaseResponseError
 from loadbalancer.node.http import service_http as web
 
-MAX_IDLE_CONNECTIONS: Final = 2  # the watch uses one of its own while a poll is open
+MAX_IDLE_CONNECTIONS: Final = 2  # while a watch poll is open, it occupies one more connection
 _MS_PER_S: Final = 1000.0
 
 _lease_response_decoder = msgspec.json.Decoder(LeaseAnswer)
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -262,7 +262,7 @@
         """Run load through all nodes and sample their status until the fleet is stable again.
 
         Then check both invariants of the sampler, that every request got a response unless an outage of its
-        node explains that, and that no server executed a write twice.
+        node explains that, and that no write was executed twice and no read more than three times.
         """
         self.wait_until_stable()
         prefix = f"w{time.monotonic_ns()}-"
