--- a/loadbalancer/node/admin/metrics.py
+++ b/loadbalancer/node/admin/metrics.py
@@ -16,7 +16,7 @@
     def __init__(self, classes: Iterable[str]) -> None:
         self._responses = {name: {"success": 0, "overload": 0, "error": 0} for name in classes}
         self.reloads = {"success": 0, "failure": 0}
-        self.attempts_sent = 0  # completely, to the last byte
+        self.attempts_sent = 0  # attempts whose last byte has been written
 
     def count_response(self, class_name: str, status: int) -> None:
         """Count the final response to a request of this class."""
--- a/loadbalancer/node/http/service_http.py
+++ b/loadbalancer/node/http/service_http.py
@@ -128,7 +128,7 @@
         self._transport = transport
         self._task = asyncio.create_task(self._serve())
         self._open_connections[self] = None
-        if len(self._open_connections) > self._limits.connections:  # protects the descriptors
+        if len(self._open_connections) > self._limits.connections:  # bounds the descriptors in use
             next(iter(self._open_connections)).abort()
 
     def abort(self) -> None:
@@ -138,7 +138,7 @@
 
     def data_received(self, data: bytes) -> None:
         self._size += len(data)
-        if self._size > self._limits.body + MAX_HEAD_BYTES:  # bounds an endless head
+        if self._size > self._limits.body + MAX_HEAD_BYTES:  # bounds the memory of an endless head
             self._queue.put_nowait(None)
             return
         try:
