--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -67,7 +67,7 @@
     ) -> None:
         """Process the routes in a lease response; a malformed one is logged and ignored."""
         try:
-            actions = self.participant.on_answer(
+            actions = self.participant.on_lease_response(
                 now, response.incarnation, lease_end_ms, service_ms, response.routes
             )
             self.execute(actions)
