--- a/tests/registry/test_groups_upgrade.py
+++ b/tests/registry/test_groups_upgrade.py
@@ -14,7 +14,7 @@
 from msgspec import UNSET
 
 from loadbalancer.membership import MemberLease
-from loadbalancer.node.control.registry_client import decode_lease_answer
+from loadbalancer.node.control.registry_client import decode_lease_response
 from loadbalancer.node.http.service_http import ReceivedResponse
 from tests.registry.test_registry_fleet import Member
 from tests.support.group_registry import LIMIT_S, GroupRegistry, GroupSampler
@@ -39,7 +39,7 @@
 @pytest.fixture
 def registry(tmp_path: Path) -> Iterator[GroupRegistry]:
     """Without groups, on the data folders that a test may have put there."""
-    cluster = GroupRegistry(tmp_path, TTL_MS, on=())
+    cluster = GroupRegistry(tmp_path, TTL_MS, grouped=())
     yield cluster
     cluster.stop()
 
@@ -106,7 +106,7 @@
     assert all(member.told["elector"] for member in (a, b, c))
     assert [member.told["incarnation"] for member in (a, b, c)] == [1, 2, 3]
 
-    registry.on = {0, 1, 2}
+    registry.grouped = {0, 1, 2}
     registry.restart(0, 1, 2)
     renew_until_shared([a, b, c], 1 / 3)
     moved: list[Hollow] = []
@@ -161,15 +161,15 @@
         status, said = registry.call("DELETE", path)
         assert (status, said) == (400, {"error": "groups are off at the instance that leads"})
 
-    registry.on = {0, 1}  # after this, one of them leads:
+    registry.grouped = {0, 1}  # after this, one of them leads:
     registry.restart(0, 1)
     lead_with(registry, 2)
     new = hollows.add("pay", 2)
     hollows.start(new)
     hollows.until("old and new sharing", takes(old + new, 1 / 5))
-    assert [row["service"] for row in registry.rows()] == [""] * 3 + ["pay"] * 2
+    assert [row["service"] for row in registry.records()] == [""] * 3 + ["pay"] * 2
 
-    registry.on = set()  # and now one without: what is in a group stays there
+    registry.grouped = set()  # and now one without: what is in a group stays there
     registry.restart(2, 0)
     lead_with(registry, 1)
     [early] = hollows.add("find", 1)
@@ -177,7 +177,7 @@
     hollows.until("all sharing", takes([*old, *new, early], 1 / 6))
     assert registry.states("find") == {}  # it is among those that name no service, and counts everywhere
 
-    registry.on = {0, 1, 2}
+    registry.grouped = {0, 1, 2}
     registry.restart(1, 0, 2)
     assert [member.gone for member in (*old, *new, early)] == [0] * 6
     hollows.run(early.leave())
@@ -218,7 +218,7 @@
         if made["status"] != 200:
             core.on_failure(now, call.number)
             continue
-        answer = decode_lease_answer(orjson.dumps(made["answer"]))
+        answer = decode_lease_response(orjson.dumps(made["answer"]))
         assert (answer.target_quota, answer.since_revision, answer.service) == (UNSET, UNSET, "")
         assert core.on_grant(now + 1.0, call.number, answer, answer.ttl_ms)
     assert (core.incarnation, core.revision, core.elector) == (1, 3, True)
