--- a/loadbalancer/registry/__init__.py
+++ b/loadbalancer/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The list service: PROTOCOL's discovery list, replicated over Raft, and the agent that a node asks."""
+"""The list service: PROTOCOL's discovery list, replicated over Raft, and the agent that serves a node."""
--- a/loadbalancer/registry/__main__.py
+++ b/loadbalancer/registry/__main__.py
@@ -1,12 +1,13 @@
-"""`python -m loadbalancer.registry`: serve an instance, run an agent, or ask an instance.
+"""`python -m loadbalancer.registry`: run or query the list service's programs.
 
     serve --config registry.toml     one instance of the list service
-    agent --config agent.toml        the per-machine agent a node asks ($PROXY_DISCOVERY)
+    agent --config agent.toml        the per-machine agent of a node ($PROXY_DISCOVERY)
     status HOST:PORT                 an instance's Raft state, revision and counts, as JSON
     list HOST:PORT                   the complete list of an instance or agent, as JSON
-    local [--dir D --port P]         a node, three instances, an agent and stand-in servers on loopback
+    local [--dir D --port P]         a node, three instances, an agent and stub servers on loopback
 
-Exit status: 0, 1 when what was asked could not be reached, 2 on a bad configuration.
+Exit status: 0; 1 if a program could not be started or reached, or its response is not 200; 2 on an invalid
+configuration.
 """
 
 from __future__ import annotations
@@ -40,24 +41,26 @@
         commands.add_parser(name).add_argument("address", help="host:port of an instance or an agent")
     local_command = commands.add_parser("local")
     local_command.add_argument(
-        "--dir", type=Path, default=Path("var/local"), help="for configurations, data and logs"
+        "--dir", type=Path, default=Path("var/local"), help="folder for configurations, data and logs"
     )
-    local_command.add_argument("--port", type=int, default=8080, help="the node's, for clients")
-    local_command.add_argument("--servers", type=int, default=3, help="stand-in servers that register")
+    local_command.add_argument(
+        "--port", type=int, default=8080, help="the port on which the node serves clients"
+    )
+    local_command.add_argument("--servers", type=int, default=3, help="number of stub servers")
     return parser
 
 
-async def _print_answer(address: str, path: str) -> int:
-    """Print the JSON that the program at host:port answers; the exit status."""
+async def _print_response(address: str, path: str) -> int:
+    """Print the JSON response of the program at host:port; return the exit status."""
     try:
-        reply = await send_request(parse_address(address), "GET", path)
+        response = await send_request(parse_address(address), "GET", path)
     except (OSError, TimeoutError, ValueError) as failure:
         print(f"{address}: {type(failure).__name__}: {failure}", file=sys.stderr)
         return 1
-    stale = reply.headers.get("registry-stale") == "1"
-    row = orjson.loads(reply.body) | ({"stale": True} if stale else {})
-    sys.stdout.write(orjson.dumps(row, option=orjson.OPT_INDENT_2).decode() + "\n")
-    return 0 if reply.status == HTTPStatus.OK else 1
+    stale = response.headers.get("registry-stale") == "1"
+    body = orjson.loads(response.body) | ({"stale": True} if stale else {})
+    sys.stdout.write(orjson.dumps(body, option=orjson.OPT_INDENT_2).decode() + "\n")
+    return 0 if response.status == HTTPStatus.OK else 1
 
 
 async def _run(arguments: argparse.Namespace, log: structlog.stdlib.BoundLogger) -> int:
@@ -69,14 +72,14 @@
         case "local":
             await local.run_local(arguments.dir.resolve(), arguments.servers, arguments.port, log)
         case "status":
-            return await _print_answer(arguments.address, "/registry/status")
+            return await _print_response(arguments.address, "/registry/status")
         case _:
-            return await _print_answer(arguments.address, "/discovery/hosts")
+            return await _print_response(arguments.address, "/discovery/hosts")
     return 0
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a command; the exit status."""
+    """Run a command; return the exit status."""
     arguments = _parser().parse_args(argv)
     log = start_logs(f"registry.{arguments.command}", arguments.log_level)
     try:
--- a/loadbalancer/registry/addresses.py
+++ b/loadbalancer/registry/addresses.py
@@ -12,7 +12,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """The address that `host:port` names; InvalidAddressError where it is not one on loopback."""
+    """Parse `host:port`; raise InvalidAddressError if it is not a loopback address."""
     host, _, port = text.rpartition(":")
     if not LOOPBACK_ADDRESS.match(text) or not 0 < int(port) < PORT_LIMIT:
         raise InvalidAddressError(text)
@@ -20,6 +20,6 @@
 
 
 def format_address(address: Address) -> str:
-    """The address as `host:port`."""
+    """Return the address as `host:port`."""
     host, port = address
     return f"{host}:{port}"
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -1,22 +1,22 @@
 """The per-machine agent that a node knows as `$PROXY_DISCOVERY` (PROTOCOL, "Discovery").
 
-It follows one instance of the list service with watches and moves to the next when a call fails or is
-answered as stale, with a jittered exponential backoff between attempts. It caches the list and answers the
-node at once from that cache; until it has had a list it does not answer, as PROTOCOL's agent while discovery
-is down.
-
-Its revisions are its own, so that the node sees them rise even when the service's go back (an instance
-rebuilt from nothing, another instance followed): they start at the agent's start time in microseconds and
-rise by one with each change. Two rules protect the cache:
-
-- A stale answer (`Registry-Stale: 1`) is accepted only while the cache is empty, since an instance in a
-  minority may be behind what the node was already sent. So is an answer of a revision before the cache's,
-  until every instance in turn has answered so (a rebuild).
-- A complete list without targets replaces a cache with targets only once it has been empty for
-  `empty_hold_ms`: a service just rebuilt lists nobody until its servers register again, and a node that
-  dropped every server would reject everything meanwhile.
-
-The fleet's calls (`/fleet/...`) are forwarded as they come, whether there is a list or not (forwarding.py).
+It watches one instance of the list service and switches to the next when a call fails or its response is
+stale, with a jittered exponential backoff between attempts. It caches the list and serves the node's watches
+from that cache. Until it has received a first list it sends the node no response, as PROTOCOL requires of the
+agent while discovery is down.
+
+The agent numbers its revisions independently of the service, so that they rise for the node even when the
+service's go back (an instance rebuilt from nothing, or a switch to another instance): they start at the
+agent's start time in microseconds and rise by one with each change. Two rules protect the cache:
+
+- A stale list (`Registry-Stale: 1`) is accepted only while the cache is empty, since an instance in a
+  minority may be behind the list that the node already has. A list of an earlier revision than the cached one
+  is rejected until every instance in turn has sent such a list, which means that the service was rebuilt.
+- A complete list without targets replaces a cached list with targets only after the service's list has been
+  empty for `empty_hold_ms`: a service just rebuilt lists no server until the servers register again, and a
+  node without servers would reject every request meanwhile.
+
+The fleet's calls (`/fleet/...`) are forwarded at once, whether a list is cached or not (forwarding.py).
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 )
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import format_address
-from loadbalancer.registry.answers import error_answer, json_answer
-from loadbalancer.registry.errors import InvalidFieldError, StaleAnswerError, UnusableAnswerError
+from loadbalancer.registry.answers import error_response, json_response
+from loadbalancer.registry.errors import InvalidFieldError, StaleResponseError, UnusableResponseError
 from loadbalancer.registry.forwarding import CallForwarder
 from loadbalancer.registry.settings import AgentSettings
 from loadbalancer.registry.signals import wait_for_stop
@@ -53,8 +53,8 @@
 
 MAX_TOMBSTONES = 10_000
 MIN_BACKOFF_S = 0.05
-ANSWER_MARGIN_S = 1.5  # over what a watch waits
-EMPTY_LIST_PERIOD_S = 0.2  # between reads while an empty list is held back
+RESPONSE_MARGIN_S = 1.5  # added to the wait of a watch for its response timeout
+EMPTY_LIST_PERIOD_S = 0.2  # between reads while an empty list is not yet accepted
 FAILURES_PER_LOG_LINE = 50
 MAX_LOGGED_CHARACTERS = 200
 NS_PER_US = 1_000
@@ -62,15 +62,15 @@
 
 
 class ListCache:
-    """The list as the agent answers it, by revisions of its own from `start_revision` on."""
+    """The list that the agent serves, under the agent's revisions, which begin at `start_revision`."""
 
     def __init__(self, start_revision: int) -> None:
         self._list = TargetList(MAX_TOMBSTONES, start_revision)
-        self.filled = False  # whether there has been a list
+        self.filled = False  # whether a list has been received
 
     @property
     def revision(self) -> int:
-        """Rises with each answer of the service that changes the list."""
+        """The agent's revision; rises with each response of the service that changes the list."""
         return self._list.revision
 
     @property
@@ -79,9 +79,9 @@
         return self._list.targets
 
     def apply(self, complete: bool, targets: Sequence[Target]) -> int:
-        """Apply an answer of the service; returns how many entries changed."""
+        """Apply a list or delta from the service; return how many entries changed."""
         incoming = {target["uid"]: target for target in targets}
-        revision = self._list.revision + 1  # of all changes of this answer
+        revision = self._list.revision + 1  # shared by all changes of this response
         changes = 0
         if complete:
             for uid in [uid for uid in self._list.targets if uid not in incoming]:
@@ -97,32 +97,32 @@
         return changes
 
     def page(self, since: int | None) -> ListPage:
-        """What has changed after `since`, or the complete list (`TargetList.page`)."""
+        """Return the entries changed after `since`, or the complete list (`TargetList.page`)."""
         return self._list.page(since)
 
 
 @dataclass(slots=True, frozen=True)
 class SourceList:
-    """An instance's answer to a watch."""
+    """An instance's response to a watch."""
 
-    revision: int  # the service's
+    revision: int  # the service's revision
     complete: bool
     targets: list[Target]
     stale: bool
 
 
 class RegistryFollower:
-    """Keeps the cache up to date with the service, and answers the node's watches from it."""
+    """Keeps the cached list up to date and serves the node's watches from it."""
 
     def __init__(self, config: AgentSettings, log: structlog.stdlib.BoundLogger) -> None:
         self.config = config
         self.log = log
         self.cache = ListCache(time.time_ns() // NS_PER_US)
-        # Agents begin at different instances, so that no instance carries every watch.
+        # Agents start at different instances, which spreads the watches over the instances.
         self.source = zlib.crc32(format_address(config.listen).encode()) % len(config.registries)
-        self.source_revision: int | None = None  # the service's revision of what the cache holds
+        self.source_revision: int | None = None  # the service's revision of the cached list
         self.failures = 0
-        self._answers_behind = 0  # answers in a row of a revision before what the cache holds
+        self._lists_behind = 0  # consecutive lists of an earlier revision than the cached one
         self._empty_since_s: float | None = None
         self._loop = asyncio.get_running_loop()
         self._list_changed: asyncio.Future[None] = self._loop.create_future()
@@ -130,7 +130,7 @@
 
     @property
     def address(self) -> Address:
-        """Of the instance that is followed."""
+        """The address of the instance that is followed."""
         return self.config.registries[self.source]
 
     async def follow(self) -> None:
@@ -140,7 +140,9 @@
                 wait=tenacity.wait_random_exponential(
                     multiplier=MIN_BACKOFF_S, max=self.config.retry_max_ms / MS_PER_S
                 ),
-                retry=tenacity.retry_if_exception_type((OSError, TimeoutError, ValueError, StaleAnswerError)),
+                retry=tenacity.retry_if_exception_type(
+                    (OSError, TimeoutError, ValueError, StaleResponseError)
+                ),
                 before_sleep=self._on_failure,
             )
             async for attempt in retrying:
@@ -148,37 +150,39 @@
                     await self._watch_once()
 
     async def _watch_once(self) -> None:
-        received = _read_list(await self._ask_source())
+        received = _read_list(await self._call_source())
         self._reject_stale(received)
         if self._is_suspect(received) and not self._empty_long_enough():
-            self.source_revision = None  # read the complete list again until the hold is over
+            self.source_revision = None  # keep reading the complete list until `empty_hold_ms` has passed
             await asyncio.sleep(EMPTY_LIST_PERIOD_S)
             return
         self._empty_since_s = None
         self._apply(received)
 
-    async def _ask_source(self) -> ReceivedResponse:
+    async def _call_source(self) -> ReceivedResponse:
         wait_ms = self.config.wait_ms
         since = "" if self.source_revision is None else f"since={self.source_revision}&"
         target = f"/discovery/hosts?{since}timeout_ms={wait_ms}"
-        return await send_request(self.address, "GET", target, timeout_s=wait_ms / MS_PER_S + ANSWER_MARGIN_S)
+        return await send_request(
+            self.address, "GET", target, timeout_s=wait_ms / MS_PER_S + RESPONSE_MARGIN_S
+        )
 
     def _reject_stale(self, received: SourceList) -> None:
-        """Raise StaleAnswerError for a list that may be older than the cache's.
+        """Raise StaleResponseError for a list that may be older than the cached one.
 
-        Nor is an empty one taken from an instance that may not have applied its log yet: the node may have a
-        list of its own, which it would drop for it.
+        A stale list without targets is rejected even while the cache is empty: the instance may not have
+        applied its log yet, and a node that still has a list would replace it by the empty one.
         """
         if received.stale and (self.cache.filled or not received.targets):
             message = f"stale at rev {received.revision}"
-            raise StaleAnswerError(message)
+            raise StaleResponseError(message)
         if self.source_revision is not None and received.revision < self.source_revision:
-            self._answers_behind += 1
-            # Every instance answering so is a service that has been rebuilt.
-            if self._answers_behind < len(self.config.registries):
+            self._lists_behind += 1
+            # If every instance has sent such a list, the service has been rebuilt.
+            if self._lists_behind < len(self.config.registries):
                 message = f"rev {received.revision} behind {self.source_revision}"
-                raise StaleAnswerError(message)
-        self._answers_behind = 0
+                raise StaleResponseError(message)
+        self._lists_behind = 0
 
     def _is_suspect(self, received: SourceList) -> bool:
         return received.complete and not received.targets and bool(self.cache.entries)
@@ -215,31 +219,31 @@
         if self.failures == 1 or self.failures % FAILURES_PER_LOG_LINE == 0:
             reason = f"{type(failure).__name__}: {failure}"[:MAX_LOGGED_CHARACTERS]
             self.log.warning("source_failed", source=self._source_name(), failures=self.failures, why=reason)
-        # The revision is kept: all instances have the same, so the next one can tell what has changed since.
+        # `source_revision` stays: revisions are the same on all instances, so the next one can send a delta.
         self.source = (self.source + 1) % len(self.config.registries)
 
     def _source_name(self) -> str:
         return format_address(self.address)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """The answer to any call of the node; a watch has none until there is a list."""
+        """Respond to any call of the node; a watch waits until a list has been received."""
         if request.path == "/agent/status":
-            return json_answer(HTTPStatus.OK, self.status())
+            return json_response(HTTPStatus.OK, self.status())
         if request.path.startswith("/fleet/"):
-            return await self._forwarder.answer(request)
+            return await self._forwarder.send(request)
         if request.path != "/discovery/hosts" or request.method != "GET":
-            return error_answer(HTTPStatus.NOT_FOUND, "no such path")
+            return error_response(HTTPStatus.NOT_FOUND, "no such path")
         try:
             query = watch.parse_query(request)
         except InvalidFieldError:
-            return error_answer(HTTPStatus.BAD_REQUEST, "since and timeout_ms are whole numbers")
+            return error_response(HTTPStatus.BAD_REQUEST, "since and timeout_ms are whole numbers")
         while not self.cache.filled:
             await asyncio.shield(self._list_changed)
         page = await watch.page_after_change(self.cache.page, query, lambda: self._list_changed)
-        return watch.page_answer(page, origin_revision=self.source_revision)
+        return watch.page_response(page, origin_revision=self.source_revision)
 
     def status(self) -> dict[str, Any]:
-        """What GET /agent/status answers; operators see the keys."""
+        """Return the body of GET /agent/status; operators see the keys."""
         return {
             "rev": self.cache.revision,
             "have": self.cache.filled,
@@ -250,21 +254,21 @@
         }
 
 
-def _read_list(reply: ReceivedResponse) -> SourceList:
-    """An instance's answer to a watch; UnusableAnswerError where it holds no list."""
-    if reply.status != HTTPStatus.OK:
-        message = f"answered {reply.status}"
-        raise UnusableAnswerError(message)
-    row: Any = orjson.loads(reply.body)
+def _read_list(response: ReceivedResponse) -> SourceList:
+    """Decode an instance's response to a watch; raise UnusableResponseError if it holds no list."""
+    if response.status != HTTPStatus.OK:
+        message = f"response status {response.status}"
+        raise UnusableResponseError(message)
+    body: Any = orjson.loads(response.body)
     if (
-        not isinstance(row, dict)
-        or not isinstance(row.get("rev"), int)
-        or not isinstance(row.get("targets"), list)
+        not isinstance(body, dict)
+        or not isinstance(body.get("rev"), int)
+        or not isinstance(body.get("targets"), list)
     ):
-        message = "not a list of the discovery wire"
-        raise UnusableAnswerError(message)
-    stale = reply.headers.get("registry-stale") == "1"
-    return SourceList(row["rev"], bool(row.get("all")), row["targets"], stale)
+        message = "not a list in the discovery format"
+        raise UnusableResponseError(message)
+    stale = response.headers.get("registry-stale") == "1"
+    return SourceList(body["rev"], bool(body.get("all")), body["targets"], stale)
 
 
 async def run_agent(config: AgentSettings, log: structlog.stdlib.BoundLogger) -> None:
--- a/loadbalancer/registry/answers.py
+++ b/loadbalancer/registry/answers.py
@@ -1,4 +1,4 @@
-"""JSON answers over HTTP."""
+"""JSON responses over HTTP."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from loadbalancer.node.http.service_http import HttpResponse
 
 
-def json_answer(status: int, body: object) -> HttpResponse:
-    """An answer with this body."""
+def json_response(status: int, body: object) -> HttpResponse:
+    """Return a response with this body as JSON."""
     return HttpResponse(status, orjson.dumps(body))
 
 
-def error_answer(status: int, reason: str) -> HttpResponse:
-    """An answer that says in one line why a call was not carried out."""
-    return json_answer(status, {"error": reason})
+def error_response(status: int, reason: str) -> HttpResponse:
+    """Return a response whose `error` gives in one line the reason why the call failed."""
+    return json_response(status, {"error": reason})
--- a/loadbalancer/registry/batch.py
+++ b/loadbalancer/registry/batch.py
@@ -1,4 +1,4 @@
-"""Requests gathered for a short time and committed as one log entry."""
+"""Batches of requests, each committed as one log entry."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 from loadbalancer.registry.errors import NotCommittedError
 
-BATCH_WINDOW_S = 0.02  # requests of this time share an entry
-MAX_BATCH_COUNT = 500  # keeps an entry well under what pysyncobj sends in one piece
+BATCH_WINDOW_S = 0.02  # requests that arrive within this time share an entry
+MAX_BATCH_COUNT = 500  # keeps an entry well below the size that pysyncobj sends in one message
 
 Request = TypeVar("Request")
 Result = TypeVar("Result")
 
 
 class Batcher(Generic[Request, Result]):
-    """Commits the requests added within BATCH_WINDOW_S together.
+    """Commits all requests added within BATCH_WINDOW_S together.
 
-    `commit` returns a result for each request, in their order. `name` is part of log events and errors.
+    `commit` returns one result for each request, in the order of the requests. `name` is part of log events
+    and errors.
     """
 
     def __init__(
@@ -34,7 +35,7 @@
         self._flushes: set[asyncio.Task[None]] = set()
 
     async def add(self, request: Request) -> Result:
-        """The request's result; NotCommittedError where it may not have been committed."""
+        """Return the request's result; raise NotCommittedError if it may not have been committed."""
         done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
         self._waiting.append((request, done))
         if len(self._waiting) == 1:
@@ -56,12 +57,12 @@
         except OSError as failure:  # includes TimeoutError and ConnectionError
             self._fail(batch, failure)
             return
-        except Exception as failure:  # the callers wait for a result or an error, whatever went wrong
+        except Exception as failure:  # every waiting caller must get a result or an error
             self._log.exception(f"{self._name}_failed")
             self._fail(batch, failure)
             return
         for (_, done), result in zip(batch, results, strict=True):
-            if not done.done():  # a caller that was cancelled has cancelled its future
+            if not done.done():  # done already if its caller was cancelled
                 done.set_result(result)
 
     def _fail(self, batch: list[tuple[Request, asyncio.Future[Result]]], failure: Exception) -> None:
--- a/loadbalancer/registry/clock_file.py
+++ b/loadbalancer/registry/clock_file.py
@@ -1,8 +1,9 @@
-"""What an instance knows of service time, kept for its next start on the same machine.
+"""The file in which an instance saves its bound on service time for its next start on the same machine.
 
-The monotonic clock goes on while a process is down, so a bound on service time holds through a restart: three
-instances that are all restarted within a second continue with the same time. The bound holds for one run of
-the machine and one time namespace (a container may have its own); in any other the file is ignored.
+The monotonic clock runs on while a process is down, so a bound on service time stays valid over a restart:
+three instances that are all restarted within a second continue with the same time. The bound is valid until
+the machine reboots and within one time namespace (a container may have a separate one); otherwise the file is
+ignored.
 """
 
 from __future__ import annotations
@@ -15,57 +16,58 @@
 
 from loadbalancer.registry.service_clock import ClockBound
 
-MIN_SAVED_CHANGE_MS = 2.0  # a bound that has changed by less is not written again
+MIN_SAVED_CHANGE_MS = 2.0  # a bound that has changed by less is not saved again
 MS_PER_S = 1000.0
 
 
 class ProcessClocks:
-    """This process's clocks in ms; tests set both wrong by `offset_ms`."""
+    """This process's clocks in ms; tests shift both by `offset_ms`."""
 
     def __init__(self, offset_ms: float) -> None:
         self.offset_ms = offset_ms
 
     def monotonic_ms(self) -> float:
-        """The monotonic clock, which runs on while a process is down."""
+        """Return the monotonic clock in ms, which runs on while a process is down."""
         return time.monotonic() * MS_PER_S + self.offset_ms
 
     def unix_ms(self) -> float:
-        """The wall clock."""
+        """Return the wall clock as Unix time in ms."""
         return time.time() * MS_PER_S + self.offset_ms
 
 
 class ClockFile:
-    """The file `service-clock.json` of an instance's data folder."""
+    """The file `service-clock.json` in an instance's data folder."""
 
     def __init__(self, folder: Path, clocks: ProcessClocks) -> None:
         self._path = folder / "service-clock.json"
         self.clocks = clocks
         self._saved: ClockBound | None = None
-        self._machine_run = _machine_run(clocks)
+        self._boot_id = _boot_id(clocks)
 
     def load(self) -> ClockBound | None:
-        """The bound saved in this run of the machine; None where there is none or the file is unreadable."""
+        """Return the bound saved since the machine booted, or None if there is none or it can't be read."""
         try:
-            row = orjson.loads(self._path.read_bytes())
-            known = ClockBound(float(row["ahead"]), float(row["at"]), int(row["epoch"]))
-            usable = row["run"] == self._machine_run != "" and known.read_at_ms <= self.clocks.monotonic_ms()
+            entry = orjson.loads(self._path.read_bytes())
+            known = ClockBound(float(entry["ahead"]), float(entry["at"]), int(entry["epoch"]))
+            usable = entry["run"] == self._boot_id != "" and known.read_at_ms <= self.clocks.monotonic_ms()
         except (OSError, ValueError, KeyError, TypeError):
             return None
         return known if usable else None
 
     def save(self, known: ClockBound | None) -> None:
-        """Write the bound if it differs from the one written last; OSError if it can't be written."""
-        if known is None or not self._machine_run or not self._has_changed(known):
+        """Save the bound if it has changed enough since the last save; raise OSError on a write error."""
+        if known is None or not self._boot_id or not self._has_changed(known):
             return
-        row = {
-            "run": self._machine_run,
+        entry = {
+            "run": self._boot_id,
             "ahead": known.ahead_ms,
             "at": known.read_at_ms,
             "epoch": known.epoch,
         }
-        fresh = self._path.with_suffix(".new")
-        fresh.write_bytes(orjson.dumps(row))
-        fresh.replace(self._path)  # atomic; not synced to the disk, as a power loss ends the machine's run
+        new_file = self._path.with_suffix(".new")
+        new_file.write_bytes(orjson.dumps(entry))
+        # Atomic. Not synced to the disk, as a reboot makes the bound invalid anyway.
+        new_file.replace(self._path)
         self._saved = known
 
     def _has_changed(self, known: ClockBound) -> bool:
@@ -75,8 +77,8 @@
         return abs(saved.aged_ahead_ms(now_ms) - known.aged_ahead_ms(now_ms)) >= MIN_SAVED_CHANGE_MS
 
 
-def _machine_run(clocks: ProcessClocks) -> str:
-    """Identifies this run of the machine and the time namespace; empty where the system does not tell."""
+def _boot_id(clocks: ProcessClocks) -> str:
+    """Return an identifier of this boot and time namespace, or an empty text if the system has none."""
     try:
         boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
         return f"{boot} {os.readlink('/proc/self/ns/time')} {clocks.offset_ms}"
--- a/loadbalancer/registry/commands.py
+++ b/loadbalancer/registry/commands.py
@@ -1,7 +1,7 @@
-"""The fleet's commands on groups, in the form in which the list service's log holds them.
+"""The fleet's commands on groups, in their form in the list service's log.
 
-Each is one tagged struct in MessagePack; a log entry holds several (`FleetCatalog.write`). Commands that do
-not know groups are replicated methods of `FleetCatalog`. Tags and field names are part of the journal's
+Each is a tagged struct in MessagePack; a log entry contains several (`FleetCatalog.write`). The commands from
+before groups existed are replicated methods of `FleetCatalog`. Tags and field names are part of the journal's
 format.
 """
 
@@ -12,7 +12,7 @@
 
 
 class EnrolMember(Struct, frozen=True, tag="enrol"):
-    """Give a process that listens at its address a row in the group of this service."""
+    """Enrol the process that listens at `address` as a member of the group of this service."""
 
     name: str
     address: str
@@ -22,14 +22,14 @@
 
 
 class RemoveMembers(Struct, frozen=True, tag="remove"):
-    """An operator declares that the processes of this name have ended; service None: in every group."""
+    """An operator reports that the processes of this name have ended, in one group or (None) in all."""
 
     name: str
     service: str | None = None
 
 
 class EndService(Struct, frozen=True, tag="end-service"):
-    """An operator declares that all processes in front of this service have ended."""
+    """An operator reports that all processes in front of this service have ended."""
 
     service: str
 
@@ -41,5 +41,5 @@
 
 
 def decode(data: bytes) -> Command:
-    """The command; msgspec.DecodeError for one that only a later release knows."""
+    """Decode a command; raise msgspec.DecodeError for a command that only a later release knows."""
     return _decoder.decode(data)
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -1,8 +1,8 @@
-"""The fleet's calls over HTTP (docs/fleet.md): checked, forwarded to the instance that leads, answered there.
+"""The fleet's calls over HTTP (docs/fleet.md): checked, forwarded to the leader, carried out there.
 
-200: done, and what the body says is committed. 400: a malformed call, with one line that says why. 404: no
-such record, version or path. 409: rejected, or too late. 503: not done, as far as known; the caller tries
-again.
+Status 200: done, and the result in the body is committed. 400: a malformed call, with the reason in one line.
+404: no such record, version or path. 409: rejected, or too late. 503: not known to be done; the caller
+retries.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from loadbalancer.node.http.service_http import HttpClient, HttpRequest, HttpResponse
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import parse_address
-from loadbalancer.registry.answers import error_answer, json_answer
+from loadbalancer.registry.answers import error_response, json_response
 from loadbalancer.registry.commands import EnrolMember
 from loadbalancer.registry.errors import InvalidAddressError, InvalidFieldError, MemberLimitError
 from loadbalancer.registry.fleet_catalog import FleetCatalog
@@ -42,7 +42,7 @@
     MAX_BATCH_BODY_BYTES,
     RenewalRelay,
     decode_renewals,
-    encode_answers,
+    encode_responses,
 )
 from loadbalancer.routing.route_table import MAX_TEXT_BYTES, parse_table
 from loadbalancer.routing.version_record import ActivationOutcome
@@ -56,17 +56,17 @@
 MAX_LOGGED_PATH_CHARACTERS = 100
 MAX_LOGGED_CHARACTERS = 200
 MAX_VERSION_DIGITS = 15
-FAILURES_PER_LOG_LINE = 100  # a call without a leader is repeated by every member
-REJECTIONS_PER_LOG_LINE = 1_000  # of enrolments at a limit
+FAILURES_PER_LOG_LINE = 100  # without a leader, every member repeats its failing calls
+REJECTIONS_PER_LOG_LINE = 1_000  # of enrolments rejected at a member limit
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
 class FleetApi:
-    """Answers the calls under /fleet/.
+    """Handles the calls under /fleet/.
 
-    `next_change` returns the future that is done at the next change of a group's member list or of the
-    routes.
+    `next_change(group)` returns a future that completes at the next change of this group's member list or of
+    the routes.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self._client = HttpClient()
         self._relay = RenewalRelay(self._client, self._other_leader, log)
         self._failures = 0
-        self.rejected_enrolments = 0  # at a limit
+        self.rejected_enrolments = 0  # at a member limit
         self._handlers: dict[tuple[str, str], Handler] = {
             ("POST", "enrol"): self._enrol,
             ("POST", "renew"): self._renew,
@@ -98,9 +98,9 @@
         }
 
     async def handle(self, call: HttpRequest) -> HttpResponse:
-        """The answer to any call under /fleet/."""
+        """Respond to any call under /fleet/."""
         try:
-            return await self._answer(call)
+            return await self._respond(call)
         except (OSError, TimeoutError) as failure:
             self._log_failure(call, failure)
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, "no leader with a quorum in time")
@@ -112,7 +112,7 @@
             path = call.path[:MAX_LOGGED_PATH_CHARACTERS]
             self._log.warning("fleet_call_failed", path=path, failures=self._failures, why=reason)
 
-    async def _answer(self, call: HttpRequest) -> HttpResponse:
+    async def _respond(self, call: HttpRequest) -> HttpResponse:
         path = call.path.removeprefix("/fleet/")
         if (call.method, path) == ("GET", "watch"):
             return await self._watch(call)
@@ -130,7 +130,7 @@
             return self._reject(call, f"body: {len(call.body)} bytes, over {limit_bytes}")
         try:
             return await handler(call)
-        except ValueError as failure:  # this package's errors of wrong calls, and orjson's
+        except ValueError as failure:  # base of this package's errors of invalid calls and of orjson's
             return self._reject(call, str(failure))
 
     def _handler(self, method: str, path: str) -> Handler | None:
@@ -139,11 +139,11 @@
         if method == "DELETE" and path.startswith("services/"):
             return self._end_service
         if method == "GET" and path.startswith("routes/"):
-            return self._text
+            return self._route_text
         return self._handlers.get((method, path))
 
     def _other_leader(self) -> str | None:
-        """Where the instance that leads answers, if it is another."""
+        """Return the host:port of the leader if it is another instance, else None."""
         leader = self._fleet.leader_address()
         return None if leader == self._leader.address else leader
 
@@ -155,19 +155,19 @@
         return await self._relay.renew(renewal)
 
     async def _forward(self, call: HttpRequest) -> HttpResponse:
-        to = self._other_leader()
-        if to is None or HOP_HEADER in call.headers:
+        leader = self._other_leader()
+        if leader is None or HOP_HEADER in call.headers:
             return _error(HTTPStatus.SERVICE_UNAVAILABLE, self._leader.unavailable_reason())
-        return await forward(self._client, parse_address(to), call, FORWARD_TIMEOUT_S, hop=True)
+        return await forward(self._client, parse_address(leader), call, FORWARD_TIMEOUT_S, hop=True)
 
-    def _reject(self, call: HttpRequest, why: str) -> HttpResponse:
+    def _reject(self, call: HttpRequest, reason: str) -> HttpResponse:
         self._log.warning(
             "fleet_call_rejected",
             method=call.method,
             path=call.path[:MAX_LOGGED_PATH_CHARACTERS],
-            why=why[:MAX_ERROR_CHARACTERS],
+            why=reason[:MAX_ERROR_CHARACTERS],
         )
-        return _error(HTTPStatus.BAD_REQUEST, why)
+        return _error(HTTPStatus.BAD_REQUEST, reason)
 
     # Members.
 
@@ -190,7 +190,7 @@
             address=body.address,
             incarnation=grant.lease.incarnation,
         )
-        return self._lease(grant, received_ms, body.call)
+        return self._lease_response(grant, received_ms, body.call)
 
     def _reject_enrolment(self, member: EnrolMember, failure: MemberLimitError) -> HttpResponse:
         self.rejected_enrolments += 1
@@ -209,7 +209,7 @@
 
     async def _renew_many(self, call: HttpRequest) -> HttpResponse:
         renewals = decode_renewals(call.body)
-        return encode_answers(await asyncio.gather(*map(self._renew_lease, renewals)))
+        return encode_responses(await asyncio.gather(*map(self._renew_lease, renewals)))
 
     async def _renew_lease(self, body: RenewRequest) -> HttpResponse:
         received_ms = self._leader.service_ms()
@@ -221,12 +221,12 @@
         return (
             _error(HTTPStatus.NOT_FOUND, "no such row: enrol anew")
             if grant is None
-            else self._lease(grant, received_ms, body.call)
+            else self._lease_response(grant, received_ms, body.call)
         )
 
-    def _lease(self, grant: MemberGrant, received_ms: float, call: int | UnsetType) -> HttpResponse:
+    def _lease_response(self, grant: MemberGrant, received_ms: float, call: int | UnsetType) -> HttpResponse:
         leader = self._leader
-        answer = LeaseAnswer(
+        response = LeaseAnswer(
             **msgspec.structs.asdict(grant.lease),
             routes=grant.routes,
             ttl_ms=leader.ttl_ms,
@@ -235,11 +235,11 @@
             answered_ms=leader.service_ms(),
             call=call,
         )
-        return HttpResponse(HTTPStatus.OK, msgspec.json.encode(answer))
+        return HttpResponse(HTTPStatus.OK, msgspec.json.encode(response))
 
     async def _leaving(self, call: HttpRequest) -> HttpResponse:
         body = decode_body(MemberRequest, call.body)
-        return json_answer(
+        return json_response(
             HTTPStatus.OK, {"ok": await self._leader.execute(self._fleet.leaving, body.incarnation)}
         )
 
@@ -247,7 +247,7 @@
         body = decode_body(MemberRequest, call.body)
         ok = await self._leader.execute(self._fleet.leave, body.incarnation)
         self._log.info("member_left", incarnation=body.incarnation, known=ok)
-        return json_answer(HTTPStatus.OK, {"ok": ok})
+        return json_response(HTTPStatus.OK, {"ok": ok})
 
     async def _remove(self, call: HttpRequest) -> HttpResponse:
         name = unquote(call.path.removeprefix("/fleet/members/"))
@@ -256,7 +256,7 @@
             raise InvalidFieldError(field="name", value=name, problem=problem)
         removed = await self._leader.remove(name, call.query.get("service"))
         self._log.warning("member_removed_by_operator", name=name, incarnations=removed)
-        return json_answer(HTTPStatus.OK, {"removed": removed})
+        return json_response(HTTPStatus.OK, {"removed": removed})
 
     async def _end_service(self, call: HttpRequest) -> HttpResponse:
         service = unquote(call.path.removeprefix("/fleet/services/"))
@@ -268,16 +268,16 @@
             return _error(HTTPStatus.CONFLICT, outcome.reason)
         assert isinstance(outcome, MembersRemoved)
         self._log.warning("service_ended_by_operator", service=service, incarnations=outcome.incarnations)
-        return json_answer(HTTPStatus.OK, {"removed": outcome.incarnations})
+        return json_response(HTTPStatus.OK, {"removed": outcome.incarnations})
 
     async def _members(self, call: HttpRequest) -> HttpResponse:
-        return json_answer(HTTPStatus.OK, self._fleet.members(call.query.get("service")))
+        return json_response(HTTPStatus.OK, self._fleet.members(call.query.get("service")))
 
     async def _watch(self, call: HttpRequest) -> HttpResponse:
-        """Answer once the process of `incarnation` has something new to read, or the wait is over.
+        """Respond once the process of `incarnation` has news to read, or the wait is over.
 
-        That is so once the revision of its member list is not `since`, or the routes' not `routes_since` (by
-        default what it is at the call), by what this instance has applied.
+        It has news once, in the state applied here, the revision of its group's member list differs from
+        `since` or that of the routes from `routes_since` (by default their revision when the call arrives).
         """
         try:
             query = watch.parse_query(call, self._max_wait_ms)
@@ -295,14 +295,14 @@
             group = self._fleet.read(lambda state: state.service_of(incarnation))
             await watch.wait_until(self._next_change(group), deadline_s)
             revisions = self._fleet.read(lambda state: state.revisions(incarnation))
-        return json_answer(HTTPStatus.OK, {"rev": revisions.members, "routes_rev": revisions.routes})
+        return json_response(HTTPStatus.OK, {"rev": revisions.members, "routes_rev": revisions.routes})
 
     # Routes.
 
     async def _routes(self, call: HttpRequest) -> HttpResponse:
-        return json_answer(HTTPStatus.OK, self._fleet.read(lambda state: state.routes.status()))
+        return json_response(HTTPStatus.OK, self._fleet.read(lambda state: state.routes.status()))
 
-    async def _text(self, call: HttpRequest) -> HttpResponse:
+    async def _route_text(self, call: HttpRequest) -> HttpResponse:
         number_text = call.path.removeprefix("/fleet/routes/")
         if not (number_text.isascii() and number_text.isdigit() and len(number_text) <= MAX_VERSION_DIGITS):
             raise InvalidFieldError(field="version", value=number_text, problem="not a whole number")
@@ -313,33 +313,37 @@
         return HttpResponse(HTTPStatus.OK, text.encode(), {"content-type": "application/toml"})
 
     async def _propose(self, call: HttpRequest) -> HttpResponse:
-        parse_table(0, call.body)  # ValueError names the key and its line
+        parse_table(0, call.body)  # raises a ValueError that names the key and its line
         deadline = self._leader.service_ms() + self._leader.prepare_ms
-        return self._proposed(await self._leader.execute(self._fleet.propose, call.body.decode(), deadline))
+        return self._proposal_response(
+            await self._leader.execute(self._fleet.propose, call.body.decode(), deadline)
+        )
 
     async def _rollback(self, call: HttpRequest) -> HttpResponse:
         body = decode_body(RollbackRequest, call.body)
         deadline = self._leader.service_ms() + self._leader.prepare_ms
-        return self._proposed(await self._leader.execute(self._fleet.rollback, body.number, deadline))
+        return self._proposal_response(
+            await self._leader.execute(self._fleet.rollback, body.number, deadline)
+        )
 
-    def _proposed(self, outcome: ActivationOutcome) -> HttpResponse:
+    def _proposal_response(self, outcome: ActivationOutcome) -> HttpResponse:
         if outcome.rejected:
             return _error(HTTPStatus.CONFLICT, outcome.reason)
         self._log.info("route_version_proposed", number=outcome.number, phase=outcome.phase)
-        return json_answer(HTTPStatus.OK, {"number": outcome.number, "phase": outcome.phase})
+        return json_response(HTTPStatus.OK, {"number": outcome.number, "phase": outcome.phase})
 
     async def _vote(self, call: HttpRequest) -> HttpResponse:
         body = decode_body(VoteRequest, call.body)
         fields = (body.incarnation, body.number, body.yes, body.why)
         outcome: ActivationOutcome = await self._leader.execute(self._fleet.vote, *fields)
-        return json_answer(HTTPStatus.OK, {"phase": outcome.phase})
+        return json_response(HTTPStatus.OK, {"phase": outcome.phase})
 
     async def _halt(self, call: HttpRequest) -> HttpResponse:
         body = decode_body(HaltRequest, call.body)
         outcome: ActivationOutcome = await self._leader.execute(self._fleet.halt, body.number)
         self._log.warning("routes_halted", number=outcome.number, phase=outcome.phase)
-        return json_answer(HTTPStatus.OK, {"number": outcome.number, "phase": outcome.phase})
+        return json_response(HTTPStatus.OK, {"number": outcome.number, "phase": outcome.phase})
 
 
 def _error(status: int, reason: str) -> HttpResponse:
-    return error_answer(status, reason[:MAX_ERROR_CHARACTERS])
+    return error_response(status, reason[:MAX_ERROR_CHARACTERS])
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -1,7 +1,7 @@
-"""The leader's tasks for the fleet: service time, the members' leases, requests committed in batches.
+"""The leader's tasks for the fleet: service time, the members' leases, batches of renewals and commands.
 
-An instance that has been replaced as leader may not know it yet. So everything here is done and answered by
-commands that carry the Raft term, which the log refuses once a later leader has begun (fleet_state.py).
+A replaced leader may not yet know that it was replaced. So every change and every response here depends on a
+command that carries the Raft term; it is rejected once a later leader's term has begun (fleet_state.py).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 )
 from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.fleet_results import (
-    Expired,
+    ExpiryResult,
     MemberGrant,
     MembersRemoved,
     Outcome,
@@ -36,15 +36,19 @@
 from loadbalancer.registry.service_clock import ClockBound, ServiceClock
 from loadbalancer.registry.settings import MemberSettings
 
-Commit = Callable[..., Awaitable[Any]]  # a command and its arguments; ConnectionError or TimeoutError
+Commit = Callable[..., Awaitable[Any]]  # of a command and its arguments
 
-MIN_PERIOD_S, MAX_PERIOD_S = 0.05, 0.25  # of the leader's tasks
+MIN_PERIOD_S, MAX_PERIOD_S = 0.05, 0.25  # between runs of the leader's tasks
 PERIODS_PER_LEASE = 20
 MS_PER_S = 1000.0
 
 
 class FleetLeader:
-    """Leads the fleet while this instance is Raft's leader; `address` is its host:port for HTTP."""
+    """Leads the fleet while this instance is Raft's leader.
+
+    `address` is this instance's host:port for HTTP. `commit` raises ConnectionError or TimeoutError if it has
+    no result.
+    """
 
     def __init__(
         self,
@@ -60,8 +64,9 @@
         self._clock, self._file, self._clocks = clock, file, file.clocks
         self._commit, self._log = commit, log
         self._leases = LeaseClock(config.ttl_ms)
-        self._term: int | None = None  # in which calls are answered
-        self._waits_until_ms: float | None = None  # of the monotonic clock: for leases to end (`_start_term`)
+        self._term: int | None = None  # Raft's term in which this instance serves calls
+        # The end of `_wait_for_leases_to_end`, in ms of the monotonic clock.
+        self._waits_until_ms: float | None = None
         self._renewals: Batcher[Renewal, MemberGrant | None] = Batcher("renewals", self._commit_renewals, log)
         self._commands: Batcher[Command, Outcome] = Batcher("commands", self._commit_commands, log)
         self._wake_up = asyncio.Event()
@@ -73,56 +78,61 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether calls are answered here."""
+        """Whether this instance leads the fleet and serves its calls."""
         return self._term is not None and self._fleet.leader_term == self._term and self._fleet.has_quorum()
 
     @property
     def term(self) -> int | None:
-        """Raft's term in which calls are answered; another term has another clock behind service time."""
+        """Raft's term in which this instance serves calls; each term has another clock behind service time."""
         return self._term
 
     @property
     def groups(self) -> bool:
-        """Whether all instances know groups and the calls added with them."""
+        """Whether groups are enabled: all instances support them and the calls added with them."""
         return self._config.groups
 
     @property
     def ttl_ms(self) -> float:
-        """Of the leases in force."""
+        """The lease term in force."""
         return self._leases.ttl_ms
 
     @property
     def prepare_ms(self) -> float:
-        """The time in which all members have to prepare a proposed route version."""
+        """The time within which all members must prepare a proposed route version."""
         return self._config.prepare_ms
 
     def service_ms(self) -> float:
-        """Service time now; NotLeadingError on an instance that does not lead."""
+        """Return service time now; raise NotLeadingError if this instance does not lead."""
         if self._term is None:
             raise NotLeadingError
         return self._clock.service_ms(self._clocks.monotonic_ms())
 
     def out_of_range_by_ms(self, sent_ms: float) -> float | None:
-        """The age of a renewal by service time, where it is older than allowed or as far in the future."""
+        """Return the age of a renewal by service time, in ms; None if it is recent enough.
+
+        The limit on the age also holds for send times in the future (a negative age).
+        """
         age_ms = self.service_ms() - sent_ms
         return age_ms if abs(age_ms) > MAX_DELAY_TERM_FRACTION * self.ttl_ms else None
 
     def unavailable_reason(self) -> str:
-        """Why calls are neither answered here nor forwarded: what they wait for."""
+        """Return the reason why calls are neither served here nor forwarded."""
         if self._fleet.leader_term is None:
             known = self._fleet.knows_raft_leader()
             return "the leader has not begun its term" if known else "no leader in reach"
         if not self._fleet.has_quorum():
             return "the leader has no quorum"
         if self._waits_until_ms is not None:
-            left_ms = max(0.0, self._waits_until_ms - self._clocks.monotonic_ms())
-            return f"the leader waits for service time: leases given before it led end in {left_ms:.0f} ms"
+            remaining_ms = max(0.0, self._waits_until_ms - self._clocks.monotonic_ms())
+            return (
+                f"the leader waits for service time: leases given before it led end in {remaining_ms:.0f} ms"
+            )
         return "the leader begins its term"
 
-    async def execute(self, command: Callable[..., object], *args: object) -> Any:  # noqa: ANN401  # the command's
-        """Commit a command in the term that this instance leads in, and return its result.
+    async def execute(self, command: Callable[..., object], *args: object) -> Any:  # noqa: ANN401  # depends on the command
+        """Commit a command in the term in which this instance leads, and return its result.
 
-        ConnectionError or TimeoutError without a result; the command may have been carried out nevertheless.
+        Raise ConnectionError or TimeoutError if there is no result; the command may still be carried out.
         """
         term = self._term
         if term is None or self._fleet.leader_term != term:
@@ -133,15 +143,16 @@
         return result
 
     async def renew(self, renewal: Renewal, takes_delta: bool) -> MemberGrant | None:
-        """What the process is granted, None where it has no row; errors as `execute`."""
+        """Return the process's grant, or None if it has no record; errors as in `execute`."""
         if takes_delta:
             self._fleet.request_delta(renewal.incarnation)
         return await self._renewals.add(renewal)
 
     async def enrol(self, member: EnrolMember) -> MemberGrant:
-        """What the process is granted; MemberLimitError where no further member is taken, else as `execute`.
+        """Enrol a process and return its grant.
 
-        Where groups are off, all members are one group, whatever service they name.
+        Raise MemberLimitError if a limit on members is reached; other errors as in `execute`. While groups
+        are disabled, all members form one group, whatever service they name.
         """
         if self._config.groups:
             outcome = await self._commands.add(member)
@@ -157,7 +168,11 @@
         return grants[0]
 
     async def remove(self, name: str, service: str | None) -> list[int]:
-        """The incarnations removed; GroupsDisabledError for one service's, else as `execute`."""
+        """Remove the processes of this name and return their incarnations.
+
+        `service` limits this to one group, for which GroupsDisabledError is raised while groups are disabled;
+        other errors as in `execute`.
+        """
         if service is not None:
             self._require_groups()
         if self._config.groups:
@@ -168,39 +183,42 @@
         return removed
 
     async def end_service(self, service: str) -> Outcome:
-        """Remove the group of a service that has ended; GroupsDisabledError, else as `execute`."""
+        """Remove the group of a service that has ended.
+
+        Raise GroupsDisabledError while groups are disabled; other errors as in `execute`.
+        """
         self._require_groups()
         return await self._commands.add(EndService(service))
 
     def _require_groups(self) -> None:
-        # An instance of a release that does not know the command could apply nothing after it.
+        # An instance of a release without this command could apply no log entry after it.
         if not self._config.groups:
             raise GroupsDisabledError
 
     async def _commit_renewals(self, renewals: list[Renewal]) -> list[MemberGrant | None]:
-        rows = [tuple(renewal) for renewal in renewals]  # the log holds no classes of this program
-        grants: list[MemberGrant | None] = await self.execute(self._fleet.renew_many, rows)
+        plain = [tuple(renewal) for renewal in renewals]  # the log must not contain classes of this program
+        grants: list[MemberGrant | None] = await self.execute(self._fleet.renew_many, plain)
         return grants
 
     async def _commit_commands(self, commands: list[Command]) -> list[Outcome]:
-        rows = [encode(command) for command in commands]
-        outcomes: list[Outcome] = await self.execute(self._fleet.write, rows)
+        encoded = [encode(command) for command in commands]
+        outcomes: list[Outcome] = await self.execute(self._fleet.write, encoded)
         return outcomes
 
     # Tasks.
 
     def request_leadership(self) -> None:
-        """A call has arrived, so this instance is to lead the fleet if it leads Raft.
+        """Lead the fleet if this instance leads Raft, since a call has arrived.
 
-        Until the first call ever, the log has no command of the fleet's, so that a service without members
-        can be upgraded one instance at a time from a release that does not know them.
+        Before the first call ever, the log contains no fleet command, so that a service without members can
+        be upgraded one instance at a time from a release without these commands.
         """
         if not self._requested:
             self._requested = True
             self._wake_up.set()
 
     def wake(self) -> None:
-        """This instance may have begun or ceased to lead."""
+        """Run the tasks now if this instance has begun or ceased to lead."""
         if self._fleet.leader_term != self._term:
             self._wake_up.set()
 
@@ -213,7 +231,7 @@
             except (TimeoutError, ConnectionError) as failure:
                 self._log.info("leader_task_not_committed", why=str(failure) or "timeout")
             except Exception:
-                self._log.exception("leader_task_failed")  # the next period tries again
+                self._log.exception("leader_task_failed")  # retried in the next period
             self._save_clock()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._period_s):
@@ -241,7 +259,7 @@
             self._log.info("fleet_leading_ended")
 
     async def _start_term(self, term: int) -> None:
-        """Begin to lead: the log's first command of the term, then service time, then full leases."""
+        """Begin to lead: commit the term's first command, start service time, count every lease from now."""
         self._term = None
         self._fleet.start_answering(term)
         known = self._clock.bound(self._clocks.monotonic_ms())
@@ -259,7 +277,7 @@
         self._log.info(
             "fleet_leading", term=term, rows=len(begun.renewals), service_ms=round(self.service_ms())
         )
-        await self.execute(self._fleet.decide)  # a first stamp, by which all instances know service time
+        await self.execute(self._fleet.decide)  # its stamp lets all instances bound service time at once
 
     async def _commit_lead(self, term: int, known: ClockBound | None) -> TermStart:
         epoch = None if known is None else known.epoch
@@ -272,7 +290,7 @@
         return begun
 
     async def _wait_for_leases_to_end(self, begun: TermStart) -> None:
-        """Wait until no lease is left whose process may rely on service time as it was."""
+        """Wait until every lease has ended whose process may rely on the previous service time."""
         wait_ms = begun.ttl_ms + self._config.clock_bound_ms
         self._log.warning("service_time_lost", log_ms=begun.log_ms, wait_ms=begun.ttl_ms)
         self._waits_until_ms = self._clocks.monotonic_ms() + wait_ms
@@ -284,27 +302,30 @@
     async def _expire_leases(self) -> None:
         for renewal in self._fleet.take_applied_renewals():
             self._leases.record_renewal(renewal.at_ms, renewal.incarnation, renewal.seq, renewal.answered_seq)
-        self._leases.retain(self._fleet.read(lambda state: {row.incarnation for row in state.records()}))
-        lapsed, support = self._leases.expired_and_attached(self._clocks.monotonic_ms())
-        if not lapsed:
+        self._leases.retain(
+            self._fleet.read(lambda state: {record.incarnation for record in state.records()})
+        )
+        overdue, attached = self._leases.expired_and_attached(self._clocks.monotonic_ms())
+        if not overdue:
             return
-        due = self._fleet.read(lambda state: state.due_expiry(lapsed, support))
+        due = self._fleet.read(lambda state: state.due_expiry(overdue, attached))
         if due is None:
             return
-        rows = [
-            (incarnation, seq) for incarnation, seq in due.lapsed
-        ]  # the log holds no classes of this program
-        expired: Expired = await self.execute(self._fleet.expire, rows, due.support, due.repeated_enrolments)
-        for incarnation in expired.lapsed:
-            self._log.info("member_lapsed", incarnation=incarnation, attached=len(due.support))
-        for incarnation in expired.removed:
-            self._log.info("member_removed", incarnation=incarnation, attached=len(due.support))
+        # The log must not contain classes of this program.
+        leases = [(incarnation, seq) for incarnation, seq in due.expired]
+        result: ExpiryResult = await self.execute(
+            self._fleet.expire, leases, due.attached, due.repeated_enrolments
+        )
+        for incarnation in result.expired:
+            self._log.info("member_lapsed", incarnation=incarnation, attached=len(due.attached))
+        for incarnation in result.removed:
+            self._log.info("member_removed", incarnation=incarnation, attached=len(due.attached))
 
     def _save_clock(self) -> None:
         try:
             self._file.save(self._clock.bound(self._clocks.monotonic_ms()))
             self._save_failed = False
         except OSError as failure:
-            if not self._save_failed:  # one line for a series of failures
+            if not self._save_failed:  # log one line for a series of failures
                 self._log.warning("service_clock_not_saved", why=str(failure))
             self._save_failed = True
--- a/loadbalancer/registry/fleet_results.py
+++ b/loadbalancer/registry/fleet_results.py
@@ -13,11 +13,11 @@
 
 @dataclass(slots=True, frozen=True)
 class TermStart:
-    """What the log held when a leader's term began."""
+    """The state of the log when a leader's term began."""
 
     log_ms: float  # the highest stamp
-    epoch: int  # of service time
-    ttl_ms: float  # of the leases in force
+    epoch: int  # the epoch of service time
+    ttl_ms: float  # the lease term in force
     renewals: list[tuple[int, int]]  # each record's incarnation and the seq of its last renewal
 
 
@@ -25,22 +25,22 @@
 class DueExpiry:
     """The arguments of `FleetState.expire`."""
 
-    lapsed: list[tuple[int, int]]  # incarnation and seq of the last renewal of leases that have expired
-    support: list[int]  # incarnations that are attached for certain
-    repeated_enrolments: int  # the state's when this was decided
+    expired: list[tuple[int, int]]  # of expired leases: the incarnation and the seq of the last renewal
+    attached: list[int]  # incarnations that are known to be attached
+    repeated_enrolments: int  # `FleetState.repeated_enrolments` when the expiry was decided
 
 
-class Expired(NamedTuple):
-    """What an expiry changed, as incarnations."""
+class ExpiryResult(NamedTuple):
+    """The incarnations changed by `FleetState.expire`."""
 
-    lapsed: list[int]
+    expired: list[int]
     removed: list[int]
 
 
 class Revisions(NamedTuple):
-    """What a member's process watches."""
+    """The revisions that a member's process watches."""
 
-    members: int  # of the member list of its group
+    members: int  # of its group's member list
     routes: int
 
 
@@ -49,44 +49,44 @@
 
     incarnation: int
     seq: int
-    answered_seq: int  # the last renewal whose answer the process has used
+    answered_seq: int  # seq of the last renewal whose response the process has used
     acknowledged_revision: int  # the revision of the member list that it acts on
     quota_in_use: float
 
 
 class AppliedRequest(NamedTuple):
-    """An enrolment or renewal that was applied: its record, if there is one, and what its process knows."""
+    """An applied enrolment or renewal: its record, if there is one, and the member list its process has."""
 
-    row: MemberRecord | None
+    record: MemberRecord | None
     acknowledged_revision: int = -1
     takes_delta: bool = False
 
 
 class MemberGrant(Struct, frozen=True):
-    """The answer to a process: its lease, and the route versions (`ActivationCoordinator.announcement`)."""
+    """The grant to a process: its lease and the route versions (`ActivationCoordinator.announcement`)."""
 
     lease: LeaseGrant
     routes: dict[str, Any]
 
 
 class Rejected(Struct, frozen=True):
-    """Why a command was not carried out; nothing has changed."""
+    """A command was not carried out and changed nothing."""
 
     reason: str
 
 
 class MembersRemoved(Struct, frozen=True):
-    """The incarnations that an operator has ended."""
+    """The incarnations that an operator has removed."""
 
     incarnations: list[int]
 
 
-Outcome = MemberGrant | Rejected | MembersRemoved  # of a command of commands.py
+Outcome = MemberGrant | Rejected | MembersRemoved  # outcome of a command of commands.py
 
 
 @dataclass(slots=True, frozen=True)
 class AppliedRenewal:
-    """A renewal or enrolment that was applied: the leader counts the lease from it."""
+    """An applied renewal or enrolment; the leader measures the lease from its time."""
 
     at_ms: float  # ms of the monotonic clock
     incarnation: int
--- a/loadbalancer/registry/forwarding.py
+++ b/loadbalancer/registry/forwarding.py
@@ -1,6 +1,6 @@
-"""Forwarding of the fleet's calls: from an agent to an instance, from an instance to the one that leads.
+"""Forwarding of the fleet's calls: from an agent to an instance, and from an instance to the leader.
 
-Each of these calls is idempotent, so a call without an answer is sent again to another instance.
+Each of these calls is idempotent, so a call without a response is retried at another instance.
 """
 
 from __future__ import annotations
@@ -17,10 +17,11 @@
 from loadbalancer.registry.errors import InvalidFieldError
 from loadbalancer.registry.watch import parse_query
 
-HOP_HEADER = "fleet-hop"  # marks a call forwarded by an instance; the next one answers it or says 503
+HOP_HEADER = "fleet-hop"  # marks a call forwarded by an instance; it is not forwarded again
 RETURNED_HEADERS = ("content-type",)
-ATTEMPT_TIMEOUT_S = 1.2  # of one instance, and a watch's wait; longer than it waits for its leader
-TOTAL_TIMEOUT_S = 4.0  # of all instances, and a watch's wait
+# Timeouts; the wait of a watch is added. An attempt lasts longer than an instance waits for its leader.
+ATTEMPT_TIMEOUT_S = 1.2
+TOTAL_TIMEOUT_S = 4.0  # of all attempts together
 FAILURES_PER_LOG_LINE = 100
 MAX_LOGGED_CHARACTERS = 200
 MAX_LOGGED_PATH_CHARACTERS = 100
@@ -29,16 +30,16 @@
 async def forward(
     client: HttpClient, to: Address, request: HttpRequest, timeout_s: float, hop: bool = False
 ) -> HttpResponse:
-    """The answer of the program at `to`; OSError or TimeoutError if there is none in time."""
+    """Forward to the program at `to`; return its response, or raise OSError or TimeoutError."""
     target = request.path + (f"?{urlencode(request.query)}" if request.query else "")
     headers = {HOP_HEADER: "1"} if hop else {}
-    reply = await client.send(to, request.method, target, request.body, timeout_s, headers)
-    returned = {name: reply.headers[name] for name in RETURNED_HEADERS if name in reply.headers}
-    return HttpResponse(reply.status, reply.body, returned)
+    response = await client.send(to, request.method, target, request.body, timeout_s, headers)
+    returned = {name: response.headers[name] for name in RETURNED_HEADERS if name in response.headers}
+    return HttpResponse(response.status, response.body, returned)
 
 
 class CallForwarder:
-    """An agent's: `first` returns the index of the instance that it follows, which is asked first."""
+    """Forwards an agent's calls; `first` returns the index of the instance to try first."""
 
     def __init__(
         self, instances: Sequence[Address], first: Callable[[], int], log: structlog.stdlib.BoundLogger
@@ -47,24 +48,24 @@
         self._client = HttpClient()
         self._failures = 0
 
-    async def answer(self, request: HttpRequest) -> HttpResponse:
-        """The first answer that is not 503; 503 where no instance gives one in time."""
+    async def send(self, request: HttpRequest) -> HttpResponse:
+        """Return the first response other than 503, or 503 if no instance gives one in time."""
         wait_s = self._watch_wait_s(request)
         loop, start = asyncio.get_running_loop(), self._first()
         deadline = loop.time() + TOTAL_TIMEOUT_S + wait_s
         reason = ""
         for step in range(len(self._instances)):
             to = self._instances[(start + step) % len(self._instances)]
-            left_s = min(ATTEMPT_TIMEOUT_S + wait_s, deadline - loop.time())
-            if left_s <= 0.0:
+            remaining_s = min(ATTEMPT_TIMEOUT_S + wait_s, deadline - loop.time())
+            if remaining_s <= 0.0:
                 break
             try:
-                answer = await forward(self._client, to, request, left_s)
+                response = await forward(self._client, to, request, remaining_s)
             except (OSError, TimeoutError) as failure:
                 reason = f"{type(failure).__name__}: {failure}"[:MAX_LOGGED_CHARACTERS]
                 continue
-            if answer.status != HTTPStatus.SERVICE_UNAVAILABLE:
-                return answer
+            if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
+                return response
             reason = "503"
         self._log_failure(request, reason)
         return HttpResponse(
@@ -77,7 +78,7 @@
         try:
             return parse_query(request).wait_s
         except InvalidFieldError:
-            return 0.0  # the instance answers 400
+            return 0.0  # the instance responds with 400
 
     def _log_failure(self, request: HttpRequest, reason: str) -> None:
         self._failures += 1
--- a/loadbalancer/registry/local.py
+++ b/loadbalancer/registry/local.py
@@ -1,8 +1,8 @@
 """`python -m loadbalancer.registry local`: a node with its own list service, all on loopback.
 
-It starts three instances, an agent and a node (`python -m loadbalancer`) as processes in a folder, and serves
-a few stand-in servers from this process that register and renew their leases as real ones would. It is a
-quick way to see the parts work together: Ctrl-C ends every process it started, by its id.
+It starts three instances, an agent and a node (`python -m loadbalancer`) as processes in a folder. A few stub
+servers run in this process and register and renew their leases as real servers do. This is a quick way to see
+the programs work together; Ctrl-C ends every process that it started, by its id.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 LEASE_MS = 6_000
 RENEWALS_PER_LEASE = 3
 FAILURES_PER_LOG_LINE = 10
-FIRST_LOGGED_FAILURE = 3  # the instances elect their first leader meanwhile
+FIRST_LOGGED_FAILURE = 3  # earlier ones are normal while the instances elect their first leader
 STOP_TIMEOUT_S = 10.0
 MS_PER_S = 1000.0
 
-# The node's settings: two request classes, as a small service has; see BRIEF for the keys.
+# The node's settings: two request classes, as in a small service; BRIEF explains the keys.
 NODE_SETTINGS: dict[str, Any] = {
     "bounds": {
         "cancel": True,
@@ -62,16 +62,16 @@
 
 @dataclass(slots=True, frozen=True)
 class LocalPorts:
-    """The loopback ports of the programs."""
+    """The programs' loopback ports."""
 
-    http: Sequence[int]  # of the instances, in order
-    raft: Sequence[int]
+    http: Sequence[int]  # of each instance
+    raft: Sequence[int]  # of each instance
     agent: int
     node: int
 
 
-class StandInServer:
-    """A server of this process: it answers 200, registers itself and renews its lease."""
+class StubServer:
+    """A stub server in this process: it responds with 200, registers itself and renews its lease."""
 
     def __init__(self, uid: str, registry_ports: Sequence[int], ttl_ms: int) -> None:
         self.uid, self._registry_ports, self._ttl_ms = uid, registry_ports, ttl_ms
@@ -81,17 +81,17 @@
     async def start(self) -> None:
         """Listen on a free port."""
 
-        async def answer(request: HttpRequest) -> HttpResponse:
+        async def respond(request: HttpRequest) -> HttpResponse:
             return HttpResponse(HTTPStatus.OK, b'{"done":true}', {"depth": "0"})
 
-        server = await serve((LOOPBACK, 0), answer)
+        server = await serve((LOOPBACK, 0), respond)
         self._port = server.sockets[0].getsockname()[1]
 
-    async def keep_lease(self, log: structlog.stdlib.BoundLogger) -> None:
+    async def maintain_lease(self, log: structlog.stdlib.BoundLogger) -> None:
         """Register, and renew the lease until cancelled."""
         failures = 0
         while True:
-            if await self._renew_at_any():
+            if await self._renew_with_any():
                 failures = 0
             else:
                 failures += 1
@@ -99,30 +99,30 @@
                     log.warning("lease_not_renewed", uid=self.uid, failures=failures)
             await asyncio.sleep(self._ttl_ms / MS_PER_S / RENEWALS_PER_LEASE)
 
-    async def _renew_at_any(self) -> bool:
-        """Whether an instance has accepted a registration or renewal; each is asked in turn."""
+    async def _renew_with_any(self) -> bool:
+        """Register or renew with the first instance that accepts it; return whether one did."""
         for port in self._registry_ports:
             with contextlib.suppress(OSError, TimeoutError):
-                if (await self._renew_at(port)).status == HTTPStatus.OK:
+                if (await self._renew_with(port)).status == HTTPStatus.OK:
                     return True
         return False
 
-    async def _renew_at(self, port: int) -> ReceivedResponse:
+    async def _renew_with(self, port: int) -> ReceivedResponse:
         if self._registered:
             body = orjson.dumps({"uids": [self.uid]})
-            reply = await send_request((LOOPBACK, port), "POST", "/registry/renew", body)
-            self._registered = reply.status == HTTPStatus.OK and not orjson.loads(reply.body)["unknown"]
+            response = await send_request((LOOPBACK, port), "POST", "/registry/renew", body)
+            self._registered = response.status == HTTPStatus.OK and not orjson.loads(response.body)["unknown"]
         else:
             body = orjson.dumps({"uid": self.uid, "endpoint": f"{LOOPBACK}:{self._port}", "az": "a"})
-            reply = await send_request((LOOPBACK, port), "PUT", f"/registry/targets/{self.uid}", body)
-            self._registered = reply.status == HTTPStatus.OK
-        return reply
+            response = await send_request((LOOPBACK, port), "PUT", f"/registry/targets/{self.uid}", body)
+            self._registered = response.status == HTTPStatus.OK
+        return response
 
 
 async def run_local(folder: Path, servers: int, node_port: int, log: structlog.stdlib.BoundLogger) -> None:
-    """Start all programs and keep them until SIGTERM or SIGINT.
+    """Start all programs and run them until SIGTERM or SIGINT.
 
-    `folder` gets their configurations, data and logs; `servers` is the number of stand-in servers.
+    `folder` is for their configurations, data and logs; `servers` is the number of stub servers.
     """
     with contextlib.ExitStack() as reservations:
         http = [_reserve_port(reservations) for _ in range(INSTANCE_COUNT)]
@@ -130,10 +130,10 @@
         ports = LocalPorts(http, raft, _reserve_port(reservations), node_port)
         folder.mkdir(parents=True, exist_ok=True)
         children = _start_programs(folder, ports)
-        stand_ins = [StandInServer(f"local-{number}", http, LEASE_MS) for number in range(servers)]
-        for stand_in in stand_ins:
-            await stand_in.start()
-        leases = [asyncio.create_task(stand_in.keep_lease(log)) for stand_in in stand_ins]
+        stubs = [StubServer(f"local-{number}", http, LEASE_MS) for number in range(servers)]
+        for stub in stubs:
+            await stub.start()
+        leases = [asyncio.create_task(stub.maintain_lease(log)) for stub in stubs]
         log.info(
             "local_started",
             node=f"{LOOPBACK}:{ports.node}",
@@ -151,10 +151,10 @@
 
 
 def _reserve_port(reservations: contextlib.ExitStack) -> int:
-    """A port for a child process to bind, reserved for it until `reservations` closes.
+    """Return a port for a child process, reserved for it until `reservations` closes.
 
-    The socket stays bound without listening: the system gives its number to nobody else meanwhile, and the
-    child, which sets SO_REUSEADDR as this does, can bind it and listen.
+    The reserving socket stays bound without listening: the system assigns its port to no other process, while
+    the child, which also sets SO_REUSEADDR, can bind the port and listen.
     """
     reserved = reservations.enter_context(socket.socket())
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -198,7 +198,7 @@
 
 
 def _write_node_file(folder: Path, ports: LocalPorts) -> Path:
-    node = {
+    configuration = {
         "name": "local",
         "listen": f"{LOOPBACK}:{ports.node}",
         "discovery": f"{LOOPBACK}:{ports.agent}",
@@ -207,12 +207,12 @@
         "settings": NODE_SETTINGS,
     }
     path = folder / "node.json"
-    path.write_bytes(orjson.dumps(node, option=orjson.OPT_INDENT_2))
+    path.write_bytes(orjson.dumps(configuration, option=orjson.OPT_INDENT_2))
     return path
 
 
 def _environment(node_file: Path) -> dict[str, str]:
-    """The programs run in their folder, so they need the path of this package."""
+    """Return the programs' environment; they run in another folder and need the path of this package."""
     root = str(Path(__file__).resolve().parents[2])
     path = os.pathsep.join(part for part in (root, os.environ.get("PYTHONPATH")) if part)
     return {**os.environ, "PROXY_CONFIG": str(node_file), "PYTHONPATH": path}
--- a/loadbalancer/registry/logs.py
+++ b/loadbalancer/registry/logs.py
@@ -9,9 +9,9 @@
 
 
 def start_logs(program: str, level: str = "info") -> structlog.stdlib.BoundLogger:
-    """Write JSON lines to standard error, one for each event, with its time, level and program.
+    """Set up JSON log lines on standard error, one per event, with its time, level and program.
 
-    The lines of libraries that log through `logging` (pysyncobj) have the same form.
+    Libraries that log through `logging` (pysyncobj) get the same format.
     """
     shared: list[structlog.typing.Processor] = [
         structlog.contextvars.merge_contextvars,
--- a/loadbalancer/registry/messages.py
+++ b/loadbalancer/registry/messages.py
@@ -1,4 +1,4 @@
-"""The bodies of the fleet's calls, checked by type, range and length as they are read.
+"""The bodies of the fleet's calls, whose types, ranges and lengths are checked by decoding.
 
 Field names are the keys of the JSON bodies (docs/fleet.md).
 """
@@ -14,7 +14,7 @@
 
 MAX_NAME_CHARACTERS = 100
 MAX_REASON_CHARACTERS = 300
-INTEGER_LIMIT = 2**53  # JSON numbers are exact below it
+INTEGER_LIMIT = 2**53  # JSON integers below it are exact
 MAX_SERVICE_TIME_MS = 1e15
 
 Body = TypeVar("Body")
@@ -22,35 +22,37 @@
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
 NameOrEmpty = Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS)]
 Counter = Annotated[int, Meta(ge=0, lt=INTEGER_LIMIT)]
-CounterOrNone = Annotated[int, Meta(ge=-1, lt=INTEGER_LIMIT)]  # -1: none yet
+CounterOrNone = Annotated[int, Meta(ge=-1, lt=INTEGER_LIMIT)]  # -1: none so far
 
 
 class EnrolRequest(Struct, frozen=True):
-    """A process asks for a row."""
+    """A process enrols as a member."""
 
     name: Name
-    address: Name  # host:port where it listens
-    start: Name  # a random text of the process's start
+    address: Name  # host:port at which it listens
+    start: Name  # a random text, new at each start of the process
     zone: NameOrEmpty = ""
-    service: NameOrEmpty = ""  # the service that the process balances to
-    call: Counter | UnsetType = UNSET  # the number of this call, which the answer repeats
+    service: NameOrEmpty = ""  # the service to which the process balances
+    call: Counter | UnsetType = UNSET  # the number of this call, repeated in the response
 
 
 class RenewRequest(Struct, frozen=True):
     """A process renews its lease."""
 
     incarnation: Counter
-    seq: Counter  # counts the process's renewals
+    seq: Counter  # the number of this renewal of the process
     acked: CounterOrNone  # the revision of the member list that it acts on
-    using: Annotated[float, Meta(ge=0.0, le=1.0)]  # the most share that it may be taking
-    sent: Annotated[float, Meta(ge=-MAX_SERVICE_TIME_MS, le=MAX_SERVICE_TIME_MS)] | None = None  # service ms
-    answered: CounterOrNone = -1  # the last renewal whose answer was used
-    delta: bool = False  # it takes the changes of the member list in place of the complete list
-    call: Counter | UnsetType = UNSET  # the number of this call, which the answer repeats
+    using: Annotated[float, Meta(ge=0.0, le=1.0)]  # the highest quota that it may be using
+    sent: Annotated[float, Meta(ge=-MAX_SERVICE_TIME_MS, le=MAX_SERVICE_TIME_MS)] | None = (
+        None  # in service time
+    )
+    answered: CounterOrNone = -1  # the last renewal whose response was used
+    delta: bool = False  # whether it accepts a delta of the member list
+    call: Counter | UnsetType = UNSET  # the number of this call, repeated in the response
 
 
 class MemberRequest(Struct, frozen=True):
-    """A call about one row."""
+    """A call about one member record."""
 
     incarnation: Counter
 
@@ -59,7 +61,7 @@
     """A process's vote on a route version that is being prepared."""
 
     incarnation: Counter
-    number: Counter  # of the version
+    number: Counter  # of the route version
     yes: bool
     why: Annotated[str, Meta(max_length=MAX_REASON_CHARACTERS)] = ""
 
@@ -67,7 +69,7 @@
 class HaltRequest(Struct, frozen=True):
     """An operator aborts the activation of a route version."""
 
-    number: Counter | None = None  # None: of the pending one
+    number: Counter | None = None  # None: the pending version
 
 
 class RollbackRequest(Struct, frozen=True):
@@ -77,7 +79,7 @@
 
 
 def decode_body(kind: type[Body], body: bytes) -> Body:
-    """The body as this message; InvalidBodyError names the field that is wrong, in one line."""
+    """Decode a body as this message; raise InvalidBodyError, which names the invalid field in one line."""
     try:
         return msgspec.json.decode(body or b"{}", type=kind)
     except (msgspec.MsgspecError, RecursionError) as failure:
--- a/loadbalancer/registry/renewal_relay.py
+++ b/loadbalancer/registry/renewal_relay.py
@@ -1,8 +1,8 @@
-"""Renewals that reach an instance which does not lead, forwarded to the leader many at a time.
+"""Batches in which an instance that does not lead forwards renewals to the leader.
 
-Most renewals of a large fleet reach an instance that does not lead. Forwarded one at a time each would cost
-the leader a request; together they cost it one request for each BATCH_WINDOW_S of each other instance. Only
-instances speak this call, and only where the `groups` setting says that all of them know it.
+Most renewals of a large fleet reach an instance that does not lead. Forwarded one by one, each would cost the
+leader a request; in batches they cost it one request per BATCH_WINDOW_S and instance. Only instances make
+this call, and only if the `groups` setting is on, which means that all instances support it.
 """
 
 from __future__ import annotations
@@ -21,66 +21,66 @@
     BatchTooLargeError,
     InvalidBodyError,
     NoLeaderError,
-    UnusableLeaderAnswerError,
+    UnusableLeaderResponseError,
 )
 from loadbalancer.registry.forwarding import HOP_HEADER
 from loadbalancer.registry.messages import RenewRequest
 
 RENEW_MANY_PATH = "/fleet/renew-many"
-FORWARD_TIMEOUT_S = 1.0  # of the leader's answer: a silent leader is replaced in as long
+FORWARD_TIMEOUT_S = 1.0  # for the leader's response; a silent leader is replaced within about this time
 MAX_BATCH_BODY_BYTES = 1024 * MAX_BATCH_COUNT
 
 
-class RelayedAnswer(Struct, frozen=True):
-    """The answer to one renewal of a batch."""
+class RelayedResponse(Struct, frozen=True):
+    """The response to one renewal of a batch."""
 
     status: int
     body: Raw
 
 
-_answers = msgspec.json.Decoder(list[RelayedAnswer])
-_renewals = msgspec.json.Decoder(list[RenewRequest])
+_response_decoder = msgspec.json.Decoder(list[RelayedResponse])
+_renewal_decoder = msgspec.json.Decoder(list[RenewRequest])
 
 
 class RenewalRelay:
-    """Forwards renewals; `leader` returns the leader's host:port, None where no leader is known."""
+    """Forwards renewals; `leader` returns the leader's host:port, or None if no leader is known."""
 
     def __init__(
         self, client: HttpClient, leader: Callable[[], str | None], log: structlog.stdlib.BoundLogger
     ) -> None:
         self._client, self._leader = client, leader
-        self._batch: Batcher[RenewRequest, RelayedAnswer] = Batcher("relayed_renewals", self._forward, log)
+        self._batch: Batcher[RenewRequest, RelayedResponse] = Batcher("relayed_renewals", self._forward, log)
 
     async def renew(self, renewal: RenewRequest) -> HttpResponse:
-        """The leader's answer; NotCommittedError where there is none in time."""
-        answer = await self._batch.add(renewal)
-        return HttpResponse(answer.status, bytes(answer.body))
+        """Return the leader's response; raise NotCommittedError if there is none in time."""
+        response = await self._batch.add(renewal)
+        return HttpResponse(response.status, bytes(response.body))
 
-    async def _forward(self, renewals: list[RenewRequest]) -> list[RelayedAnswer]:
+    async def _forward(self, renewals: list[RenewRequest]) -> list[RelayedResponse]:
         leader = self._leader()
         if leader is None:
             raise NoLeaderError
         body = msgspec.json.encode(renewals)
         address = parse_address(leader)
-        reply = await self._client.send(
+        response = await self._client.send(
             address, "POST", RENEW_MANY_PATH, body, FORWARD_TIMEOUT_S, {HOP_HEADER: "1"}
         )
-        if reply.status != HTTPStatus.OK:
-            raise UnusableLeaderAnswerError(reply.status)
+        if response.status != HTTPStatus.OK:
+            raise UnusableLeaderResponseError(response.status)
         try:
-            answers = _answers.decode(reply.body)
+            responses = _response_decoder.decode(response.body)
         except msgspec.MsgspecError as failure:
-            raise UnusableLeaderAnswerError(failure) from failure
-        if len(answers) != len(renewals):
-            problem = f"{len(answers)} answers to {len(renewals)} renewals"
-            raise UnusableLeaderAnswerError(problem)
-        return answers
+            raise UnusableLeaderResponseError(failure) from failure
+        if len(responses) != len(renewals):
+            problem = f"{len(responses)} responses to {len(renewals)} renewals"
+            raise UnusableLeaderResponseError(problem)
+        return responses
 
 
 def decode_renewals(body: bytes) -> list[RenewRequest]:
-    """The renewals of a batch; InvalidBodyError says what is wrong, in one line."""
+    """Decode the renewals of a batch; raise InvalidBodyError, which gives the reason in one line."""
     try:
-        renewals = _renewals.decode(body)
+        renewals = _renewal_decoder.decode(body)
     except (msgspec.MsgspecError, RecursionError) as failure:
         raise InvalidBodyError(failure) from failure
     if len(renewals) > MAX_BATCH_COUNT:
@@ -88,7 +88,7 @@
     return renewals
 
 
-def encode_answers(answers: list[HttpResponse]) -> HttpResponse:
-    """The answer that `RenewalRelay` reads."""
-    rows = [RelayedAnswer(answer.status, Raw(answer.body)) for answer in answers]
-    return HttpResponse(HTTPStatus.OK, msgspec.json.encode(rows))
+def encode_responses(responses: list[HttpResponse]) -> HttpResponse:
+    """Encode the response to a batch, which `RenewalRelay` decodes."""
+    relayed = [RelayedResponse(response.status, Raw(response.body)) for response in responses]
+    return HttpResponse(HTTPStatus.OK, msgspec.json.encode(relayed))
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -1,9 +1,9 @@
-"""One instance of the list service: PROTOCOL's reads and watches, the registry's writes, leases.
+"""An instance of the list service: PROTOCOL's reads and watches, the registry's writes, leases.
 
-Reads come from what this instance has applied. While it knows no leader that holds a quorum, or is a leader
-whose term has not yet committed a command, it still answers them, marked `Registry-Stale: 1`: an agent then
-looks for a fresher instance and keeps its cached list if there is none. A write is answered only once a
-majority has committed it (Raft), else 503 after COMMIT_TIMEOUT_S.
+Reads show the state that this instance has applied. While it knows no leader, or leads without a quorum or
+before its term has committed a command, reads are marked `Registry-Stale: 1`: an agent then tries the other
+instances, and keeps its cached list if none is up to date. A write succeeds only once a majority has
+committed it (Raft); after COMMIT_TIMEOUT_S the response is 503.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from loadbalancer.node.http.service_http import HttpRequest, HttpResponse, serve
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import format_address
-from loadbalancer.registry.answers import error_answer, json_answer
+from loadbalancer.registry.answers import error_response, json_response
 from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.clock_file import ClockFile, ProcessClocks
 from loadbalancer.registry.errors import InvalidFieldError, NotCommittedError
@@ -33,7 +33,7 @@
 from loadbalancer.registry.target import Target, validate_target
 from loadbalancer.registry.target_leases import TargetLeases, new_change_id, unix_ms
 
-COMMIT_TIMEOUT_S = 2.0  # a write that is not committed in this time is answered 503
+COMMIT_TIMEOUT_S = 2.0  # for the commit of a write; the response is 503 after it
 MAX_ERROR_CHARACTERS = 200
 TARGETS_PATH = "/registry/targets/"
 STALE_HEADER = "Registry-Stale"
@@ -47,7 +47,7 @@
         self.log = log.bind(instance=config.name)
         self._loop = asyncio.get_running_loop()
         self._next_change: asyncio.Future[None] = self._loop.create_future()
-        self._next_group_change: dict[str, asyncio.Future[None]] = {}  # of groups that are being watched
+        self._next_group_change: dict[str, asyncio.Future[None]] = {}  # only of groups that are being watched
         config.data.mkdir(parents=True, exist_ok=True)
         self.catalog = TargetCatalog(config.max_tombstones, self._on_catalog_change)
         clocks = ProcessClocks(config.members.clock_offset_ms)
@@ -65,14 +65,14 @@
     # Called in Raft's thread.
 
     def _on_catalog_change(self, revision: int) -> None:
-        self._loop.call_soon_threadsafe(self._wake_watches)
+        self._loop.call_soon_threadsafe(self._wake_target_watches)
 
     def _on_fleet_change(self, groups: frozenset[str] | None) -> None:
         self._loop.call_soon_threadsafe(self._wake_group_watches, groups)
 
     # Called in the event loop.
 
-    def _wake_watches(self) -> None:
+    def _wake_target_watches(self) -> None:
         change, self._next_change = self._next_change, self._loop.create_future()
         change.set_result(None)
 
@@ -86,23 +86,23 @@
                 change.set_result(None)
         self.leader.wake()
 
-    async def commit(self, command: Callable[..., object], *args: object) -> Any:  # noqa: ANN401  # the command's
+    async def commit(self, command: Callable[..., object], *args: object) -> Any:  # noqa: ANN401  # depends on the command
         """Propose a command and return its result once it is committed.
 
-        NotCommittedError where Raft refuses the command, TimeoutError where it is not committed in time.
+        Raise NotCommittedError if Raft rejects the command, TimeoutError if it is not committed in time.
         """
         done: asyncio.Future[object] = self._loop.create_future()
 
-        def settle(result: object, failure: int) -> None:
+        def resolve(result: object, failure: int) -> None:
             if done.done():
                 return
             if failure:
-                done.set_exception(NotCommittedError(f"raft refused the command ({failure})"))
+                done.set_exception(NotCommittedError(f"raft rejected the command ({failure})"))
             else:
                 done.set_result(result)
 
         def on_committed(result: object, failure: int) -> None:  # called in Raft's thread
-            self._loop.call_soon_threadsafe(settle, result, failure)
+            self._loop.call_soon_threadsafe(resolve, result, failure)
 
         command(*args, callback=on_committed)
         async with asyncio.timeout(COMMIT_TIMEOUT_S):
@@ -111,7 +111,7 @@
     # The state of this instance.
 
     def status(self) -> dict[str, Any]:
-        """What GET /registry/status answers; operators see the keys."""
+        """Return the body of GET /registry/status; operators see the keys."""
         raft = self.raft.getStatus()
         counts = self.catalog.counts()
         leader = raft.get("leader")
@@ -130,9 +130,10 @@
         }
 
     def is_stale(self, raft: dict[str, Any] | None = None) -> bool:
-        """Whether this instance may not have applied all that is committed.
+        """Whether this instance may not have applied all committed commands.
 
-        It may not without a leader in reach and, as a leader, until a command of its own term has committed.
+        That is so without a known leader and, on a leader, without a quorum or until a command of its own
+        term is committed.
         """
         raft = raft or self.raft.getStatus()
         if raft["state"] == RAFT_LEADER:
@@ -142,36 +143,36 @@
     # HTTP.
 
     async def handle(self, call: HttpRequest) -> HttpResponse:
-        """The answer to any call."""
+        """Respond to any call."""
         if call.path.startswith("/fleet/"):
             return await self._fleet_api.handle(call)
         try:
-            return await self._answer(call)
+            return await self._respond(call)
         except (TimeoutError, ConnectionError) as failure:
             self.log.warning("write_not_committed", path=call.path, why=str(failure) or "timeout")
-            return error_answer(
+            return error_response(
                 HTTPStatus.SERVICE_UNAVAILABLE, "not committed: no leader with a quorum in time"
             )
 
-    async def _answer(self, call: HttpRequest) -> HttpResponse:
+    async def _respond(self, call: HttpRequest) -> HttpResponse:
         match call.method, call.path:
             case "GET", "/discovery/hosts":
                 return await self._read(call)
             case "GET", "/registry/status":
-                return json_answer(HTTPStatus.OK, self.status())
+                return json_response(HTTPStatus.OK, self.status())
             case "POST", "/registry/renew":
                 return await self._renew(call)
         if call.path.startswith(TARGETS_PATH):
             return await self._write(call, call.path.removeprefix(TARGETS_PATH))
-        return error_answer(HTTPStatus.NOT_FOUND, f"no {call.method} {call.path}")
+        return error_response(HTTPStatus.NOT_FOUND, f"no {call.method} {call.path}")
 
     async def _read(self, call: HttpRequest) -> HttpResponse:
         try:
             query = watch.parse_query(call, self.config.max_wait_ms)
         except InvalidFieldError:
-            return error_answer(HTTPStatus.BAD_REQUEST, "since and timeout_ms are whole numbers")
+            return error_response(HTTPStatus.BAD_REQUEST, "since and timeout_ms are whole numbers")
         page = await watch.page_after_change(self.catalog.page, query, lambda: self._next_change)
-        return watch.page_answer(page, {STALE_HEADER: "1"} if self.is_stale() else {})
+        return watch.page_response(page, {STALE_HEADER: "1"} if self.is_stale() else {})
 
     async def _write(self, call: HttpRequest, uid: str) -> HttpResponse:
         change = new_change_id()
@@ -179,18 +180,18 @@
         if call.method == "DELETE":
             revision = await self.commit(self.catalog.remove, uid, unix_ms())
             log.info("target_removed", rev=revision)
-            return json_answer(HTTPStatus.OK, {"rev": revision, "change": change})
+            return json_response(HTTPStatus.OK, {"rev": revision, "change": change})
         if call.method != "PUT":
-            return error_answer(HTTPStatus.METHOD_NOT_ALLOWED, "PUT or DELETE")
+            return error_response(HTTPStatus.METHOD_NOT_ALLOWED, "PUT or DELETE")
         try:
             target = _target_in(call.body, uid)
-        except ValueError as failure:  # orjson's error is one too
+        except ValueError as failure:  # also the base of orjson's error
             reason = str(failure)[:MAX_ERROR_CHARACTERS]
             log.warning("target_rejected", why=reason)
-            return error_answer(HTTPStatus.BAD_REQUEST, reason)
+            return error_response(HTTPStatus.BAD_REQUEST, reason)
         revision = await self.commit(self.catalog.put, target, unix_ms())
         log.info("target_put", rev=revision, state=target["state"], endpoint=target["endpoint"])
-        return json_answer(HTTPStatus.OK, {"rev": revision, "change": change})
+        return json_response(HTTPStatus.OK, {"rev": revision, "change": change})
 
     async def _renew(self, call: HttpRequest) -> HttpResponse:
         try:
@@ -199,23 +200,23 @@
                 raise InvalidFieldError(field="uids", value=uids, problem="not a list of texts")
         except (ValueError, KeyError, TypeError) as failure:
             reason = f"renew wants {{'uids': [...]}}: {failure}"
-            return error_answer(HTTPStatus.BAD_REQUEST, reason[:MAX_ERROR_CHARACTERS])
-        return json_answer(HTTPStatus.OK, {"unknown": await self.leases.renew(uids)})
+            return error_response(HTTPStatus.BAD_REQUEST, reason[:MAX_ERROR_CHARACTERS])
+        return json_response(HTTPStatus.OK, {"unknown": await self.leases.renew(uids)})
 
 
 def _target_in(body: bytes, uid: str) -> Target:
-    """The target of a body under the path of this uid; ValueError says what is wrong."""
-    row = orjson.loads(body)
-    if isinstance(row, dict):
-        row.setdefault("uid", uid)
-    target = validate_target(row)
+    """Decode the target put under this uid; raise a ValueError with the reason if it is invalid."""
+    decoded = orjson.loads(body)
+    if isinstance(decoded, dict):
+        decoded.setdefault("uid", uid)
+    target = validate_target(decoded)
     if target["uid"] != uid:
         raise InvalidFieldError(field="uid", value=target["uid"], problem="not the one in the path")
     return target
 
 
 async def run_instance(config: InstanceSettings, log: structlog.stdlib.BoundLogger) -> None:
-    """Serve until SIGTERM or SIGINT; then close the listener and leave the Raft group."""
+    """Serve until SIGTERM or SIGINT, then close the listener and stop the Raft member."""
     instance = RegistryInstance(config, log)
     server = await serve(config.listen, instance.handle)
     tasks = [
--- a/loadbalancer/registry/settings.py
+++ b/loadbalancer/registry/settings.py
@@ -1,6 +1,6 @@
 """Settings of the list service's programs, read from TOML files.
 
-An error names the key and its line, or the line that the TOML parser could not read.
+An error names the key and its line, or the line that the TOML parser rejected.
 """
 
 from __future__ import annotations
@@ -14,62 +14,61 @@
 from loadbalancer.registry.toml_table import TomlFile, TomlTable
 from loadbalancer.registry.watch import MAX_WAIT_MS
 
-# pysyncobj opens a connection anew that was silent for so long. It does not start with an election time above
-# it, nor with one that is not above so many append periods.
+# pysyncobj reconnects a connection that was silent for this time. It does not start with an election timeout
+# above it, nor with one of MIN_APPEND_PERIODS append periods or fewer.
 CONNECTION_TIMEOUT_MS = 1_500
 MIN_APPEND_PERIODS = 3
 
-# Renewals are sent every fifth of the lease, and each takes some 50 ms to commit.
+# Five renewals are sent per lease term, and each takes about 50 ms to commit.
 MIN_MEMBER_LEASE_MS = 200
 MAX_MEMBER_LEASE_MS = 600_000
 
 
 @dataclass(slots=True, frozen=True)
 class MemberSettings:
-    """What the list service does for the fleet: `[members]` of an instance's file (docs/fleet.md)."""
+    """Settings of the fleet's members: `[members]` of an instance's file (docs/fleet.md)."""
 
-    ttl_ms: int = 5_000  # a node's lease; the longest that any leader had is in force for all
-    clock_bound_ms: int = 250  # nodes' estimates of service time differ by less
-    prepare_ms: int = 10_000  # a proposed route version has to be prepared by all in this time
-    clock_offset_ms: int = 0  # for tests alone: sets this instance's clocks wrong
-    groups: bool = False  # a group for each service that members name; once all instances know them
+    ttl_ms: int = 5_000  # a node's lease term; the longest of all leaders so far is in force
+    clock_bound_ms: int = 250  # upper bound on the difference of nodes' estimates of service time
+    prepare_ms: int = 10_000  # time within which all members must prepare a proposed route version
+    clock_offset_ms: int = 0  # only for tests: shifts this instance's clocks
+    groups: bool = False  # one group per service that members name; requires support by all instances
 
 
 @dataclass(slots=True, frozen=True)
 class InstanceSettings:
-    """One instance of the list service: its file's tables `[instance]`, `[lease]`, `[watch]` and so on."""
+    """Settings of an instance: `[instance]`, `[lease]`, `[watch]`, `[raft]` and `[members]` of its file."""
 
     name: str
     listen: Address  # HTTP: PROTOCOL's reads and the registry's writes
-    raft: str  # host:port of this instance among its peers
-    peers: tuple[str, ...]  # the others' raft addresses
+    raft: str  # host:port for Raft
+    peers: tuple[str, ...]  # the other instances' host:port for Raft
     data: Path  # the folder of the Raft journal and snapshot
-    ttl_ms: int = 10_000  # a target whose lease is not renewed for so long is removed
-    max_wait_ms: int = MAX_WAIT_MS  # of a watch
-    max_tombstones: int = 10_000  # kept for watches from earlier revisions; the file's `keep_gone`
-    # A follower applies a write when the leader's next append says that it is committed, so the append period
-    # bounds how late an instance that agents follow shows a change.
+    ttl_ms: int = 10_000  # a target whose lease is not renewed for this time is removed
+    max_wait_ms: int = MAX_WAIT_MS  # longest wait of a watch
+    max_tombstones: int = 10_000  # stored for watches from earlier revisions; `keep_gone` in the file
+    # A follower applies a write when the leader's next append reports it as committed, so the append period
+    # bounds the delay after which watches on a follower see a change.
     append_period_ms: int = 10
-    election_min_ms: int = 400  # a leader silent for so long (a random time up to the maximum) is replaced
+    election_min_ms: int = 400  # minimum of the random timeout after which a silent leader is replaced
     election_max_ms: int = 1_000
     members: MemberSettings = MemberSettings()
 
 
 @dataclass(slots=True, frozen=True)
 class AgentSettings:
-    """The per-machine agent: `[agent]` of its file."""
+    """Settings of the per-machine agent: `[agent]` of its file."""
 
-    listen: Address  # what the node knows as $PROXY_DISCOVERY
-    registries: tuple[Address, ...]  # the instances, asked in turn
-    wait_ms: int = (
-        2_000  # of each watch on an instance, and so the longest time a silent partition goes unseen
-    )
+    listen: Address  # the node's $PROXY_DISCOVERY
+    registries: tuple[Address, ...]  # the instances, tried in turn
+    # The wait of each watch on an instance, and so the longest time until a silent partition is noticed.
+    wait_ms: int = 2_000
     retry_max_ms: int = 2_000  # the longest backoff between failed calls
-    empty_hold_ms: int = 10_000  # a complete list without targets empties the cache only after so long
+    empty_hold_ms: int = 10_000  # time before an empty list replaces the cached targets
 
 
 def load_instance(path: Path) -> InstanceSettings:
-    """An instance's settings; ConfigError says what is wrong."""
+    """Read an instance's settings; raise ConfigError if they are invalid."""
     file = TomlFile(path)
     instance, lease, watch, raft, members = (
         file.table(name) for name in ("instance", "lease", "watch", "raft", "members")
@@ -97,16 +96,16 @@
 
 
 def _election_times(raft: TomlTable, append_period_ms: int, default: dict[str, Any]) -> tuple[int, int]:
-    """The least and the most, in ms; ConfigError for times with which pysyncobj would not start."""
-    least = raft.positive("election_min_ms", default["election_min_ms"])
-    most = raft.positive("election_max_ms", default["election_max_ms"])
-    if least <= MIN_APPEND_PERIODS * append_period_ms:
+    """Return the minimum and maximum in ms; raise ConfigError if pysyncobj would not start with them."""
+    min_ms = raft.positive("election_min_ms", default["election_min_ms"])
+    max_ms = raft.positive("election_max_ms", default["election_max_ms"])
+    if min_ms <= MIN_APPEND_PERIODS * append_period_ms:
         raise raft.error(key="election_min_ms", problem=f"not above {MIN_APPEND_PERIODS} x append_period_ms")
-    if least >= most:
+    if min_ms >= max_ms:
         raise raft.error(key="election_max_ms", problem="not above election_min_ms")
-    if most > CONNECTION_TIMEOUT_MS:
-        raise raft.error(key="election_max_ms", problem=f"{most} is over {CONNECTION_TIMEOUT_MS}")
-    return least, most
+    if max_ms > CONNECTION_TIMEOUT_MS:
+        raise raft.error(key="election_max_ms", problem=f"{max_ms} is over {CONNECTION_TIMEOUT_MS}")
+    return min_ms, max_ms
 
 
 def _load_members(members: TomlTable) -> MemberSettings:
@@ -126,7 +125,7 @@
 
 
 def load_agent(path: Path) -> AgentSettings:
-    """An agent's settings; ConfigError says what is wrong."""
+    """Read an agent's settings; raise ConfigError if they are invalid."""
     agent = TomlFile(path).table("agent")
     default = _defaults(AgentSettings)
     registries = agent.addresses("registries")
@@ -142,5 +141,5 @@
 
 
 def _defaults(settings: type[Any]) -> dict[str, Any]:
-    """The default value of each field of a settings class."""
+    """Return the default value of each field of a settings class."""
     return {field.name: field.default for field in fields(settings)}
--- a/loadbalancer/registry/signals.py
+++ b/loadbalancer/registry/signals.py
@@ -1,4 +1,4 @@
-"""The end of a program of the list service: it runs until the system asks it to stop."""
+"""The stop signals of the list service's programs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 async def wait_for_stop() -> None:
-    """Return at SIGTERM or SIGINT."""
+    """Wait for SIGTERM or SIGINT."""
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -1,11 +1,11 @@
-"""The stored form of the replicated state: maps the names in a snapshot to the present ones, both ways.
+"""The stored form of the replicated state: maps the names in a snapshot to the current ones, both ways.
 
 pysyncobj snapshots are pickles, which name a class by its module path and a field by its attribute name. The
-names in use when the format was first released stay in the files, so that every release reads the
-snapshots of every other one (instances are upgraded one at a time, and send one another their snapshots):
+files keep the names in use when the format was first released, so that every release reads the snapshots of
+every other one. Instances are upgraded one at a time and send each other their snapshots. The rules:
 
-- A class that moves or is renamed keeps its row in `STORED_CLASSES`; only `present` changes.
-- A field that is renamed is added to `renamed` of its class's row, as present name -> stored name.
+- A class that is moved or renamed keeps its entry in `STORED_CLASSES`; only `present` changes.
+- A field that is renamed is added to `renamed` of its class's entry, as current name -> stored name.
 - A frozen dataclass with slots is stored as the list of its values, so its field *order* is the stored form.
 """
 
@@ -28,11 +28,11 @@
 from loadbalancer.routing.coordinator import ActivationCoordinator
 from loadbalancer.routing.version_record import PendingActivation, VersionRecord
 
-PROTOCOL = 2  # pysyncobj's
+PROTOCOL = 2  # the pickle protocol of pysyncobj
 
-Reduced = tuple[Any, ...]  # of `object.__reduce__`: a callable, its arguments and, mostly, a state
+Reduced = tuple[Any, ...]  # the result of `object.__reduce__`: a callable, its arguments, often a state
 Writer = Callable[[Any], Reduced]
-State = tuple[None, dict[str, object]] | dict[str, object]  # of a class with or without slots
+State = tuple[None, dict[str, object]] | dict[str, object]  # with slots or without
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,7 +42,7 @@
     module: str
     name: str
     present: type[Any]
-    renamed: Mapping[str, str] = field(default_factory=dict)  # present field name -> stored field name
+    renamed: Mapping[str, str] = field(default_factory=dict)  # current field name -> stored field name
 
 
 STORED_CLASSES = (
@@ -83,10 +83,10 @@
 
 
 class StoredObject:
-    """Takes the place of a class under its stored name, since pickle writes only names that it can import.
+    """Base of placeholders for classes under their stored names, as pickle writes only importable names.
 
-    It is never created while a snapshot is written or read here; `pickle.load` of a snapshot creates it, with
-    the stored constructor arguments and state.
+    Writing and reading snapshots here creates no instance of it; a plain `pickle.load` of a snapshot does,
+    with the stored constructor arguments and state.
     """
 
     def __init__(self, *args: object) -> None:
@@ -97,18 +97,18 @@
 
 
 def _register(stored: StoredClass) -> type[StoredObject]:
-    """A stand-in class that can be imported by its stored name."""
+    """Create and return a placeholder class that can be imported by its stored name."""
     parts = stored.module.split(".")
     for count in range(1, len(parts) + 1):
         path = ".".join(parts[:count])
         sys.modules.setdefault(path, ModuleType(path, "Names of classes in stored snapshots."))
-    stand_in = type(stored.name, (StoredObject,), {"__module__": stored.module})
-    setattr(sys.modules[stored.module], stored.name, stand_in)
-    return stand_in
+    placeholder = type(stored.name, (StoredObject,), {"__module__": stored.module})
+    setattr(sys.modules[stored.module], stored.name, placeholder)
+    return placeholder
 
 
 def _rename(state: object, names: Mapping[str, str]) -> object:
-    """A pickled state with its fields renamed, in whichever form its class is pickled in."""
+    """Return a pickled state with its fields renamed, for each form of state."""
     if not names:
         return state
     match state:
@@ -116,16 +116,16 @@
             return {names.get(name, name): value for name, value in state.items()}
         case (None, dict() as slots):
             return None, {names.get(name, name): value for name, value in slots.items()}
-        case _:  # the values in the order of the fields
+        case _:  # a list of the values, in the order of the fields
             return state
 
 
 def _reader(stored: StoredClass) -> type[Any]:
-    """The class to read objects of this stored class with; what has been read is of the present class.
+    """Return the class with which pickle reads objects of this stored class.
 
-    Where fields have been renamed it is a subclass of the present class with the same layout. pickle creates
-    an object of it and hands it the stored state; the object then becomes one of the present class, so that
-    references to it that were read before stay valid.
+    If fields were renamed, this is a subclass of the current class with the same layout. pickle creates an
+    instance and passes it the stored state; the instance then changes its class to the current one, so that
+    references to it that pickle has already stored stay valid.
     """
     present = stored.present
     if not stored.renamed:
@@ -146,22 +146,22 @@
 
 
 def _writer(stored: StoredClass) -> Writer:
-    """Gives the reduced form of an object of this class, under its stored names."""
-    stand_in = _register(stored)
+    """Return a function that gives the reduced form of an object of this class, under stored names."""
+    placeholder = _register(stored)
     if issubclass(stored.present, Enum):
-        return lambda member: (stand_in, (member.value,))
-    # `copyreg.__newobj__` would demand that the object is an instance of the class that is written. The
-    # arguments are the same tuple for each object, so that they are written once.
+        return lambda member: (placeholder, (member.value,))
+    # `copyreg.__newobj__` would require the object to be an instance of the class that is written. All
+    # objects share one tuple of arguments, so that pickle writes it once.
     create: Callable[..., Any] = copyreg._reconstructor  # type: ignore[attr-defined]
-    arguments = (stand_in, object, None)
+    arguments = (placeholder, object, None)
     state_of = _state_getter(stored.present, stored.renamed)
     return lambda instance: (create, arguments, state_of(instance))
 
 
 def _state_getter(present: type[Any], renamed: Mapping[str, str]) -> Callable[[Any], Any]:
-    """Gives the state of an object of this class as pickle would, with its fields renamed."""
+    """Return a function that gives an object's state as pickle would, with its fields renamed."""
     if is_dataclass(present) and present.__getstate__ is object.__getstate__:
-        names = [one.name for one in fields(present)]
+        names = [item.name for item in fields(present)]
         stored_names = [renamed.get(name, name) for name in names]
         values = operator.attrgetter(*names)
         return lambda instance: (None, dict(zip(stored_names, values(instance), strict=True)))
@@ -169,19 +169,19 @@
 
 
 class StoredForm:
-    """Writes and reads pickles in which objects of these classes stand under their stored names."""
+    """Writes and reads pickles in which these classes have their stored names."""
 
     def __init__(self, classes: Iterable[StoredClass]) -> None:
-        listed = tuple(classes)
-        self._readers = {(stored.module, stored.name): _reader(stored) for stored in listed}
-        self._writers = {stored.present: _writer(stored) for stored in listed}
+        stored_classes = tuple(classes)
+        self._readers = {(stored.module, stored.name): _reader(stored) for stored in stored_classes}
+        self._writers = {stored.present: _writer(stored) for stored in stored_classes}
 
     def dump(self, value: object, file: IO[bytes] | GzipFile) -> None:
         """Write one object."""
         _Pickler(file, self._writers).dump(value)
 
-    def load(self, file: IO[bytes] | GzipFile) -> Any:  # noqa: ANN401  # of whichever type was written
-        """Read one object; AttributeError or ImportError where it names a class that is not there."""
+    def load(self, file: IO[bytes] | GzipFile) -> Any:  # noqa: ANN401  # the type that was written
+        """Read one object; raise AttributeError or ImportError if it names an unknown class."""
         return _Unpickler(file, self._readers).load()
 
 
@@ -190,7 +190,7 @@
         super().__init__(file, PROTOCOL)
         self._writers = writers
 
-    def reducer_override(self, value: object) -> Any:  # noqa: ANN401  # as pickle calls it
+    def reducer_override(self, value: object) -> Any:  # noqa: ANN401  # pickle's signature
         writer = self._writers.get(type(value))
         return NotImplemented if writer is None else writer(value)
 
@@ -200,7 +200,7 @@
         super().__init__(file)
         self._readers = readers
 
-    def find_class(self, module: str, name: str) -> Any:  # noqa: ANN401  # as pickle calls it
+    def find_class(self, module: str, name: str) -> Any:  # noqa: ANN401  # pickle's signature
         reader = self._readers.get((module, name))
         return super().find_class(module, name) if reader is None else reader
 
--- a/loadbalancer/registry/target_leases.py
+++ b/loadbalancer/registry/target_leases.py
@@ -1,7 +1,7 @@
-"""The leases of targets: renewals committed in batches, and the leader's removal of targets that expire.
+"""The leases of targets: renewals committed in batches, and the removal of expired targets by the leader.
 
-Their times are Unix times of whichever instance proposed the renewal, unlike the members' (fleet_leader.py):
-a target that is removed early registers again, and is off the list only until then.
+Unlike members' leases (fleet_leader.py), they are measured in Unix time of the instances that proposed the
+renewals. A wrong clock may remove a target early, but the target then registers again and is soon relisted.
 """
 
 from __future__ import annotations
@@ -18,24 +18,27 @@
 from loadbalancer.registry.catalog import TargetCatalog
 from loadbalancer.registry.raft import RAFT_LEADER
 
-RENEWAL_WINDOW_S = 0.05  # renewals of this time share a command
-CHECK_PERIOD_S = 0.25  # of the leader's search for leases that have expired
+RENEWAL_WINDOW_S = 0.05  # renewals that arrive within this time share a command
+CHECK_PERIOD_S = 0.25  # between the leader's checks for expired leases
 CHANGE_ID_LENGTH = 12
 MS_PER_S = 1000
 
 
 def unix_ms() -> int:
-    """The wall clock."""
+    """Return the wall clock as Unix time in ms."""
     return int(time.time() * MS_PER_S)
 
 
 def new_change_id() -> str:
-    """A random text that identifies one change in logs and answers."""
+    """Return a random text that identifies one change in logs and responses."""
     return uuid.uuid4().hex[:CHANGE_ID_LENGTH]
 
 
 class TargetLeases:
-    """`commit` proposes a command and returns its result; it raises TimeoutError or ConnectionError."""
+    """Renews and expires the leases of targets.
+
+    `commit` proposes a command and returns its result; it raises TimeoutError or ConnectionError.
+    """
 
     def __init__(
         self,
@@ -47,10 +50,10 @@
     ) -> None:
         self._catalog, self._raft, self._ttl_ms, self._commit, self._log = catalog, raft, ttl_ms, commit, log
         self._renewals: dict[str, list[asyncio.Future[bool]]] = {}
-        self.granted_term = -1  # the last term in which this instance, leading, has renewed all leases
+        self.granted_term = -1  # the last term in which this instance renewed all leases as leader
 
     async def renew(self, uids: list[str]) -> list[str]:
-        """Renew with the next batch; returns those that are not listed. TimeoutError where not committed."""
+        """Renew with the next batch; return the uids not listed. Raise TimeoutError if not committed."""
         waits = []
         for uid in uids:
             waits.append(asyncio.get_running_loop().create_future())
@@ -75,7 +78,7 @@
             failed = True
         for uid, waits in batch.items():
             for wait in waits:
-                if wait.done():  # cancelled with its caller
+                if wait.done():  # its caller was cancelled
                     continue
                 if failed:
                     wait.set_exception(TimeoutError())
@@ -83,7 +86,7 @@
                     wait.set_result(uid not in unknown)
 
     async def expire_leases(self) -> None:
-        """As leader: renew every lease once, then remove the targets whose leases expire; until cancelled."""
+        """As leader, renew every lease once per term and remove expired targets, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_PERIOD_S)
             raft = self._raft.getStatus()
--- a/loadbalancer/registry/target_list.py
+++ b/loadbalancer/registry/target_list.py
@@ -1,4 +1,4 @@
-"""A list of targets by revision, from which a watch reads what has changed since a revision that it knows."""
+"""A list of targets with revisions, from which a watch reads the changes since a known revision."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListPage:
-    """What a read returns: the revision it shows, and either the complete list or the entries changed."""
+    """The result of a read: its revision, and either the complete list or the changed entries."""
 
     revision: int
     complete: bool
@@ -19,20 +19,20 @@
 class TargetList:
     """Targets by uid, each with the revision of its last change.
 
-    A target that is removed stays as a tombstone until `max_tombstones` newer ones push it out. A watch from
-    a revision before the oldest tombstone kept is answered with the complete list.
+    A removed target remains as a tombstone until there are `max_tombstones` newer ones. A watch from a
+    revision before that of a dropped tombstone gets the complete list.
     """
 
     def __init__(self, max_tombstones: int, revision: int = 0) -> None:
         self._max_tombstones = max_tombstones
         self.revision = revision
-        self.horizon = revision  # changes since an earlier revision are unknown
+        self.horizon = revision  # the earliest revision since which all changes are known
         self.targets: dict[str, Target] = {}
-        self.tombstones: dict[str, Target] = {}  # in the order of their removal
-        self.change_revisions: dict[str, int] = {}  # of targets and tombstones, in the order of their changes
+        self.tombstones: dict[str, Target] = {}  # in order of removal
+        self.change_revisions: dict[str, int] = {}  # of targets and tombstones, in order of change
 
     def put(self, target: Target, revision: int) -> bool:
-        """Add or replace a target; False where it is listed already with equal fields."""
+        """Add or replace a target; return False if an equal one is already listed."""
         uid = target["uid"]
         if self.targets.get(uid) == target:
             return False
@@ -42,7 +42,7 @@
         return True
 
     def remove(self, uid: str, revision: int) -> bool:
-        """Replace a target by a tombstone; False where it is not listed."""
+        """Replace a target by a tombstone; return False if it is not listed."""
         target = self.targets.pop(uid, None)
         if target is None:
             return False
@@ -55,10 +55,10 @@
         return True
 
     def page(self, since: int | None) -> ListPage:
-        """The entries changed after `since`.
+        """Return the entries changed after `since`, or the complete list.
 
-        The complete list where `since` is None, before the horizon, or a revision that this list never had,
-        as after the list was rebuilt.
+        The list is complete if `since` is None, is before the horizon, or is later than the current revision,
+        which happens after the list was rebuilt.
         """
         if since is None or since < self.horizon or since > self.revision:
             return ListPage(self.revision, True, tuple(self.targets.values()))
@@ -70,5 +70,5 @@
         return target if target is not None else {**self.tombstones[uid], "state": GONE}
 
     def _record_change(self, uid: str, revision: int) -> None:
-        self.change_revisions.pop(uid, None)  # a dict keeps the order of insertion
+        self.change_revisions.pop(uid, None)  # moves the uid to the end of the dict
         self.change_revisions[uid] = revision
--- a/loadbalancer/registry/watch.py
+++ b/loadbalancer/registry/watch.py
@@ -1,4 +1,4 @@
-"""PROTOCOL's watch, as an instance and an agent both serve it: the query, the wait, the answer."""
+"""PROTOCOL's watch, served by instances and agents: the query, the wait, the response."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class WatchQuery(NamedTuple):
-    """What a watch asks for."""
+    """The query of a watch."""
 
-    since: int | None  # the revision that the caller knows; None for the complete list
-    wait_s: float  # how long to wait for a change
+    since: int | None  # the caller's revision; None for the complete list
+    wait_s: float  # longest time to wait for a change
 
 
 def optional_integer(call: HttpRequest, name: str) -> int | None:
-    """A field of the query; None where it is missing or empty, InvalidFieldError where it is no integer."""
+    """Return an integer of the query, None if missing or empty; raise InvalidFieldError if invalid."""
     text = call.query.get(name, "")
     if not text:
         return None
@@ -36,7 +36,7 @@
 
 
 def parse_query(call: HttpRequest, max_wait_ms: int = MAX_WAIT_MS) -> WatchQuery:
-    """The query's `since` and `timeout_ms`, the latter limited to `max_wait_ms`; InvalidFieldError."""
+    """Return `since` and `timeout_ms` (at most `max_wait_ms`); raise InvalidFieldError if invalid."""
     since = optional_integer(call, "since")
     wait_ms = optional_integer(call, "timeout_ms") or 0
     return WatchQuery(since, max(0, min(wait_ms, max_wait_ms, MAX_WAIT_MS)) / MS_PER_S)
@@ -47,7 +47,7 @@
     query: WatchQuery,
     next_change: Callable[[], asyncio.Future[None]],
 ) -> ListPage:
-    """The page since the query's revision as soon as it has entries, or empty when the wait is over."""
+    """Return the page since the query's revision once it has entries, or empty when the wait is over."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + query.wait_s
     page = page_since(query.since)
@@ -58,7 +58,7 @@
 
 
 async def wait_until(change: asyncio.Future[None], deadline_s: float) -> None:
-    """Return once the future is done or the event loop's clock shows the deadline."""
+    """Wait until the future is done or the deadline on the event loop's clock is reached."""
     try:
         async with asyncio.timeout(deadline_s - asyncio.get_running_loop().time()):
             await asyncio.shield(change)
@@ -66,10 +66,10 @@
         pass
 
 
-def page_answer(
+def page_response(
     page: ListPage, headers: dict[str, str] | None = None, origin_revision: int | None = None
 ) -> HttpResponse:
-    """The answer to a watch. `origin_revision`: the service's revision, which an agent adds to its own."""
+    """Return the response to a watch; `origin_revision` is the service's, which an agent adds."""
     body = {"rev": page.revision, "all": page.complete, "targets": page.targets}
     if origin_revision is not None:
         body["origin_rev"] = origin_revision
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -107,7 +107,7 @@
     seqs = {row.incarnation: row.renewal_seq for row in state.records()}
     due = state.due_expiry([(1, seqs[1]), (4, seqs[4])], [2, 3])
     assert due is not None
-    newly, removed = state.expire(due.lapsed, due.support, due.repeated_enrolments)
+    newly, removed = state.expire(due.expired, due.attached, due.repeated_enrolments)
     assert (newly, removed) == ([1, 4], [1])  # of `find` nobody is attached: its row only lapses
     assert state.services["find"].records_by_incarnation[4].state is MemberState.EXPIRED
     assert state.due_expiry([(4, seqs[4])], [2, 3]) is None  # others' majority says nothing here
--- a/tests/registry/test_renewal_relay.py
+++ b/tests/registry/test_renewal_relay.py
@@ -14,7 +14,12 @@
 from loadbalancer.registry.batch import MAX_BATCH_COUNT
 from loadbalancer.registry.errors import NotCommittedError
 from loadbalancer.registry.messages import RenewRequest
-from loadbalancer.registry.renewal_relay import RENEW_MANY_PATH, RenewalRelay, decode_renewals, encode_answers
+from loadbalancer.registry.renewal_relay import (
+    RENEW_MANY_PATH,
+    RenewalRelay,
+    decode_renewals,
+    encode_responses,
+)
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 LOG = structlog.stdlib.get_logger()
@@ -47,7 +52,7 @@
         rows = [
             HttpResponse(404 if row.incarnation == 7 else 200, b"%d" % row.incarnation) for row in renewals
         ]
-        return encode_answers(rows)
+        return encode_responses(rows)
 
     answers = asyncio.run(relayed(lead, MAX_BATCH_COUNT + 20))
     assert [int(answer.body) for answer in answers] == list(range(MAX_BATCH_COUNT + 20))
--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -43,7 +43,7 @@
                     usable[node.core.incarnation] = node.core._last_answered
         plan = None
         if self.plan is not None:
-            lapsed, support, repeats = self.plan.lapsed, self.plan.support, self.plan.repeated_enrolments
+            lapsed, support, repeats = self.plan.expired, self.plan.attached, self.plan.repeated_enrolments
             seqs = tuple((number, numbers.get(number, 0) - seq) for number, seq in lapsed)
             plan = (seqs, tuple(support), repeats == state.repeated_enrolments)
         groups = [(NO_SERVICE, state.ledger), *sorted(state.services.items(), key=itemgetter(0))]
--- a/tests/support/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -340,7 +340,7 @@
 
     def _expire(self, plan: DueExpiry) -> None:
         state = self._log()
-        state.expire(plan.lapsed, plan.support, plan.repeated_enrolments)
+        state.expire(plan.expired, plan.attached, plan.repeated_enrolments)
         state.settle()
         self.service.clock.retain({row.incarnation for row in state.records()})
 
--- a/tests/wire/test_golden_registry.py
+++ b/tests/wire/test_golden_registry.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.node.http.service_http import HttpClient, HttpRequest
 from loadbalancer.registry.forwarding import forward
-from loadbalancer.registry.renewal_relay import RenewalRelay, decode_renewals, encode_answers
+from loadbalancer.registry.renewal_relay import RenewalRelay, decode_renewals, encode_responses
 from tests.support.golden import PRESENT
 from tests.support.golden_registry import replay_agent, replay_instance
 from tests.support.golden_relay import Functions, play
@@ -33,5 +33,7 @@
 
 
 def test_an_instance_passes_calls_and_renewals_on_to_the_one_that_leads() -> None:
-    played = play(Functions(HttpClient, HttpRequest, forward, RenewalRelay, decode_renewals, encode_answers))
+    played = play(
+        Functions(HttpClient, HttpRequest, forward, RenewalRelay, decode_renewals, encode_responses)
+    )
     assert orjson.loads(orjson.dumps(played)) == orjson.loads((DATA / "relay.json").read_bytes())
