--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -22,7 +22,7 @@
 from tests.support.invariant_sampler import Sample
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
-from tests.support.registry_processes import Registry, ask, until
+from tests.support.registry_processes import Registry, http_request, until
 from tests.support.stand_in_servers import ServerPool
 
 LIMIT_S = 180.0  # for anything that has to come about: the machine may be slow
@@ -240,13 +240,13 @@
         return len(marks) == self.plan.servers and "blind" not in marks
 
     def rows(self) -> list[dict[str, Any]]:
-        return ask(self.agents[0].port, "GET", "/fleet/members")[2]["members"]  # type: ignore[no-any-return]
+        return http_request(self.agents[0].port, "GET", "/fleet/members")[2]["members"]  # type: ignore[no-any-return]
 
     def routes(self) -> dict[str, Any]:
         return until(self._routes, LIMIT_S, "routes read")  # type: ignore[no-any-return]
 
     def _routes(self) -> dict[str, Any] | None:
-        status, _, told = ask(self.agents[0].port, "GET", "/fleet/routes")
+        status, _, told = http_request(self.agents[0].port, "GET", "/fleet/routes")
         return told if status == 200 else None
 
     # ------------------------------------------------------------------ routes
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -83,7 +83,7 @@
 
     @property
     def term(self) -> int | None:
-        """Raft's term in which this instance serves calls; each term has another clock behind service time."""
+        """Raft's term in which this instance serves calls; each term runs service time by another clock."""
         return self._term
 
     @property
--- a/tests/data/golden/generate_registry.py
+++ b/tests/data/golden/generate_registry.py
@@ -22,23 +22,23 @@
 
 
 def step(method: str, target: str, body: Any = "", until: str = "") -> dict[str, Any]:
-    row: dict[str, Any] = {"method": method, "target": target}
+    case: dict[str, Any] = {"method": method, "target": target}
     if body != "":
-        row["body"] = body
+        case["body"] = body
     if until:
-        row["until"] = until
-    return row
+        case["until"] = until
+    return case
 
 
 def post(path: str, body: Any = "") -> dict[str, Any]:
     return step("POST", f"/fleet/{path}", body)
 
 
-LEADS = step("GET", "/fleet/routes", until='"in_force"')
-SETTLED = step("GET", "/registry/status", until='"stale":false')
+LEADER_READY = step("GET", "/fleet/routes", until='"in_force"')
+NOT_STALE = step("GET", "/registry/status", until='"stale":false')
 
 TARGETS = [
-    SETTLED,
+    NOT_STALE,
     step("GET", "/discovery/hosts"),
     step("PUT", "/registry/targets/t1", TARGET | {"capacity_hint": 2, "state": "Ready"}),
     step("PUT", "/registry/targets/t1", TARGET | {"capacity_hint": 2, "state": "Ready"}),
@@ -60,10 +60,10 @@
     step("GET", "/discovery/hosts?since=x"),
     step("GET", "/discovery/hosts?since=&timeout_ms="),
     step("GET", "/nothing"),
-    SETTLED,
+    NOT_STALE,
 ]
 MEMBERS = [
-    LEADS,
+    LEADER_READY,
     step("GET", "/fleet/members"),
     post("enrol", ENROL),
     post("enrol", ENROL),
@@ -132,7 +132,7 @@
     step("POST", "/fleet/members"),
 ]
 SHORT_LEASES = [
-    LEADS,
+    LEADER_READY,
     step("PUT", "/fleet/routes", ROUTES),
     step("GET", "/fleet/routes", until='"in_force":{"number":1,'),
     post("routes/rollback", {"number": 0}),
@@ -142,7 +142,7 @@
     post("renew", RENEW),
 ]
 NO_GROUPS = [
-    LEADS,
+    LEADER_READY,
     post("enrol", ENROL | {"service": "pay"}),
     step("GET", "/fleet/members"),
     step("DELETE", "/fleet/members/n1?service=pay"),
@@ -172,12 +172,13 @@
 ]
 
 STORED = [
-    SETTLED,
+    NOT_STALE,
     step("GET", "/fleet/watch?incarnation=3&timeout_ms=0"),
     step("GET", "/discovery/hosts"),
     step("GET", "/discovery/hosts?since=12"),
     step("GET", "/discovery/hosts?since=1"),
-    step("GET", "/fleet/routes", until='"pending":null'),  # led, and past the deadline of the pending version
+    # Until there is a leader and the pending version's deadline has passed.
+    step("GET", "/fleet/routes", until='"pending":null'),
     *(step("GET", f"/fleet/routes/{number}") for number in range(7)),
 ]
 
@@ -195,7 +196,7 @@
 
 def main() -> None:
     release = Release(Path(sys.argv[1]), "orchidledge.registry", "orchidledge", "orchidledge.simhost")
-    out = Path(sys.argv[2])
+    output = Path(sys.argv[2])
     recorded: dict[str, Any] = {}
     for name, (members, peers, script) in SCRIPTS.items():
         with tempfile.TemporaryDirectory() as folder:
@@ -203,11 +204,11 @@
             if name in ON_STORED_DATA:
                 case["data"] = ON_STORED_DATA[name]
             recorded[name] = golden_registry.replay_instance(release, Path(folder), case)
-    (out / "registry.json").write_bytes(orjson.dumps(recorded, option=orjson.OPT_INDENT_2))
+    (output / "registry.json").write_bytes(orjson.dumps(recorded, option=orjson.OPT_INDENT_2))
     with tempfile.TemporaryDirectory() as folder:
         case = {"steps": AGENT, "calls": []}
-        said = golden_registry.replay_agent(release, Path(folder), case)
-    (out / "agent.json").write_bytes(orjson.dumps(said, option=orjson.OPT_INDENT_2))
+        recorded_agent = golden_registry.replay_agent(release, Path(folder), case)
+    (output / "agent.json").write_bytes(orjson.dumps(recorded_agent, option=orjson.OPT_INDENT_2))
 
 
 if __name__ == "__main__":
--- a/tests/registry/test_agent_empty_list.py
+++ b/tests/registry/test_agent_empty_list.py
@@ -1,4 +1,4 @@
-"""An agent without a list, beside an instance that has just started or has lost its data."""
+"""An agent without a cached list whose instance has just started or has lost its data."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 SILENT_S = 0.5
 
 
-def answer(targets: list[dict[str, Any]], headers: dict[str, str], revision: int) -> HttpResponse:
+def list_response(targets: list[dict[str, Any]], headers: dict[str, str], revision: int) -> HttpResponse:
     return HttpResponse(200, orjson.dumps({"rev": revision, "all": True, "targets": targets}), headers)
 
 
-async def listed(answers: list[HttpResponse]) -> list[str] | None:
-    """What a node is told by an agent whose instance answers so in turn, the last one on and on.
+async def list_from_agent(responses: list[HttpResponse]) -> list[str] | None:
+    """Return the uids that a node receives from an agent whose instance sends these responses in turn.
 
-    None where the agent says nothing.
+    The last response is repeated. Return None if the agent does not respond within SILENT_S.
     """
 
     async def handle(call: HttpRequest) -> HttpResponse:
         await asyncio.sleep(0.01)
-        return answers.pop(0) if len(answers) > 1 else answers[0]
+        return responses.pop(0) if len(responses) > 1 else responses[0]
 
     instance = await serve(("127.0.0.1", 0), handle)
     address = instance.sockets[0].getsockname()[:2]
@@ -40,8 +40,8 @@
     following = asyncio.create_task(follower.follow())
     try:
         port = agent.sockets[0].getsockname()[1]
-        reply = await send_request(("127.0.0.1", port), "GET", "/discovery/hosts", timeout_s=SILENT_S)
-        return [row["uid"] for row in orjson.loads(reply.body)["targets"]]
+        response = await send_request(("127.0.0.1", port), "GET", "/discovery/hosts", timeout_s=SILENT_S)
+        return [target["uid"] for target in orjson.loads(response.body)["targets"]]
     except TimeoutError:
         return None
     finally:
@@ -52,19 +52,19 @@
         instance.close()
 
 
-def test_an_empty_stale_list_is_not_passed_on_to_a_node_that_may_have_a_list_of_its_own() -> None:
-    """The node would drop the list of its state file for it, and reject every call."""
-    assert asyncio.run(listed([answer([], STALE, 0)])) is None
+def test_agent_without_list_withholds_empty_stale_list() -> None:
+    """A node would replace the list of its state file by the empty list and reject every request."""
+    assert asyncio.run(list_from_agent([list_response([], STALE, 0)])) is None
 
 
-def test_the_list_is_passed_on_once_the_instance_has_it() -> None:
-    answers = [answer([], STALE, 0), answer([], STALE, 0), answer([TARGET], {}, 1)]
-    assert asyncio.run(listed(answers)) == ["s-1"]
+def test_agent_serves_list_once_instance_is_not_stale() -> None:
+    responses = [list_response([], STALE, 0), list_response([], STALE, 0), list_response([TARGET], {}, 1)]
+    assert asyncio.run(list_from_agent(responses)) == ["s-1"]
 
 
-def test_a_stale_list_with_targets_is_better_than_none() -> None:
-    assert asyncio.run(listed([answer([TARGET], STALE, 1)])) == ["s-1"]
+def test_agent_without_list_serves_stale_list_with_targets() -> None:
+    assert asyncio.run(list_from_agent([list_response([TARGET], STALE, 1)])) == ["s-1"]
 
 
-def test_an_empty_list_that_is_not_stale_is_passed_on() -> None:
-    assert asyncio.run(listed([answer([], {}, 0)])) == []
+def test_agent_without_list_serves_empty_list_that_is_not_stale() -> None:
+    assert asyncio.run(list_from_agent([list_response([], {}, 0)])) == []
--- a/tests/registry/test_catalog_snapshot.py
+++ b/tests/registry/test_catalog_snapshot.py
@@ -1,4 +1,4 @@
-"""The target list that an instance takes over as a snapshot, while watches wait for it and reads go on."""
+"""A target list restored from a snapshot during concurrent watches and reads."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 def stored(revision: int) -> dict[str, Any]:
-    """What a snapshot holds of a list at this revision."""
+    """Return the catalog's part of a snapshot at this revision."""
     catalog = TargetCatalog(max_tombstones=5, on_change=lambda revision: None)
-    for at in range(revision):
-        row = {"uid": f"s-{at}", "endpoint": f"127.0.0.1:{1 + at}"}
-        catalog.put(validate_target(row), 0, _doApply=True)
+    for number in range(revision):
+        target = {"uid": f"s-{number}", "endpoint": f"127.0.0.1:{1 + number}"}
+        catalog.put(validate_target(target), 0, _doApply=True)
     return catalog._serialize()
 
 
-def test_a_watch_is_answered_as_soon_as_the_instance_has_taken_a_snapshot_over() -> None:
-    """An instance that was far behind gets what it lacks as a snapshot and no commands."""
+def test_watch_returns_once_snapshot_is_restored() -> None:
+    """An instance that is far behind receives a snapshot, not commands; it must wake watches too."""
 
     async def main() -> tuple[int, int, float]:
         loop = asyncio.get_running_loop()
@@ -39,7 +39,7 @@
     assert waited_s < WAIT_S / 4
 
 
-def test_no_list_is_read_between_two_parts_of_a_snapshot() -> None:
+def test_snapshot_is_restored_under_one_lock() -> None:
     catalog = TargetCatalog(max_tombstones=5, on_change=lambda revision: None)
     locked: list[bool] = []
 
--- a/tests/registry/test_fleet_catalog.py
+++ b/tests/registry/test_fleet_catalog.py
@@ -1,4 +1,4 @@
-"""The fleet's replicated state on its own: terms, late commands, snapshots across releases."""
+"""`FleetCatalog` without Raft: terms, late commands, snapshots across releases."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from loadbalancer.registry.snapshot_file import SnapshotFile
 from loadbalancer.registry.target import validate_target
 
-ABOUT = ("n1", "127.0.0.1:9001", "z", "s1")
+IDENTITY = ("n1", "127.0.0.1:9001", "z", "s1")
 
 
-class Log:
-    """A catalog with its commands applied at once, as one instance that leads would."""
+class AppliedLog:
+    """A catalog whose commands are applied at once, as on a leader without peers."""
 
     def __init__(self) -> None:
         self.changes = 0
@@ -38,11 +38,11 @@
         return getattr(self.catalog, command)(*args, _doApply=True)
 
 
-def test_what_a_replaced_leader_proposed_grants_and_ends_nothing() -> None:
-    log = Log()
-    assert log("enrol", 9.0, 0, *ABOUT) is None  # before any leader has begun
+def test_commands_of_replaced_leader_change_nothing() -> None:
+    log = AppliedLog()
+    assert log("enrol", 9.0, 0, *IDENTITY) is None  # before any leader's term
     log.lead(1)
-    assert log("enrol", 10.0, 1, *ABOUT)[0].lease.quota == 1.0
+    assert log("enrol", 10.0, 1, *IDENTITY)[0].lease.quota == 1.0
     log.lead(3)
     late = [("renew_many", [(1, 9, 0, 1, 1.0)]), ("leave", 1), ("remove", "n1"), ("expire", [(1, 0)], [], 0)]
     assert [log(command, 99.0, 1, *args) for command, *args in late] == [None] * 4
@@ -55,70 +55,68 @@
         1.0,
     )
     assert log("renew_many", 11.0, 3, [(1, 9, 0, 1, 1.0), (8, 1, 0, 0, 0.0)])[1] is None
-    assert [row.seq for row in log.catalog.take_applied_renewals()] == [9]
+    assert [renewal.seq for renewal in log.catalog.take_applied_renewals()] == [9]
 
 
-def test_a_repeated_enrolment_voids_an_expiry_that_was_on_its_way() -> None:
-    log = Log()
+def test_repeated_enrolment_voids_expiry_decided_before() -> None:
+    log = AppliedLog()
     log.lead(1)
-    log("enrol", 10.0, 1, *ABOUT)
-    seen = log.catalog.read(lambda state: state.repeated_enrolments)
-    log("enrol", 20.0, 1, *ABOUT)  # its answer begins a lease
-    assert log("expire", 21.0, 1, [(1, 0)], [1], seen) == ([], [])
-    assert log("expire", 22.0, 1, [(1, 0)], [], seen + 1) == ([1], [])
+    log("enrol", 10.0, 1, *IDENTITY)
+    repeats = log.catalog.read(lambda state: state.repeated_enrolments)
+    log("enrol", 20.0, 1, *IDENTITY)  # its response begins a lease
+    assert log("expire", 21.0, 1, [(1, 0)], [1], repeats) == ([], [])
+    assert log("expire", 22.0, 1, [(1, 0)], [], repeats + 1) == ([1], [])
 
 
-def test_a_shorter_term_does_not_cut_leases_given_before_and_a_lost_clock_begins_an_epoch() -> None:
-    log = Log()
+def test_lead_keeps_longest_lease_term_and_begins_epoch_without_bound() -> None:
+    log = AppliedLog()
     assert log.lead(1, epoch=None, ttl_ms=9_000.0).epoch == 1
     assert log.lead(2, epoch=1, ttl_ms=500.0).ttl_ms == 9_000.0
     begun = log.lead(3, epoch=None)
-    assert (begun.epoch, log.lead(3, epoch=None).epoch) == (2, 2)  # said again after no answer: no other jump
+    # A repeated command begins no further epoch.
+    assert (begun.epoch, log.lead(3, epoch=None).epoch) == (2, 2)
 
 
-def test_a_decision_is_in_the_answer_of_the_very_entry_that_brought_it() -> None:
-    log = Log()
+def test_response_shows_decision_and_activation_by_its_own_log_entry() -> None:
+    log = AppliedLog()
     log.lead(1)
-    log("enrol", 10.0, 1, *ABOUT)
+    log("enrol", 10.0, 1, *IDENTITY)
     log("propose", 11.0, 1, "neutral = true\n# again\n", 5_000.0)
     assert log("vote", 12.0, 1, 1, 1, True, "").phase == "decided"
-    (told,) = log("renew_many", 13.0, 1, [(1, 1, 0, 1, 1.0)])
-    assert told.routes["pending"]["at"] == 12.0 + 1_000.0 + 50.0
-    assert told.lease.members is UNSET
-    (told,) = log("renew_many", 1_063.0, 1, [(1, 2, 1, 0, 1.0)])
-    assert told.routes["in_force"]["number"] == 1
-    assert told.lease.members[0].name == "n1"
+    (grant,) = log("renew_many", 13.0, 1, [(1, 1, 0, 1, 1.0)])
+    assert grant.routes["pending"]["at"] == 12.0 + 1_000.0 + 50.0
+    assert grant.lease.members is UNSET
+    (grant,) = log("renew_many", 1_063.0, 1, [(1, 2, 1, 0, 1.0)])
+    assert grant.routes["in_force"]["number"] == 1
+    assert grant.lease.members[0].name == "n1"
 
 
 @pytest.mark.parametrize("parts", [1, 2])
-def test_a_snapshot_from_before_the_fleet_is_read_and_one_of_now_brings_all_of_it(
-    tmp_path: Path, parts: int
-) -> None:
-    old, targets = Log(), TargetCatalog(9, lambda revision: None)
+def test_snapshot_restores_state_and_fleet_part_may_be_missing(tmp_path: Path, parts: int) -> None:
+    old, targets = AppliedLog(), TargetCatalog(9, lambda revision: None)
     old.lead(4)
-    old("enrol", 10.0, 4, *ABOUT)
+    old("enrol", 10.0, 4, *IDENTITY)
     targets.put(validate_target({"uid": "s-1", "endpoint": "127.0.0.1:1"}), 5, _doApply=True)
     path = str(tmp_path / "raft.dump")
     SnapshotFile([targets, old.catalog][:parts]).write(path, (("e", 1, 1), ("e", 2, 1), set()))
-    new, fresh = Log(), TargetCatalog(9, lambda revision: None)
+    new, fresh = AppliedLog(), TargetCatalog(9, lambda revision: None)
     assert SnapshotFile([fresh, new.catalog]).read(path) == (("e", 1, 1), ("e", 2, 1), set())
     assert fresh.counts() == (1, 1, 0)
     state = new.catalog.state
     assert (state.term, len(state.ledger.records())) == ((4, 1) if parts == 2 else (-1, 0))
     assert new.changes == parts - 1
-    with gzip.open(path) as file:  # pysyncobj's own layout: its part, then one for each consumer
+    with gzip.open(path) as file:  # pysyncobj's layout: its own part, then one per consumer
         assert len(pickle.load(file)[0]) == 1 + parts
 
 
-def test_the_clock_s_file_counts_in_one_run_of_the_machine_alone(tmp_path: Path) -> None:
+def test_clock_file_is_ignored_after_reboot_or_if_malformed(tmp_path: Path) -> None:
     clocks = ProcessClocks(0.0)
     file = ClockFile(tmp_path, clocks)
     assert file.load() is None
     known = ClockBound(ahead_ms=7.0, read_at_ms=clocks.monotonic_ms(), epoch=3)
     file.save(known)
     assert ClockFile(tmp_path, clocks).load() == known
-    assert (
-        ClockFile(tmp_path, ProcessClocks(2_000.0)).load() is None
-    )  # another clock, as after the machine's start
+    # Another monotonic clock, as after a reboot.
+    assert ClockFile(tmp_path, ProcessClocks(2_000.0)).load() is None
     (tmp_path / "service-clock.json").write_bytes(b'{"ahead": "x", "at": null}')
     assert ClockFile(tmp_path, clocks).load() is None
--- a/tests/registry/test_fleet_leader.py
+++ b/tests/registry/test_fleet_leader.py
@@ -1,4 +1,4 @@
-"""What an instance says that its callers wait for, while it does not lead the fleet."""
+"""`FleetLeader` on an instance that does not lead: the reported reason, and a start that must fail."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from loadbalancer.registry.fleet_leader import FleetLeader
 from loadbalancer.registry.service_clock import ServiceClock
 from loadbalancer.registry.settings import MemberSettings
-from tests.support.raft_double import Raft, commit
+from tests.support.fake_raft import FakeRaft, commit
 
 TTL_MS = 60_000
 
 
-def parts(folder: Path) -> tuple[Raft, FleetCatalog, FleetLeader]:
-    clocks, clock, raft = ProcessClocks(0.0), ServiceClock(), Raft()
+def make_leader(folder: Path) -> tuple[FakeRaft, FleetCatalog, FleetLeader]:
+    clocks, clock, raft = ProcessClocks(0.0), ServiceClock(), FakeRaft()
     fleet = FleetCatalog(clock, clocks.monotonic_ms, lambda groups: None)
     fleet._syncObj = raft
 
@@ -30,21 +30,21 @@
     return raft, fleet, FleetLeader(settings, "127.0.0.1:1", fleet, clock, file, commit, log)
 
 
-def test_an_instance_that_follows_tells_a_missing_leader_from_one_that_has_not_begun(tmp_path: Path) -> None:
-    raft, _, leader = parts(tmp_path)
+def test_follower_reports_missing_leader_or_leader_before_its_term(tmp_path: Path) -> None:
+    raft, _, leader = make_leader(tmp_path)
     assert leader.unavailable_reason() == "no leader in reach"
     raft.leader = "127.0.0.1:2"
     assert leader.unavailable_reason() == "the leader has not begun its term"
 
 
-def test_a_leader_tells_that_it_waits_for_a_quorum_or_for_service_time(tmp_path: Path) -> None:
-    raft, fleet, leader = parts(tmp_path)
+def test_starting_leader_reports_missing_quorum_or_service_time(tmp_path: Path) -> None:
+    raft, fleet, leader = make_leader(tmp_path)
     fleet.leader_term = 1
     raft.hasQuorum = False
     assert leader.unavailable_reason() == "the leader has no quorum"
     raft.hasQuorum = True
     assert leader.unavailable_reason() == "the leader begins its term"
-    fleet.state.log_ms = 5.0  # the log has service time, of which this instance knows nothing
+    fleet.state.log_ms = 5.0  # the log contains service time, but this instance has no bound on it
 
     async def main() -> str:
         starting = asyncio.create_task(leader._start_term(1))
@@ -60,8 +60,8 @@
     assert leader.unavailable_reason() == "the leader begins its term"
 
 
-def test_a_leader_that_was_replaced_does_not_begin(tmp_path: Path) -> None:
-    _, fleet, leader = parts(tmp_path)
+def test_replaced_leader_does_not_start_term(tmp_path: Path) -> None:
+    _, fleet, leader = make_leader(tmp_path)
     fleet.lead(0.0, 2, "127.0.0.1:2", None, 1_000.0, 50.0, _doApply=True)
     fleet.leader_term = 1
     with pytest.raises(LeaderReplacedError):
--- a/tests/registry/test_group_commands.py
+++ b/tests/registry/test_group_commands.py
@@ -1,4 +1,4 @@
-"""Commands as they stand in the list service's log: their numbers, and what they do to rows of a group."""
+"""Commands in the list service's log: their numbers and arguments, and draining in a group."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.service_clock import ServiceClock
 
-# What the journals of the first release with a fleet hold in place of names, from 0 on: a journal is read by
-# these numbers, so each must name the same command with the same arguments for good.
+# The commands of the first release with a fleet, in the order of their numbers, from 0 on. Journals contain
+# these numbers instead of names, so each must permanently mean the same command with the same arguments.
 RELEASED = [
-    *("expire", "grace", "put", "remove", "renew"),  # of the catalog
+    *("expire", "grace", "put", "remove", "renew"),  # of TargetCatalog
     *("decide", "enrol", "expire", "halt", "lead", "leave", "leaving", "propose", "remove", "renew_many"),
     *("rollback", "vote"),
 ]
@@ -49,7 +49,7 @@
     return TargetCatalog(max_tombstones=1, on_change=lambda revision: None), fleet
 
 
-def test_a_number_in_a_journal_names_the_same_command_for_good() -> None:
+def test_command_numbers_are_those_of_released_journals() -> None:
     targets, fleet = catalogs()
     raft = SyncObj(None, [], SyncObjConf(autoTick=False), consumers=[targets, fleet])
     try:
@@ -59,7 +59,7 @@
     assert [name.removesuffix("_v0") for name in numbered] == RELEASED + ADDED
 
 
-def test_the_commands_on_targets_have_the_first_numbers_and_those_on_the_fleet_the_rest() -> None:
+def test_target_commands_are_numbered_before_fleet_commands() -> None:
     targets, fleet = catalogs()
     raft = SyncObj(None, [], SyncObjConf(autoTick=False), consumers=[targets, fleet])
     try:
@@ -69,19 +69,19 @@
     assert owners == [targets] * len(TARGET_ARGUMENTS) + [fleet] * len(ARGUMENTS)
 
 
-def test_a_command_on_targets_has_the_arguments_that_it_was_written_with() -> None:
+def test_target_commands_have_released_arguments() -> None:
     for name, arguments in TARGET_ARGUMENTS.items():
         command = inspect.unwrap(getattr(TargetCatalog, name))
         assert list(inspect.signature(command).parameters)[1:] == arguments.split(), name
 
 
-def test_a_command_of_a_journal_has_the_arguments_that_it_was_written_with() -> None:
+def test_fleet_commands_have_released_arguments() -> None:
     for name, arguments in ARGUMENTS.items():
         command = inspect.unwrap(getattr(FleetCatalog, name))
         assert list(inspect.signature(command).parameters)[1:] == arguments.split(), name
 
 
-def test_a_member_of_a_group_that_drains_is_told_to_the_others_and_keeps_its_share() -> None:
+def test_draining_member_keeps_quota_and_raises_group_revision() -> None:
     _, fleet = catalogs()
     fleet.lead(0.0, 1, "127.0.0.1:1", None, 1_000.0, 50.0, _doApply=True)
     for name in ("n1", "n2"):
@@ -89,7 +89,7 @@
         fleet.write(1.0, 1, [command], _doApply=True)
     before = fleet.read(lambda state: state.services["pay"].revision)
     assert fleet.leaving(2.0, 1, 1, _doApply=True) is True
-    assert [(row["state"], row["share"]) for row in fleet.members("pay")["members"]] == [
+    assert [(member["state"], member["share"]) for member in fleet.members("pay")["members"]] == [
         ("leaving", 1.0),
         ("live", 0.0),
     ]
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -1,4 +1,4 @@
-"""Members grouped by service in the replicated state: shares, limits, member lists told as changes."""
+"""Members grouped by service in the replicated state: quotas, limits, deltas of member lists."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from loadbalancer.registry.stored_form import STORED_FORM
 
 TTL = 1_000.0
-MOST = 1.0 + 1e-9
+MAX_QUOTA_SUM = 1.0 + 1e-9
 
 
 def state_with_leader() -> FleetState:
@@ -37,31 +37,33 @@
 
 
 def renew_all(state: FleetState, turns: int = 3) -> None:
-    """Every process renews and takes what it is told, turn by turn."""
+    """Renew every process `turns` times, each with the quota that it was granted."""
     for _ in range(turns):
-        for row in list(state.records()):
-            grant = state.grant(row, -1, delta=False)
-            state.renew(row.incarnation, row.renewal_seq + 1, grant.revision, min(row.quota, grant.quota))
+        for record in list(state.records()):
+            grant = state.grant(record, -1, delta=False)
+            state.renew(
+                record.incarnation, record.renewal_seq + 1, grant.revision, min(record.quota, grant.quota)
+            )
 
 
-def totals(state: FleetState) -> dict[str, float]:
+def quota_sums(state: FleetState) -> dict[str, float]:
     return {NO_SERVICE: state.ledger.granted_quota()} | {
         service: ledger.granted_quota() for service, ledger in state.services.items()
     }
 
 
-def test_each_service_shares_a_whole_of_its_own_and_knows_only_its_members() -> None:
+def test_each_group_has_separate_quotas_and_member_list() -> None:
     state = state_with_leader()
     enrol(state, "pay", "n1", "n2")
     enrol(state, "find", "n3")
     renew_all(state)
-    assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0), "find": pytest.approx(1.0)}
+    assert quota_sums(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0), "find": pytest.approx(1.0)}
     grant = state.grant(next(state.services["pay"].records().__iter__()), -1, delta=False)
     assert [member.name for member in grant.members] == ["n1", "n2"]
     assert (grant.service, grant.quota) == ("pay", pytest.approx(0.5))
 
 
-def test_a_change_in_one_group_is_no_change_in_another() -> None:
+def test_change_in_one_group_leaves_other_revisions() -> None:
     state = state_with_leader()
     enrol(state, "pay", "n1")
     enrol(state, "find", "n2")
@@ -70,10 +72,10 @@
     assert state.group_revisions() == before | {"pay": before["pay"] + 1}
 
 
-def test_incarnations_rise_over_all_groups_and_past_the_end_of_one() -> None:
+def test_incarnations_rise_over_all_groups_and_after_end_of_a_service() -> None:
     state = state_with_leader()
-    rows = [*enrol(state, "pay", "n1"), *enrol(state, "find", "n2"), *enrol(state, NO_SERVICE, "n3")]
-    assert [row.incarnation for row in rows] == [1, 2, 3]
+    records = [*enrol(state, "pay", "n1"), *enrol(state, "find", "n2"), *enrol(state, NO_SERVICE, "n3")]
+    assert [record.incarnation for record in records] == [1, 2, 3]
     state.expire([(1, 0)], [1], state.repeated_enrolments)
     state.expire([(1, 0)], [], state.repeated_enrolments)
     state.end_service("pay")
@@ -81,81 +83,85 @@
     assert enrol(state, "pay", "n4")[0].incarnation == 4
 
 
-def test_members_that_name_no_service_count_in_every_group() -> None:
-    """As while nodes are upgraded one by one: the ones of before may balance to any service."""
+def test_members_without_service_count_in_every_group() -> None:
+    """While nodes are upgraded one by one, those of the earlier release may balance to any service."""
     state = state_with_leader()
     enrol(state, NO_SERVICE, "old1", "old2")
     renew_all(state)
-    assert totals(state)[NO_SERVICE] == pytest.approx(1.0)
+    assert quota_sums(state)[NO_SERVICE] == pytest.approx(1.0)
     enrol(state, "pay", "n1", "n2", "n3")
     enrol(state, "find", "n4")
-    assert totals(state) == {NO_SERVICE: pytest.approx(1.0), "pay": 0.0, "find": 0.0}
+    assert quota_sums(state) == {NO_SERVICE: pytest.approx(1.0), "pay": 0.0, "find": 0.0}
     for _ in range(6):
         renew_all(state, turns=1)
-        found = totals(state)
-        assert max(found["pay"], found["find"]) + found[NO_SERVICE] <= MOST
-    assert totals(state) == {
+        sums = quota_sums(state)
+        assert max(sums["pay"], sums["find"]) + sums[NO_SERVICE] <= MAX_QUOTA_SUM
+    assert quota_sums(state) == {
         NO_SERVICE: pytest.approx(2 / 5), "pay": pytest.approx(3 / 5), "find": pytest.approx(1 / 3)
     }  # fmt: skip
 
 
-def test_a_row_lapses_by_the_majority_of_its_own_group() -> None:
+def test_expired_member_is_removed_only_by_majority_of_its_group() -> None:
     state = state_with_leader()
     enrol(state, "pay", "n1", "n2", "n3")
     enrol(state, "find", "n4", "n5")
     renew_all(state)
-    seqs = {row.incarnation: row.renewal_seq for row in state.records()}
+    seqs = {record.incarnation: record.renewal_seq for record in state.records()}
     due = state.due_expiry([(1, seqs[1]), (4, seqs[4])], [2, 3])
     assert due is not None
-    newly, removed = state.expire(due.expired, due.attached, due.repeated_enrolments)
-    assert (newly, removed) == ([1, 4], [1])  # of `find` nobody is attached: its row only lapses
+    expired, removed = state.expire(due.expired, due.attached, due.repeated_enrolments)
+    # No member of `find` is attached, so the lease of 4 expires but its record stays.
+    assert (expired, removed) == ([1, 4], [1])
     assert state.services["find"].records_by_incarnation[4].state is MemberState.EXPIRED
-    assert state.due_expiry([(4, seqs[4])], [2, 3]) is None  # others' majority says nothing here
+    assert state.due_expiry([(4, seqs[4])], [2, 3]) is None  # another group's majority has no effect here
 
 
-def test_a_process_under_another_service_ends_the_earlier_row_by_its_first_renewal() -> None:
+def test_first_renewal_under_another_service_ends_earlier_record() -> None:
     state = state_with_leader()
     enrol(state, "pay", "n1", "n2", "n3")
     renew_all(state)
     again = state.enrol_in("find", "n1", "a-n1", "z", "start-again")
-    assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0), "find": pytest.approx(1.0)}
+    assert quota_sums(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0), "find": pytest.approx(1.0)}
     state.renew(again.incarnation, 1, 1, 1.0)
     assert state.services["pay"].records_by_incarnation[1].state is MemberState.LEFT
-    assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(2 / 3), "find": pytest.approx(1.0)}
+    assert quota_sums(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(2 / 3), "find": pytest.approx(1.0)}
     renew_all(state)
-    assert [row.quota for row in state.services["pay"].records()] == [0.0, *[pytest.approx(0.5)] * 2]
+    assert [record.quota for record in state.services["pay"].records()] == [0.0, *[pytest.approx(0.5)] * 2]
     state.expire(
         [(1, state.services["pay"].records_by_incarnation[1].renewal_seq)], [], state.repeated_enrolments
     )
     assert list(state.services["pay"].records_by_incarnation) == [2, 3]
 
 
-def test_an_enrolment_under_another_service_may_be_late_and_ends_no_row() -> None:
+def test_late_enrolment_under_another_service_ends_no_record() -> None:
     state = state_with_leader()
     enrol(state, "pay", "n1", "n2", "n3")
     renew_all(state)
-    state.enrol_in("find", "n1", "a-n1", "z", "start-before")  # of a process that has ended; renews never
+    # The enrolment of a process that has ended and never renews.
+    state.enrol_in("find", "n1", "a-n1", "z", "start-before")
     renewed = state.renew(1, 9, state.services["pay"].revision, 1 / 3)
     assert renewed is not None
     assert (renewed.state, renewed.quota) == (MemberState.LIVE, pytest.approx(1 / 3))
     state.expire([(1, 9)], [2, 3], state.repeated_enrolments)
     renew_all(state)
-    assert [row.quota for row in state.services["pay"].records()] == [pytest.approx(0.5)] * 2
+    assert [record.quota for record in state.services["pay"].records()] == [pytest.approx(0.5)] * 2
 
 
-def test_the_last_members_that_name_no_service_leave_their_shares_once_restarted_to_name_one() -> None:
+def test_members_restarted_with_service_release_quota_without_service() -> None:
     state = state_with_leader()
     enrol(state, NO_SERVICE, "n1", "n2", "n3")
     renew_all(state)
     for name in ("n1", "n2", "n3"):
         state.enrol_in("pay", name, f"a-{name}", "z", f"again-{name}")
     for _ in range(3):
-        for row in list(state.services["pay"].records()):
-            state.renew(row.incarnation, row.renewal_seq + 1, state.services["pay"].revision, row.quota)
-    assert totals(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0)}
+        for record in list(state.services["pay"].records()):
+            state.renew(
+                record.incarnation, record.renewal_seq + 1, state.services["pay"].revision, record.quota
+            )
+    assert quota_sums(state) == {NO_SERVICE: 0.0, "pay": pytest.approx(1.0)}
 
 
-def test_a_service_ends_by_its_last_member_or_by_an_operator_once_no_lease_is_live() -> None:
+def test_service_ends_with_last_member_or_by_operator_without_live_lease() -> None:
     state = state_with_leader()
     enrol(state, "pay", "n1")
     enrol(state, "find", "n2")
@@ -164,14 +170,14 @@
     assert list(state.services) == ["find"]
     with pytest.raises(ServiceInUseError, match="'n2'"):
         state.end_service("find")
-    state.expire([(2, 0)], [], state.repeated_enrolments)  # lapsed; no majority will ever be attached
+    state.expire([(2, 0)], [], state.repeated_enrolments)  # its lease expires; no majority can be attached
     assert state.end_service("find") == [2]
     assert state.end_service("find") == []
     assert not state.services
     assert state.renew(2, 9, 9, 1.0) is None
 
 
-def test_an_operator_removes_a_name_in_one_group_or_in_all() -> None:
+def test_operator_removes_name_from_one_group_or_all() -> None:
     state = state_with_leader()
     enrol(state, "pay", "n1")
     state.enrol_in("find", "n1", "a-n1", "z", "other")
@@ -179,27 +185,27 @@
     assert state.remove("n1") == [2]
 
 
-def test_at_a_limit_an_enrolment_is_refused_and_nobody_loses_a_row(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_enrolment_over_limit_is_rejected_and_removes_no_record(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fleet_state, "MAX_GROUP_MEMBERS", 2)
     monkeypatch.setattr(fleet_state, "MAX_MEMBERS", 3)
     state = state_with_leader()
-    rows = enrol(state, "pay", "n1", "n2")
+    records = enrol(state, "pay", "n1", "n2")
     with pytest.raises(MemberLimitError, match="'pay' has 2 members"):
         enrol(state, "pay", "n3")
-    assert enrol(state, "pay", "n1") == rows[:1]  # the same process again
-    again = state.enrol_in("pay", "n2", "a-n2", "z", "restarted")  # takes its predecessor's place
-    assert again.rank == rows[1].rank
+    assert enrol(state, "pay", "n1") == records[:1]  # a repeated enrolment
+    again = state.enrol_in("pay", "n2", "a-n2", "z", "restarted")  # replaces the process at its address
+    assert again.rank == records[1].rank
     enrol(state, "find", "n4")
     with pytest.raises(MemberLimitError, match="all groups"):
         enrol(state, "other", "n5")
     assert "other" not in state.services
-    assert [row.name for row in state.records()] == ["n1", "n2", "n4"]
+    assert [record.name for record in state.records()] == ["n1", "n2", "n4"]
 
 
-def test_members_that_name_no_service_keep_their_limit_when_groups_are_switched_on(
+def test_members_without_service_keep_their_limit_with_groups_enabled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guard: theirs fell to a group's, and a large fleet's new processes were refused half-way through."""
+    """With the lower limit of a group, a large fleet's new processes were rejected during an upgrade."""
     monkeypatch.setattr(fleet_state, "MAX_UNGROUPED_MEMBERS", 3)
     monkeypatch.setattr(fleet_state, "MAX_GROUP_MEMBERS", 2)
     state = state_with_leader()
@@ -208,7 +214,7 @@
         enrol(state, NO_SERVICE, "n4")
 
 
-def test_a_state_without_services_is_written_as_earlier_releases_do() -> None:
+def test_state_without_services_is_stored_as_by_earlier_releases() -> None:
     state = state_with_leader()
     enrol(state, NO_SERVICE, "n1")
     file = io.BytesIO()
@@ -220,37 +226,37 @@
     assert set(written["ledger"].state) == {"revision", "incarnations", "by_incarnation"}
 
 
-def test_a_snapshot_brings_all_groups_and_begins_new_change_logs() -> None:
+def test_snapshot_restores_groups_with_empty_change_logs() -> None:
     state = state_with_leader()
     enrol(state, NO_SERVICE, "n1")
     enrol(state, "pay", "n2", "n3")
     copy: FleetState = pickle.loads(pickle.dumps(state))
-    assert [row for row in copy.records()] == [row for row in state.records()]
+    assert [record for record in copy.records()] == [record for record in state.records()]
     assert copy.service_of(3) == "pay"
-    row = copy.services["pay"].records_by_incarnation[3]
-    assert copy.grant(row, 1, delta=True).since_revision is UNSET  # what changed before it is not known
+    record = copy.services["pay"].records_by_incarnation[3]
+    assert copy.grant(record, 1, delta=True).since_revision is UNSET  # earlier changes are unknown
     enrol(copy, "pay", "n4")
-    assert copy.grant(row, 2, delta=True).since_revision == 2
+    assert copy.grant(record, 2, delta=True).since_revision == 2
 
 
-# ------------------------------------------------------------------ member lists as changes
+# ------------------------------------------------------------------ deltas of member lists
 
 
-def test_only_what_changed_is_told_to_a_process_that_takes_changes() -> None:
+def test_delta_grant_contains_only_changes() -> None:
     ledger = QuotaLedger()
-    rows = [ledger.enrol(f"n{at}", f"a{at}", "z", f"s{at}") for at in range(4)]
+    records = [ledger.enrol(f"n{number}", f"a{number}", "z", f"s{number}") for number in range(4)]
     known = ledger.revision
-    ledger.begin_draining(rows[1].incarnation)
-    ledger.leave(rows[2].incarnation)
+    ledger.begin_draining(records[1].incarnation)
+    ledger.leave(records[2].incarnation)
     ledger.expire([(3, 0)], [])
-    grant = ledger.grant(rows[0], known, delta=True)
+    grant = ledger.grant(records[0], known, delta=True)
     assert (grant.since_revision, grant.removed) == (known, (3,))
     assert [(member.incarnation, member.state) for member in grant.members] == [(2, "leaving")]
-    assert len(ledger.grant(rows[0], known, delta=False).members) == 3
-    assert ledger.grant(rows[0], ledger.revision, delta=True).members is UNSET
+    assert len(ledger.grant(records[0], known, delta=False).members) == 3
+    assert ledger.grant(records[0], ledger.revision, delta=True).members is UNSET
 
 
-def test_a_change_log_that_has_dropped_changes_knows_only_those_after() -> None:
+def test_change_log_returns_none_for_revisions_before_dropped_changes() -> None:
     log = ChangeLog(5, kept=2)
     for revision in (6, 7, 8):
         log.record(revision, (revision,))
@@ -261,59 +267,59 @@
 
 
 def node_with(*names: str) -> tuple[MemberLease, QuotaLedger, MemberRecord]:
-    """A process that was told the whole list of a group, itself the first."""
+    """Return a process with a group's complete list, of which it is the first member, and the ledger."""
     ledger = QuotaLedger()
-    rows = [ledger.enrol(name, f"a-{name}", "z", f"s-{name}") for name in names]
+    records = [ledger.enrol(name, f"a-{name}", "z", f"s-{name}") for name in names]
     core = MemberLease(names[0], f"a-{names[0]}", "z", f"s-{names[0]}", Random(1))
     call = core.tick(0.0, None)
     assert call is not None
-    assert core.on_grant(1.0, call.number, ledger.grant(rows[0], -1), TTL)
-    return core, ledger, rows[0]
+    assert core.on_grant(1.0, call.number, ledger.grant(records[0], -1), TTL)
+    return core, ledger, records[0]
 
 
-def renewed(core: MemberLease, now: float, grant: LeaseGrant) -> int:
-    """Renew with this answer; the revision that the call acknowledged."""
+def renew_with(core: MemberLease, now: float, grant: LeaseGrant) -> int:
+    """Renew with this grant as the response; return the revision that the call acknowledged."""
     call = core.tick(now, None)
     assert call is not None
     assert core.on_grant(now + 1.0, call.number, grant, TTL)
     return int(call.body["acked"])
 
 
-def test_changes_are_taken_onto_the_revision_that_they_begin_at() -> None:
-    core, ledger, row = node_with("n1", "n2", "n3")
+def test_member_applies_delta_to_matching_revision() -> None:
+    core, ledger, record = node_with("n1", "n2", "n3")
     known = core.revision
     ledger.enrol("n4", "a-n4", "z", "s-n4")
     ledger.leave(2)
     ledger.expire([(2, 0)], [])
-    renewed(core, 1_000.0, ledger.grant(row, known, delta=True))
+    renew_with(core, 1_000.0, ledger.grant(record, known, delta=True))
     assert [member.name for member in core.members] == ["n1", "n3", "n4"]
     assert core.revision == ledger.revision
     assert set(core.members) == set(ledger.members())
 
 
 @pytest.mark.parametrize("begins", [-1, 1])
-def test_changes_over_a_gap_are_not_taken_and_the_whole_list_is_asked_for(begins: int) -> None:
-    core, ledger, row = node_with("n1", "n2")
+def test_member_ignores_delta_with_gap_and_requests_complete_list(begins: int) -> None:
+    core, ledger, record = node_with("n1", "n2")
     known, members = core.revision, core.members
     ledger.enrol("n3", "a-n3", "z", "s-n3")
-    gap = replace(ledger.grant(row, known, delta=True), since_revision=known + begins)
-    renewed(core, 1_000.0, gap)
+    gap = replace(ledger.grant(record, known, delta=True), since_revision=known + begins)
+    renew_with(core, 1_000.0, gap)
     assert (core.revision, core.members) == (known, members)
-    assert renewed(core, 2_000.0, ledger.grant(row, -1, delta=True)) == -1
+    assert renew_with(core, 2_000.0, ledger.grant(record, -1, delta=True)) == -1
     assert core.revision == ledger.revision
     assert [member.name for member in core.members] == ["n1", "n2", "n3"]
 
 
-def test_an_answer_that_leaves_out_a_list_which_has_changed_is_no_acknowledgement() -> None:
-    core, ledger, row = node_with("n1", "n2")
+def test_grant_without_changed_list_is_not_acknowledged() -> None:
+    core, ledger, record = node_with("n1", "n2")
     known = core.revision
     ledger.enrol("n3", "a-n3", "z", "s-n3")
-    renewed(core, 1_000.0, replace(ledger.grant(row, ledger.revision)))
+    renew_with(core, 1_000.0, replace(ledger.grant(record, ledger.revision)))
     assert core.revision == known
 
 
-def test_an_enrolment_may_be_refused_for_days() -> None:
-    """Guard: after 1,024 refusals the pause overflowed, and the node never enrolled again."""
+def test_member_retries_enrolment_after_1100_rejections() -> None:
+    """After 1,024 rejections the backoff used to overflow, and the node never enrolled again."""
     core, now = MemberLease("n1", "a", "z", "s", Random(3)), 0.0
     for _ in range(1_100):
         call = core.tick(now, None)
@@ -323,18 +329,18 @@
     assert now < math.inf
 
 
-def test_a_refused_enrolment_is_said_again_with_a_jittered_pause_that_grows_to_a_bound() -> None:
-    core, now, pauses = MemberLease("n1", "a", "z", "s", Random(3)), 0.0, []
+def test_rejected_enrolment_is_retried_with_jittered_bounded_backoff() -> None:
+    core, now, delays = MemberLease("n1", "a", "z", "s", Random(3)), 0.0, []
     for _ in range(12):
         call = core.tick(now, None)
         assert call is not None
         core.on_enrolment_rejected(now, call.number)
-        pauses.append(core.next_call_at() - now)
+        delays.append(core.next_call_at() - now)
         now = core.next_call_at()
-    assert all(pause <= 2.0 * core.ttl_ms for pause in pauses)
-    assert pauses[0] <= 0.1 * core.ttl_ms
-    assert min(pauses[-3:]) >= core.ttl_ms
-    assert len(set(pauses)) == len(pauses)
+    assert all(delay <= 2.0 * core.ttl_ms for delay in delays)
+    assert delays[0] <= 0.1 * core.ttl_ms
+    assert min(delays[-3:]) >= core.ttl_ms
+    assert len(set(delays)) == len(delays)
     call = core.tick(now, None)
     assert call is not None
     ledger = QuotaLedger()
--- a/tests/registry/test_groups_crowd.py
+++ b/tests/registry/test_groups_crowd.py
@@ -1,5 +1,5 @@
-"""A crowd at real instances of the list service, with hollow members: a thousand enrolments within two
-seconds while the leader is killed, and a group that is full."""
+"""Many hollow members at real instances of the list service: 1,000 enrolments within two seconds while the
+leader is killed, and a full group."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from loadbalancer.node.http.service_http import HttpClient
 from loadbalancer.registry.fleet_state import MAX_GROUP_MEMBERS
 from tests.support.group_registry import LIMIT_S, GroupRegistry
-from tests.support.hollow_members import Hollows
-from tests.support.registry_processes import ask, until
+from tests.support.hollow_members import HollowMembers
+from tests.support.registry_processes import http_request, until
 
-TTL_MS = 60_000  # of rows that nobody renews: they have to last for the test
-SIZES = [100, 60, 40, *[6] * 100, *[5] * 40]  # of 143 groups: 1,000 members
-AT_ONCE = 50  # enrolments under way when a group is filled
+TTL_MS = 60_000  # so that leases which nobody renews last for the test
+SIZES = [100, 60, 40, *[6] * 100, *[5] * 40]  # of 143 groups with 1,000 members in total
+CONCURRENT_ENROLMENTS = 50  # while a group is filled
 
 
 @pytest.fixture(scope="module")
@@ -32,8 +32,8 @@
 
 
 @pytest.fixture
-def hollows(registry: GroupRegistry) -> Iterator[Hollows]:
-    members = Hollows(registry, sample_s=0.1)
+def hollows(registry: GroupRegistry) -> Iterator[HollowMembers]:
+    members = HollowMembers(registry, sample_s=0.1)
     yield members
     try:
         members.check()
@@ -41,11 +41,11 @@
         members.close()
 
 
-def test_a_thousand_enrol_within_two_seconds_while_the_leader_is_killed(
-    registry: GroupRegistry, hollows: Hollows
+def test_1000_members_enrol_within_2_s_while_leader_is_killed(
+    registry: GroupRegistry, hollows: HollowMembers
 ) -> None:
-    for at, size in enumerate(SIZES):
-        hollows.add(f"crowd-{at}", size)
+    for number, size in enumerate(SIZES):
+        hollows.add(f"crowd-{number}", size)
     members = list(hollows.all)
     assert len(members) == 1_000
     hollows.start_within(members, 2.0, Random(26))
@@ -53,79 +53,84 @@
     def enrolled() -> int:
         return sum(member.enrolled for member in members)
 
-    hollows.until("a quarter of them enrolled", lambda now: enrolled() >= 250)
+    hollows.until("a quarter of the members enrolled", lambda now: enrolled() >= 250)
     registry.kill(registry.leader())
-    assert hollows.call(enrolled) < 1_000  # it was amid them
+    assert hollows.call(enrolled) < 1_000  # it was killed during the enrolments
     hollows.until("all enrolled", lambda now: enrolled() == 1_000)
-    hollows.until("all renewed since", lambda now: all(member.renewals >= 2 for member in members))
-    there = {row["incarnation"]: row for row in registry.rows()}
+    hollows.until("renewals of all members", lambda now: all(member.renewals >= 2 for member in members))
+    entries = {entry["incarnation"]: entry for entry in registry.rows()}
     assert {member.core.incarnation: (member.name, member.service) for member in members} == {
-        number: (row["name"], row["service"]) for number, row in there.items()
+        incarnation: (entry["name"], entry["service"]) for incarnation, entry in entries.items()
     }
-    assert Counter(member.gone for member in members) == {0: 1_000}
-    refused = {key: many for one in members for key, many in one.line.answers.items() if key[1] == 409}
-    assert not refused
+    assert Counter(member.lease_losses for member in members) == {0: 1_000}
+    rejected = {
+        key: count
+        for member in members
+        for key, count in member.registry_link.responses.items()
+        if key[1] == 409
+    }
+    assert not rejected
 
 
-async def fill(port: int, service: str, many: int) -> None:
-    """Enrol so many processes of which nothing more is heard."""
-    client, slots = HttpClient(), asyncio.Semaphore(AT_ONCE)
+async def fill(port: int, service: str, size: int) -> None:
+    """Enrol `size` processes that never renew."""
+    client, slots = HttpClient(), asyncio.Semaphore(CONCURRENT_ENROLMENTS)
 
     async def enrol(number: int) -> None:
-        about = {"name": f"f{number}", "address": f"127.0.0.1:{30_000 + number}", "start": f"f{number}"}
-        body = orjson.dumps(about | {"service": service})
+        identity = {"name": f"f{number}", "address": f"127.0.0.1:{30_000 + number}", "start": f"f{number}"}
+        body = orjson.dumps(identity | {"service": service})
         async with slots:
             while (await client.send(("127.0.0.1", port), "POST", "/fleet/enrol", body)).status != 200:
                 await asyncio.sleep(0.05)
 
-    await asyncio.gather(*(enrol(number) for number in range(many)))
+    await asyncio.gather(*(enrol(number) for number in range(size)))
 
 
-def refusals(registry: GroupRegistry) -> dict[int, int]:
+def rejection_counts(registry: GroupRegistry) -> dict[int, int]:
     return {index: registry.status(index)["enrolments_refused"] for index in registry.live()}
 
 
-def refusal_lines(registry: GroupRegistry) -> list[dict[str, Any]]:
+def rejection_events(registry: GroupRegistry) -> list[dict[str, Any]]:
     logs = [path.read_text() for path in registry.folder.glob("r*.log")]
     return [orjson.loads(line) for text in logs for line in text.splitlines() if "enrolment_refused" in line]
 
 
-def test_a_full_group_refuses_further_members_says_so_once_and_costs_nobody_a_row(
-    registry: GroupRegistry, hollows: Hollows, caplog: pytest.LogCaptureFixture
+def test_full_group_rejects_further_members_with_one_log_line(
+    registry: GroupRegistry, hollows: HollowMembers, caplog: pytest.LogCaptureFixture
 ) -> None:
-    kept = hollows.add("full", 3)
-    hollows.start(kept)
-    hollows.until("three enrolled", lambda now: all(one.enrolled for one in kept))
+    members_before = hollows.add("full", 3)
+    hollows.start(members_before)
+    hollows.until("three enrolled", lambda now: all(member.enrolled for member in members_before))
     leader = registry.leader()
-    asyncio.run(fill(registry.http[leader], "full", MAX_GROUP_MEMBERS - len(kept)))
-    before = {row["incarnation"] for row in registry.rows("full")}
+    asyncio.run(fill(registry.http[leader], "full", MAX_GROUP_MEMBERS - len(members_before)))
+    before = {entry["incarnation"] for entry in registry.rows("full")}
     assert len(before) == MAX_GROUP_MEMBERS
     [further] = hollows.add("full", 1)
     [elsewhere] = hollows.add("not-full", 1)
     with caplog.at_level(logging.WARNING, logger="loadbalancer"):
         hollows.start([further, elsewhere])
-        until(lambda: further.line.answers["enrol", 409] >= 3, LIMIT_S, "three refusals")
+        until(lambda: further.registry_link.responses["enrol", 409] >= 3, LIMIT_S, "three rejections")
     lines = [line for line in caplog.messages if "not enrolled" in line]
-    assert len(lines) <= 1  # none where a call had failed before the first refusal
+    assert len(lines) <= 1  # none if a call had failed before the first rejection
     assert all("has 500 members" in line for line in lines)
     assert not further.enrolled
-    hollows.until("one of another group enrolled", lambda now: elsewhere.enrolled)
-    about = {"name": "late", "address": "127.0.0.1:9", "start": "late", "service": "full"}
-    status, _, said = ask(registry.http[leader], "POST", "/fleet/enrol", about)
-    assert (status, said) == (
+    hollows.until("a member of another group enrolled", lambda now: elsewhere.enrolled)
+    identity = {"name": "late", "address": "127.0.0.1:9", "start": "late", "service": "full"}
+    status, _, body = http_request(registry.http[leader], "POST", "/fleet/enrol", identity)
+    assert (status, body) == (
         409,
         {"error": "service 'full' has 500 members, the most that a group may have"},
     )
-    [line] = refusal_lines(registry)
-    assert (line["service"], line["level"], line["refusals"]) == ("full", "warning", 1)
-    assert refusals(registry)[leader] == sum(refusals(registry).values()) >= 4
-    [renewed, restarted, _] = kept
-    times = renewed.renewals
+    [event] = rejection_events(registry)
+    assert (event["service"], event["level"], event["refusals"]) == ("full", "warning", 1)
+    assert rejection_counts(registry)[leader] == sum(rejection_counts(registry).values()) >= 4
+    [renewed, restarted, _] = members_before
+    renewals = renewed.renewals
     hollows.call(restarted.kill)
     first = restarted.incarnations[-1]
-    hollows.start([restarted])  # its address is its predecessor's: it takes its place
+    hollows.start([restarted])  # at the earlier process's address, whose record it replaces
     hollows.until("the restarted process enrolled", lambda now: restarted.incarnations[-1] > first)
-    until(lambda: renewed.renewals > times, LIMIT_S, "a renewal while the group is full")
-    after = {row["incarnation"] for row in registry.rows("full")}
+    until(lambda: renewed.renewals > renewals, LIMIT_S, "a renewal while the group is full")
+    after = {entry["incarnation"] for entry in registry.rows("full")}
     assert after == before - {first} | {restarted.incarnations[-1]}
-    assert [one.gone for one in kept] == [0, 0, 0]
+    assert [member.lease_losses for member in members_before] == [0, 0, 0]
--- a/tests/registry/test_groups_faults.py
+++ b/tests/registry/test_groups_faults.py
@@ -1,8 +1,9 @@
-"""Many groups at real instances of the list service, with hollow members: groups parted, zones and regions
-lost, services ended, changes of the member list lost, repeated or late. Other groups go on untouched.
+"""Many groups of hollow members at real instances of the list service, under faults: partitioned groups, lost
+zones and regions, ended services, and deltas of the member list that are lost, repeated or late. Other groups
+must not be affected.
 
-Shares of each service sum to at most 1 at every sample, incarnations rise, nobody with a lease in force loses
-its row: checked by `Hollows` and at the end of each test.
+`HollowMembers` and the end of each test check that the quotas of each service sum to at most 1 at every
+sample, that incarnations rise, and that no member with a lease in force loses its record.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 from loadbalancer.node.http.service_http import ReceivedResponse
 from tests.support.group_registry import LIMIT_S, GroupRegistry
-from tests.support.hollow_members import Hollow, Hollows, Post
+from tests.support.hollow_members import HollowMember, HollowMembers, Send
 from tests.support.registry_processes import until
 
-TTL_MS = 3_000  # longer than a busy machine holds a renewal up
+TTL_MS = 3_000  # longer than a delay of renewals on a busy machine
 
 
 @pytest.fixture(scope="module")
@@ -30,9 +31,9 @@
 
 
 @pytest.fixture
-def hollows(registry: GroupRegistry) -> Iterator[Hollows]:
-    """Each test ends its own members, so that the next finds no group of theirs with a live lease."""
-    members = Hollows(registry)
+def hollows(registry: GroupRegistry) -> Iterator[HollowMembers]:
+    """Each test ends its members, so that no group with a live lease remains for the next one."""
+    members = HollowMembers(registry)
     yield members
     try:
         members.check()
@@ -40,315 +41,334 @@
         members.close()
 
 
-def untouched(hollows: Hollows, groups: list[list[Hollow]]) -> Any:
-    """Each of these groups was as it should be at all samples: none lost its row, lapsed or was parted."""
+def assert_unaffected(hollows: HollowMembers, groups: list[list[HollowMember]]) -> Any:
+    """Assert that no member of these groups lost its record or lease, and that no sample violated a rule."""
     for group in groups:
-        assert [(one.gone, len(one.incarnations)) for one in group] == [(0, 1)] * len(group)
+        assert [(member.lease_losses, len(member.incarnations)) for member in group] == [(0, 1)] * len(group)
     hollows.check()
 
 
-def test_the_largest_group_parted_down_the_middle_costs_the_others_nothing(
-    registry: GroupRegistry, hollows: Hollows
+def test_partition_of_largest_group_leaves_other_groups_unaffected(
+    registry: GroupRegistry, hollows: HollowMembers
 ) -> None:
     big = hollows.add("big", 20)
-    others = [hollows.add(f"other-{at}", 3) for at in range(10)]
-    hollows.start([*big, *(one for group in others for one in group)])
+    others = [hollows.add(f"other-{number}", 3) for number in range(10)]
+    hollows.start([*big, *(member for group in others for member in group)])
     for group in (big, *others):
-        hollows.until_shared(group)
-    revisions = {f"other-{at}": others[at][0].core.revision for at in range(10)}
-    ranks = {row["name"]: row["rank"] for row in registry.rows("big")}
+        hollows.until_equal_quotas(group)
+    revisions = {f"other-{number}": others[number][0].core.revision for number in range(10)}
+    ranks = {entry["name"]: entry["rank"] for entry in registry.rows("big")}
     big.sort(key=lambda member: ranks[member.name])
-    reach, cut_off = big[0::2], big[1::2]  # the reaching half has the lowest rank: it wins the tie
-    hollows.parted = lambda one, other: (one in reach) is not (other in reach)
+    connected, cut_off = big[0::2], big[1::2]  # the connected half has the lowest rank, which wins the tie
+    hollows.are_partitioned = lambda member, other: (member in connected) is not (other in connected)
     for member in cut_off:
-        member.line.reached = lambda index: False
-    seen: list[float] = []
+        member.registry_link.can_reach = lambda index: False
+    quotas: list[float] = []
 
-    def half_yielded(now: float) -> bool:
-        seen.extend(one.taking(now) for group in others for one in group)
-        return all(member.taking(now) == 0.0 for member in cut_off)
+    def cut_off_yielded(now: float) -> bool:
+        quotas.extend(member.quota_in_use(now) for group in others for member in group)
+        return all(member.quota_in_use(now) == 0.0 for member in cut_off)
 
-    hollows.until("the half cut off yielding", half_yielded)
-    hollows.until_shared(reach)  # the rows of the others are gone: half of the electors and the lowest rank
-    assert {round(share, 6) for share in seen} == {round(1 / 3, 6)}
-    assert {f"other-{at}": others[at][0].core.revision for at in range(10)} == revisions
+    hollows.until("the disconnected half without quota", cut_off_yielded)
+    hollows.until_equal_quotas(connected)  # half of the electors with the lowest rank remove the others
+    assert {round(quota, 6) for quota in quotas} == {round(1 / 3, 6)}
+    assert {f"other-{number}": others[number][0].core.revision for number in range(10)} == revisions
     for member in cut_off:
-        member.line.reached = lambda index: True
-    hollows.parted = lambda one, other: False
-    hollows.until_shared(big)
-    assert [member.gone for member in reach] == [0] * 10
-    untouched(hollows, others)
-    hollows.leave(big + [one for group in others for one in group])
+        member.registry_link.can_reach = lambda index: True
+    hollows.are_partitioned = lambda member, other: False
+    hollows.until_equal_quotas(big)
+    assert [member.lease_losses for member in connected] == [0] * 10
+    assert_unaffected(hollows, others)
+    hollows.leave(big + [member for group in others for member in group])
 
 
-def test_a_zone_that_is_lost_and_comes_back_as_new_processes(
-    registry: GroupRegistry, hollows: Hollows
-) -> None:
-    """In a group of five with two there, the others take its part; where it had most of a group, or the
-    older of two, the rest keeps what it has and nobody takes the whole."""
+def test_lost_zone_returns_as_new_processes(registry: GroupRegistry, hollows: HollowMembers) -> None:
+    """In a group of five, the other three take the quota of the two lost members.
+
+    If the zone had most of a group or the older of two members, the rest keep their quotas and no member gets
+    the whole.
+    """
     groups = {"five": hollows.add("five", 5), "three": hollows.add("three", 3), "two": hollows.add("two", 2)}
     for members in groups.values():
         hollows.start(members[:1])
-        hollows.until_shared(members[:1])  # the oldest
+        hollows.until_equal_quotas(members[:1])  # the oldest
         hollows.start(members[1:])
     for members in groups.values():
-        hollows.until_shared(members)
+        hollows.until_equal_quotas(members)
     zone = groups["five"][3:] + groups["three"][:2] + groups["two"][:1]
-    rest = {service: [one for one in members if one not in zone] for service, members in groups.items()}
+    rest = {
+        service: [member for member in members if member not in zone] for service, members in groups.items()
+    }
     hollows.call(lambda: [member.kill() for member in zone])
-    hollows.until_shared(rest["five"])
+    hollows.until_equal_quotas(rest["five"])
     for service in ("three", "two"):
         lost = {member.name: "lapsed" for member in groups[service] if member in zone}
-        until(lambda s=service, x=lost: x.items() <= registry.states(s).items(), LIMIT_S, f"{lost} lapsed")
+        until(
+            lambda service=service, lost=lost: lost.items() <= registry.states(service).items(),
+            LIMIT_S,
+            f"{lost} expired",
+        )
     hollows.until_sampled(30)
     now = hollows.clock.now_ms()
-    kept = hollows.call(lambda: [one.taking(now) for one in rest["three"] + rest["two"]])
-    assert kept == [pytest.approx(1 / 3), pytest.approx(1 / 2)]
+    quotas = hollows.call(lambda: [member.quota_in_use(now) for member in rest["three"] + rest["two"]])
+    assert quotas == [pytest.approx(1 / 3), pytest.approx(1 / 2)]
     before = {member.name: member.incarnations[-1] for member in zone}
     hollows.start(zone)
     for members in groups.values():
-        hollows.until_shared(members)
+        hollows.until_equal_quotas(members)
     assert all(member.incarnations[-1] > before[member.name] for member in zone)
-    untouched(hollows, list(rest.values()))
-    hollows.leave([one for members in groups.values() for one in members])
+    assert_unaffected(hollows, list(rest.values()))
+    hollows.leave([member for members in groups.values() for member in members])
 
 
-def test_two_regions_parted_for_longer_than_all_leases_and_joined(
-    registry: GroupRegistry, hollows: Hollows
+def test_two_regions_recover_after_partition_longer_than_all_leases(
+    registry: GroupRegistry, hollows: HollowMembers
 ) -> None:
-    """One region has two instances, the other has one, which finds no majority."""
+    """One region has two instances; the other has one, which has no majority."""
     groups = {service: hollows.add(service, 4) for service in ("most-east", "most-west", "even")}
     for members in groups.values():
         hollows.start(members[:1])
-        hollows.until_shared(members[:1])  # the oldest is in the east
+        hollows.until_equal_quotas(members[:1])  # the oldest is in the east
         hollows.start(members[1:])
     for members in groups.values():
-        hollows.until_shared(members)
-    # by group: how many stand in the east, the oldest among them
+        hollows.until_equal_quotas(members)
+    # By group, the members in the east, which include the oldest.
     east = [*groups["most-east"][:3], *groups["most-west"][:1], *groups["even"][:2]]
-    west = [one for members in groups.values() for one in members if one not in east]
-    apart = (registry.leader() + 1) % 3  # the instance in the west
-    hollows.parted = lambda one, other: (one in east) is not (other in east)
+    west = [member for members in groups.values() for member in members if member not in east]
+    west_instance = (registry.leader() + 1) % 3
+    hollows.are_partitioned = lambda member, other: (member in east) is not (other in east)
     for member in hollows.all:
-        here = member in west
-        member.line.reached = lambda index, here=here: (index == apart) is here
-    registry.cut(apart)
-    adrift = [one for one in west if one in groups["most-west"]]  # a majority of its group: holds
-    yielding = [one for one in west if one not in adrift]
+        in_west = member in west
+        member.registry_link.can_reach = lambda index, in_west=in_west: (index == west_instance) is in_west
+    registry.partition(west_instance)
+    holding = [member for member in west if member in groups["most-west"]]  # a majority of its group
+    yielding = [member for member in west if member not in holding]
     hollows.until(
-        "leases of the west at an end",
+        "end of the leases in the west",
         lambda now: all(
-            one.core.lease_end_ms < now - TTL_MS and one.taking(now) == (0.25 if one in adrift else 0.0)
-            for one in west
+            member.core.lease_end_ms < now - TTL_MS
+            and member.quota_in_use(now) == (0.25 if member in holding else 0.0)
+            for member in west
         ),
     )
-    hollows.until_shared(groups["most-east"][:3])
-    hollows.until_shared(groups["even"][:2])  # a tie is won by the side of the oldest
-    assert hollows.call(lambda: groups["most-west"][0].taking(hollows.clock.now_ms())) == 0.25
+    hollows.until_equal_quotas(groups["most-east"][:3])
+    hollows.until_equal_quotas(groups["even"][:2])  # the side of the oldest member wins a tie
+    assert hollows.call(lambda: groups["most-west"][0].quota_in_use(hollows.clock.now_ms())) == 0.25
     assert sorted(registry.states("most-west").values()) == ["lapsed"] * 3 + ["live"]
-    registry.cut(apart, silent=False)
-    hollows.parted = lambda one, other: False
+    registry.partition(west_instance, silent=False)
+    hollows.are_partitioned = lambda member, other: False
     for member in hollows.all:
-        member.line.reached = lambda index: True
+        member.registry_link.can_reach = lambda index: True
     for members in groups.values():
-        hollows.until_shared(members)
-    assert [member.gone for member in (*east, *adrift)] == [0] * (len(east) + 3)
-    assert all(member.gone >= 1 and len(member.incarnations) > 1 for member in yielding)
-    hollows.leave([one for members in groups.values() for one in members])
+        hollows.until_equal_quotas(members)
+    assert [member.lease_losses for member in (*east, *holding)] == [0] * (len(east) + 3)
+    assert all(member.lease_losses >= 1 and len(member.incarnations) > 1 for member in yielding)
+    hollows.leave([member for members in groups.values() for member in members])
 
 
-def test_a_service_ends_with_its_last_member_or_by_an_operator_once_all_leases_have_lapsed(
-    registry: GroupRegistry, hollows: Hollows
+def test_service_ends_with_last_member_or_by_operator_after_all_leases_expired(
+    registry: GroupRegistry, hollows: HollowMembers
 ) -> None:
-    left, killed, stays = (hollows.add(service, 3) for service in ("left", "killed", "stays"))
-    hollows.start([*left, *killed, *stays])
-    for group in (left, killed, stays):
-        hollows.until_shared(group)
-    status, said = registry.call("DELETE", "services/killed")
-    assert (status, "live leases" in said["error"]) == (409, True), said
-    hollows.leave(left)
+    departed, killed, running = (hollows.add(service, 3) for service in ("left", "killed", "stays"))
+    hollows.start([*departed, *killed, *running])
+    for group in (departed, killed, running):
+        hollows.until_equal_quotas(group)
+    status, body = registry.call("DELETE", "services/killed")
+    assert (status, "live leases" in body["error"]) == (409, True), body
+    hollows.leave(departed)
     hollows.call(lambda: [member.kill() for member in killed])
-    until(lambda: not registry.states("left"), LIMIT_S, "no row of a service that all have left")
-    lapsed = {member.name: "lapsed" for member in killed}
-    until(lambda: registry.states("killed") == lapsed, LIMIT_S, "all leases lapsed")
-    status, said = registry.call("DELETE", "services/killed")
-    assert (status, said) == (200, {"removed": sorted(member.incarnations[-1] for member in killed)})
+    until(lambda: not registry.states("left"), LIMIT_S, "no record of a service whose members have all left")
+    expired = {member.name: "lapsed" for member in killed}
+    until(lambda: registry.states("killed") == expired, LIMIT_S, "all leases expired")
+    status, body = registry.call("DELETE", "services/killed")
+    assert (status, body) == (200, {"removed": sorted(member.incarnations[-1] for member in killed)})
     assert registry.call("DELETE", "services/killed") == (200, {"removed": []})
     assert registry.states("killed") == {}
-    again = hollows.add("killed", 2)  # and it may begin again
+    again = hollows.add("killed", 2)  # the service may start again
     hollows.start(again)
-    hollows.until_shared(again)
-    assert min(member.incarnations[0] for member in again) > max(m.incarnations[-1] for m in killed)
-    untouched(hollows, [stays, again])
-    hollows.leave([*stays, *again])
+    hollows.until_equal_quotas(again)
+    assert min(member.incarnations[0] for member in again) > max(member.incarnations[-1] for member in killed)
+    assert_unaffected(hollows, [running, again])
+    hollows.leave([*running, *again])
 
 
-def test_the_row_that_the_last_member_without_a_service_left_behind_is_ended_by_an_operator(
-    registry: GroupRegistry, hollows: Hollows
+def test_operator_removes_expired_member_without_service(
+    registry: GroupRegistry, hollows: HollowMembers
 ) -> None:
-    """It holds back its part in every service, where its machine was replaced and so nobody renews at its
-    address. Its name lives on in a group, whose row must stay."""
+    """If the member's machine is replaced, no process renews at its address, and its record blocks its quota
+    in every service. A member of the same name in a group must keep its record."""
     [upgraded], others = hollows.add("", 1), hollows.add("kept", 2)
     hollows.start([upgraded, *others])
-    hollows.until("all sharing", lambda now: all(_takes(one, now, 1 / 3) for one in (upgraded, *others)))
+    hollows.until(
+        "equal quotas of all",
+        lambda now: all(_has_quota(member, now, 1 / 3) for member in (upgraded, *others)),
+    )
     hollows.call(upgraded.kill)
     upgraded.service, upgraded.address = "named", "127.0.0.1:9999"
     hollows.start([upgraded])
-    until(lambda: registry.states("").get(upgraded.name) == "lapsed", LIMIT_S, "its earlier lease lapsed")
-    hollows.until("what is left taken", lambda now: _takes(upgraded, now, 1 / 2))
-    assert [row["share"] for row in registry.rows("")] == [pytest.approx(1 / 3)]
+    until(lambda: registry.states("").get(upgraded.name) == "lapsed", LIMIT_S, "its earlier lease expired")
+    hollows.until("the remaining quota granted", lambda now: _has_quota(upgraded, now, 1 / 2))
+    assert [entry["share"] for entry in registry.rows("")] == [pytest.approx(1 / 3)]
     first, second = upgraded.incarnations
-    status, said = registry.call("DELETE", f"members/{upgraded.name}?service=")
-    assert (status, said) == (200, {"removed": [first]})
-    hollows.until_shared([upgraded])
-    hollows.until_shared(others)
-    assert (upgraded.gone, upgraded.incarnations) == (0, [first, second])
-    untouched(hollows, [others])
+    status, body = registry.call("DELETE", f"members/{upgraded.name}?service=")
+    assert (status, body) == (200, {"removed": [first]})
+    hollows.until_equal_quotas([upgraded])
+    hollows.until_equal_quotas(others)
+    assert (upgraded.lease_losses, upgraded.incarnations) == (0, [first, second])
+    assert_unaffected(hollows, [others])
     hollows.leave([upgraded, *others])
 
 
-def test_who_replaces_the_only_member_on_another_machine_takes_nothing_until_an_operator_ends_its_row(
-    registry: GroupRegistry, hollows: Hollows
+def test_replacement_at_other_address_gets_no_quota_until_operator_removes_record(
+    registry: GroupRegistry, hollows: HollowMembers
 ) -> None:
-    """Whether the one before has ended, nobody in its group can tell. What it has is kept for it."""
-    [lost, instead] = hollows.add("alone", 2)
+    """No member of the group can know whether the earlier process has ended, so its quota stays blocked."""
+    [lost, replacement] = hollows.add("alone", 2)
     hollows.start([lost])
-    hollows.until_shared([lost])
+    hollows.until_equal_quotas([lost])
     hollows.call(lost.kill)
-    hollows.start([instead])
-    until(lambda: registry.states("alone").get(lost.name) == "lapsed", LIMIT_S, "its lease lapsed")
-    times = instead.renewals
-    until(lambda: instead.renewals >= times + 5, LIMIT_S, "renewals that go on")
-    assert hollows.holds(lambda now: _takes(instead, now, 0.0))
-    status, said = registry.call("DELETE", f"members/{lost.name}?service=alone")
-    assert (status, said) == (200, {"removed": lost.incarnations})
-    hollows.until("the whole taken", lambda now: _takes(instead, now, 1.0))
-    hollows.leave([instead])
+    hollows.start([replacement])
+    until(lambda: registry.states("alone").get(lost.name) == "lapsed", LIMIT_S, "its lease expired")
+    renewals = replacement.renewals
+    until(lambda: replacement.renewals >= renewals + 5, LIMIT_S, "further renewals")
+    assert hollows.holds(lambda now: _has_quota(replacement, now, 0.0))
+    status, body = registry.call("DELETE", f"members/{lost.name}?service=alone")
+    assert (status, body) == (200, {"removed": lost.incarnations})
+    hollows.until("the whole quota granted", lambda now: _has_quota(replacement, now, 1.0))
+    hollows.leave([replacement])
 
 
-def _takes(member: Hollow, now: float, share: float) -> bool:
-    return abs(member.taking(now) - share) < 1e-6
+def _has_quota(member: HollowMember, now: float, quota: float) -> bool:
+    return abs(member.quota_in_use(now) - quota) < 1e-6
 
 
-# ------------------------------------------------------------------ changes of the list, over the wire
+# ------------------------------------------------------------------ deltas of the member list
 
 
 class Faults:
-    """Faults of one member's renewals: answers lost, calls said twice, older answers in place of newer, the
-    first of several changes missing. While `held`, renewals wait, so that several changes come to one."""
+    """Faults in one member's renewals: lost or outdated responses, repeated calls, and a delta without its
+    first change.
+
+    While `blocked`, renewals wait, so that one delta contains several changes.
+    """
 
     def __init__(self) -> None:
         self.kind = "none"
-        self.held = self.waiting = False
-        self.given: list[ReceivedResponse] = []  # all answers so far, as they came
+        self.blocked = self.waiting = False
+        self.received: list[ReceivedResponse] = []  # all responses so far, in order
         self.injected = 0
 
-    async def post(
-        self, path: str, body: dict[str, Any], timeout_ms: float, through: Post
-    ) -> ReceivedResponse:
-        while self.held:
+    async def post(self, path: str, body: dict[str, Any], timeout_ms: float, send: Send) -> ReceivedResponse:
+        while self.blocked:
             self.waiting = True
             await asyncio.sleep(0.01)
-        reply = await through(path, body, timeout_ms)
-        if path != "renew" or reply.status != 200:
-            return reply
-        self.given.append(reply)
-        told = orjson.loads(reply.body)
-        changes = told.get("since") is not None
+        response = await send(path, body, timeout_ms)
+        if path != "renew" or response.status != 200:
+            return response
+        self.received.append(response)
+        grant = orjson.loads(response.body)
+        is_delta = grant.get("since") is not None
         match self.kind:
-            case "lost" if changes and self.injected < 3:
+            case "lost" if is_delta and self.injected < 3:
                 self.injected += 1
-                raise TimeoutError("the answer is lost")
-            case "repeated" if changes and self.injected < 3:
+                raise TimeoutError("the response is lost")
+            case "repeated" if is_delta and self.injected < 3:
                 self.injected += 1
-                again = await through(path, body, timeout_ms)
-                assert orjson.loads(again.body)["incarnation"] == told["incarnation"]
+                again = await send(path, body, timeout_ms)
+                assert orjson.loads(again.body)["incarnation"] == grant["incarnation"]
                 return again
-            case "gap" if changes and told["rev"] > told["since"] + 1 and self.injected < 1:
+            case "gap" if is_delta and grant["rev"] > grant["since"] + 1 and self.injected < 1:
                 self.injected += 1
-                later = {"since": told["since"] + 1, "members": told["members"][1:]}
-                return ReceivedResponse(reply.status, reply.headers, orjson.dumps(told | later))
+                later = {"since": grant["since"] + 1, "members": grant["members"][1:]}
+                return ReceivedResponse(response.status, response.headers, orjson.dumps(grant | later))
             case "older" if self.injected < 1:
-                older = next((one for one in self.given if _begins_elsewhere(one, body["acked"])), None)
+                older = next(
+                    (earlier for earlier in self.received if _has_other_start(earlier, body["acked"])), None
+                )
                 if older is not None:
                     self.injected += 1
                     return older
-        return reply
+        return response
 
 
-def _begins_elsewhere(reply: ReceivedResponse, acked: int) -> bool:
-    told = orjson.loads(reply.body)
-    return told.get("since") is not None and told["since"] != acked
+def _has_other_start(response: ReceivedResponse, acked: int) -> bool:
+    grant = orjson.loads(response.body)
+    return grant.get("since") is not None and grant["since"] != acked
 
 
-def until_agreed(registry: GroupRegistry, hollows: Hollows, members: list[Hollow], service: str) -> None:
-    """Until every one of these knows the rows of the list service as they are."""
+def until_agreed(
+    registry: GroupRegistry, hollows: HollowMembers, members: list[HollowMember], service: str
+) -> None:
+    """Wait until the member list of each of these equals that of the list service."""
 
     def agreed() -> bool:
-        there = {(row["incarnation"], row["state"]) for row in registry.rows(service)}
+        expected = {(entry["incarnation"], entry["state"]) for entry in registry.rows(service)}
         known = hollows.call(
-            lambda: [{(row.incarnation, row.state) for row in one.core.members} for one in members]
+            lambda: [
+                {(sibling.incarnation, sibling.state) for sibling in member.core.members}
+                for member in members
+            ]
         )
-        return all(one == there for one in known)
+        return all(member_list == expected for member_list in known)
 
-    until(agreed, LIMIT_S, f"members of {service!r} knowing its list")
+    until(agreed, LIMIT_S, f"the current list at the members of {service!r}")
 
 
 @pytest.mark.parametrize("kind", ["lost", "repeated", "older", "gap"])
-def test_changes_that_are_lost_repeated_overtaken_or_begin_late_leave_no_member_with_a_wrong_list(
-    registry: GroupRegistry, hollows: Hollows, kind: str
+def test_faulty_deltas_leave_no_member_with_wrong_list(
+    registry: GroupRegistry, hollows: HollowMembers, kind: str
 ) -> None:
     service = f"changes-{kind}"
     members = hollows.add(service, 4)
     faults = Faults()
-    members[0].line.on_post = faults.post
+    members[0].registry_link.intercept = faults.post
     hollows.start(members)
-    hollows.until_shared(members)
-    faults.kind, faults.held = kind, True
-    until(lambda: faults.waiting, LIMIT_S, "a renewal that waits")
-    come = hollows.add(service, 4)
-    hollows.start(come[:2])
-    until(lambda: len(registry.rows(service)) == 6, LIMIT_S, "two changes to be told")
-    faults.held = False
-    until_agreed(registry, hollows, members + come[:2], service)
-    for at, one in enumerate(come[2:], 2):
-        hollows.start([one])
-        until_agreed(registry, hollows, members + come[: at + 1], service)
+    hollows.until_equal_quotas(members)
+    faults.kind, faults.blocked = kind, True
+    until(lambda: faults.waiting, LIMIT_S, "a waiting renewal")
+    added = hollows.add(service, 4)
+    hollows.start(added[:2])
+    until(lambda: len(registry.rows(service)) == 6, LIMIT_S, "two changes to be sent")
+    faults.blocked = False
+    until_agreed(registry, hollows, members + added[:2], service)
+    for index, member in enumerate(added[2:], 2):
+        hollows.start([member])
+        until_agreed(registry, hollows, members + added[: index + 1], service)
     hollows.leave([members.pop()])
-    until(lambda: len(registry.rows(service)) == 7, LIMIT_S, "the row that has left removed")
-    until_agreed(registry, hollows, members + come, service)
+    until(lambda: len(registry.rows(service)) == 7, LIMIT_S, "the departed member removed")
+    until_agreed(registry, hollows, members + added, service)
     assert faults.injected > 0
-    hollows.until_shared(members + come)
-    untouched(hollows, [members, come])
-    hollows.leave(members + come)
+    hollows.until_equal_quotas(members + added)
+    assert_unaffected(hollows, [members, added])
+    hollows.leave(members + added)
 
 
-def test_an_instance_that_was_the_leader_and_is_behind_tells_no_changes_that_do_not_fit(
-    registry: GroupRegistry, hollows: Hollows
+def test_former_leader_that_lags_behind_sends_no_wrong_delta(
+    registry: GroupRegistry, hollows: HollowMembers
 ) -> None:
     members = hollows.add("behind", 4)
     hollows.start(members)
-    hollows.until_shared(members)
+    hollows.until_equal_quotas(members)
     behind = registry.leader()
-    registry.cut(behind)
-    listening = members[0]  # asks that instance alone, the others ask the two that go on
-    listening.line.reached = lambda index: index == behind
-    for one in members[1:]:
-        one.line.reached = lambda index: index != behind
+    registry.partition(behind)
+    isolated = members[0]  # calls only that instance; the others call the remaining two
+    isolated.registry_link.can_reach = lambda index: index == behind
+    for member in members[1:]:
+        member.registry_link.can_reach = lambda index: index != behind
     until(lambda: registry.leader() != behind, LIMIT_S, "another leader")
-    answered = listening.renewals
-    come = hollows.add("behind", 2)
-    for one in come:
-        one.line.reached = lambda index: index != behind
-    hollows.start(come)
+    renewals = isolated.renewals
+    added = hollows.add("behind", 2)
+    for member in added:
+        member.registry_link.can_reach = lambda index: index != behind
+    hollows.start(added)
     until(
-        lambda: {one.name for one in come} <= registry.states("behind").keys(),
+        lambda: {member.name for member in added} <= registry.states("behind").keys(),
         LIMIT_S,
-        "rows that the instance which is behind has not got",
+        "records that the lagging instance does not have",
     )
-    assert listening.renewals == answered  # it has told nothing since it was cut off
-    registry.cut(behind, silent=False)
-    until_agreed(registry, hollows, members + come, "behind")
-    hollows.until_shared(members + come)
-    untouched(hollows, [members[1:], come])
-    hollows.leave(members + come)
+    assert isolated.renewals == renewals  # no response since the partition
+    registry.partition(behind, silent=False)
+    until_agreed(registry, hollows, members + added, "behind")
+    hollows.until_equal_quotas(members + added)
+    assert_unaffected(hollows, [members[1:], added])
+    hollows.leave(members + added)
--- a/tests/registry/test_registry_node.py
+++ b/tests/registry/test_registry_node.py
@@ -1,4 +1,4 @@
-"""A node process that follows the list service through an agent, while faults hit both."""
+"""A node process that follows the list service through an agent, with faults in both."""
 
 from __future__ import annotations
 
@@ -24,39 +24,39 @@
     servers.close()
 
 
-def test_node_started_without_discovery_follows_the_registry_through_its_faults(
+def test_node_started_without_agent_follows_registry_through_faults(
     tmp_path: Path, backends: ServerPool
 ) -> None:
     registry = Registry(tmp_path, ttl_ms=60_000)
     agent_port = free_port()
-    relay = Relay(("127.0.0.1", agent_port))  # the node's way to its agent, which is not there yet
+    relay = Relay(("127.0.0.1", agent_port))  # between the node and its agent, which is not started yet
     node = Node(tmp_path, backends.known(0), relay.address[1], settings=PUSH)
     node.start()
     client = Load(node.port)
     agent = None
     try:
-        until(lambda: backends.hits["s0"] > 5, what="service from the known list")
+        until(lambda: backends.hits["s0"] > 5, what="requests served from the known list")
         registry.put("s1", backends.port(1), az="a")
         agent = registry.agent(agent_port, wait_ms=500)
         until(lambda: backends.hits["s1"] > 5, what="the node following the agent")
 
         registry.kill(registry.leader())
-        registry.put("s2", backends.port(2), az="a")  # a write after the leader died
+        registry.put("s2", backends.port(2), az="a")  # a write after the leader was killed
         registry.remove("s1")
-        until(lambda: backends.hits["s2"] > 5, what="a change committed after the leader died")
+        until(lambda: backends.hits["s2"] > 5, what="a change committed after the leader was killed")
 
-        relay.set_silent(True)  # a watch that never answers
+        relay.set_silent(True)  # a watch without any response
         before = backends.hits["s2"]
-        until(lambda: backends.hits["s2"] > before + 20, what="service while discovery is silent")
+        until(lambda: backends.hits["s2"] > before + 20, what="requests served while discovery is silent")
         relay.set_silent(False)
         relay.reset()
         dropped = backends.hits["s0"]
         registry.put("s0", backends.port(0), az="a")
         registry.remove("s2")
         until(lambda: backends.hits["s0"] > dropped + 5, what="the node following again after the silence")
-        settled = backends.hits["s2"]
-        until(lambda: backends.hits["s0"] > dropped + 50, what="service after the change")
-        assert backends.hits["s2"] - settled <= 1, "a server gone still draws new calls"
+        hits_after_removal = backends.hits["s2"]
+        until(lambda: backends.hits["s0"] > dropped + 50, what="requests served after the change")
+        assert backends.hits["s2"] - hits_after_removal <= 1, "a removed server still gets requests"
     finally:
         outcomes = client.finish()
         node.stop()
@@ -68,12 +68,12 @@
     assert outcomes[200] == sum(outcomes.values()), f"not all served: {outcomes}"
 
 
-def test_two_nodes_list_what_the_registry_lists_through_leader_loss_and_a_reset(
+def test_two_nodes_agree_with_registry_after_leader_loss_and_reset(
     tmp_path: Path, backends: ServerPool
 ) -> None:
     registry = Registry(tmp_path, ttl_ms=60_000)
     agents = [registry.agent(), registry.agent()]
-    relay = Relay(("127.0.0.1", agents[1].port))  # the second node's way to its agent
+    relay = Relay(("127.0.0.1", agents[1].port))  # between the second node and its agent
     nodes = [
         Node(tmp_path, backends.known(0), port, settings=PUSH) for port in (agents[0].port, relay.address[1])
     ]
@@ -86,7 +86,7 @@
             until(lambda node=node: node.listed() == 5, within_s=6, what="five servers at a node")
         registry.kill(registry.leader())
         relay.reset()
-        registry.remove("s1")  # a removal after the leader died
+        registry.remove("s1")  # a removal after the leader was killed
         for number in range(5, 8):
             registry.put(f"s{number}", backends.port(number % 3), az="a")
         live = len(registry.listed(registry.live()[0]))
--- a/tests/registry/test_renewal_relay.py
+++ b/tests/registry/test_renewal_relay.py
@@ -1,4 +1,4 @@
-"""Renewals gathered at a follower and passed on to the leader together, against a stand-in leader."""
+"""Renewals that a follower forwards in batches, against a stub leader."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     return RenewRequest(incarnation=incarnation, seq=1, acked=0, using=0.5, delta=True)
 
 
-async def relayed(handler: Handler, count: int) -> list[HttpResponse | BaseException]:
-    """What each of so many renewals at once is answered."""
+async def relay_renewals(handler: Handler, count: int) -> list[HttpResponse | BaseException]:
+    """Send `count` renewals at once through a relay; return their responses or errors."""
     server = await serve(("127.0.0.1", 0), handler)
     host, port = server.sockets[0].getsockname()
     client = HttpClient()
@@ -43,20 +43,21 @@
         server.close()
 
 
-def test_renewals_of_one_moment_are_few_calls_and_each_gets_its_own_answer() -> None:
+def test_concurrent_renewals_share_calls_and_get_their_own_responses() -> None:
     calls: list[HttpRequest] = []
 
-    async def lead(call: HttpRequest) -> HttpResponse:
+    async def respond(call: HttpRequest) -> HttpResponse:
         calls.append(call)
         renewals = decode_renewals(call.body)
-        rows = [
-            HttpResponse(404 if row.incarnation == 7 else 200, b"%d" % row.incarnation) for row in renewals
+        responses = [
+            HttpResponse(404 if renewal.incarnation == 7 else 200, b"%d" % renewal.incarnation)
+            for renewal in renewals
         ]
-        return encode_responses(rows)
+        return encode_responses(responses)
 
-    answers = asyncio.run(relayed(lead, MAX_BATCH_COUNT + 20))
-    assert [int(answer.body) for answer in answers] == list(range(MAX_BATCH_COUNT + 20))
-    assert [at for at, answer in enumerate(answers) if answer.status != 200] == [7]
+    responses = asyncio.run(relay_renewals(respond, MAX_BATCH_COUNT + 20))
+    assert [int(response.body) for response in responses] == list(range(MAX_BATCH_COUNT + 20))
+    assert [index for index, response in enumerate(responses) if response.status != 200] == [7]
     assert [(call.path, len(decode_renewals(call.body))) for call in calls] == [
         (RENEW_MANY_PATH, MAX_BATCH_COUNT),
         (RENEW_MANY_PATH, 20),
@@ -65,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         HttpResponse(503, b"{}"),
         HttpResponse(200, b"{}"),
@@ -73,19 +74,19 @@
         HttpResponse(200, b'[{"status":"x","body":1}]'),
         HttpResponse(200, b"\xff"),
     ],
-    ids=["refused", "no list", "too few", "a wrong type", "no text"],
+    ids=["unavailable", "not a list", "too few", "wrong type", "not UTF-8"],
 )
-def test_a_leader_that_does_not_answer_as_it_should_fails_every_renewal_of_the_batch(
-    answer: HttpResponse,
+def test_invalid_leader_response_fails_every_renewal_of_batch(
+    response: HttpResponse,
 ) -> None:
-    async def lead(call: HttpRequest) -> HttpResponse:
-        return answer
+    async def respond(call: HttpRequest) -> HttpResponse:
+        return response
 
-    failures = asyncio.run(relayed(lead, 3))
+    failures = asyncio.run(relay_renewals(respond, 3))
     assert [type(failure) for failure in failures] == [NotCommittedError] * 3
 
 
-def test_without_a_leader_renewals_fail_at_once() -> None:
+def test_renewal_without_known_leader_fails_at_once() -> None:
     async def main() -> None:
         relay = RenewalRelay(HttpClient(), lambda: None, LOG)
         with pytest.raises(ConnectionError):
@@ -103,15 +104,15 @@
         orjson.dumps([1]),
         msgspec.json.encode([renewal(1)] * (MAX_BATCH_COUNT + 1)),
     ],
-    ids=["empty", "no list", "a field missing", "no renewal", "too many"],
+    ids=["empty", "not a list", "missing field", "not a renewal", "too many"],
 )
-def test_a_batch_that_is_not_one_is_refused_in_one_line(body: bytes) -> None:
+def test_invalid_batch_is_rejected_with_one_line(body: bytes) -> None:
     with pytest.raises(ValueError, match=r"^body: [^\n]*$"):
         decode_renewals(body)
 
 
-def test_what_passing_on_raises_reaches_whoever_waits() -> None:
-    """Guard: a fault other than an OSError left them waiting for good."""
+def test_unexpected_error_in_forwarding_fails_waiting_renewals() -> None:
+    """An error other than OSError used to leave the callers waiting forever."""
 
     async def main() -> None:
         relay = RenewalRelay(HttpClient(), lambda: "no address", LOG)
--- a/tests/registry/test_stored_form.py
+++ b/tests/registry/test_stored_form.py
@@ -1,4 +1,4 @@
-"""Snapshots across releases: the names that they hold, and what a snapshot of an earlier release brings."""
+"""Snapshots across releases: the stored names, and the state restored from an earlier release's snapshot."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 DATA = Path(__file__).parents[1] / "data"
 
-# What the releases before the package was renamed write, and so all that they can read.
+# The classes that the releases before the package's renaming write and can read.
 RELEASED_CLASSES = {
     "orchidledge.members.ledger Ledger",
     "orchidledge.members.ledger Row",
@@ -31,7 +31,7 @@
     "orchidledge.routes.activation Pending",
     "orchidledge.routes.activation Version",
 }
-OF_PYTHON = {"__builtin__ frozenset", "__builtin__ object", "__builtin__ set", "copy_reg _reconstructor"}
+PYTHON_CLASSES = {"__builtin__ frozenset", "__builtin__ object", "__builtin__ set", "copy_reg _reconstructor"}
 RELEASED_FIELDS = {
     "FleetState": "ledger routes log_ms term http epoch ttl_ms bound_ms repeats services",
     "Ledger": "revision incarnations by_incarnation",
@@ -59,11 +59,11 @@
 
 
 def content(targets: TargetCatalog, fleet: FleetCatalog) -> Any:
-    """Everything that a snapshot brings, in the form of tests/data/registry-snapshot.json."""
+    """Return all restored state, in the form of tests/data/registry-snapshot.json."""
     state = fleet.state
     pages = [targets.page(since) for since in (5, 9)]
     ledgers = {"": state.ledger, **state.services}
-    row = {
+    restored = {
         "page": targets.page(None).targets,
         "count": list(targets.counts()),
         "since_5": [pages[0].complete, pages[0].targets],
@@ -90,10 +90,10 @@
         },
         "services": [state.service_of(incarnation) for incarnation in range(1, 8)],
     }
-    return orjson.loads(orjson.dumps(row))
+    return orjson.loads(orjson.dumps(restored))
 
 
-def test_a_snapshot_of_an_earlier_release_is_read_and_written_again_with_equal_content(
+def test_snapshot_of_earlier_release_is_read_and_rewritten_unchanged(
     tmp_path: Path,
 ) -> None:
     expected = orjson.loads((DATA / "registry-snapshot.json").read_bytes())
@@ -103,20 +103,21 @@
     assert content(*read(tmp_path / "raft.dump")) == expected
 
 
-def test_what_a_snapshot_brings_goes_on_as_the_state_that_was_written(tmp_path: Path) -> None:
+def test_commands_apply_to_state_restored_from_snapshot(tmp_path: Path) -> None:
     targets, fleet = read(DATA / "registry-snapshot.dump")
     assert targets.remove("s-5", 9, _doApply=True) == 11
-    assert fleet.renew_many(2_000.0, 7, [(5, 2, 1, 2, 0.1)], _doApply=True) is None  # it serves in no term
+    # None, as this instance prepares responses in no term.
+    assert fleet.renew_many(2_000.0, 7, [(5, 2, 1, 2, 0.1)], _doApply=True) is None
     assert fleet.state.log_ms == 2_000.0
     assert fleet.leave(2_001.0, 7, 5, _doApply=True) is True
     assert fleet.halt(2_002.0, 7, None, _doApply=True).number == 3
-    assert [row["state"] for row in fleet.members("pay")["members"]] == ["left", "live"]
+    assert [member["state"] for member in fleet.members("pay")["members"]] == ["left", "live"]
 
 
-def test_a_snapshot_names_the_classes_that_earlier_releases_have(tmp_path: Path) -> None:
+def test_snapshot_has_class_names_of_earlier_releases(tmp_path: Path) -> None:
     data = write(tmp_path / "raft.dump", *read(DATA / "registry-snapshot.dump"))
     named = {argument for opcode, argument, _ in pickletools.genops(data) if opcode.name == "GLOBAL"}
-    assert named - OF_PYTHON == RELEASED_CLASSES
+    assert named - PYTHON_CLASSES == RELEASED_CLASSES
     assert {opcode.proto for opcode, _, _ in pickletools.genops(data)} <= {0, 1, 2}
 
 
@@ -125,29 +126,29 @@
     return list(state[1] if isinstance(state, tuple) else state)
 
 
-def test_a_snapshot_names_the_fields_that_earlier_releases_have(tmp_path: Path) -> None:
+def test_snapshot_has_field_names_of_earlier_releases(tmp_path: Path) -> None:
     data = write(tmp_path / "raft.dump", *read(DATA / "registry-snapshot.dump"))
-    [own, targets, fleet], *_ = pickle.loads(data)
-    assert own == {}
+    [raft, targets, fleet], *_ = pickle.loads(data)
+    assert raft == {}
     assert (list(targets), list(fleet)) == RELEASED_ATTRIBUTES
     state = fleet["state"]
     ledger = state.state[1]["services"]["pay"]
     activations = state.state[1]["routes"]
-    row = ledger.state["by_incarnation"][5]
-    assert row.state[1]["state"].args == ("live",)
-    for stored in (state, ledger, row, activations):
+    record = ledger.state["by_incarnation"][5]
+    assert record.state[1]["state"].args == ("live",)
+    for stored in (state, ledger, record, activations):
         assert fields_of(stored) == RELEASED_FIELDS[type(stored).__name__].split()
-    # Values by place: number, text, digest, phase, of, why, at_ms
+    # Values by position: number, text, digest, phase, of, why, at_ms
     versions = activations.state[1]["versions"]
     assert [version.state[:2] + version.state[3:] for version in versions][2] == [
         *(2, "neutral = true\n# second\n", "aborted", None, "1 said no: disk full", None),
     ]
-    # number, deadline_ms, asked, needed, yes, at_ms
+    # Values by position: number, deadline_ms, asked, needed, yes, at_ms
     pending = activations.state[1]["pending"].state
     assert pending == [3, 9_000.0, frozenset({1, 2, 4, 5, 6, 7}), frozenset({1, 2, 5, 6, 7}), {2}, None]
 
 
-def test_a_state_without_groups_is_stored_as_before_there_were_any(tmp_path: Path) -> None:
+def test_state_without_groups_is_stored_without_services(tmp_path: Path) -> None:
     targets, fleet = consumers()
     fleet.lead(0.0, 1, "127.0.0.1:1", None, 1_000.0, 50.0, _doApply=True)
     data = write(tmp_path / "raft.dump", targets, fleet)
@@ -160,7 +161,7 @@
 @dataclass(slots=True)
 class Slotted:
     renamed: int
-    kept: Any
+    unchanged: Any
 
 
 class Plain:
@@ -176,10 +177,10 @@
 
 
 @pytest.mark.parametrize("make", [lambda: Slotted(1, [2]), lambda: Plain(1)])
-def test_a_renamed_class_and_field_are_stored_under_their_first_names(make: Any) -> None:
+def test_renamed_class_and_field_are_stored_under_first_names(make: Any) -> None:
     written = make()
-    row = StoredClass("first.release", "First", type(written), {"renamed": "old"})
-    form, file = StoredForm([row]), io.BytesIO()
+    stored_class = StoredClass("first.release", "First", type(written), {"renamed": "old"})
+    form, file = StoredForm([stored_class]), io.BytesIO()
     form.dump([written, written], file)
     data = file.getvalue()
     stored = pickle.loads(data)[0]
@@ -188,5 +189,5 @@
     restored, same = form.load(io.BytesIO(data))
     assert restored is same
     assert type(restored) is type(written)
-    names = [name for name in ("renamed", "kept", "derived") if hasattr(written, name)]
+    names = [name for name in ("renamed", "unchanged", "derived") if hasattr(written, name)]
     assert [getattr(restored, name) for name in names] == [getattr(written, name) for name in names]
--- a/tests/support/raft_double.py
+++ b/tests/support/fake_raft.py
@@ -1,12 +1,12 @@
-"""A double of pysyncobj for the fleet's state in one process: the log is committed at once."""
+"""A fake of pysyncobj for the fleet's state in one process; it commits commands at once."""
 
 from __future__ import annotations
 
 from typing import Any
 
 
-class Raft:
-    """As much of pysyncobj as the fleet's state asks."""
+class FakeRaft:
+    """The part of `SyncObj` that the fleet's state uses."""
 
     raftCurrentTerm = 1  # noqa: N815
     leader: str | None = None
@@ -20,5 +20,5 @@
 
 
 async def commit(command: Any, *arguments: Any) -> Any:
-    """The result of a replicated command, which is carried out here alone."""
+    """Carry out a replicated command in this process and return its result."""
     return command(*arguments, _doApply=True)
--- a/tests/support/golden_relay.py
+++ b/tests/support/golden_relay.py
@@ -1,6 +1,6 @@
-"""Plays what one instance of the list service says to another, for tests/data/golden/relay.json.
+"""Plays the calls between two instances of the list service, for tests/data/golden/relay.json.
 
-The functions come in from outside, so that the recording release and the present one run one script.
+The functions are arguments, so that the recording release and the current one run the same script.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     {"incarnation": 1, "seq": 2, "acked": 3, "using": 0.5, "sent": 1000.5, "answered": 1, "delta": True},
     {"incarnation": 2, "seq": 1, "acked": -1, "using": 0.0},
 ]
-ANSWERS = [
+RESPONSES = [
     {"status": 200, "body": {"incarnation": 1, "share": 0.5}},
     {"status": 404, "body": {"error": "no row"}},
 ]
@@ -26,39 +26,39 @@
 
 @dataclass(frozen=True)
 class Functions:
-    """What a release passes calls on with."""
+    """A release's classes and functions that forward calls."""
 
     client: Any
-    call: Any
-    pass_on: Any
+    request: Any
+    forward: Any
     relay: Any
-    read_batch: Any
-    answer_batch: Any
+    decode_renewals: Any
+    encode_responses: Any
 
 
 def play(functions: Functions) -> dict[str, Any]:
-    """The calls that a leader gets, and the answers that come back through a follower."""
-    leader = StandIn(lambda path, body: orjson.dumps(ANSWERS) if "renew-many" in path else b"{}")
+    """Return the calls that a leader receives, and the responses that a follower returns."""
+    leader = StandIn(lambda path, body: orjson.dumps(RESPONSES) if "renew-many" in path else b"{}")
     names = {f"127.0.0.1:{leader.port}": "<leader>"}
-    answers = asyncio.run(_said(functions, leader.port))
+    responses = asyncio.run(_call_leader(functions, leader.port))
     leader.close()
     calls = {call: masked(message, names) for call, message in sorted(leader.first.items())}
-    batch = functions.answer_batch(answers)
-    return {"calls": calls, "answers": [_plain(answer) for answer in answers], "batch": _plain(batch)}
+    batch = functions.encode_responses(responses)
+    return {"calls": calls, "answers": [_plain(response) for response in responses], "batch": _plain(batch)}
 
 
-async def _said(functions: Functions, port: int) -> list[Any]:
+async def _call_leader(functions: Functions, port: int) -> list[Any]:
     client = functions.client()
     relay = functions.relay(client, lambda: f"127.0.0.1:{port}", structlog.get_logger())
-    renewals = functions.read_batch(orjson.dumps(RENEWALS))
+    renewals = functions.decode_renewals(orjson.dumps(RENEWALS))
     try:
-        answers = await asyncio.gather(*map(relay.renew, renewals))
-        call = functions.call("POST", "/fleet/enrol", {"x": "a b"}, {}, b'{"name":"n1"}')
-        await functions.pass_on(client, ("127.0.0.1", port), call, 5.0, hop=True)
+        responses = await asyncio.gather(*map(relay.renew, renewals))
+        request = functions.request("POST", "/fleet/enrol", {"x": "a b"}, {}, b'{"name":"n1"}')
+        await functions.forward(client, ("127.0.0.1", port), request, 5.0, hop=True)
     finally:
         client.close()
-    return list(answers)
+    return list(responses)
 
 
-def _plain(answer: Any) -> list[Any]:
-    return [answer.status, answer.body.decode()]
+def _plain(response: Any) -> list[Any]:
+    return [response.status, response.body.decode()]
--- a/tests/support/group_registry.py
+++ b/tests/support/group_registry.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.registry.test_registry_fleet import Sampler
-from tests.support.registry_processes import Registry, ask, until
+from tests.support.registry_processes import Registry, http_request, until
 
 LIMIT_S = 60.0  # for anything that should come about: the machine may be slow
 MOST = 1.0 + 1e-9
@@ -39,7 +39,7 @@
 
         def said() -> tuple[int, Any] | None:
             for index in self.live():
-                status, _, answer = ask(self.http[index], method, f"/fleet/{path}", body)
+                status, _, answer = http_request(self.http[index], method, f"/fleet/{path}", body)
                 if status != 503:
                     return status, answer
             return None
@@ -66,10 +66,10 @@
             totals[row["service"]] += row["share"]
         everywhere = totals.pop("", 0.0)
         if max(totals.values(), default=0.0) + everywhere > MOST:
-            self.broken.append(rows)
+            self.violations.append(rows)
         newest: dict[str, int] = {}
         for row in rows:
             newest[row["name"]] = max(newest.get(row["name"], 0), row["incarnation"])
         if any(number < incarnations.get(name, 0) for name, number in newest.items()):
-            self.broken.append(rows)
+            self.violations.append(rows)
         incarnations.update(newest)
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -1,9 +1,9 @@
-"""Hollow members: the real enrolment core and the real client of the list service, without callers, servers
-or probes, many in one process on one event loop.
+"""Hollow members: real `MemberLease`s with real clients of the list service, but no requests, servers or
+probes; many in one process on one event loop.
 
-All of them are read at one moment, so the share rule is checked exactly: the shares of a service's members
-and of those that name none sum to at most 1 at every sample. What siblings say of themselves passes in the
-process, where a test can part them.
+All members are sampled at one moment, so the quota rule is checked exactly: at every sample, the quotas of a
+service's members and of the members without a service sum to at most 1. Siblings' reports are passed within
+the process, where a test can partition the members.
 """
 
 from __future__ import annotations
@@ -31,56 +31,58 @@
 from tests.support.registry_processes import Registry, until
 
 SAMPLE_S = 0.02
-WORDS_S = 0.1  # how often siblings hear of each other
+SIBLING_REPORT_S = 0.1  # between exchanges of reports among siblings
 
-Post = Callable[[str, dict[str, Any], float], Awaitable[ReceivedResponse]]
+Send = Callable[[str, dict[str, Any], float], Awaitable[ReceivedResponse]]
 
 
-class Line(RegistryClient):
-    """What stands between a member and the instances: each call goes to the next of those that it reaches.
+class RegistryLink(RegistryClient):
+    """A member's link to the instances: each call goes to the next instance that it can reach.
 
-    `on_post(path, body, timeout_ms, through)` stands in a call's place where a test injects faults.
+    If set, `intercept(path, body, timeout_ms, send)` replaces each call, by which tests inject faults.
     """
 
     def __init__(self, instances: Sequence[Address]) -> None:
         super().__init__(self._next)
         self.instances = list(instances)
-        self.reached: Callable[[int], bool] = lambda index: True
-        self.on_post: Callable[[str, dict[str, Any], float, Post], Awaitable[ReceivedResponse]] | None = None
-        self.answers: Counter[tuple[str, int]] = Counter()  # by path and status
-        self._turn = count()
+        self.can_reach: Callable[[int], bool] = lambda index: True
+        self.intercept: Callable[[str, dict[str, Any], float, Send], Awaitable[ReceivedResponse]] | None = (
+            None
+        )
+        self.responses: Counter[tuple[str, int]] = Counter()  # by path and status
+        self._next_index = count()
 
     def _next(self) -> Address:
         for _ in self.instances:
-            index = next(self._turn) % len(self.instances)
-            if self.reached(index):
+            index = next(self._next_index) % len(self.instances)
+            if self.can_reach(index):
                 return self.instances[index]
-        raise ConnectionError("cut off from every instance")
+        raise ConnectionError("no instance can be reached")
 
     async def post(self, path: str, body: dict[str, Any], timeout_ms: float) -> ReceivedResponse:
-        through = super().post
-        reply = await (
-            through(path, body, timeout_ms)
-            if self.on_post is None
-            else self.on_post(path, body, timeout_ms, through)
+        send = super().post
+        response = await (
+            send(path, body, timeout_ms)
+            if self.intercept is None
+            else self.intercept(path, body, timeout_ms, send)
         )
-        self.answers[path, reply.status] += 1
-        return reply
+        self.responses[path, response.status] += 1
+        return response
 
 
-class Hollow:
-    """A member; made on the loop of its `Hollows`."""
+class HollowMember:
+    """A simulated member; created on the loop of its `HollowMembers`."""
 
     def __init__(
         self, number: int, service: str, instances: Sequence[Address], clock: MembershipClock
     ) -> None:
         self.name, self.service, self.zone = f"h{number}", service, "z"
         self.address = f"127.0.0.1:{10_000 + number}"
-        self.incarnations: list[int] = []  # in the order that they were given
-        self.gone = 0  # how often the service had no row of it
-        self.renewals = 0  # answered and used
-        self.words: dict[int, SiblingReport] = {}
-        self.line, self._clock = Line(instances), clock
+        self.incarnations: list[int] = []  # in the order in which they were assigned
+        self.lease_losses = 0  # how often the service had no record of it
+        self.renewals = 0  # with a response that was used
+        self.sibling_reports: dict[int, SiblingReport] = {}
+        self.registry_link, self._clock = RegistryLink(instances), clock
         self._starts = count(1)
         self.lease: LeaseClient | None = None
 
@@ -91,56 +93,58 @@
 
     @property
     def enrolled(self) -> bool:
-        """Whether it runs and has a row, as far as it knows."""
+        """Whether it runs and has a record, as far as it knows."""
         return self.lease is not None and self.core.incarnation is not None
 
     def start(self, watches: bool = False) -> None:
-        """Begin a process at this address; `watches`: with a watch for changes, else with renewals alone."""
+        """Start a process at this address, which renews and, if `watches`, also watches for changes."""
         start = f"{self.name}-{next(self._starts)}"
         core = MemberLease(self.name, self.address, self.zone, start, Random(start), self.service)
-        self.words = {}
-        self.lease = LeaseClient(core, self.line, self._clock, ServiceTimeEstimate(ClockOffsets()))
-        self.lease.on_answer, self.lease.on_lease_lost = self._on_answer, self._on_gone
+        self.sibling_reports = {}
+        self.lease = LeaseClient(core, self.registry_link, self._clock, ServiceTimeEstimate(ClockOffsets()))
+        self.lease.on_answer, self.lease.on_lease_lost = self._on_response, self._on_lease_lost
         if watches:
             self.lease.start()
         else:
             self.lease._tick()
 
     def kill(self) -> None:
-        """It ends at once and says nothing."""
+        """End at once without notice."""
         if self.lease is not None:
             self.lease.close()
             self.lease = None
 
     async def leave(self) -> None:
-        """End as a process does, but say so until the list service has heard it: a test that follows finds no
-        row of it."""
+        """End gracefully, repeating the call until the list service has responded.
+
+        So the next test finds no record of this member.
+        """
         if self.lease is None:
             return
-        incarnation, heard = self.core.incarnation, self.line.answers["leave", 200]
+        incarnation, before = self.core.incarnation, self.registry_link.responses["leave", 200]
         await self.lease.leave()
         self.kill()
-        while incarnation is not None and self.line.answers["leave", 200] == heard:
+        while incarnation is not None and self.registry_link.responses["leave", 200] == before:
             with contextlib.suppress(OSError, TimeoutError):
-                await self.line.post("leave", {"incarnation": incarnation}, 1_000.0)
-            await asyncio.sleep(WORDS_S)
+                await self.registry_link.post("leave", {"incarnation": incarnation}, 1_000.0)
+            await asyncio.sleep(SIBLING_REPORT_S)
 
-    def taking(self, now: float) -> float:
+    def quota_in_use(self, now: float) -> float:
         return 0.0 if self.lease is None else self.core.quota_in_force(now)
 
-    def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
+    def _on_response(self, now: float, response: LeaseAnswer) -> None:
         assert self.lease is not None
-        self.lease.set_revisions(answer.revision, int(answer.routes.get("rev", 0)))
+        self.lease.set_revisions(response.revision, int(response.routes.get("rev", 0)))
         self.renewals += 1
-        if answer.incarnation not in self.incarnations[-1:]:
-            self.incarnations.append(answer.incarnation)
+        if response.incarnation not in self.incarnations[-1:]:
+            self.incarnations.append(response.incarnation)
 
-    def _on_gone(self, now: float) -> None:
-        self.gone += 1
+    def _on_lease_lost(self, now: float) -> None:
+        self.lease_losses += 1
 
 
-class Hollows:
-    """All hollow members of a test, on a loop of their own, read over and over."""
+class HollowMembers:
+    """All hollow members of a test on a separate event loop, sampled periodically."""
 
     def __init__(self, registry: Registry, sample_s: float = SAMPLE_S) -> None:
         self.registry, self._numbers, self._sample_s = registry, count(), sample_s
@@ -149,116 +153,121 @@
         self.clock: MembershipClock = self._loops.call(
             lambda: MembershipClock(Clock(asyncio.get_running_loop()))
         )
-        self.all: list[Hollow] = []
-        self.parted: Callable[[Hollow, Hollow], bool] = lambda one, other: False
+        self.all: list[HollowMember] = []
+        self.are_partitioned: Callable[[HollowMember, HollowMember], bool] = lambda member, other: False
         self.samples = 0
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self._tasks = [self._loops.call(lambda: asyncio.create_task(self._sample()))]
-        self._tasks.append(self._loops.call(lambda: asyncio.create_task(self._speak())))
+        self._tasks.append(self._loops.call(lambda: asyncio.create_task(self._exchange_reports())))
 
-    def add(self, service: str, many: int) -> list[Hollow]:
-        """So many more members of this service, not started."""
-        new = [Hollow(next(self._numbers), service, self._instances, self.clock) for _ in range(many)]
+    def add(self, service: str, size: int) -> list[HollowMember]:
+        """Add members of this service, without starting them."""
+        new = [HollowMember(next(self._numbers), service, self._instances, self.clock) for _ in range(size)]
         self.all.extend(new)
         return new
 
-    def start(self, members: Iterable[Hollow], watches: bool = False) -> None:
+    def start(self, members: Iterable[HollowMember], watches: bool = False) -> None:
         self.call(lambda: [member.start(watches) for member in members])
 
-    def start_within(self, members: Sequence[Hollow], seconds: float, rng: Random) -> None:
-        """Start these, each at a moment drawn from so many seconds."""
+    def start_within(self, members: Sequence[HollowMember], seconds: float, rng: Random) -> None:
+        """Start each member at a random time within these seconds."""
 
-        def plan() -> None:
+        def schedule() -> None:
             loop = asyncio.get_running_loop()
             for member in members:
                 loop.call_later(rng.uniform(0.0, seconds), member.start)
 
-        self.call(plan)
+        self.call(schedule)
 
-    def call(self, work: Callable[[], Any]) -> Any:
-        """Done on the loop, between its callbacks."""
-        return self._loops.call(work)
+    def call(self, action: Callable[[], Any]) -> Any:
+        """Run an action on the loop, between its callbacks, and return its result."""
+        return self._loops.call(action)
 
-    def run(self, work: Any) -> Any:
-        return self._loops.run(work)
+    def run(self, coroutine: Any) -> Any:
+        return self._loops.run(coroutine)
 
-    # ------------------------------------------------------------------ what is waited for
+    # ------------------------------------------------------------------ waits
 
     def until(self, what: str, check: Callable[[float], bool], within_s: float = LIMIT_S) -> None:
-        """Until check(now) holds, asked on the loop."""
+        """Wait until check(now), called on the loop, is true."""
         until(lambda: self.holds(check), within_s, what)
 
     def holds(self, check: Callable[[float], bool]) -> bool:
         return bool(self.call(lambda: check(self.clock.now_ms())))
 
-    def until_shared(self, members: Sequence[Hollow]) -> None:
-        """Until each takes its part of the whole among these, is an elector and knows just these."""
+    def until_equal_quotas(self, members: Sequence[HollowMember]) -> None:
+        """Wait until the members have equal quotas, are electors and list exactly these members."""
 
-        def shared(now: float) -> bool:
+        def settled(now: float) -> bool:
             return all(
-                abs(member.taking(now) - 1.0 / len(members)) < 1e-6
+                abs(member.quota_in_use(now) - 1.0 / len(members)) < 1e-6
                 and member.core.elector
                 and len(member.core.members) == len(members)
                 for member in members
             )
 
         try:
-            self.until(f"{len(members)} of {members[0].service!r} sharing", shared)
+            self.until(f"equal quotas of {len(members)} members of {members[0].service!r}", settled)
         except AssertionError as error:
             now = self.clock.now_ms()
-            seen = [(one.name, one.taking(now), one.core.elector, len(one.core.members)) for one in members]
-            raise AssertionError(f"{error}: {seen[:12]}") from error
+            states = [
+                (member.name, member.quota_in_use(now), member.core.elector, len(member.core.members))
+                for member in members
+            ]
+            raise AssertionError(f"{error}: {states[:12]}") from error
 
-    def until_sampled(self, times: int) -> None:
-        aim = self.samples + times
-        until(lambda: self.samples >= aim, LIMIT_S, "samples")
+    def until_sampled(self, samples: int) -> None:
+        enough = self.samples + samples
+        until(lambda: self.samples >= enough, LIMIT_S, "samples")
 
-    # ------------------------------------------------------------------ its duties
+    # ------------------------------------------------------------------ periodic tasks
 
     async def _sample(self) -> None:
         while True:
             now = self.clock.now_ms()
-            self._check_shares(now)
+            self._check_quotas(now)
             for member in self.all:
                 if member.incarnations != sorted(set(member.incarnations)):
-                    self.broken.append(f"{member.name}: incarnations {member.incarnations}")
+                    self.violations.append(f"{member.name}: incarnations {member.incarnations}")
             self.samples += 1
             await asyncio.sleep(self._sample_s)
 
-    def _check_shares(self, now: float) -> None:
+    def _check_quotas(self, now: float) -> None:
         totals: dict[str, float] = {}
         for member in self.all:
-            totals[member.service] = totals.get(member.service, 0.0) + member.taking(now)
-        everywhere = totals.pop("", 0.0)
+            totals[member.service] = totals.get(member.service, 0.0) + member.quota_in_use(now)
+        ungrouped = totals.pop("", 0.0)
         for service, total in (totals or {"": 0.0}).items():
-            if total + everywhere > MOST:
-                self.broken.append(f"{service!r}: {total} and {everywhere} of members that name none")
+            if total + ungrouped > MOST:
+                self.violations.append(f"{service!r}: {total} and {ungrouped} of members without a service")
 
-    async def _speak(self) -> None:
-        """Members that are not attached hear what siblings in reach say of themselves."""
+    async def _exchange_reports(self) -> None:
+        """Give members that are not attached the reports of siblings that they can reach."""
         while True:
             now = self.clock.now_ms()
-            groups: dict[str, list[Hollow]] = {}
+            groups: dict[str, list[HollowMember]] = {}
             for member in self.all:
                 if member.enrolled:
                     groups.setdefault(member.service, []).append(member)
             for siblings in groups.values():
                 for member in siblings:
                     if not member.core.is_attached(now):
-                        self._hear(member, siblings, now)
-            await asyncio.sleep(WORDS_S)
+                        self._receive_reports(member, siblings, now)
+            await asyncio.sleep(SIBLING_REPORT_S)
 
-    def _hear(self, member: Hollow, siblings: list[Hollow], now: float) -> None:
+    def _receive_reports(self, member: HollowMember, siblings: list[HollowMember], now: float) -> None:
         for other in siblings:
-            if other is not member and not self.parted(member, other):
+            if other is not member and not self.are_partitioned(member, other):
                 assert other.core.incarnation is not None
-                member.words[other.core.incarnation] = SiblingReport(other.core.quota_status(now), now)
-        member.core.on_sibling_reports(now, member.words)
+                member.sibling_reports[other.core.incarnation] = SiblingReport(
+                    other.core.quota_status(now), now
+                )
+        member.core.on_sibling_reports(now, member.sibling_reports)
 
-    # ------------------------------------------------------------------ the end
+    # ------------------------------------------------------------------ shutdown
 
-    def leave(self, members: Sequence[Hollow]) -> None:
-        """These leave, and are no longer read."""
+    def leave(self, members: Sequence[HollowMember]) -> None:
+        """Let these members leave and sample them no longer."""
 
         async def all_leave() -> None:
             await asyncio.gather(*(member.leave() for member in members))
@@ -268,9 +277,9 @@
             self.all.remove(member)
 
     def check(self) -> None:
-        """No sample broke a rule so far."""
+        """Assert that no sample violated a rule so far."""
         assert self.samples > 5
-        assert not self.broken, self.broken[:3]
+        assert not self.violations, self.violations[:3]
 
     def close(self) -> None:
         self.call(lambda: [member.kill() for member in self.all])
--- a/tests/support/journals.py
+++ b/tests/support/journals.py
@@ -1,4 +1,4 @@
-"""The replicated commands in an instance's journal, read by pysyncobj alone."""
+"""The replicated commands in an instance's journal, read with pysyncobj only."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from pysyncobj.journal import createJournal
 
-REGULAR = b"\0"  # the kind of an entry that is a call of a consumer
+REGULAR = b"\0"  # the first byte of an entry that is a consumer's command
 
 
 def journal_commands(path: Path) -> list[bytes]:
-    """The pickled calls in a journal; other entries are Raft's own."""
+    """Return the pickled commands in a journal, without Raft's internal entries."""
     journal = createJournal(str(path))
     try:
-        entries = [journal[at][0] for at in range(len(journal))]
+        entries = [journal[index][0] for index in range(len(journal))]
     finally:
         journal._destroy()
     return [entry[1:] for entry in entries if entry[:1] == REGULAR]
--- a/tests/support/lease_world.py
+++ b/tests/support/lease_world.py
@@ -33,7 +33,7 @@
 from loadbalancer.registry.settings import MemberSettings
 from loadbalancer.staleness import ClockOffsets
 from tests.support import clocks
-from tests.support.raft_double import Raft, commit
+from tests.support.fake_raft import FakeRaft, commit
 
 TTL_MS = 400.0
 DELAY_MS = 2.0  # of a message, one way
@@ -78,7 +78,7 @@
     """The instance that leads. `calls` has the true times of all calls that reached it."""
 
     def __init__(self, folder: Path) -> None:
-        self.clocks, self._raft, self._folder = InstanceClocks(0.0), Raft(), folder
+        self.clocks, self._raft, self._folder = InstanceClocks(0.0), FakeRaft(), folder
         self.catalog = FleetCatalog(ServiceClock(), self.clocks.monotonic_ms, lambda groups: None)
         self.catalog._syncObj = self._raft
         self.calls: list[float] = []
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -18,7 +18,7 @@
 from tests.support.load import Load, Outcome
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
-from tests.support.registry_processes import Registry, ask, until
+from tests.support.registry_processes import Registry, http_request, until
 from tests.support.stand_in_servers import ServerPool
 
 WAIT_LIMIT_S = 120.0  # of every wait: the machine may be slow
@@ -124,7 +124,7 @@
         """A call under /fleet/ through the agent, repeated while it answers 503."""
 
         def said() -> tuple[int, Any] | None:
-            status, _, answer = ask(self.agent.port, method, f"/fleet/{path}", body, timeout=5.0)
+            status, _, answer = http_request(self.agent.port, method, f"/fleet/{path}", body, timeout=5.0)
             return None if status == 503 else (status, answer)
 
         return until(said, WAIT_LIMIT_S, f"{method} {path} done")  # type: ignore[no-any-return]
--- a/tests/support/node_processes.py
+++ b/tests/support/node_processes.py
@@ -14,7 +14,7 @@
 
 from tests.support.loopback import config_row
 from tests.support.ports import free_port
-from tests.support.registry_processes import Agent, Registry, metric_at, running, spawn, until
+from tests.support.registry_processes import Agent, Registry, read_metric, running, spawn, until
 
 Spawn = Callable[[list[str], Path, dict[str, str]], "subprocess.Popen[bytes]"]
 
@@ -75,7 +75,7 @@
         return [line for line in self.log.read_text().splitlines() if text in line]
 
     def metric(self, name: str) -> float:
-        return metric_at(self.door, name)
+        return read_metric(self.door, name)
 
     def listed(self) -> int:
         return int(self.metric("proxy.targets"))
--- a/tests/support/pickle_contents.py
+++ b/tests/support/pickle_contents.py
@@ -1,11 +1,11 @@
-"""The contents of a pickle as plain JSON, read without the classes that it names.
+"""The contents of a pickle as plain JSON, read without importing the classes that it names.
 
-Classes of the program are replaced by stand-ins that keep what the pickle says of an object. So a test sees
-the stored class and field names, whatever the present names are.
+Placeholders replace the program's classes and record the arguments and state that the pickle has for each
+object. So a test sees the stored class and field names, independently of the current names.
 
-How a value is written: a list as it is, a tuple as `{"tuple": [...]}`, a set as `{"set": [...]}` (sorted), a
-dict whose keys are texts as it is and any other as `{"pairs": [[key, value], ...]}`, an object as
-`{"class": name, "arguments": [...], "state": ...}` where parts that are empty are left out.
+Lists and dicts with text keys are unchanged. A tuple becomes `{"tuple": [...]}`, a set `{"set": [...]}`
+(sorted), any other dict `{"pairs": [[key, value], ...]}`, and an object `{"class": name, "arguments": [...],
+"state": ...}` without empty parts.
 """
 
 from __future__ import annotations
@@ -20,54 +20,54 @@
 PLAIN = (str, int, float, bool, type(None))
 
 
-class StandIn:
-    """An object of a class that the pickle names, however the pickle creates it."""
+class Placeholder:
+    """Replaces an object of a class that the pickle names."""
 
     module = name = ""
     arguments: tuple[Any, ...] = ()
     state: Any = None
 
-    def __new__(cls, *arguments: Any) -> StandIn:
-        made = super().__new__(cls)
-        made.arguments = arguments
-        return made
+    def __new__(cls, *arguments: Any) -> Placeholder:
+        instance = super().__new__(cls)
+        instance.arguments = arguments
+        return instance
 
     def __init__(self, *arguments: Any) -> None:
-        """Takes what `__new__` has kept."""
+        """Accept the arguments, which `__new__` has stored."""
 
     def __setstate__(self, state: Any) -> None:
         self.state = state
 
 
 class _Reader(pickle.Unpickler):
-    """Loads a pickle with stand-ins in place of the program's classes, and notes those classes."""
+    """Loads a pickle with placeholders for the program's classes, and records those classes."""
 
     def __init__(self, data: bytes) -> None:
         super().__init__(io.BytesIO(data))
-        self.classes: dict[tuple[str, str], type[StandIn]] = {}
+        self.classes: dict[tuple[str, str], type[Placeholder]] = {}
 
     def find_class(self, module: str, name: str) -> Any:
         if module.split(".")[0] not in PROGRAM_PACKAGES:
             return super().find_class(module, name)
         if (module, name) not in self.classes:
-            self.classes[module, name] = type(name, (StandIn,), {"module": module, "name": name})
+            self.classes[module, name] = type(name, (Placeholder,), {"module": module, "name": name})
         return self.classes[module, name]
 
 
 def contents(data: bytes) -> Any:
-    """What a pickle holds, as plain JSON."""
+    """Return the contents of a pickle as plain JSON."""
     return _plain(_Reader(data).load())
 
 
 def named_classes(data: bytes) -> set[str]:
-    """The program's classes that a pickle names, as `module:name`."""
+    """Return the program's classes that a pickle names, as `module:name`."""
     reader = _Reader(data)
     reader.load()
     return {f"{module}:{name}" for module, name in reader.classes}
 
 
 def unzipped(path: Path) -> bytes:
-    """The pickle in a snapshot file."""
+    """Return the pickle in a snapshot file."""
     return gzip.decompress(path.read_bytes())
 
 
@@ -84,7 +84,7 @@
         return {"set": sorted(_plain(item) for item in value)}
     if isinstance(value, dict):
         return _plain_dict(value)
-    if isinstance(value, StandIn):
+    if isinstance(value, Placeholder):
         return _plain_object(value)
     raise TypeError(f"{type(value)} in a pickle")
 
@@ -95,10 +95,10 @@
     return {"pairs": [[_plain(key), _plain(item)] for key, item in value.items()]}
 
 
-def _plain_object(value: StandIn) -> dict[str, Any]:
-    row: dict[str, Any] = {"class": value.name}
+def _plain_object(value: Placeholder) -> dict[str, Any]:
+    entry: dict[str, Any] = {"class": value.name}
     if value.arguments:
-        row["arguments"] = [_plain(item) for item in value.arguments]
+        entry["arguments"] = [_plain(item) for item in value.arguments]
     if value.state is not None:
-        row["state"] = _plain(value.state)
-    return row
+        entry["state"] = _plain(value.state)
+    return entry
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -1,7 +1,7 @@
 """Processes of the list service on loopback for multi-process tests: instances, agents, calls.
 
-Every port is kept for the program it is given to (tests/support/ports.py); every wait is bounded and polls a
-condition, and a failure says what was last seen.
+Every port is reserved for its program (tests/support/ports.py). Every wait polls a condition for a limited
+time, and its failure message contains the last value.
 """
 
 from __future__ import annotations
@@ -27,25 +27,25 @@
 
 
 def until(check: Callable[[], Any], within_s: float = 20.0, what: str = "condition") -> Any:
-    """Poll until check() is truthy; AssertionError with the last value after within_s."""
+    """Poll until check() is truthy and return its value; raise AssertionError after within_s."""
     deadline = time.monotonic() + within_s
-    seen: Any = None
+    last: Any = None
     while time.monotonic() < deadline:
         try:
-            seen = check()
+            last = check()
         except (OSError, ValueError, http.client.HTTPException) as error:
-            seen = error
+            last = error
         else:
-            if seen:
-                return seen
+            if last:
+                return last
         time.sleep(0.02)
-    raise AssertionError(f"{what} not reached in {within_s} s; last seen {seen!r}")
+    raise AssertionError(f"{what} not reached in {within_s} s; last value {last!r}")
 
 
-def ask(
+def http_request(
     port: int, method: str, target: str, body: Any = None, timeout: float = 3.0
 ) -> tuple[int, dict[str, str], Any]:
-    """Bytes go as they are, any other body as JSON."""
+    """Return a response's status, headers and decoded JSON; encode `body` as JSON unless it is bytes."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
     try:
         data = body if body is None or isinstance(body, bytes) else orjson.dumps(body)
@@ -54,7 +54,7 @@
         raw = response.read()
         return (
             response.status,
-            {k.lower(): v for k, v in response.getheaders()},
+            {name.lower(): value for name, value in response.getheaders()},
             orjson.loads(raw) if raw else None,
         )
     finally:
@@ -70,16 +70,16 @@
 
 
 def running(process: subprocess.Popen[bytes], log: Path) -> bool:
-    """True, or AssertionError with the log's last lines where the process has ended."""
+    """Return True; raise AssertionError with the log's last lines if the process has ended."""
     if process.poll() is None:
         return True
-    said = log.read_text(errors="replace").splitlines()[-3:]
-    raise AssertionError(f"{log.name}: ended with {process.returncode}: {said}")
+    last_lines = log.read_text(errors="replace").splitlines()[-3:]
+    raise AssertionError(f"{log.name}: ended with {process.returncode}: {last_lines}")
 
 
-def metric_at(door: int, name: str) -> float:
-    """One of a node's figures, from its door."""
-    connection = http.client.HTTPConnection("127.0.0.1", door, timeout=2)
+def read_metric(operator_port: int, name: str) -> float:
+    """Read one of a node's metrics from its admin server."""
+    connection = http.client.HTTPConnection("127.0.0.1", operator_port, timeout=2)
     try:
         connection.request("GET", "/status/metrics")
         text = connection.getresponse().read().decode()
@@ -100,15 +100,20 @@
         members: Callable[[int], dict[str, int | str]] = lambda index: {},
         raft: dict[str, int] | None = None,
     ) -> None:
-        """`members`, `raft`: the keys of an instance's tables of these names, in TOML's words (`true`)."""
+        """Start the instances and wait for a leader.
+
+        `members` and `raft` are the keys of an instance's TOML tables of these names, with values as in TOML
+        (`true`). If `relayed`, each pair of instances talks through a relay, so that `partition` can separate
+        them.
+        """
         self.folder = folder
         self.members = members
         self.raft_keys = raft or {}
         self.http = [free_port() for _ in range(count)]
         self.ttl_ms = ttl_ms
-        # Relayed: each pair of instances talks through a relay of its own, so that a cut can part them.
-        # pysyncobj keeps one connection a pair, opened by the higher address to the lower; instances
-        # stand on 127.0.0.2 and up, relays on 127.0.0.1, so each higher one dials its relay.
+        # pysyncobj has one connection per pair, opened by the higher address to the lower one. Relayed
+        # instances listen on 127.0.0.2 and up and relays on 127.0.0.1, so the instance with the higher
+        # address connects to the relay.
         self.hosts = [f"127.0.0.{2 + index}" if relayed else "127.0.0.1" for index in range(count)]
         self.raft = [free_port(host) for host in self.hosts]
         self.links: dict[tuple[int, int], Relay] = {}
@@ -123,7 +128,9 @@
 
     def config(self, index: int) -> Path:
         path = self.folder / f"r{index}.toml"
-        peers = ", ".join(f'"{self.peer(index, other)}"' for other in range(len(self.raft)) if other != index)
+        peers = ", ".join(
+            f'"{self.peer_address(index, other)}"' for other in range(len(self.raft)) if other != index
+        )
         tables: dict[str, Mapping[str, int | str]] = {"raft": self.raft_keys, "members": self.members(index)}
         path.write_text(
             f'[instance]\nname = "r{index}"\nlisten = "127.0.0.1:{self.http[index]}"\n'
@@ -133,12 +140,12 @@
         )
         return path
 
-    def peer(self, index: int, other: int) -> str:
+    def peer_address(self, index: int, other: int) -> str:
         link = self.links.get((index, other))
         return "{}:{}".format(*link.address) if link else f"{self.hosts[other]}:{self.raft[other]}"
 
-    def cut(self, index: int, silent: bool = True) -> None:
-        """Part an instance from the others (silent links, as a cut cable), or join it again."""
+    def partition(self, index: int, silent: bool = True) -> None:
+        """Silence an instance's links, as with a cut cable; heal the partition if not `silent`."""
         for pair, link in self.links.items():
             if index in pair:
                 link.set_silent(silent)
@@ -147,21 +154,21 @@
         arguments = ["-m", "loadbalancer.registry", "serve", "--config", str(self.config(index))]
         log = self.folder / f"r{index}.log"
         process = self.processes[index] = spawn(arguments, log)
-        until(lambda: running(process, log) and self.status(index), what=f"r{index} answering")
+        until(lambda: running(process, log) and self.status(index), what=f"a response of r{index}")
 
-    def kill(self, index: int, number: int = signal.SIGKILL) -> None:
+    def kill(self, index: int, signal_number: int = signal.SIGKILL) -> None:
         process = self.processes[index]
         assert process is not None
-        os.kill(process.pid, number)
-        if number in (signal.SIGKILL, signal.SIGTERM):
+        os.kill(process.pid, signal_number)
+        if signal_number in (signal.SIGKILL, signal.SIGTERM):
             process.wait(10)
             self.processes[index] = None
 
-    def wipe(self, index: int) -> None:
+    def delete_data(self, index: int) -> None:
         shutil.rmtree(self.folder / f"data-r{index}", ignore_errors=True)
 
     def status(self, index: int) -> dict[str, Any]:
-        return ask(self.http[index], "GET", "/registry/status", timeout=1.0)[2]  # type: ignore[no-any-return]
+        return http_request(self.http[index], "GET", "/registry/status", timeout=1.0)[2]  # type: ignore[no-any-return]
 
     def leader(self, within_s: float = 20.0) -> int:
         def find() -> int | None:
@@ -177,23 +184,27 @@
         return int(until(lambda: (found := find()) is not None and str(found), within_s, "a leader"))
 
     def put(self, uid: str, port: int = 9, avoid: int | None = None, **fields: Any) -> int:
-        """Register through any live instance, again until one commits it (the same body twice is one
-        change); the revision it got. AssertionError where none does in 20 s."""
+        """Register through any live instance and return the committed revision.
+
+        Retries for 20 s, then raises AssertionError; repeating the same body is one change.
+        """
         return self._write("PUT", uid, {"uid": uid, "endpoint": f"127.0.0.1:{port}", **fields}, avoid)
 
     def remove(self, uid: str) -> int:
         return self._write("DELETE", uid, None, None)
 
     def _write(self, method: str, uid: str, body: Any, avoid: int | None) -> int:
-        def through_one() -> list[int] | None:
+        def attempt() -> list[int] | None:
             for index in self.live(avoid):
                 with contextlib.suppress(OSError):
-                    status, _, answer = ask(self.http[index], method, f"/registry/targets/{uid}", body)
+                    status, _, response = http_request(
+                        self.http[index], method, f"/registry/targets/{uid}", body
+                    )
                     if status == 200:
-                        return [int(answer["rev"])]
+                        return [int(response["rev"])]
             return None
 
-        [revision] = until(through_one, what=f"a commit of {method} {uid}")
+        [revision] = until(attempt, what=f"a commit of {method} {uid}")
         return int(revision)
 
     def live(self, avoid: int | None = None) -> list[int]:
@@ -203,7 +214,8 @@
 
     def listed(self, index: int) -> dict[str, str]:
         return {
-            row["uid"]: row["state"] for row in ask(self.http[index], "GET", "/discovery/hosts")[2]["targets"]
+            target["uid"]: target["state"]
+            for target in http_request(self.http[index], "GET", "/discovery/hosts")[2]["targets"]
         }
 
     def agent(self, port: int | None = None, **keys: Any) -> Agent:
@@ -238,10 +250,10 @@
         target = (
             "/discovery/hosts" if since is None else f"/discovery/hosts?since={since}&timeout_ms={wait_ms}"
         )
-        return ask(self.port, "GET", target, timeout=wait_ms / 1000 + 2)[2]  # type: ignore[no-any-return]
+        return http_request(self.port, "GET", target, timeout=wait_ms / 1000 + 2)[2]  # type: ignore[no-any-return]
 
     def listed(self) -> dict[str, str]:
-        return {row["uid"]: row["state"] for row in self.page()["targets"]}
+        return {target["uid"]: target["state"] for target in self.page()["targets"]}
 
     def stop(self) -> None:
         self.process.kill()
--- a/tests/support/stored_registry.py
+++ b/tests/support/stored_registry.py
@@ -1,4 +1,4 @@
-"""An instance's replicated state without its HTTP face: read from a data folder, written to one."""
+"""An instance's replicated state without HTTP, read from and written to a data folder."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.support.ports import free_port
 from tests.support.registry_processes import until
 
-KEEP_GONE = 3  # tombstones, as the release's fixtures were made with
-NO_RAFT_PART = ((), (), ())  # of a snapshot: the last two entries and the cluster
+MAX_TOMBSTONES = 3  # as in the release that wrote the fixtures
+EMPTY_RAFT_PART = ((), (), ())  # of a snapshot: the last two log entries and the cluster
 
 
 class StoredInstance:
@@ -24,7 +24,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.targets = TargetCatalog(KEEP_GONE, lambda revision: None)
+        self.targets = TargetCatalog(MAX_TOMBSTONES, lambda revision: None)
         self.fleet = FleetCatalog(ServiceClock(None), lambda: 0.0, lambda groups: None)
         self.snapshot_file = SnapshotFile([self.targets, self.fleet])
 
@@ -32,18 +32,18 @@
         self.snapshot_file.read(str(self.folder / "raft.dump"))
 
     def write_snapshot(self) -> bytes:
-        """The pickle in a snapshot file that is written now."""
+        """Write a snapshot file and return the pickle in it."""
         path = self.folder / "written.dump"
-        self.snapshot_file.write(str(path), NO_RAFT_PART)
+        self.snapshot_file.write(str(path), EMPTY_RAFT_PART)
         return unzipped(path)
 
     def state(self) -> dict[str, Any]:
-        """What is stored of both consumers, by stored names."""
+        """Return both consumers' state as stored, under stored names."""
         _, targets, fleet = contents(self.write_snapshot())["tuple"][0]
         return {"targets": targets, "fleet": fleet}
 
-    def join_alone(self) -> SyncObj:
-        """A Raft member with no others: it applies all that its folder holds, in this thread."""
+    def start_single_member(self) -> SyncObj:
+        """Start a cluster of one Raft member, which applies the stored data in this thread."""
         conf = SyncObjConf(
             journalFile=str(self.folder / "raft.journal"),
             fullDumpFile=str(self.folder / "raft.dump"),
@@ -58,8 +58,8 @@
         return SyncObj(f"127.0.0.1:{free_port()}", [], conf, consumers=[self.targets, self.fleet])
 
     def replay(self) -> None:
-        """Apply the snapshot and the journal of the folder."""
-        raft = self.join_alone()
+        """Apply the folder's snapshot and journal."""
+        raft = self.start_single_member()
         try:
             tick_until_applied(raft)
         finally:
@@ -67,7 +67,7 @@
 
 
 def tick_until_applied(raft: SyncObj) -> None:
-    """Let this member lead and apply everything in its journal."""
+    """Run this member until it leads and has applied its journal."""
 
     def applied() -> bool:
         raft.doTick()
--- a/tests/wire/test_golden_registry.py
+++ b/tests/wire/test_golden_registry.py
@@ -1,6 +1,6 @@
-"""The list service and its agent answer and log what those of commit bf594b0 did, byte for byte.
+"""The list service and its agent send and log the same bytes as those of commit bf594b0.
 
-tests/data/golden/README.md says how the messages were recorded.
+tests/data/golden/README.md explains how the messages were recorded.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 
 @pytest.mark.parametrize("case", INSTANCES)
-def test_an_instance_answers_each_call_and_logs_what_it_asks_for(tmp_path: Path, case: str) -> None:
+def test_instance_responses_and_log_entries_are_unchanged(tmp_path: Path, case: str) -> None:
     assert replay_instance(PRESENT, tmp_path, INSTANCES[case]) == INSTANCES[case]
 
 
-def test_an_agent_answers_each_call_and_asks_for_the_list(tmp_path: Path) -> None:
+def test_agent_responses_and_calls_are_unchanged(tmp_path: Path) -> None:
     case = orjson.loads((DATA / "agent.json").read_bytes())
     assert replay_agent(PRESENT, tmp_path, case) == case
 
 
-def test_an_instance_passes_calls_and_renewals_on_to_the_one_that_leads() -> None:
+def test_calls_and_renewals_forwarded_to_leader_are_unchanged() -> None:
     played = play(
         Functions(HttpClient, HttpRequest, forward, RenewalRelay, decode_renewals, encode_responses)
     )
