--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -274,9 +274,9 @@
         return json_response(HTTPStatus.OK, self._fleet.members(call.query.get("service")))
 
     async def _watch(self, call: HttpRequest) -> HttpResponse:
-        """Respond once the process of `incarnation` has news to read, or the wait is over.
+        """Respond once there are changes for the process of `incarnation`, or the wait is over.
 
-        It has news once, in the state applied here, the revision of its group's member list differs from
+        There are changes if, in the state applied here, the revision of its group's member list differs from
         `since` or that of the routes from `routes_since` (by default their revision when the call arrives).
         """
         try:
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -108,9 +108,9 @@
         return self._clock.service_ms(self._clocks.monotonic_ms())
 
     def out_of_range_by_ms(self, sent_ms: float) -> float | None:
-        """Return the age of a renewal by service time, in ms; None if it is recent enough.
+        """Return the age in ms of a renewal sent at `sent_ms` of service time; None if it is in range.
 
-        The limit on the age also holds for send times in the future (a negative age).
+        Out of range is a renewal that is older than allowed, or as far in the future (a negative age).
         """
         age_ms = self.service_ms() - sent_ms
         return age_ms if abs(age_ms) > MAX_DELAY_TERM_FRACTION * self.ttl_ms else None
