--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -158,7 +158,7 @@
         """Record that the process has ended; return False if it has no record."""
         departed = self._prepared(self.service_of(incarnation)).leave(incarnation)
         if departed:
-            self.routes.on_left(incarnation)
+            self.routes.on_removed(incarnation)
         return departed
 
     def remove(self, name: str, service: str | None = None) -> list[int]:
@@ -170,7 +170,7 @@
         for group in [NO_SERVICE, *self.services] if service is None else [service]:
             ended += self._prepared(group).remove(name)
         for incarnation in ended:
-            self.routes.on_left(incarnation)
+            self.routes.on_removed(incarnation)
         return ended
 
     def end_service(self, service: str) -> list[int]:
@@ -341,7 +341,7 @@
 
     def _forget(self, incarnation: int) -> None:
         self._service_of.pop(incarnation, None)
-        self.routes.on_left(incarnation)
+        self.routes.on_removed(incarnation)
 
     def _voters(self) -> list[int]:
         live = (MemberState.LIVE, MemberState.DRAINING)
