--- a/tests/support/group_registry.py
+++ b/tests/support/group_registry.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.registry.test_registry_fleet import Sampler
-from tests.support.registry_processes import Registry, ask, until
+from tests.support.registry_processes import Registry, http_request, until
 
 LIMIT_S = 60.0  # of every wait, as the machine may be slow
 MAX_QUOTA_SUM = 1.0 + 1e-9
@@ -39,7 +39,7 @@
 
         def respond() -> tuple[int, Any] | None:
             for index in self.live():
-                status, _, response = ask(self.http[index], method, f"/fleet/{path}", body)
+                status, _, response = http_request(self.http[index], method, f"/fleet/{path}", body)
                 if status != 503:
                     return status, response
             return None
@@ -69,10 +69,10 @@
             totals[record["service"]] += record["share"]
         without_service = totals.pop("", 0.0)
         if max(totals.values(), default=0.0) + without_service > MAX_QUOTA_SUM:
-            self.broken.append(records)
+            self.violations.append(records)
         newest: dict[str, int] = {}
         for record in records:
             newest[record["name"]] = max(newest.get(record["name"], 0), record["incarnation"])
         if any(number < incarnations.get(name, 0) for name, number in newest.items()):
-            self.broken.append(records)
+            self.violations.append(records)
         incarnations.update(newest)
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -20,7 +20,7 @@
 from tests.support.load import Load, Outcome
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
-from tests.support.registry_processes import Registry, ask, until
+from tests.support.registry_processes import Registry, http_request, until
 from tests.support.stub_servers import StubServerPool
 
 WAIT_LIMIT_S = 120.0  # of every wait, as the machine may be slow
@@ -133,7 +133,7 @@
         """Send a call under /fleet/ through the agent, and again as long as the status is 503."""
 
         def respond() -> tuple[int, Any] | None:
-            status, _, response = ask(self.agent.port, method, f"/fleet/{path}", body, timeout=5.0)
+            status, _, response = http_request(self.agent.port, method, f"/fleet/{path}", body, timeout=5.0)
             return None if status == 503 else (status, response)
 
         return until(respond, WAIT_LIMIT_S, f"{method} {path} done")  # type: ignore[no-any-return]
