--- a/loadbalancer/membership/__init__.py
+++ b/loadbalancer/membership/__init__.py
@@ -1,20 +1,24 @@
-"""Membership: which nodes there are, which have failed, and what quota each may use. Pure: times and events
-in, actions out.
+"""Membership of a group of nodes: the members, failure detection, and the quota that each member may use.
 
-The rules, in the order in which they bind:
+The package does no I/O and reads no clock: its classes receive times and events and return actions.
 
-1. Two kinds of evidence are kept apart: a lease in the list service, and the failure detector, which probes
-   other members. Only a lease grants quota; the failure detector never lets a quota grow.
-2. An incarnation is given by the list service and belongs to one start of a process. Messages about one that
-   the service has not listed are counted and ignored.
-3. A member suspects another one once its direct and indirect probes had no ack. The suspect may refute by
-   raising its own count; a suspicion that is not refuted within its timeout ends in `UNREACHABLE`. A later
-   count wins over any suspicion of an earlier one, so a member that comes back is alive again.
-4. A member that others reach while direct probes of it fail is `INDIRECT`: the link is at fault, not it.
-5. A node that was itself paused suspects nobody for that time, and suspects more slowly after it.
-6. A process's quota is granted by the list service's log out of what is free, and held past a lease only
-   while a majority reports being cut off too (`QuotaLedger`, `LeaseClock`, `MemberLease`; docs/fleet.md).
-7. The verdict on a member is read from the table `VERDICTS` alone.
+Rules, in order of precedence:
+
+1. A lease from the list service and the failure detector (probes of other members) are separate evidence.
+   Only a lease grants quota; the failure detector never increases a quota.
+2. The list service assigns an incarnation to each start of a process. Messages about an incarnation that the
+   service has not listed are counted and ignored.
+3. A member suspects another one after its direct and indirect probes got no ack. The suspect refutes the
+   suspicion by raising its refutation count; otherwise it becomes `UNREACHABLE` when the suspicion times out.
+   A higher count overrides any suspicion with a lower one, so a member that comes back is alive again.
+4. A member that others reach while direct probes of it fail is `INDIRECT`: the link has failed, not the
+   member.
+5. A node whose own process was paused suspects no member because of that time, and uses longer timeouts
+   afterwards.
+6. The list service's log grants quota only out of unallocated quota. A process keeps its quota after its
+   lease has expired only while a majority of members reports that it is detached too (`QuotaLedger`,
+   `LeaseClock`, `MemberLease`; docs/fleet.md).
+7. The verdict on a member is looked up in the table `VERDICTS`.
 
 Sources: Das, Gupta, Motivala, "SWIM", 2002; Dadgar, Phillips, Currey, "Lifeguard", 2017.
 """
--- a/loadbalancer/membership/actions.py
+++ b/loadbalancer/membership/actions.py
@@ -1,4 +1,4 @@
-"""Inputs and outputs of the failure detector: its settings, the other members, and its actions."""
+"""Settings, members and actions of the failure detector."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
     """
 
     period_ms: float = 1000.0  # the protocol period: one member is probed in each
-    urgent_period_ms: float = 100.0  # while this node is not attached, or knows of a suspect
-    probe_timeout_ms: float = 500.0  # above a round trip between the most distant nodes
-    helpers: int = 3  # members that are asked for an indirect probe
-    tick_ms: float = 50.0  # the longest time between ticks, so that a pause of this process is noticed
-    idle_tick_ms: float = 100.0  # as tick_ms, while attached without a probe under way or a suspect
-    late_ms: float = 100.0  # a tick so late means that this process was paused
-    suspicion_min_ms: float = 1000.0  # after probe timeouts, once enough accusers agree
+    urgent_period_ms: float = 100.0  # while this node is detached or suspects a member
+    probe_timeout_ms: float = 500.0  # longer than the longest round trip between nodes
+    helpers: int = 3  # number of members that each make an indirect probe
+    tick_ms: float = 50.0  # maximum time between ticks; bounds how soon a pause of this process is detected
+    idle_tick_ms: float = 100.0  # as tick_ms, while attached with no probe in flight and no suspect
+    late_ms: float = 100.0  # a tick later than this means that the process was paused
+    suspicion_min_ms: float = 1000.0  # after probe timeouts, with `accusers` further accusers
     suspicion_max_ms: float = 6000.0  # after probe timeouts, with a single accuser
-    accusers: int = 3  # further accusers that bring the suspicion timeout down to the minimum
-    connection_refused_suspicion_ms: float = 300.0  # the machine answers, but the process is gone
-    max_health: int = 4  # the local health multiplier lengthens own timeouts up to 1 + this
-    indirect_after: int = 4  # direct probes in a row that failed while indirect ones were acked
-    retransmit_multiplier: float = 3.0  # an update is sent this many times log2 of the group's size
-    updates: int = 12  # in one payload
-    max_ahead_ms: float = 1000.0  # a report's service time may be this far ahead of the own estimate
-    relayed_probes: int = 64  # on behalf of other members, under way at once
+    accusers: int = 3  # further accusers that reduce the suspicion timeout to the minimum
+    connection_refused_suspicion_ms: float = 300.0  # the machine responds, but the process has ended
+    max_health: int = 4  # local timeouts grow by up to a factor of 1 + max_health
+    indirect_after: int = 4  # consecutive failed direct probes with acked indirect ones
+    retransmit_multiplier: float = 3.0  # transmissions of an update, in multiples of log2(members)
+    updates: int = 12  # maximum per payload
+    max_ahead_ms: float = 1000.0  # a report's service time may exceed the local estimate by this much
+    relayed_probes: int = 64  # maximum in flight on behalf of other members
 
     def __post_init__(self) -> None:
-        """Check every range."""
+        """Raise DetectorSettingError if a value is out of its range."""
         self._check_times()
         self._check_counts()
         if not 0 < self.retransmit_multiplier < MAX_RETRANSMIT_MULTIPLIER:
@@ -58,10 +58,10 @@
             raise DetectorSettingError(MAX_AHEAD, self.max_ahead_ms, f"from 0 to under {MAX_SETTING_MS} ms")
 
     def _check_counts(self) -> None:
-        for name, (least, most) in COUNT_RANGES.items():
+        for name, (lowest, highest) in COUNT_RANGES.items():
             value = getattr(self, name)
-            if not least <= value <= most:
-                raise DetectorSettingError(name, value, f"from {least} to {most}")
+            if not lowest <= value <= highest:
+                raise DetectorSettingError(name, value, f"from {lowest} to {highest}")
 
 
 POSITIVE_TIMES = (
@@ -76,7 +76,7 @@
 )
 SUSPICION_MAX, MAX_AHEAD = "suspicion_max_ms", "max_ahead_ms"
 RETRANSMIT_MULTIPLIER = "retransmit_multiplier"
-COUNT_RANGES = {  # the lowest and the highest value
+COUNT_RANGES = {  # lowest and highest allowed value
     "helpers": (0, MAX_ACCUSERS - 1),
     "accusers": (0, MAX_ACCUSERS - 1),
     "max_health": (0, MAX_SETTING_COUNT),
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sibling:
-    """A member as the list service lists it; the list may include this node itself."""
+    """An entry of the list service's member list, which may include this node itself."""
 
     incarnation: int
     name: str
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Probe a member directly; ends in `on_ack` or `on_failure` with this id within `timeout_ms`."""
+    """Action: probe a member directly, then call `on_ack` or `on_failure` with this id by `timeout_ms`."""
 
     id: int
     target: int  # incarnation
@@ -108,8 +108,8 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """Ask the helper to probe the target; ends in `on_ack` or `on_failure` with this id within
-    `timeout_ms`."""
+    """Action: call the helper, which probes the target, then call `on_ack` or `on_failure` with this id
+    within `timeout_ms`."""
 
     id: int
     helper: int  # incarnation
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Answer the call given to `on_indirect_probe`; a payload of None refuses a malformed one."""
+    """Action: respond to the call that was passed to `on_indirect_probe`; None rejects a malformed call."""
 
     call: int
     payload: bytes | None
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReachabilityChanged:
-    """A member's reachability has changed."""
+    """Event: the reachability of a member has changed."""
 
     incarnation: int
     old: Reachability
@@ -138,10 +138,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewReceived:
-    """A member's view entry, as it gave it, and the times of the call it came on.
+    """Event: a message from a member carried its view entry (opaque bytes).
 
-    `at` is the sender's own clock when it wrote it. From an ack, `sent` is when this node sent the probe, so
-    that (sent, at, at, now) are the four times of the call; from another member's probe `sent` is None.
+    `sent_at_ms` is the sender's clock when it encoded the message. `probe_sent_ms` is the time at which this
+    node sent the probe if the message is an ack, and None if it is a probe. For an ack, (`probe_sent_ms`,
+    `sent_at_ms`, `sent_at_ms`, `received_ms`) are the four timestamps of an NTP-style clock sample.
     """
 
     incarnation: int
--- a/loadbalancer/membership/change_log.py
+++ b/loadbalancer/membership/change_log.py
@@ -1,43 +1,43 @@
-"""Which members changed at which revision, kept for a bounded number of changes.
+"""Log of the latest changes of a member list, by revision.
 
-Each instance of the list service keeps its own log, from the commands that it applies. It is not part of the
-replicated state: after a restart or a snapshot it begins at the present revision, and processes that know an
-older one are sent the complete list once.
+Each instance of the list service has its own log, written from the commands that it applies. The log is not
+part of the replicated state: after a restart or a snapshot it begins at the current revision, and processes
+with an older revision are sent the complete list once.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-MAX_CHANGES = 512  # a process that is further behind is sent the complete list
+MAX_CHANGES = 512  # a process that needs older changes is sent the complete list
 
 
 class ChangeLog:
-    """The changes of one member list. Grows with the changes kept, not with the members."""
+    """Changes of one member list; its size is bounded by `max_changes`, not by the number of members."""
 
-    def __init__(self, revision: int, kept: int = MAX_CHANGES) -> None:
-        self._floor = revision  # all changes after this revision are kept
+    def __init__(self, revision: int, max_changes: int = MAX_CHANGES) -> None:
+        self._floor = revision  # all changes after this revision are in the log
         self._last = revision
-        self._kept = kept
-        self._changes: deque[tuple[int, int]] = deque()  # revision, incarnation; rising
+        self._max_changes = max_changes
+        self._changes: deque[tuple[int, int]] = deque()  # (revision, incarnation), ascending by revision
 
     def record(self, revision: int, incarnations: tuple[int, ...]) -> None:
-        """These members were added, changed or removed at this revision, the next after the last noted."""
+        """Record that members were added, changed or removed at `revision`, which follows the last one."""
         self._last = revision
         self._changes.extend((revision, incarnation) for incarnation in incarnations)
-        while len(self._changes) > self._kept:
-            dropped, _ = self._changes.popleft()
-            self._floor = max(self._floor, dropped)
+        while len(self._changes) > self._max_changes:
+            dropped_revision, _ = self._changes.popleft()
+            self._floor = max(self._floor, dropped_revision)
 
     def since(self, revision: int) -> frozenset[int] | None:
-        """The members that changed after this revision; None where the log does not reach back so far."""
+        """Return the members that changed after `revision`, or None if the log no longer covers it."""
         if not self._floor <= revision <= self._last:
             return None
-        return frozenset(incarnation for at, incarnation in self._changes if at > revision)
+        return frozenset(incarnation for changed_at, incarnation in self._changes if changed_at > revision)
 
     def copy(self) -> ChangeLog:
-        """A log that changes independently of this one."""
-        twin = ChangeLog(self._floor, self._kept)
-        twin._last = self._last
-        twin._changes = self._changes.copy()
-        return twin
+        """Return an independent copy."""
+        duplicate = ChangeLog(self._floor, self._max_changes)
+        duplicate._last = self._last
+        duplicate._changes = self._changes.copy()
+        return duplicate
--- a/loadbalancer/membership/errors.py
+++ b/loadbalancer/membership/errors.py
@@ -1,4 +1,4 @@
-"""Errors of membership."""
+"""Errors of the membership package."""
 
 from __future__ import annotations
 
--- a/loadbalancer/membership/gossip.py
+++ b/loadbalancer/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip piggybacked on probes and acks: writes every payload and merges every message received."""
+"""Gossip piggybacked on probes and acks: encodes outgoing payloads and merges received messages."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self._view = b""
 
     def set_view(self, view: bytes) -> None:
-        """The opaque view entry sent with every payload; one that is too large is not sent."""
+        """Set the opaque view entry of all further payloads; one over MAX_VIEW_BYTES is not sent."""
         if len(view) > MAX_VIEW_BYTES:
             self._local.ignored["own view too large"] += 1
             view = b""
@@ -38,8 +38,11 @@
     def payload(
         self, now: float, to: int, target: int = 0, result: ProbeResult = ProbeResult.INCONCLUSIVE
     ) -> bytes:
-        """The payload of a call to the incarnation `to`; `target` is the member that it is to probe,
-        `result` the outcome of a probe on its behalf."""
+        """Encode a message to the incarnation `to`.
+
+        `target` is the member to probe if the message requests an indirect probe; `result` is the outcome if
+        it is the ack of one.
+        """
         local = self._local
         message = Message(
             local.incarnation,
@@ -54,9 +57,10 @@
         return encode(message)
 
     def receive(self, now: float, message: Message, sent: float | None = None) -> list[ViewReceived]:
-        """Merge a message; nothing is accepted from a sender that the list service has not listed.
+        """Merge a message and return its view entry, if any; a message from an unlisted sender is ignored.
 
-        `sent` is when this node sent the probe if the message is an ack, which shows where it came from.
+        `sent` is the time at which this node sent the probe if the message is an ack, else None. An ack
+        proves its sender, since it comes from the address that was probed.
         """
         if message.sender not in self._members.peers:
             self._local.ignored["message of an unknown incarnation"] += 1
--- a/loadbalancer/membership/local_state.py
+++ b/loadbalancer/membership/local_state.py
@@ -1,4 +1,4 @@
-"""The node's own detector state: incarnation, refutation count, and Lifeguard's local health multiplier."""
+"""The local node's detector state: incarnation, refutation count, and Lifeguard's local health multiplier."""
 
 from __future__ import annotations
 
@@ -9,36 +9,37 @@
 from loadbalancer.membership.actions import DetectorConfig
 from loadbalancer.membership.payload import MAX_COUNT, MemberStatus, MemberUpdate
 
-MAX_COUNT_JUMP = 1000  # a count at second hand that is this far over the known one is rejected
+MAX_COUNT_JUMP = 1000  # a gossiped count that exceeds the known one by more is rejected
 
 
 @dataclass(slots=True)
 class LocalState:
-    """What the node keeps about itself."""
+    """The failure detector's state of the local node."""
 
     config: DetectorConfig
     incarnation: int
-    count: int = 0  # raised to refute a suspicion of this node
+    count: int = 0  # refutation count, raised to refute a suspicion of this node
     health: int = 0  # local health multiplier; 0 is healthy
-    due: float | None = None  # when the next tick should come; None before the first
+    due: float | None = None  # latest time for the next tick; None before the first
     awake_since: float = -math.inf  # end of the last pause of this process
-    ignored: Counter[str] = field(default_factory=Counter)  # what was ignored, by reason
+    # Counts of ignored messages and irregular events, by reason.
+    ignored: Counter[str] = field(default_factory=Counter)
 
     @property
     def timeout_factor(self) -> float:
-        """The factor by which the local health multiplier lengthens this node's own timeouts."""
+        """The factor by which the local health multiplier increases this node's timeouts."""
         return 1.0 + self.health
 
     def improve_health(self) -> None:
-        """A probe of this node succeeded."""
+        """Lower the health multiplier, after a probe by this node was acked."""
         self.health = max(0, self.health - 1)
 
     def worsen_health(self) -> None:
-        """Evidence that this node itself is slow or badly connected."""
+        """Raise the health multiplier, on evidence that this node itself is slow or badly connected."""
         self.health = min(self.config.max_health, self.health + 1)
 
     def record_wakeup(self, now: float) -> float:
-        """How long this process was paused, in ms, or 0. The first call after a pause records it."""
+        """Return how long this process was paused, in ms, or 0; a pause is returned and recorded once."""
         if self.due is None or now - self.due <= self.config.late_ms:
             return 0.0
         late = now - self.due
@@ -48,7 +49,7 @@
         return late
 
     def refute(self, update: MemberUpdate) -> None:
-        """An update about this node: a suspicion not yet refuted raises the count past it."""
+        """Refute an update that suspects this node by raising the local count above the update's count."""
         if update.status is MemberStatus.ALIVE or update.count < self.count:
             return
         if update.count > self.count + MAX_COUNT_JUMP or update.count >= MAX_COUNT:
--- a/loadbalancer/membership/member_lease.py
+++ b/loadbalancer/membership/member_lease.py
@@ -1,26 +1,28 @@
-"""A node's own lease: when it enrols and renews, and what quota it may use now.
-
-Events and times come in, calls go out; times are ms of the node's own clock, which never goes back. The rules
-(docs/fleet.md):
-
-- The lease runs from the moment at which the answered renewal was sent. An answer is used only if it answers
-  the latest call and came within MAX_DELAY_TERM_FRACTION of the term.
-- The quota is the one last granted, while the lease runs. It grows by an answer only, never by what siblings
-  report.
-- Past the lease the node *holds* that quota only while a majority of the members it last knew, itself
-  included, have lately reported that they are cut off and hold theirs too (HOLD_TERM_FRACTION of the term
-  after their report); the node has to be an elector itself.
-- Once neither is true it has *yielded*: its quota is 0 until a renewal is answered again.
-- The member list is that of the node's group. Changes are merged only into the revision at which they begin;
-  at any other the node requests the complete list, and goes on acknowledging the revision that it has.
-- An enrolment that is rejected (the group is full) is retried with exponential backoff and jitter.
-- A renewal that is rejected (late, by the service time that it states) shows that the node is wrong about
-  service time. The node enrols again, which states no time, keeps its record and learns service time.
-  It never renews without a time, as such a renewal would count however late it came.
-
-A node reports `HOLDING` from the moment at which it may no longer count as attached at the list service
-(membership/lease_clock.py). That is before its lease ends, so siblings that are cut off together receive each
-other's reports in time.
+"""Lease of the local node: when it enrols and renews, and the quota that it may use now.
+
+`MemberLease` receives events and times and returns calls; times are ms of the node's own monotonic clock.
+Rules (docs/fleet.md):
+
+- The lease runs from the moment at which the renewal was sent. A response is used only if it belongs to the
+  latest call and arrived within MAX_DELAY_TERM_FRACTION of the term.
+- While the lease runs, the quota is the one last granted. Only a response increases it, never a report of a
+  sibling.
+- After the lease has ended the node *holds* that quota only while a majority of the last known members,
+  itself included, have recently reported that they are detached and hold their quota too. A report counts for
+  HOLD_TERM_FRACTION of the term, and the node has to be an elector itself.
+- Otherwise the node has *yielded*: its quota is 0 until a renewal succeeds again.
+- The member list is that of the node's group. Changes are merged only into the revision at which they begin.
+  For changes since any other revision the node requests the complete list, and goes on acknowledging the
+  revision that it has.
+- A rejected enrolment (the group is full) is retried with exponential backoff and jitter.
+- A renewal that is rejected as late, judged by the service time that it states, shows that the node's
+  estimate of service time is wrong. The node enrols again: an enrolment states no time, keeps the node's
+  record, and its response corrects the estimate. The node never renews without a time, since such a renewal
+  would be accepted however late it arrived.
+
+A node reports `HOLDING` as soon as the list service may no longer count it as attached
+(membership/lease_clock.py). That is before its lease ends, so siblings that are detached together receive
+each other's reports in time.
 """
 
 from __future__ import annotations
@@ -39,29 +41,29 @@
 from loadbalancer.membership.payload import QuotaStatus
 
 # Fractions of the lease term.
-RENEWAL_TERM_FRACTION = 0.2  # from one renewal to the next
+RENEWAL_TERM_FRACTION = 0.2  # between renewals
 RETRY_TERM_FRACTION = 0.1  # from a failure to the retry, before jitter
-CATCH_UP_TERM_FRACTION = 0.05  # to the next renewal while the quota differs from its target
-HOLD_TERM_FRACTION = 0.9  # for so long a sibling's report that it holds its quota counts
-MAX_BACKOFF_TERMS = 2.0  # the longest backoff after enrolments that were rejected in a row
-MAX_RENEWAL_BACKOFF_TERMS = 0.4  # after renewals that were rejected: the lease outlasts it
+CATCH_UP_TERM_FRACTION = 0.05  # between renewals while the quota differs from its target
+HOLD_TERM_FRACTION = 0.9  # validity of a sibling's report that it holds its quota
+MAX_BACKOFF_TERMS = 2.0  # maximum backoff after consecutive rejected enrolments
+MAX_RENEWAL_BACKOFF_TERMS = 0.4  # after rejected renewals; shorter than the lease
 
-MIN_JITTER_FACTOR, MAX_JITTER_FACTOR = 0.5, 1.0  # of a pause
-MAX_BACKOFF_DOUBLINGS = 10  # reaches MAX_BACKOFF_TERMS, and keeps the exponent small
-MAX_WATCH_JITTER_MS = 20.0  # spreads the renewals of a fleet that received the same watch event
-MAX_CLOCK_DRIFT_RATIO = 0.001  # clocks' rates differ by less; the node's term is shorter by this ratio
-FULL_LIST_REVISION = -1  # acknowledged where the node needs the complete member list
-FIRST_TTL_MS = 5_000.0  # until the service has announced its term
-QUOTA_TOLERANCE = 1e-9  # quotas nearer than this are equal
+MIN_JITTER_FACTOR, MAX_JITTER_FACTOR = 0.5, 1.0  # of a backoff
+MAX_BACKOFF_DOUBLINGS = 10  # enough to reach MAX_BACKOFF_TERMS; bounds the exponent
+MAX_WATCH_JITTER_MS = 20.0  # spreads the renewals that follow one watch event
+MAX_CLOCK_DRIFT_RATIO = 0.001  # bound on the drift between clocks; the node's term is shorter by it
+FULL_LIST_REVISION = -1  # acknowledged to request the complete member list
+FIRST_TTL_MS = 5_000.0  # used until the service has announced its term
+QUOTA_TOLERANCE = 1e-9  # smaller differences of quotas are ignored
 
 
 class MemberLease:
-    """The lease of one process, from its first enrolment to its departure."""
+    """Lease of one process, from its first enrolment to its departure."""
 
     def __init__(
         self, name: str, address: str, zone: str, start: str, rng: Random, service: str = ""
     ) -> None:
-        """`service` is the one that this node balances to, whose nodes are its group; "" for none."""
+        """`service` is the service that this node balances to, whose nodes form its group; "" if none."""
         self._identity = {"name": name, "address": address, "zone": zone, "start": start}
         if service:
             self._identity["service"] = service
@@ -72,50 +74,50 @@
         self.revision = 0  # of `members`
         self._by_incarnation: dict[int, Member] = {}
         self._needs_full_list = False
-        self._rejections = 0  # of enrolments and renewals, in a row
-        self._enrols_again = False  # the record is there; the call is made for service time
+        self._rejections = 0  # consecutive rejected enrolments and renewals
+        self._enrols_again = False  # already enrolled; enrols only to learn service time
         self.elector = False
         self.lease_end_ms = -math.inf
         self._quota = 0.0
-        self._quota_end_ms = -math.inf  # the quota is 0 from here on
-        self._last_answer_ms = -math.inf  # when the last answer that was used arrived
-        self._last_answered = -1  # the number of the call that it answered
+        self._quota_end_ms = -math.inf  # the quota is 0 from this time on
+        self._last_response_ms = -math.inf  # when the last used response arrived
+        self._last_used_number = -1  # number of the call of that response
         self._last_number = 0
-        self._in_flight: tuple[RegistryCall, float] | None = None  # the latest call, and when it was sent
+        self._in_flight: tuple[RegistryCall, float] | None = None  # the latest call and when it was sent
         self._next_call_ms = self._last_sent_ms = -math.inf
-        self._drain_announced = False  # whether the service has been notified of it
-        self._departure_path: str | None = None  # the call that notifies the service of this process's end
+        self._drain_announced = False  # whether the service has been notified of the draining
+        self._departure_path: str | None = None  # path of the call that announces this process's departure
 
     # State.
 
     def quota(self, now: float) -> QuotaLease:
-        """The quota, with the time at which it ends."""
+        """Return the quota and the time at which it ends."""
         self._expire_quota(now)
         return QuotaLease(self._quota, max(1, len(self.members)), self._quota_end_ms)
 
     def quota_in_force(self, now: float) -> float:
-        """The quota that may be used now: a fraction, 0 to 1."""
+        """Return the quota that may be used now, a fraction from 0 to 1."""
         self._expire_quota(now)
         return self._quota if now < self._quota_end_ms else 0.0
 
     def is_attached(self, now: float) -> bool:
-        """Whether the last answer is recent enough that the list service counts this node as attached."""
-        return now < self._last_answer_ms + ATTACHED_TERM_FRACTION * self.ttl_ms
+        """Whether the last response is recent enough for the list service to count this node as attached."""
+        return now < self._last_response_ms + ATTACHED_TERM_FRACTION * self.ttl_ms
 
     def quota_status(self, now: float) -> QuotaStatus:
-        """What this node reports of its own quota."""
+        """Return the quota status that this node reports to its siblings."""
         if self.is_attached(now):
             return QuotaStatus.ATTACHED
         return QuotaStatus.HOLDING if self.elector and self.quota_in_force(now) > 0.0 else QuotaStatus.YIELDED
 
-    # Calls and their answers.
+    # Calls and their responses.
 
     def next_call_at(self) -> float:
-        """When `tick` returns the next call; inf while a call is in flight."""
+        """Return when `tick` will return the next call; inf while a call is in flight."""
         return math.inf if self._in_flight is not None else self._next_call_ms
 
     def tick(self, now: float, service_ms: float | None) -> RegistryCall | None:
-        """The next call, if one is due; `service_ms` is the best estimate of service time."""
+        """Return the next call if it is due; `service_ms` is the current estimate of service time."""
         self._expire_quota(now)
         if self._in_flight is not None or now < self._next_call_ms:
             return None
@@ -126,7 +128,7 @@
         return call
 
     def _next_request(self, now: float, service_ms: float | None) -> tuple[str, dict[str, Any]]:
-        """The path of the next call, and its JSON body."""
+        """Return the path and the JSON body of the next call."""
         if self._departure_path is not None:
             return self._departure_path, {"incarnation": self.incarnation}
         if self.incarnation is None or self._enrols_again:
@@ -134,7 +136,7 @@
         return "renew", {
             "incarnation": self.incarnation,
             "seq": self._last_number,
-            "answered": self._last_answered,
+            "answered": self._last_used_number,
             "acked": FULL_LIST_REVISION if self._needs_full_list else self.revision,
             "delta": True,
             "using": self.quota_in_force(now),
@@ -142,7 +144,7 @@
         }
 
     def on_departure_acknowledged(self, now: float, number: int) -> bool:
-        """The service has recorded that this process leaves; whether that call was still in flight."""
+        """The service has recorded the departure; returns whether that call was still in flight."""
         if self._in_flight is None or self._in_flight[0].number != number:
             return False
         (call, _), self._in_flight = self._in_flight, None
@@ -151,9 +153,9 @@
         return True
 
     def on_grant(self, now: float, number: int, grant: LeaseGrant, ttl_ms: float) -> bool:
-        """An enrolment or a renewal has a valid answer; returns whether it was used."""
+        """An enrolment or renewal got a valid response; returns whether it was used."""
         if self._in_flight is None or self._in_flight[0].number != number:
-            return False  # the call was abandoned
+            return False  # the call is no longer in flight
         (call, sent), self._in_flight = self._in_flight, None
         self.ttl_ms = ttl_ms
         if now - sent > self.ttl_ms * MAX_DELAY_TERM_FRACTION:
@@ -161,9 +163,9 @@
             return False
         is_new_record = grant.incarnation != self.incarnation
         if is_new_record:
-            self._last_answered = 0  # an enrolment is its incarnation's call number 0
+            self._last_used_number = 0  # an enrolment is call number 0 of its incarnation
         if call.path == "renew":
-            self._last_answered = number
+            self._last_used_number = number
         if call.path == "renew" or is_new_record:
             self._rejections = 0
         self._enrols_again = False
@@ -171,18 +173,18 @@
         return True
 
     def on_enrolment_rejected(self, now: float, number: int) -> None:
-        """The service accepts no further member in this group; the enrolment is retried with backoff."""
+        """The group is full: retry the enrolment with backoff."""
         if self._end_call(number):
             self._back_off(now, MAX_BACKOFF_TERMS)
 
     def on_renewal_rejected(self, now: float, number: int) -> None:
-        """The service rejects the service time that the renewal states; the next call enrols again."""
+        """The service rejected the service time that the renewal stated: enrol again."""
         if self._end_call(number):
             self._enrols_again = True
             self._back_off(now, MAX_RENEWAL_BACKOFF_TERMS)
 
     def on_failure(self, now: float, number: int, unknown: bool = False) -> None:
-        """A call has failed; `unknown`: the service has no such member, and the process enrols again."""
+        """A call failed; `unknown` if the service has no such member, so that the process enrols again."""
         if not self._end_call(number):
             return
         if unknown and self._departure_path is None:
@@ -193,19 +195,19 @@
             self._retry(now)
 
     def on_watch_event(self, now: float) -> None:
-        """Something has changed at the service: renew soon, to receive it and to report the quota in use."""
-        soon = max(now, self._last_sent_ms + CATCH_UP_TERM_FRACTION * self.ttl_ms) + self._rng.uniform(
+        """The fleet's state has changed: renew soon, to receive the change and report the quota in use."""
+        renewal_at = max(now, self._last_sent_ms + CATCH_UP_TERM_FRACTION * self.ttl_ms) + self._rng.uniform(
             0.0, MAX_WATCH_JITTER_MS
         )
-        self._next_call_ms = min(self._next_call_ms, soon)
+        self._next_call_ms = min(self._next_call_ms, renewal_at)
 
     def begin_draining(self, now: float) -> None:
-        """The node drains: siblings are notified, and it uses its quota until it has left."""
+        """Announce that this node drains; it uses its quota until `leave`."""
         if not self._drain_announced and self.incarnation is not None:
             self._drain_announced, self._departure_path, self._next_call_ms = True, "leaving", now
 
     def leave(self, now: float) -> None:
-        """The process has answered its last request: it uses no quota from here on."""
+        """Give up the quota and announce the departure, after the process's last response."""
         if self.incarnation is not None:
             self._quota, self._quota_end_ms, self.lease_end_ms = 0.0, now, -math.inf
             self._departure_path, self._next_call_ms = "leave", now
@@ -213,14 +215,14 @@
     # Siblings.
 
     def on_sibling_reports(self, now: float, reports: Mapping[int, SiblingReport]) -> None:
-        """The latest reports of siblings, by incarnation."""
+        """Update the end of the quota from the siblings' latest reports, by incarnation."""
         self._expire_quota(now)
         if now < self._quota_end_ms:
             self._quota_end_ms = max(self.lease_end_ms, self._majority_holds_until(reports))
             self._expire_quota(now)
 
     def _majority_holds_until(self, reports: Mapping[int, SiblingReport]) -> float:
-        """Until when a majority of the members last known, this one included, counts as holding its quota."""
+        """Return until when a majority of the last known members, including this one, counts as holding."""
         if not self.elector:
             return -math.inf
         known = {member.rank for member in self.members}
@@ -243,7 +245,7 @@
     # Steps.
 
     def _end_call(self, number: int) -> bool:
-        """Whether the call of this number was in flight; it is no longer."""
+        """End the call of this number; return whether it was in flight."""
         if self._in_flight is None or self._in_flight[0].number != number:
             return False
         self._in_flight = None
@@ -254,7 +256,7 @@
         self.incarnation, self.elector = grant.incarnation, grant.elector
         self._merge_members(grant)
         self.lease_end_ms = sent + self.ttl_ms * (1.0 - MAX_CLOCK_DRIFT_RATIO)
-        self._quota, self._quota_end_ms, self._last_answer_ms = grant.quota, self.lease_end_ms, now
+        self._quota, self._quota_end_ms, self._last_response_ms = grant.quota, self.lease_end_ms, now
         settled = (
             self._quota > self._target_quota(grant) - QUOTA_TOLERANCE
             and used <= self._quota + QUOTA_TOLERANCE
@@ -263,12 +265,12 @@
             now + (RENEWAL_TERM_FRACTION if settled else CATCH_UP_TERM_FRACTION) * self.ttl_ms
         )
         if used > self._quota + QUOTA_TOLERANCE:
-            # What the node gives up is free for others only once its next renewal reports that.
+            # The released quota becomes free only when the next renewal reports the lower usage.
             self._next_call_ms = now
 
     def _merge_members(self, grant: LeaseGrant) -> None:
         if grant.since_revision is not UNSET and grant.since_revision != self.revision:
-            self._needs_full_list = True  # changes that begin elsewhere leave a gap
+            self._needs_full_list = True  # changes since another revision would leave a gap
             return
         if grant.since_revision is UNSET and grant.members is UNSET and grant.revision != self.revision:
             self._needs_full_list = True
@@ -280,7 +282,7 @@
         changed = {member.incarnation: member for member in grant.members}
         removed = set(grant.removed)
         self._by_incarnation = {
-            number: row for number, row in known.items() if number not in removed
+            number: member for number, member in known.items() if number not in removed
         } | changed
         self.members = tuple(self._by_incarnation.values())
 
@@ -290,10 +292,10 @@
         return 1.0 / max(1, sum(member.state != "left" for member in self.members))
 
     def _back_off(self, now: float, max_terms: float) -> None:
-        """The pause after a rejection: it doubles with each in a row, up to so many terms."""
-        pause_ms = self.ttl_ms * min(max_terms, RETRY_TERM_FRACTION * 2.0**self._rejections)
+        """Schedule the next call after a rejection: the backoff doubles each time, up to `max_terms`."""
+        backoff_ms = self.ttl_ms * min(max_terms, RETRY_TERM_FRACTION * 2.0**self._rejections)
         self._rejections = min(self._rejections + 1, MAX_BACKOFF_DOUBLINGS)
-        self._next_call_ms = now + pause_ms * self._rng.uniform(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR)
+        self._next_call_ms = now + backoff_ms * self._rng.uniform(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR)
 
     def _retry(self, now: float) -> None:
         self._next_call_ms = now + RETRY_TERM_FRACTION * self.ttl_ms * self._rng.uniform(
@@ -301,6 +303,6 @@
         )
 
     def _expire_quota(self, now: float) -> None:
-        """End the quota that has run out; later reports of siblings don't bring it back."""
+        """Set an expired quota to 0; later reports of siblings do not restore it."""
         if now >= self._quota_end_ms:
             self._quota, self._quota_end_ms = 0.0, -math.inf
--- a/loadbalancer/membership/member_list.py
+++ b/loadbalancer/membership/member_list.py
@@ -1,4 +1,4 @@
-"""The members this node knows, the status of each, and which updates are still to be disseminated."""
+"""The other members of the group, their status, and the updates that are still to be disseminated."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 @dataclass(slots=True)
 class Peer:
-    """One other member and the state of a suspicion of it."""
+    """Another member and the state of a suspicion of it."""
 
     sibling: Sibling
     count: int = 0
     status: MemberStatus = MemberStatus.ALIVE
     accusers: tuple[int, ...] = ()
     suspected_at: float = 0.0
-    suspicion_ends: float = math.inf  # when a suspicion not refuted becomes a failure
-    indirect_acks: int = 0  # direct probes in a row that failed while indirect ones were acked
-    last_ack_at: float | None = None  # of a direct probe
+    suspicion_ends: float = math.inf  # when the suspect fails unless it refutes
+    indirect_acks: int = 0  # consecutive failed direct probes with acked indirect ones
+    last_ack_at: float | None = None  # when it last acked a call of this node
 
     def reachability(self, indirect_after: int) -> Reachability:
-        """What probing shows of this member."""
+        """Return the reachability that follows from status and indirect acks."""
         if self.status is MemberStatus.FAILED:
             return Reachability.UNREACHABLE
         if self.status is not MemberStatus.ALIVE:
@@ -38,33 +38,39 @@
 
 
 def suspicion_ms(config: DetectorConfig, members: int, confirmations: int) -> float:
-    """The suspicion timeout: from the maximum to the minimum as accusers confirm (Lifeguard, IV.B)."""
+    """Suspicion timeout in ms: falls from the maximum to the minimum with confirmations (Lifeguard, IV.B)."""
     scale = max(1.0, math.log10(members + 1))
-    least, most = config.suspicion_min_ms * scale, config.suspicion_max_ms * scale
+    min_ms, max_ms = config.suspicion_min_ms * scale, config.suspicion_max_ms * scale
     if config.accusers == 0:
-        return least
+        return min_ms
     progress = math.log(confirmations + 1) / math.log(config.accusers + 1)
-    return max(least, most - (most - least) * progress)
+    return max(min_ms, max_ms - (max_ms - min_ms) * progress)
 
 
 @dataclass(slots=True)
 class MemberList:
-    """Peers by incarnation. Bounded by what the list service names."""
+    """Peers by incarnation; only members that the list service has listed."""
 
     local: LocalState
     peers: dict[int, Peer] = field(default_factory=dict)
-    _transmissions: dict[int, int] = field(default_factory=dict)  # by incarnation; still to disseminate
+    # How often each update that is still to be disseminated has been sent, by incarnation.
+    _transmissions: dict[int, int] = field(default_factory=dict)
     _suspects: set[int] = field(default_factory=set)
-    _before: dict[int, Reachability] = field(default_factory=dict)  # by incarnation; not yet reported
+    # Reachability before changes that `take_changes` has not reported yet, by incarnation.
+    _reachability_before: dict[int, Reachability] = field(default_factory=dict)
 
     def set_members(self, siblings: Iterable[Sibling]) -> list[int]:
-        """Take the whole list, this node's own row left out; returns the incarnations that are new."""
-        listed = {row.incarnation: row for row in siblings if row.incarnation != self.local.incarnation}
-        for gone in self.peers.keys() - listed.keys():
-            del self.peers[gone]
-            for held in (self._transmissions, self._before):
-                held.pop(gone, None)
-            self._suspects.discard(gone)
+        """Replace the member list, leaving out this node's own entry; return the new incarnations."""
+        listed = {
+            sibling.incarnation: sibling
+            for sibling in siblings
+            if sibling.incarnation != self.local.incarnation
+        }
+        for removed in self.peers.keys() - listed.keys():
+            del self.peers[removed]
+            for by_incarnation in (self._transmissions, self._reachability_before):
+                by_incarnation.pop(removed, None)
+            self._suspects.discard(removed)
         new = [incarnation for incarnation in listed if incarnation not in self.peers]
         for incarnation, sibling in listed.items():
             if incarnation in self.peers:
@@ -74,7 +80,7 @@
         return new
 
     def merge(self, now: float, update: MemberUpdate, is_ack: bool = False) -> None:
-        """Merge an update about another member; `first_hand`: that member itself acked a probe with it."""
+        """Merge an update about another member; `is_ack` if it is the header of that member's own ack."""
         peer = self.peers.get(update.incarnation)
         if peer is None:
             self.local.ignored["rumour of an unknown incarnation"] += 1
@@ -86,13 +92,13 @@
             self._confirm(peer, update)
 
     def _override(self, now: float, peer: Peer, update: MemberUpdate) -> None:
-        self.note_change(peer)
+        self.remember_reachability(peer)
         known = peer.accusers if update.count == peer.count else ()
         if not known:
             peer.suspected_at, peer.suspicion_ends = now, math.inf
         peer.count, peer.status = update.count, update.status
         if update.status in SUSPECTED:
-            peer.accusers = self._joined(known, update)
+            peer.accusers = self._merge_accusers(known, update)
             self._suspects.add(update.incarnation)
         else:
             peer.accusers = ()
@@ -108,22 +114,22 @@
     def _confirm(self, peer: Peer, update: MemberUpdate) -> None:
         if peer.status not in SUSPECTED:
             return
-        joined = self._joined(peer.accusers, update)
-        if len(joined) > len(peer.accusers):
-            peer.accusers = joined
+        merged = self._merge_accusers(peer.accusers, update)
+        if len(merged) > len(peer.accusers):
+            peer.accusers = merged
             self._transmissions[update.incarnation] = 0
             if peer.status is MemberStatus.SUSPECT:
                 self._set_suspicion_end(peer)
 
-    def _joined(self, known: tuple[int, ...], update: MemberUpdate) -> tuple[int, ...]:
-        """Accusers, none twice; only listed members count, and none accuses itself."""
-        joined = list(known)
+    def _merge_accusers(self, known: tuple[int, ...], update: MemberUpdate) -> tuple[int, ...]:
+        """Return `known` plus the update's new accusers, except unlisted members and the suspect itself."""
+        merged = list(known)
         for accuser in update.accusers:
-            if accuser in joined or accuser == update.incarnation:
+            if accuser in merged or accuser == update.incarnation:
                 continue
             if accuser == self.local.incarnation or accuser in self.peers:
-                joined.append(accuser)
-        return tuple(joined[: self.local.config.accusers + 1])
+                merged.append(accuser)
+        return tuple(merged[: self.local.config.accusers + 1])
 
     def _set_suspicion_end(self, peer: Peer) -> None:
         confirmations = max(0, len(peer.accusers) - 1)
@@ -132,47 +138,49 @@
         peer.suspicion_ends = min(peer.suspicion_ends, peer.suspected_at + timeout_ms)
 
     def record_ack(self, now: float, incarnation: int) -> None:
-        """This member has acked a direct probe."""
+        """Record that this member has acked a call of this node."""
         peer = self.peers.get(incarnation)
         if peer is not None:
-            self.note_change(peer)
+            self.remember_reachability(peer)
             peer.indirect_acks, peer.last_ack_at = 0, now
 
     def expire_suspicions(self, now: float) -> None:
         """Declare failed the suspects that did not refute in time."""
         for incarnation in [key for key in self._suspects if self.peers[key].suspicion_ends <= now]:
             peer = self.peers[incarnation]
-            self.note_change(peer)
+            self.remember_reachability(peer)
             peer.status, peer.accusers = MemberStatus.FAILED, ()
             self._suspects.discard(incarnation)
             self._transmissions[incarnation] = 0
 
     def postpone_suspicions(self, now: float, late_ms: float) -> None:
-        """This process was paused for `late_ms`: refutations may lie unread, so suspicions last longer."""
+        """Extend suspicions after a pause of this process: received refutations may still be unread."""
         for incarnation in self._suspects:
             peer = self.peers[incarnation]
-            longer = max(late_ms, now + self.local.config.probe_timeout_ms - peer.suspicion_ends)
-            peer.suspected_at += longer
-            peer.suspicion_ends += longer
+            extension_ms = max(late_ms, now + self.local.config.probe_timeout_ms - peer.suspicion_ends)
+            peer.suspected_at += extension_ms
+            peer.suspicion_ends += extension_ms
 
     @property
     def has_suspects(self) -> bool:
-        """Whether any member is suspected at present."""
+        """Whether any member is currently suspected."""
         return bool(self._suspects)
 
     def next_expiry(self) -> float:
-        """When the next suspicion ends; inf if there is none."""
+        """Return when the next suspicion times out; inf if there is none."""
         return min((self.peers[key].suspicion_ends for key in self._suspects), default=math.inf)
 
     def updates_for(self, to: int) -> tuple[MemberUpdate, ...]:
-        """The updates transmitted least often so far; a suspect always gets its own first (Lifeguard's
-        buddy system)."""
+        """Return the updates for a payload to `to`: those transmitted least often so far.
+
+        A suspect always receives its own suspicion first, so that it can refute (Lifeguard's buddy system).
+        """
         limit = math.ceil(self.local.config.retransmit_multiplier * math.log2(len(self.peers) + 2))
-        buddy = to in self.peers and self.peers[to].status is not MemberStatus.ALIVE
-        first = [self._update(to)] if buddy else []
-        others = (key for key in self._transmissions if not (buddy and key == to))
-        room = self.local.config.updates - len(first)
-        chosen = heapq.nsmallest(room, others, key=self._transmissions.__getitem__)
+        is_suspect = to in self.peers and self.peers[to].status is not MemberStatus.ALIVE
+        first = [self._update(to)] if is_suspect else []
+        others = (key for key in self._transmissions if not (is_suspect and key == to))
+        capacity = self.local.config.updates - len(first)
+        chosen = heapq.nsmallest(capacity, others, key=self._transmissions.__getitem__)
         for incarnation in chosen:
             self._transmissions[incarnation] += 1
             if self._transmissions[incarnation] >= limit:
@@ -183,17 +191,17 @@
         peer = self.peers[incarnation]
         return MemberUpdate(incarnation, peer.count, peer.status, peer.accusers)
 
-    def note_change(self, peer: Peer) -> None:
-        """Note a peer's reachability before a change, for `take_changes`."""
+    def remember_reachability(self, peer: Peer) -> None:
+        """Remember a peer's reachability before a change, for `take_changes`."""
         before = peer.reachability(self.local.config.indirect_after)
-        self._before.setdefault(peer.sibling.incarnation, before)
+        self._reachability_before.setdefault(peer.sibling.incarnation, before)
 
     def take_changes(self) -> list[ReachabilityChanged]:
-        """What has changed since the last call."""
+        """Return the changes of reachability since the last call."""
         changes = []
-        for incarnation, old in self._before.items():
+        for incarnation, old in self._reachability_before.items():
             new = self.peers[incarnation].reachability(self.local.config.indirect_after)
             if new is not old:
                 changes.append(ReachabilityChanged(incarnation, old, new))
-        self._before.clear()
+        self._reachability_before.clear()
         return changes
--- a/loadbalancer/membership/probe_order.py
+++ b/loadbalancer/membership/probe_order.py
@@ -1,4 +1,4 @@
-"""Which member to probe next: round-robin in shuffled order, with out-of-turn probes of doubtful members."""
+"""Selects the next member to probe: shuffled round-robin, with out-of-turn probes of suspected members."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ProbeOrder:
-    """Each member once a round, in an order shuffled anew for each round (SWIM, section 4.3)."""
+    """Yields each member once per round and shuffles the order for each round (SWIM, section 4.3)."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -17,17 +17,17 @@
         self._out_of_turn_next = True
 
     def add(self, new: Iterable[int]) -> None:
-        """New members take a random place in what is left of the round."""
+        """Insert new members at random places in the rest of the round."""
         for incarnation in new:
             self._round.insert(self._rng.randint(0, len(self._round)), incarnation)
 
     def probe_soon(self, incarnation: int) -> None:
-        """Probe this member again soon, out of turn."""
+        """Queue this member for an out-of-turn probe."""
         if incarnation not in self._out_of_turn:
             self._out_of_turn.append(incarnation)
 
     def next_target(self, members: Collection[int], busy: Collection[int]) -> int | None:
-        """The next member to probe, none that is being probed; at most every second turn is out of turn."""
+        """Return the next member that is not `busy`, or None; at most every second turn is out of turn."""
         self._out_of_turn_next = not self._out_of_turn_next
         if not self._out_of_turn_next:
             target = self._next_out_of_turn(members, busy)
@@ -43,7 +43,7 @@
         return None
 
     def _next_of_round(self, members: Collection[int], busy: Collection[int]) -> int | None:
-        for _ in range(2):  # what is left of this round, then a new one
+        for _ in range(2):  # the rest of this round, then a new round
             while self._round:
                 incarnation = self._round.pop()
                 if incarnation in members and incarnation not in busy:
--- a/loadbalancer/membership/probing.py
+++ b/loadbalancer/membership/probing.py
@@ -1,4 +1,4 @@
-"""The probes under way: direct ones, indirect ones through helpers, and those on behalf of others."""
+"""Probes in flight: direct ones, indirect ones through helpers, and those on behalf of other members."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 from loadbalancer.membership.payload import MemberStatus, MemberUpdate, Message, ProbeResult
 from loadbalancer.membership.probe_order import ProbeOrder
 
-GRACE_MS = 1000.0  # a request that the caller never ends is dropped this long after its timeout
+GRACE_MS = 1000.0  # a call that the driver never ends is dropped this long after its timeout
 
 
 @dataclass(slots=True)
 class _ProbeState:
-    """One member being probed: directly, then through helpers."""
+    """State of the probe of one member: first direct, then through helpers."""
 
     target: int
     refused: bool = False
-    waiting: int = 0  # helpers still to answer
-    acked: bool = False  # indirectly
+    awaited_helpers: int = 0  # helpers that have not responded yet
+    acked: bool = False  # through a helper
     accusers: list[int] = field(default_factory=list)  # helpers whose probe timed out or was refused
-    refusals: int = 0
+    refusals: int = 0  # helpers whose connection was refused
     ended: bool = False
 
 
 @dataclass(slots=True)
-class Request:
-    """A request under way: to a probe's target, to its helper, or (`relayed_for`) on another's behalf."""
+class PendingCall:
+    """A call in flight: to a probe's target, to a helper, or to a target on another member's behalf."""
 
     to: int  # incarnation
     sent: float
     timeout_ms: float
     probe: _ProbeState | None = None
-    relayed_for: int = 0  # the incarnation that asked for it
-    call: int = 0  # the caller's id of the call to answer
+    relayed_for: int = 0  # the incarnation that this node probes for; 0 for its own calls
+    call: int = 0  # id of the received call to respond to
 
 
 class Probing:
-    """Sends probes and draws conclusions from acks and failures."""
+    """Sends probes and evaluates acks and failures."""
 
     def __init__(self, local: LocalState, members: MemberList, gossip: Gossip, rng: random.Random) -> None:
         self.order = ProbeOrder(rng)
@@ -52,169 +52,169 @@
         self._rng = rng
         self._config = local.config
         self._ids = itertools.count(1)
-        self._requests: dict[int, Request] = {}
-        self._targets: set[int] = set()  # being probed
+        self._pending: dict[int, PendingCall] = {}
+        self._probed_targets: set[int] = set()  # members being probed
         self._relayed = 0
 
     def next_probe(self, now: float) -> list[Probe]:
-        """Probe the next member, if there is one that is not being probed."""
-        target = self.order.next_target(self._members.peers, self._targets)
+        """Return a probe of the next member that is not being probed, if any."""
+        target = self.order.next_target(self._members.peers, self._probed_targets)
         if target is None:
             return []
-        self._targets.add(target)
+        self._probed_targets.add(target)
         timeout_ms = self._config.probe_timeout_ms * self._local.timeout_factor
-        return [self._probe(now, Request(target, now, timeout_ms, _ProbeState(target)))]
+        return [self._probe(now, PendingCall(target, now, timeout_ms, _ProbeState(target)))]
 
     def relay(self, now: float, call: int, message: Message) -> Probe | Ack:
-        """Probe on the sender's behalf, if it and the target are known and there is room."""
+        """Probe on the sender's behalf if sender and target are known and `relayed_probes` is not reached."""
         known = message.sender in self._members.peers and message.target in self._members.peers
         if not known or self._relayed >= self._config.relayed_probes:
             self._local.ignored["ask for another not taken"] += 1
             return Ack(call, self._gossip.payload(now, message.sender))
         self._relayed += 1
-        # Not lengthened by this node's health: the sender waits for twice this.
+        # Independent of this node's health, since the sender waits for twice this timeout.
         timeout_ms = self._config.probe_timeout_ms
-        request = Request(message.target, now, timeout_ms, relayed_for=message.sender, call=call)
-        return self._probe(now, request)
+        pending = PendingCall(message.target, now, timeout_ms, relayed_for=message.sender, call=call)
+        return self._probe(now, pending)
 
     @property
-    def under_way(self) -> bool:
-        """Whether any request awaits its answer."""
-        return bool(self._requests)
-
-    def end(self, probe_id: int) -> Request | None:
-        """The request of this id, which is over; None if there is none under way."""
-        request = self._requests.pop(probe_id, None)
-        if request is None:
+    def has_pending(self) -> bool:
+        """Whether any call is in flight."""
+        return bool(self._pending)
+
+    def end(self, probe_id: int) -> PendingCall | None:
+        """Remove and return the call in flight with this id; None if there is none."""
+        pending = self._pending.pop(probe_id, None)
+        if pending is None:
             self._local.ignored["end of no ask"] += 1
-        return request
+        return pending
 
     def drop_abandoned(self, now: float) -> None:
-        """Forget requests that the caller has never ended."""
-        abandoned = [
+        """Drop calls that the driver has never ended."""
+        expired = [
             key
-            for key, request in self._requests.items()
-            if request.sent + request.timeout_ms + GRACE_MS < now
+            for key, pending in self._pending.items()
+            if pending.sent + pending.timeout_ms + GRACE_MS < now
         ]
-        for probe_id in abandoned:
-            request = self._requests.pop(probe_id)
+        for probe_id in expired:
+            pending = self._pending.pop(probe_id)
             self._local.ignored["ask never ended"] += 1
-            if request.probe is None:
+            if pending.probe is None:
                 self._relayed -= 1
             else:
-                self._targets.discard(request.probe.target)
-
-    def on_ack(self, now: float, request: Request, result: ProbeResult) -> list[Ack]:
-        """An answer by the one that the request went to; `result` is that of a helper's probe."""
-        if request.probe is None:
-            return [self._relayed_ack(now, request, ProbeResult.ACKED)]
-        if request.to == request.probe.target:
-            self._targets.discard(request.to)
+                self._probed_targets.discard(pending.probe.target)
+
+    def on_ack(self, now: float, pending: PendingCall, result: ProbeResult) -> list[Ack]:
+        """The called member responded; `result` is the outcome of its probe if it is a helper."""
+        if pending.probe is None:
+            return [self._relayed_ack(now, pending, ProbeResult.ACKED)]
+        if pending.to == pending.probe.target:
+            self._probed_targets.discard(pending.to)
             self._local.improve_health()
             return []
-        probe = request.probe
-        probe.waiting -= 1
+        probe = pending.probe
+        probe.awaited_helpers -= 1
         probe.acked |= result is ProbeResult.ACKED
         probe.refusals += result is ProbeResult.REFUSED
         if result in (ProbeResult.TIMED_OUT, ProbeResult.REFUSED):
-            probe.accusers.append(request.to)
+            probe.accusers.append(pending.to)
         self._conclude(now, probe)
         return []
 
-    def on_failure(self, now: float, request: Request, refused: bool) -> list[Ack] | list[IndirectProbe]:
-        """No answer to this request; `refused` if the machine refused the connection."""
-        # A request open while this process was paused shows nothing, unless a machine refused it.
-        void = request.sent < self._local.awake_since and not refused
-        if request.probe is None:
-            return [self._relayed_ack(now, request, _failure_result(refused, void))]
-        if request.to != request.probe.target:
-            self._on_helper_failure(now, request, request.probe, refused, void)
-        elif void:
-            self._targets.discard(request.to)
-            self.order.probe_soon(request.to)
+    def on_failure(self, now: float, pending: PendingCall, refused: bool) -> list[Ack] | list[IndirectProbe]:
+        """The call got no response; `refused` if the machine refused the connection."""
+        # A call in flight during a pause of this process proves nothing, unless a machine refused it.
+        inconclusive = pending.sent < self._local.awake_since and not refused
+        if pending.probe is None:
+            return [self._relayed_ack(now, pending, _failure_result(refused, inconclusive))]
+        if pending.to != pending.probe.target:
+            self._on_helper_failure(now, pending, pending.probe, refused, inconclusive)
+        elif inconclusive:
+            self._probed_targets.discard(pending.to)
+            self.order.probe_soon(pending.to)
         else:
-            return self._probe_indirectly(now, request.probe, refused)
+            return self._probe_indirectly(now, pending.probe, refused)
         return []
 
-    def _probe(self, now: float, request: Request) -> Probe:
+    def _probe(self, now: float, pending: PendingCall) -> Probe:
         probe_id = next(self._ids)
-        self._requests[probe_id] = request
-        address = self._members.peers[request.to].sibling.address
-        payload = self._gossip.payload(now, request.to)
-        return Probe(probe_id, request.to, address, request.timeout_ms, payload)
+        self._pending[probe_id] = pending
+        address = self._members.peers[pending.to].sibling.address
+        payload = self._gossip.payload(now, pending.to)
+        return Probe(probe_id, pending.to, address, pending.timeout_ms, payload)
 
-    def _relayed_ack(self, now: float, request: Request, result: ProbeResult) -> Ack:
+    def _relayed_ack(self, now: float, pending: PendingCall, result: ProbeResult) -> Ack:
         self._relayed -= 1
-        return Ack(request.call, self._gossip.payload(now, request.relayed_for, result=result))
+        return Ack(pending.call, self._gossip.payload(now, pending.relayed_for, result=result))
 
     def _probe_indirectly(self, now: float, probe: _ProbeState, refused: bool) -> list[IndirectProbe]:
-        """The direct probe has failed: through helpers, unless that could show nothing new."""
+        """After a failed direct probe, probe through helpers unless that could show nothing new."""
         peer = self._members.peers.get(probe.target)
         probe.refused = refused
         status = MemberStatus.REFUSED if refused else MemberStatus.SUSPECT
         if peer is None or peer.status is MemberStatus.FAILED:
-            self._targets.discard(probe.target)
+            self._probed_targets.discard(probe.target)
             return []
         if peer.status >= status and self._local.incarnation in peer.accusers:
-            self._targets.discard(probe.target)
+            self._probed_targets.discard(probe.target)
             self.order.probe_soon(probe.target)
             return []
         helpers = self._choose_helpers(probe.target)
-        probe.waiting = len(helpers)
+        probe.awaited_helpers = len(helpers)
         if not helpers:
-            self._local.worsen_health()  # nobody else to show that it is not this node
-            self._conclude(now, probe, unaided=True)
+            self._local.worsen_health()  # no helper can show that the fault is not this node's own
+            self._conclude(now, probe, no_helpers=True)
         return [self._indirect_probe(now, probe, helper) for helper in helpers]
 
     def _choose_helpers(self, target: int) -> list[Peer]:
-        fit = [
+        candidates = [
             peer
             for incarnation, peer in self._members.peers.items()
             if peer.status is MemberStatus.ALIVE and not peer.indirect_acks and incarnation != target
         ]
-        return self._rng.sample(fit, min(self._config.helpers, len(fit)))
+        return self._rng.sample(candidates, min(self._config.helpers, len(candidates)))
 
     def _indirect_probe(self, now: float, probe: _ProbeState, helper: Peer) -> IndirectProbe:
         timeout_ms = 2 * self._config.probe_timeout_ms * self._local.timeout_factor
         probe_id, incarnation = next(self._ids), helper.sibling.incarnation
-        self._requests[probe_id] = Request(incarnation, now, timeout_ms, probe)
+        self._pending[probe_id] = PendingCall(incarnation, now, timeout_ms, probe)
         payload = self._gossip.payload(now, incarnation, target=probe.target)
         return IndirectProbe(probe_id, incarnation, helper.sibling.address, probe.target, timeout_ms, payload)
 
     def _on_helper_failure(
-        self, now: float, request: Request, probe: _ProbeState, refused: bool, void: bool
+        self, now: float, pending: PendingCall, probe: _ProbeState, refused: bool, inconclusive: bool
     ) -> None:
-        probe.waiting -= 1
+        probe.awaited_helpers -= 1
         if refused:
-            self.order.probe_soon(request.to)
-        elif not void:
-            self._local.worsen_health()  # a helper always answers: the fault may be this node's own
+            self.order.probe_soon(pending.to)
+        elif not inconclusive:
+            self._local.worsen_health()  # a live helper always responds: the fault may be this node's own
         self._conclude(now, probe)
 
-    def _conclude(self, now: float, probe: _ProbeState, unaided: bool = False) -> None:
-        """Reachable indirectly as soon as a helper's probe is acked; suspected once all helpers have come
-        back without an ack."""
-        if probe.ended or (probe.waiting and not probe.acked):
+    def _conclude(self, now: float, probe: _ProbeState, no_helpers: bool = False) -> None:
+        """End the probe: reachable indirectly as soon as one helper's probe is acked, suspected once all
+        helpers have ended without an ack."""
+        if probe.ended or (probe.awaited_helpers and not probe.acked):
             return
         probe.ended = True
-        self._targets.discard(probe.target)
+        self._probed_targets.discard(probe.target)
         peer = self._members.peers.get(probe.target)
         if peer is None:
             return
         if probe.acked:
-            self._members.note_change(peer)
+            self._members.remember_reachability(peer)
             peer.indirect_acks += 1
             if peer.indirect_acks < self._config.indirect_after:
                 self.order.probe_soon(probe.target)
             return
-        refused = probe.refused and (probe.refusals or unaided)
+        refused = probe.refused and (probe.refusals or no_helpers)
         status = MemberStatus.REFUSED if refused else MemberStatus.SUSPECT
         accusers = (self._local.incarnation, *probe.accusers)
         self._members.merge(now, MemberUpdate(probe.target, peer.count, status, accusers))
         self.order.probe_soon(probe.target)
 
 
-def _failure_result(refused: bool, void: bool) -> ProbeResult:
-    if void:
+def _failure_result(refused: bool, inconclusive: bool) -> ProbeResult:
+    if inconclusive:
         return ProbeResult.INCONCLUSIVE
     return ProbeResult.REFUSED if refused else ProbeResult.TIMED_OUT
--- a/loadbalancer/membership/quota_reports.py
+++ b/loadbalancer/membership/quota_reports.py
@@ -11,20 +11,20 @@
 
 
 class ReportedStatus(NamedTuple):
-    """What a member last reported of its own quota."""
+    """The latest quota report of a member."""
 
     status: QuotaStatus
-    service_ms: float  # when it made the report
+    service_ms: float  # service time of the report
 
 
 class QuotaReports:
-    """Reports by incarnation; no more than the known members and this node itself."""
+    """Quota reports by incarnation, of the known members and this node only."""
 
     def __init__(self, local: LocalState) -> None:
         self._local = local
         self._known: dict[int, QuotaReport] = {}
         self._local_report: QuotaReport | None = None
-        self._service_offset_ms: float | None = None  # service time less this node's clock
+        self._service_offset_ms: float | None = None  # service time minus this node's clock
 
     def set_local(self, now: float, status: QuotaStatus, service_ms: float) -> None:
         """Set this node's own report, made at this service time."""
@@ -37,18 +37,19 @@
             self._drop_later_than(service_ms + self._local.config.max_ahead_ms)
 
     def _drop_later_than(self, service_ms: float) -> None:
-        """Drop what was reported before service time went back.
+        """Drop the reports made before service time went back.
 
-        Such reports would count as new for as long as it lags, and keep those made since from being accepted.
+        They would count as new until service time has caught up, and newer reports would be ignored until
+        then.
         """
         self._known = {key: report for key, report in self._known.items() if report.service_ms <= service_ms}
 
     def clear_local(self) -> None:
-        """This process has a new incarnation, and has made no report under it yet."""
+        """Drop the local report, which belongs to an earlier incarnation of this process."""
         self._local_report = None
 
     def merge(self, now: float, reports: Iterable[QuotaReport], members: Container[int]) -> None:
-        """Accept newer reports; none without an estimate of service time, since none can be checked then."""
+        """Accept newer reports; without a local service time none is accepted, since none can be checked."""
         if self._service_offset_ms is None:
             return
         latest = now + self._service_offset_ms + self._local.config.max_ahead_ms
@@ -66,26 +67,27 @@
                 self._known[report.incarnation] = report
 
     def retain(self, members: Container[int]) -> None:
-        """Drop the reports of all others."""
-        self._known = {key: statement for key, statement in self._known.items() if key in members}
+        """Drop the reports of all other members."""
+        self._known = {key: report for key, report in self._known.items() if key in members}
 
     def to_send(self, rng: random.Random) -> tuple[QuotaReport, ...]:
-        """The reports of the next payload: this node's own, and those of others that are not attached.
-
-        An `ATTACHED` report of another node is not forwarded, since no node acts on one. A node that holds
-        its quota past its lease relies on `HOLDING` reports alone, each for HOLD_TERM_FRACTION of a term
-        (membership/member_lease.py). The reporting node, attached again, counts towards a majority that could
-        give the quota away only after a full term without a gap (membership/lease_clock.py). So an outdated
-        `HOLDING` report has expired by then, whether or not the later one was received.
+        """Return the reports for the next payload: this node's own, and those of other detached nodes.
+
+        `ATTACHED` reports of other nodes are not forwarded, since no node acts on them. A node that holds its
+        quota after its lease has ended relies on `HOLDING` reports only, and on each for HOLD_TERM_FRACTION
+        of a term (membership/member_lease.py). When the reporting node is attached again, it counts towards a
+        majority that could release the quota only after a full term without a gap
+        (membership/lease_clock.py). By then an outdated `HOLDING` report has expired, whether or not the
+        later one was received.
         """
-        own = () if self._local_report is None else (self._local_report,)
-        others = [known for known in self._known.values() if known.status is not QuotaStatus.ATTACHED]
+        local = () if self._local_report is None else (self._local_report,)
+        others = [report for report in self._known.values() if report.status is not QuotaStatus.ATTACHED]
         if len(others) >= MAX_QUOTA_REPORTS:
             others = rng.sample(others, MAX_QUOTA_REPORTS - 1)
-        return (*own, *others)
+        return (*local, *others)
 
     def latest(self) -> dict[int, ReportedStatus]:
-        """The newest report of each member, this one included."""
+        """Return the latest report of each member, including this node."""
         local = () if self._local_report is None else (self._local_report,)
         return {
             report.incarnation: ReportedStatus(report.status, report.service_ms)
--- a/loadbalancer/membership/verdict.py
+++ b/loadbalancer/membership/verdict.py
@@ -1,6 +1,6 @@
-"""The verdict on a member, from its lease and its reachability, and a node's own connectivity.
+"""Verdict on a member from its lease and reachability, and the local node's own connectivity.
 
-The values of the enums are what operators read (docs/oncall.md).
+The enum values are shown to operators (docs/oncall.md).
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class LeaseStatus(Enum):
-    """What the list service last stated of a member's lease; `UNKNOWN` where that is stale."""
+    """Last known state of a member's lease; `UNKNOWN` if this node's information is stale."""
 
     LIVE = "live"
     EXPIRED = "lapsed"
@@ -17,30 +17,30 @@
 
 
 class Reachability(Enum):
-    """What probing a member has shown."""
+    """Result of probing a member."""
 
     ALIVE = "heard"
-    SUSPECT = "suspect"  # may still refute
+    SUSPECT = "suspect"  # may still refute the suspicion
     UNREACHABLE = "unheard"  # the suspicion was not refuted in time
     INDIRECT = "bridged"  # indirect probes are acked, direct ones fail
 
 
 class Verdict(Enum):
-    """What a node makes of another member."""
+    """Judgement of a node on another member."""
 
     PRESENT = "present"
     SUSPECT = "suspect"
     FAILED = "failed"
-    LINK_FAULT = "parted"  # alive, but the link to it is at fault
+    LINK_FAULT = "parted"  # alive, but the link to it has failed
     LEAVING = "leaving"
 
 
 class Connectivity(Enum):
-    """What a node reaches."""
+    """Which other processes a node reaches."""
 
-    ATTACHED = "attached"  # the list service answers
-    DETACHED = "adrift"  # it does not, other members do
-    ISOLATED = "alone"
+    ATTACHED = "attached"  # reaches the list service
+    DETACHED = "adrift"  # reaches other members, but not the list service
+    ISOLATED = "alone"  # reaches neither
 
 
 VERDICTS: dict[tuple[LeaseStatus, Reachability], Verdict] = {
@@ -48,7 +48,7 @@
     (LeaseStatus.LIVE, Reachability.SUSPECT): Verdict.SUSPECT,
     (LeaseStatus.LIVE, Reachability.UNREACHABLE): Verdict.FAILED,
     (LeaseStatus.LIVE, Reachability.INDIRECT): Verdict.LINK_FAULT,
-    (LeaseStatus.EXPIRED, Reachability.ALIVE): Verdict.PRESENT,  # detached, still serving
+    (LeaseStatus.EXPIRED, Reachability.ALIVE): Verdict.PRESENT,  # detached but still serving
     (LeaseStatus.EXPIRED, Reachability.SUSPECT): Verdict.FAILED,
     (LeaseStatus.EXPIRED, Reachability.UNREACHABLE): Verdict.FAILED,
     (LeaseStatus.EXPIRED, Reachability.INDIRECT): Verdict.SUSPECT,
@@ -60,7 +60,7 @@
 
 
 def verdict(lease: LeaseStatus, reachability: Reachability, leaving: bool = False) -> Verdict:
-    """The verdict on a member; one that is leaving stays `LEAVING` until it is unreachable."""
+    """Return the verdict on a member; a leaving one stays `LEAVING` until it is unreachable."""
     if leaving and reachability is not Reachability.UNREACHABLE:
         return Verdict.LEAVING
     return VERDICTS[lease, reachability]
@@ -69,11 +69,11 @@
 def connectivity(
     now: float, ttl_ms: float, renewed: float | None, last_ack: float | None, ack_valid_ms: float
 ) -> Connectivity:
-    """This node's own connectivity.
+    """Return this node's own connectivity.
 
-    `renewed` is when the last renewal that was answered was sent, `last_ack` when any member last acked a
-    probe (ms on the clock of `now`; None: never). After half a term without a renewal, what the node knows of
-    leases is stale.
+    `renewed` is when the last successful renewal was sent, `last_ack` when any member last acked a call of
+    this node (ms on the clock of `now`; None if never). Half a term after the last renewal, the node's
+    information on leases is stale.
     """
     if renewed is not None and now - renewed < ttl_ms / 2:
         return Connectivity.ATTACHED
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -22,7 +22,7 @@
     SiblingReport,
     ViewReceived,
 )
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.admin.messages import AdminResponse, AdminRoutes
 from loadbalancer.node.balancer_driver import BalancerDriver
 from loadbalancer.node.clock import Clock
@@ -170,7 +170,7 @@
 
     # ------------------------------------------------------------ between the parts
 
-    def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
+    def _on_answer(self, now: float, answer: LeaseResponse) -> None:
         """Pass what a lease answer states to all parts, in the same turn of the event loop."""
         lease = self.lease_client.member_lease
         detector = self.probe_transport.detector
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -12,7 +12,7 @@
 from msgspec import UNSET
 
 from loadbalancer.membership import MemberLease, RegistryCall
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.control.background_tasks import BackgroundTasks
 from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.registry_client import RegistryClient, decode_lease_answer
@@ -49,7 +49,7 @@
     ) -> None:
         """`service_time`: takes the times of the calls."""
         self.member_lease = member_lease
-        self.on_answer: Callable[[float, LeaseAnswer], None] = lambda now, answer: None
+        self.on_answer: Callable[[float, LeaseResponse], None] = lambda now, answer: None
         self.on_lease_lost: Callable[[float], None] = lambda now: None
         self.on_quota_change: Callable[[], None] = lambda: None
         self.failures = 0
@@ -143,7 +143,7 @@
             if call.path == DEPARTURE:
                 self._leave_acknowledged.set()
 
-    def _use(self, sent_at: float, now: float, call: RegistryCall, answer: LeaseAnswer) -> None:
+    def _use(self, sent_at: float, now: float, call: RegistryCall, answer: LeaseResponse) -> None:
         if not self._answers(call, answer):
             self.mismatched_answers += 1
             self._on_failure(now, call, f"answered as another call, {self.mismatched_answers} so far")
@@ -161,7 +161,7 @@
         self.on_answer(now, answer)
         self.on_quota_change()
 
-    def _answers(self, call: RegistryCall, answer: LeaseAnswer) -> bool:
+    def _answers(self, call: RegistryCall, answer: LeaseResponse) -> bool:
         """Whether this is the answer to this call, and not to an earlier one or another member's."""
         if call.path == RENEWAL and answer.incarnation != call.body["incarnation"]:
             return False
--- a/loadbalancer/node/control/registry_client.py
+++ b/loadbalancer/node/control/registry_client.py
@@ -8,7 +8,7 @@
 import msgspec
 import orjson
 
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.address import Address
 from loadbalancer.node.control.errors import LeaseAnswerError
 from loadbalancer.node.http import service_http as web
@@ -16,10 +16,10 @@
 MAX_IDLE_CONNECTIONS: Final = 2  # the watch has one of its own while it is open
 _MS_PER_S: Final = 1000.0
 
-_lease_answer = msgspec.json.Decoder(LeaseAnswer)
+_lease_answer = msgspec.json.Decoder(LeaseResponse)
 
 
-def decode_lease_answer(body: bytes) -> LeaseAnswer:
+def decode_lease_answer(body: bytes) -> LeaseResponse:
     """The answer to an enrolment or a renewal; LeaseAnswerError for a malformed one."""
     try:
         return _lease_answer.decode(body)
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from loadbalancer.balancing.events import Event
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.control.background_tasks import BackgroundTasks
 from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.registry_client import RegistryClient
@@ -60,7 +60,7 @@
             self._store.close()
 
     def on_lease_answer(
-        self, now: float, lease_end_ms: float, service_ms: Interval, answer: LeaseAnswer
+        self, now: float, lease_end_ms: float, service_ms: Interval, answer: LeaseResponse
     ) -> None:
         """Use what a renewal's answer states of routes; a malformed one is logged and changes nothing."""
         try:
--- a/loadbalancer/node/control/service_time.py
+++ b/loadbalancer/node/control/service_time.py
@@ -5,7 +5,7 @@
 import math
 from typing import Final
 
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.staleness import ClockOffsets
 from loadbalancer.staleness.clock_offsets import Interval
 
@@ -35,18 +35,18 @@
         interval = self.interval_ms(now)
         return None if interval is None else sum(interval) / 2
 
-    def is_older(self, answer: LeaseAnswer) -> bool:
+    def is_older(self, answer: LeaseResponse) -> bool:
         """Whether this answer was given before the last one, and so to an earlier call."""
         if answer.term != self._term:
             return answer.term < self._term
         return answer.received_ms < self._answered_ms
 
-    def add_answer(self, sent_at: float, now: float, answer: LeaseAnswer) -> None:
+    def add_answer(self, sent_at: float, now: float, answer: LeaseResponse) -> None:
         """Use the times of a call that was sent at `sent_at` and whose answer has arrived now."""
         if answer.term != self._term:
             self.discard()
-        self._term, self._answered_ms = answer.term, answer.answered_ms
-        self._clock_offsets.add_sample(REGISTRY_PEER, sent_at, answer.received_ms, answer.answered_ms, now)
+        self._term, self._answered_ms = answer.term, answer.responded_ms
+        self._clock_offsets.add_sample(REGISTRY_PEER, sent_at, answer.received_ms, answer.responded_ms, now)
         self._sampled_at = now
 
     def discard(self) -> None:
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -16,7 +16,7 @@
 import structlog
 from msgspec import UnsetType
 
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.http.service_http import HttpClient, HttpRequest, HttpResponse
 from loadbalancer.registry import watch
 from loadbalancer.registry.addresses import parse_address
@@ -226,13 +226,13 @@
 
     def _lease(self, grant: MemberGrant, received_ms: float, call: int | UnsetType) -> HttpResponse:
         leader = self._leader
-        answer = LeaseAnswer(
+        answer = LeaseResponse(
             **msgspec.structs.asdict(grant.lease),
             routes=grant.routes,
             ttl_ms=leader.ttl_ms,
             term=leader.term or 0,
             received_ms=received_ms,
-            answered_ms=leader.service_ms(),
+            responded_ms=leader.service_ms(),
             call=call,
         )
         return HttpResponse(HTTPStatus.OK, msgspec.json.encode(answer))
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -251,7 +251,7 @@
 
 
 def test_a_change_log_that_has_dropped_changes_knows_only_those_after() -> None:
-    log = ChangeLog(5, kept=2)
+    log = ChangeLog(5, max_changes=2)
     for revision in (6, 7, 8):
         log.record(revision, (revision,))
     assert log.since(5) is None
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from loadbalancer.membership import MemberLease, SiblingReport
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.address import Address
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.control.clock import MembershipClock
@@ -128,7 +128,7 @@
     def taking(self, now: float) -> float:
         return 0.0 if self.lease is None else self.core.quota_in_force(now)
 
-    def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
+    def _on_answer(self, now: float, answer: LeaseResponse) -> None:
         assert self.lease is not None
         self.lease.set_revisions(answer.revision, int(answer.routes.get("rev", 0)))
         self.renewals += 1
--- a/tests/support/lease_world.py
+++ b/tests/support/lease_world.py
@@ -18,7 +18,7 @@
 import structlog
 
 from loadbalancer.membership import MemberLease
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.lease_client import LeaseClient
@@ -173,8 +173,8 @@
     def quota(self) -> float:
         return self.core.quota_in_force(self.clock.now_ms())
 
-    def _on_answer(self, now: float, answer: LeaseAnswer) -> None:
-        self.answered_at_ms = self._service.answered_at_ms[answer.answered_ms]
+    def _on_answer(self, now: float, answer: LeaseResponse) -> None:
+        self.answered_at_ms = self._service.answered_at_ms[answer.responded_ms]
 
 
 class LeaseWorld:
--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -40,7 +40,7 @@
             if node.core is not None:
                 numbers[node.core.incarnation] = node.core._last_number
                 if not node.calls:
-                    usable[node.core.incarnation] = node.core._last_answered
+                    usable[node.core.incarnation] = node.core._last_used_number
         plan = None
         if self.plan is not None:
             lapsed, support, repeats = self.plan.lapsed, self.plan.support, self.plan.repeated_enrolments
@@ -135,8 +135,8 @@
             round(core._quota, 6),
             past(core.lease_end_ms - own),
             past(core._quota_end_ms - own),
-            past(core._last_answer_ms + ATTACHED_TERM_FRACTION * TTL - own),
-            base - core._last_answered,
+            past(core._last_response_ms + ATTACHED_TERM_FRACTION * TTL - own),
+            base - core._last_used_number,
             None if out is None else (out[0].path, base - out[0].number, own - out[1]),
             max(0.0, core._next_call_ms - own),
             core._needs_full_list,
--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -26,7 +26,7 @@
 from loadbalancer.endpoints import Endpoint, EndpointStatus
 from loadbalancer.membership.lease_calls import RegistryCall
 from loadbalancer.membership.member_record import MemberRecord
-from loadbalancer.membership.messages import LeaseAnswer, LeaseGrant
+from loadbalancer.membership.messages import LeaseGrant, LeaseResponse
 from loadbalancer.registry.fleet_state import FleetState
 from loadbalancer.routing.actions import Action, Apply, CastVote, Delete, Fetch, Store
 from loadbalancer.routing.participant import RouteParticipant
@@ -177,21 +177,21 @@
         self._put(at, edge)
         return edge
 
-    def _grant(self, state: FleetState, row: MemberRecord, call: RegistryCall) -> LeaseAnswer:
+    def _grant(self, state: FleetState, row: MemberRecord, call: RegistryCall) -> LeaseResponse:
         fields = asdict(super()._grant(state, row, call))
         now = self._s()
-        return LeaseAnswer(
-            **fields, routes=state.routes.announcement(), ttl_ms=TTL, received_ms=now, answered_ms=now
+        return LeaseResponse(
+            **fields, routes=state.routes.announcement(), ttl_ms=TTL, received_ms=now, responded_ms=now
         )
 
     def _used(self, node: Node, sent: float, told: LeaseGrant) -> None:
-        assert isinstance(told, LeaseAnswer)
+        assert isinstance(told, LeaseResponse)
         core, own = node.core, self.now + node.skew
         assert core is not None
         assert core.incarnation is not None
         at = next(number for number, other in enumerate(self.nodes) if other.name == node.name)
         follower = self._touch(at).follower
-        s = closest(own, sent, told.answered_ms, follower)
+        s = closest(own, sent, told.responded_ms, follower)
         self._act(at, follower.on_answer(own, core.incarnation, core.lease_end_ms, s, told.routes))
 
     def _unknown(self, node: Node, own: float) -> None:
--- a/tests/support/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -198,7 +198,7 @@
 
     def _call(self, node: Node) -> Sent:
         assert node.core is not None
-        service_ms = None if node.core._last_answer_ms == NEVER else self._s()
+        service_ms = None if node.core._last_response_ms == NEVER else self._s()
         call = node.core.tick(self.now + node.skew, service_ms)
         assert call is not None
         return Sent(call, self.now, node.service)
