--- a/bench/failure_detector.py
+++ b/bench/failure_detector.py
@@ -1,19 +1,18 @@
-"""Figures of the failure detector on a simulated network (tests/support/detector_simulation.py). Outside CI.
+"""Measures the failure detector on a simulated network (tests/support/detector_simulation.py). Not run in CI.
 
     python bench/failure_detector.py kill [--sizes 2,7,25,100 --rounds 10]
     python bench/failure_detector.py false [--sizes 2,7,25,100 --minutes 5 --runs 3]
     python bench/failure_detector.py hold [--sizes 2,7,25,100 --rounds 5 --ttl 5000]
     python bench/failure_detector.py cost [--sizes 2,7,25,100 --seconds 20]
 
-Each prints JSON lines, by the size of the group.
+Each command prints JSON lines, one per group size.
 
-`kill`: ms from a node's end to `unheard` at each other node, by what callers see of the end and by links
-(fast: 0.3 to 1 ms a message; slow: 20 to 200 ms and 2% of calls lost).
-`false`: changes of live nodes under slow links, 2% lost and one node stopped for 300 ms again and again.
-`hold`: all nodes lose the list service; ms from when each begins to hold to when it knows that a majority
-does.
-`cost`, while attached and while all hold: probes a node sends a second, bytes of a probe and an ack without a
-view, bytes of payload in and out of a node a second, real CPU of the simulation for a node's second.
+`kill`: ms from the end of a node until each other node has it as `unheard`, by how calls to it fail and by
+links (fast: 0.3 to 1 ms per message; slow: 20 to 200 ms and 2% of calls lost). `false`: transitions of live
+nodes with slow links, 2% of calls lost and one node paused for 300 ms repeatedly. `hold`: all nodes lose the
+list service; ms from when each node begins to hold its quota until it knows that a majority does. `cost`,
+while attached and while all hold: probes per node and second, bytes of a probe and of an ack without a view,
+payload bytes in and out per node and second, CPU time of the simulation per node and second.
 """
 
 from __future__ import annotations
@@ -31,81 +30,89 @@
 
 from bench.figures import quantile
 from loadbalancer.membership import QuotaStatus, Reachability
-from tests.support.detector_simulation import Gone, Node, World
+from tests.support.detector_simulation import DetectorSimulation, ProcessEnd, SimulatedNode
 
 FAST, SLOW = (0.3, 1.0), (20.0, 200.0)
 
 
-def say(**figures: object) -> None:
+def print_json(**figures: object) -> None:
     print(orjson.dumps(figures).decode(), flush=True)
 
 
 def kill(size: int, rounds: int) -> None:
     for links, delay, loss in (("fast", FAST, 0.0), ("slow", SLOW, 0.02)):
-        for gone in Gone:
+        for process_end in ProcessEnd:
             times: list[float] = []
             for seed in range(rounds):
-                times += _waits_to_failed(size, seed, gone, delay, loss)
-            say(kill=gone.value, nodes=size, links=links, **spread(times))
+                times += _waits_to_failed(size, seed, process_end, delay, loss)
+            print_json(kill=process_end.value, nodes=size, links=links, **spread(times))
 
 
 def _waits_to_failed(
-    size: int, seed: int, gone: Gone, delay: tuple[float, float], loss: float
+    size: int, seed: int, process_end: ProcessEnd, delay: tuple[float, float], loss: float
 ) -> Iterator[float]:
-    world = World(size, seed, delay=delay, loss=loss)
-    world.run(3000 + 37 * seed)
-    killed_at = world.now
-    world.kill(1, gone)
-    world.run(30_000)
-    failures = reversed(world.turned(Reachability.UNREACHABLE))
-    first = {who: at for at, who, of in failures if of == 1}
-    return (first.get(who, math.inf) - killed_at for who in world.nodes if who != 1)
+    simulation = DetectorSimulation(size, seed, delay=delay, loss=loss)
+    simulation.run(3000 + 37 * seed)
+    killed_at = simulation.now
+    simulation.kill(1, process_end)
+    simulation.run(30_000)
+    failures = reversed(simulation.transitions_to(Reachability.UNREACHABLE))
+    first = {observer: at for at, observer, member in failures if member == 1}
+    return (first.get(observer, math.inf) - killed_at for observer in simulation.nodes if observer != 1)
 
 
 def false_verdicts(nodes: int, minutes: float, seed: int) -> dict[str, object]:
-    world = World(nodes, seed, delay=SLOW, loss=0.02)
-    every = 600.0 + 200 * seed
-    world.stop_every(nodes, every, lasts=300.0)
-    world.run(minutes * 60_000)
+    simulation = DetectorSimulation(nodes, seed, delay=SLOW, loss=0.02)
+    interval_ms = 600.0 + 200 * seed
+    simulation.pause_periodically(nodes, interval_ms, duration_ms=300.0)
+    simulation.run(minutes * 60_000)
     changed = [state for state in Reachability if state is not Reachability.ALIVE]
-    turned = {state.value: len(world.turned(state)) for state in changed}
-    return {"false": turned, "nodes": nodes, "minutes": minutes, "stopped_every_ms": every, "seed": seed}
+    transitions = {state.value: len(simulation.transitions_to(state)) for state in changed}
+    return {
+        "false": transitions,
+        "nodes": nodes,
+        "minutes": minutes,
+        "stopped_every_ms": interval_ms,
+        "seed": seed,
+    }
 
 
 def hold(size: int, rounds: int, ttl_ms: float) -> None:
     for links, delay, loss in (("fast", FAST, 0.0), ("slow", SLOW, 0.02)):
         waits: list[float] = []
         for seed in range(rounds):
-            world = _attached(size, seed, delay, loss)
-            world.cut_from_service(ttl_ms)
-            waits += world.majority_waits(2 * ttl_ms)
-        say(hold=ttl_ms, nodes=size, links=links, limit_ms=0.45 * ttl_ms, **spread(waits))
+            simulation = _attached(size, seed, delay, loss)
+            simulation.disconnect_from_registry(ttl_ms)
+            waits += simulation.majority_waits(2 * ttl_ms)
+        print_json(hold=ttl_ms, nodes=size, links=links, limit_ms=0.45 * ttl_ms, **spread(waits))
 
 
-def _attached(size: int, seed: int, delay: tuple[float, float] = FAST, loss: float = 0.0) -> World:
-    world = World(size, seed, delay=delay, loss=loss)
-    for node in world.nodes.values():
+def _attached(
+    size: int, seed: int, delay: tuple[float, float] = FAST, loss: float = 0.0
+) -> DetectorSimulation:
+    simulation = DetectorSimulation(size, seed, delay=delay, loss=loss)
+    for node in simulation.nodes.values():
         node.quota_status = QuotaStatus.ATTACHED
-    world.run(3000)
-    return world
+    simulation.run(3000)
+    return simulation
 
 
 def cost(size: int, seconds: float) -> None:
-    world = _attached(size, 1)
-    say(cost="attached", nodes=size, **_spent(world, seconds))
-    world.cut_from_service(5000)
-    world.run(5000)
-    say(cost="all hold", nodes=size, **_spent(world, seconds))
+    simulation = _attached(size, 1)
+    print_json(cost="attached", nodes=size, **_cost_per_node(simulation, seconds))
+    simulation.disconnect_from_registry(5000)
+    simulation.run(5000)
+    print_json(cost="all hold", nodes=size, **_cost_per_node(simulation, seconds))
 
 
-def _spent(world: World, seconds: float) -> dict[str, float]:
-    """What a node spends, over some seconds from now."""
-    size = len(world.nodes)
-    before = [_counts(node) for node in world.nodes.values()]
+def _cost_per_node(simulation: DetectorSimulation, seconds: float) -> dict[str, float]:
+    """Cost per node, over the next `seconds`."""
+    size = len(simulation.nodes)
+    before = [_counts(node) for node in simulation.nodes.values()]
     start = time.process_time()
-    world.run(seconds * 1000)
+    simulation.run(seconds * 1000)
     used = time.process_time() - start
-    after = [_counts(node) for node in world.nodes.values()]
+    after = [_counts(node) for node in simulation.nodes.values()]
     spent = [[new - old for new, old in zip(*pair, strict=True)] for pair in zip(after, before, strict=True)]
     probes, probe_bytes, ack_bytes = (sum(column) for column in zip(*spent, strict=True))
     return {
@@ -118,12 +125,12 @@
     }
 
 
-def _counts(node: Node) -> tuple[int, int, int]:
-    return node.sent, node.sent_bytes, node.ack_bytes_received
+def _counts(node: SimulatedNode) -> tuple[int, int, int]:
+    return node.calls_sent, node.sent_bytes, node.ack_bytes_received
 
 
 def spread(times: list[float]) -> dict[str, float]:
-    p50, p99 = (round(quantile(times, share)) for share in (0.5, 0.99))
+    p50, p99 = (round(quantile(times, fraction)) for fraction in (0.5, 0.99))
     return {"samples": len(times), "p50_ms": p50, "p99_ms": p99, "max_ms": round(max(times))}
 
 
@@ -138,17 +145,17 @@
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=20)
     parser.add_argument("--ttl", type=float, default=5000)
-    given = parser.parse_args()
-    for size in map(int, given.sizes.split(",")):
-        if given.what == "kill":
-            kill(size, given.rounds)
-        elif given.what == "false":
-            for seed in range(given.runs):
-                say(**false_verdicts(size, given.minutes, seed))
-        elif given.what == "hold":
-            hold(size, given.rounds, given.ttl)
+    arguments = parser.parse_args()
+    for size in map(int, arguments.sizes.split(",")):
+        if arguments.what == "kill":
+            kill(size, arguments.rounds)
+        elif arguments.what == "false":
+            for seed in range(arguments.runs):
+                print_json(**false_verdicts(size, arguments.minutes, seed))
+        elif arguments.what == "hold":
+            hold(size, arguments.rounds, arguments.ttl)
         else:
-            cost(size, given.seconds)
+            cost(size, arguments.seconds)
 
 
 if __name__ == "__main__":
--- a/tests/membership/test_lease_holding.py
+++ b/tests/membership/test_lease_holding.py
@@ -1,7 +1,7 @@
-"""Nodes cut off from the list service and from half of their siblings, on an injected clock: who holds its
-share, who yields, and when.
+"""Partitions between nodes, and between nodes and the list service: which nodes hold or yield their quota.
 
-The real cores of the failure detector, enrolment and leases. The same cuts befall processes in test_fleet.py.
+Simulates the failure detector, `MemberLease`, `QuotaLedger` and `LeaseClock` on an injected clock.
+test_fleet.py tests the same partitions with real processes.
 """
 
 from __future__ import annotations
@@ -13,147 +13,149 @@
 from loadbalancer.membership import MemberLease, QuotaStatus, RegistryCall, SiblingReport
 from loadbalancer.membership.lease_clock import LeaseClock
 from loadbalancer.membership.quota_ledger import QuotaLedger
-from tests.support.detector_simulation import Node, World
+from tests.support.detector_simulation import DetectorSimulation, SimulatedNode
 from tests.support.node_fleet import TTL_MS
 
-ANSWER_MS = 25.0  # from a renewal to its answer
+RESPONSE_MS = 25.0  # from a renewal to its response
 STEP_MS = 5.0
 EXPIRE_MS = 50.0
-SERVICE_MS = 1e6  # service time less the world's, so that it is never below 0
-STOP_MS = 0.1 * TTL_MS
-SIZE = 5
-SMALL, LARGE = (4, 5), (1, 2, 3)
+SERVICE_MS = 1e6  # service time minus simulated time, so that service time is never below 0
+PAUSE_MS = 0.1 * TTL_MS
+MEMBERS = 5
+MINORITY, MAJORITY = (4, 5), (1, 2, 3)
 
 
-class LeasedWorld:
-    """A world of failure detectors whose nodes have leases of one list service that never fails."""
+class LeaseSimulation:
+    """Simulated failure detectors whose nodes have leases from one list service that never fails."""
 
     def __init__(self, seed: int) -> None:
-        self.world = World(SIZE, seed)
+        self.detectors = DetectorSimulation(MEMBERS, seed)
         self.rng = Random(seed)
-        self.cut_off: set[int] = set()
-        self.ledger, self.leases = QuotaLedger(), LeaseClock(TTL_MS)
-        self.enrolments = {
+        self.disconnected: set[int] = set()
+        self.ledger, self.lease_clock = QuotaLedger(), LeaseClock(TTL_MS)
+        self.member_leases = {
             number: MemberLease(f"n{number}", f"at-{number}", "", str(number), Random(self.rng.random()))
-            for number in self.world.nodes
+            for number in self.detectors.nodes
         }
-        self.world.before_tick = self._before_tick
-        for number in self.world.nodes:  # in this order, so that the numbers are the incarnations too
-            self.world.after(float(number), lambda number=number: self._renew(number))  # type: ignore[misc]
+        self.detectors.before_tick = self._before_tick
+        for number in self.detectors.nodes:  # in this order, so that numbers equal incarnations
+            self.detectors.schedule(float(number), lambda number=number: self._renew(number))  # type: ignore[misc]
         self._expire()
 
-    def shares(self, *numbers: int) -> tuple[float, ...]:
-        """What these nodes take now."""
+    def quotas(self, *numbers: int) -> tuple[float, ...]:
+        """The quotas that these nodes use now."""
         return tuple(
-            round(self.enrolments[number].quota_in_force(self.clock(number)), 6) for number in numbers
+            round(self.member_leases[number].quota_in_force(self.clock(number)), 6) for number in numbers
         )
 
     def attached(self, number: int) -> bool:
-        return self.enrolments[number].is_attached(self.clock(number))
+        return self.member_leases[number].is_attached(self.clock(number))
 
     def clock(self, number: int) -> float:
-        return self.world.clock(self.world.nodes[number])
+        return self.detectors.clock(self.detectors.nodes[number])
 
-    def cut(self, *cut_off: int) -> None:
-        """Part the halves, and these nodes from the list service."""
-        self.world.cut_between(SMALL, LARGE)
-        self.cut_off.update(cut_off)
+    def partition(self, *disconnected: int) -> None:
+        """Partition the minority from the majority, and `disconnected` nodes from the list service."""
+        self.detectors.partition(MINORITY, MAJORITY)
+        self.disconnected.update(disconnected)
 
     # ------------------------------------------------------------------ the list service
 
     def _renew(self, number: int) -> None:
-        node, now = self.world.nodes[number], self.clock(number)
-        call = None if node.stopped else self.enrolments[number].tick(now, None)
+        node, now = self.detectors.nodes[number], self.clock(number)
+        call = None if node.paused else self.member_leases[number].tick(now, None)
         if call is not None:
-            self.world.after(ANSWER_MS / 2, lambda: self._serve(node, call))
-            self.world.after(
-                call.timeout_ms, lambda: self.world.in_turn(node, lambda: self._fail(node, call))
+            self.detectors.schedule(RESPONSE_MS / 2, lambda: self._serve(node, call))
+            self.detectors.schedule(
+                call.timeout_ms, lambda: self.detectors.run_when_active(node, lambda: self._fail(node, call))
             )
-        self.world.after(STEP_MS, lambda: self._renew(number))
+        self.detectors.schedule(STEP_MS, lambda: self._renew(number))
 
-    def _serve(self, node: Node, call: RegistryCall) -> None:
+    def _serve(self, node: SimulatedNode, call: RegistryCall) -> None:
         number = node.incarnation
-        if number in self.cut_off:
+        if number in self.disconnected:
             return
         if call.path == "enrol":
-            row = self.ledger.enrol(**call.body)
-            assert row.incarnation == number
-            self.leases.record_renewal(self.world.now, number, row.renewal_seq, -1)
+            record = self.ledger.enrol(**call.body)
+            assert record.incarnation == number
+            self.lease_clock.record_renewal(self.detectors.now, number, record.renewal_seq, -1)
         else:
             seq, acked, using = call.body["seq"], call.body["acked"], call.body["using"]
             renewed = self.ledger.renew(number, seq, acked, using)
             assert renewed is not None
-            row = renewed
-            self.leases.record_renewal(self.world.now, number, seq, call.body["answered"])
-        grant = self.ledger.grant(row, call.body.get("acked", -1), call.body.get("delta", False))
+            record = renewed
+            self.lease_clock.record_renewal(self.detectors.now, number, seq, call.body["answered"])
+        grant = self.ledger.grant(record, call.body.get("acked", -1), call.body.get("delta", False))
 
         def arrive() -> None:
-            if number not in self.cut_off:
-                self.enrolments[number].on_grant(self.clock(number), call.number, grant, TTL_MS)
+            if number not in self.disconnected:
+                self.member_leases[number].on_grant(self.clock(number), call.number, grant, TTL_MS)
 
-        self.world.after(ANSWER_MS / 2, lambda: self.world.in_turn(node, arrive))
+        self.detectors.schedule(RESPONSE_MS / 2, lambda: self.detectors.run_when_active(node, arrive))
 
-    def _fail(self, node: Node, call: RegistryCall) -> None:
-        """Changes nothing where the call was answered."""
-        self.enrolments[node.incarnation].on_failure(self.world.clock(node), call.number)
+    def _fail(self, node: SimulatedNode, call: RegistryCall) -> None:
+        """Time out a call; has no effect if the call got a response."""
+        self.member_leases[node.incarnation].on_failure(self.detectors.clock(node), call.number)
 
     def _expire(self) -> None:
-        lapsed, support = self.leases.expired_and_attached(self.world.now)
-        if self.ledger.would_expire(lapsed, support):
-            self.ledger.expire(lapsed, support)
-            self.leases.retain(self.ledger.records_by_incarnation)
-        self.world.after(EXPIRE_MS, self._expire)
+        expired, attached = self.lease_clock.expired_and_attached(self.detectors.now)
+        if self.ledger.would_expire(expired, attached):
+            self.ledger.expire(expired, attached)
+            self.lease_clock.retain(self.ledger.records_by_incarnation)
+        self.detectors.schedule(EXPIRE_MS, self._expire)
 
     # ------------------------------------------------------------------------- siblings
 
-    def _before_tick(self, node: Node) -> None:
-        """As the shell does before each tick of the failure detector."""
-        enrolment, now = self.enrolments[node.incarnation], self.world.clock(node)
-        if enrolment.incarnation is None:
+    def _before_tick(self, node: SimulatedNode) -> None:
+        """Exchange quota reports between lease and detector, as the control plane does before each tick."""
+        lease, now = self.member_leases[node.incarnation], self.detectors.clock(node)
+        if lease.incarnation is None:
             return
-        service_ms = self.world.now + SERVICE_MS
-        node.detector.set_quota_status(now, enrolment.quota_status(now), service_ms)
-        if not enrolment.is_attached(now):
-            told = node.detector.quota_reports()
-            words = {
-                number: SiblingReport(standing, now + said - service_ms)
-                for number, (standing, said) in told.items()
+        service_ms = self.detectors.now + SERVICE_MS
+        node.detector.set_quota_status(now, lease.quota_status(now), service_ms)
+        if not lease.is_attached(now):
+            reports = node.detector.quota_reports()
+            sibling_reports = {
+                number: SiblingReport(status, now + reported_ms - service_ms)
+                for number, (status, reported_ms) in reports.items()
             }
-            enrolment.on_sibling_reports(now, words)
+            lease.on_sibling_reports(now, sibling_reports)
 
 
-def settled(seed: int) -> LeasedWorld:
-    """All have their parts, at a moment drawn anew in the round of renewals."""
-    found = LeasedWorld(seed)
-    found.world.run(3 * TTL_MS + found.rng.uniform(0.0, TTL_MS))
-    assert found.shares(*LARGE, *SMALL) == (0.2,) * SIZE
-    return found
+def settled_simulation(seed: int) -> LeaseSimulation:
+    """Return a simulation in which all have their target quota, at a random phase of the renewals."""
+    simulation = LeaseSimulation(seed)
+    simulation.detectors.run(3 * TTL_MS + simulation.rng.uniform(0.0, TTL_MS))
+    assert simulation.quotas(*MAJORITY, *MINORITY) == (0.2,) * MEMBERS
+    return simulation
 
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize(
-    ("cut_off", "large", "small"),
-    [(SMALL, 1 / 3, 0.0), (LARGE, 0.2, 0.2), ((*LARGE, *SMALL), 0.2, 0.0)],
-    ids=["small half cut off", "large half cut off", "all cut off"],
+    ("disconnected", "majority_quota", "minority_quota"),
+    [(MINORITY, 1 / 3, 0.0), (MAJORITY, 0.2, 0.2), ((*MAJORITY, *MINORITY), 0.2, 0.0)],
+    ids=["minority disconnected", "majority disconnected", "all disconnected"],
 )
-def test_a_half_cut_off_holds_its_shares_without_a_gap_where_it_is_the_larger_and_yields_where_not(
-    seed: int, cut_off: tuple[int, ...], large: float, small: float
+def test_disconnected_majority_holds_quota_and_minority_yields(
+    seed: int, disconnected: tuple[int, ...], majority_quota: float, minority_quota: float
 ) -> None:
-    leased = settled(seed)
-    leased.cut(*cut_off)
-    if cut_off != SMALL:  # one of those that are to hold does not run for a while, as on a busy machine
-        stopped, after_ms = leased.rng.choice(LARGE), leased.rng.uniform(0.0, TTL_MS)
-        leased.world.after(after_ms, lambda: leased.world.stop(stopped, STOP_MS))
-    start = leased.world.now
-    while leased.world.now - start < 5 * TTL_MS:
-        leased.world.run(10.0)
-        assert sum(leased.shares(*LARGE, *SMALL)) <= 1.0 + 1e-5
-        if LARGE[0] in cut_off:
-            assert leased.shares(*LARGE) == (large,) * len(LARGE)
-        if SMALL[0] not in cut_off:
-            assert leased.shares(*SMALL) == (small,) * len(SMALL)
-    assert leased.shares(*LARGE, *SMALL) == tuple(
-        round(share, 6) for share in (*(large,) * len(LARGE), *(small,) * len(SMALL))
+    simulation = settled_simulation(seed)
+    simulation.partition(*disconnected)
+    if disconnected != MINORITY:  # pause a node that has to hold, as on a busy machine
+        paused, delay_ms = simulation.rng.choice(MAJORITY), simulation.rng.uniform(0.0, TTL_MS)
+        simulation.detectors.schedule(delay_ms, lambda: simulation.detectors.pause(paused, PAUSE_MS))
+    start = simulation.detectors.now
+    while simulation.detectors.now - start < 5 * TTL_MS:
+        simulation.detectors.run(10.0)
+        assert sum(simulation.quotas(*MAJORITY, *MINORITY)) <= 1.0 + 1e-5
+        if MAJORITY[0] in disconnected:
+            assert simulation.quotas(*MAJORITY) == (majority_quota,) * len(MAJORITY)
+        if MINORITY[0] not in disconnected:
+            assert simulation.quotas(*MINORITY) == (minority_quota,) * len(MINORITY)
+    assert simulation.quotas(*MAJORITY, *MINORITY) == tuple(
+        round(quota, 6) for quota in (*(majority_quota,) * len(MAJORITY), *(minority_quota,) * len(MINORITY))
     )
-    expected = QuotaStatus.HOLDING if LARGE[0] in cut_off else QuotaStatus.ATTACHED
-    assert {leased.enrolments[number].quota_status(leased.clock(number)) for number in LARGE} == {expected}
+    expected = QuotaStatus.HOLDING if MAJORITY[0] in disconnected else QuotaStatus.ATTACHED
+    assert {
+        simulation.member_leases[number].quota_status(simulation.clock(number)) for number in MAJORITY
+    } == {expected}
--- a/tests/membership/test_verdict.py
+++ b/tests/membership/test_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a member, and a node's own connectivity."""
+"""Verdict on a member, and the local node's connectivity."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 )
 
 
-def test_the_verdict_is_defined_for_every_pair_and_a_sibling_that_answers_never_fails() -> None:
+def test_verdict_is_defined_for_every_pair_and_reachable_member_never_fails() -> None:
     assert set(VERDICTS) == set(product(LeaseStatus, Reachability))
-    of = {
-        state: {found for (_, other), found in VERDICTS.items() if other is state} for state in Reachability
+    verdicts_of = {
+        state: {value for (_, other), value in VERDICTS.items() if other is state} for state in Reachability
     }
-    assert of[Reachability.UNREACHABLE] == {Verdict.FAILED}
-    assert of[Reachability.ALIVE] == {Verdict.PRESENT}
-    assert [pair for pair, found in VERDICTS.items() if found is Verdict.LINK_FAULT] == [
+    assert verdicts_of[Reachability.UNREACHABLE] == {Verdict.FAILED}
+    assert verdicts_of[Reachability.ALIVE] == {Verdict.PRESENT}
+    assert [pair for pair, value in VERDICTS.items() if value is Verdict.LINK_FAULT] == [
         (LeaseStatus.LIVE, Reachability.INDIRECT)
     ]
     assert verdict(LeaseStatus.EXPIRED, Reachability.SUSPECT) is Verdict.FAILED
@@ -41,7 +41,7 @@
         (None, None, Connectivity.ISOLATED),
     ],
 )
-def test_a_node_knows_its_own_connectivity(
+def test_connectivity_follows_from_last_renewal_and_last_ack(
     renewed: float | None, last_ack: float | None, expected: Connectivity
 ) -> None:
     assert connectivity(10_000.0, 3000.0, renewed, last_ack, ack_valid_ms=1000.0) is expected
--- a/tests/support/detector_simulation.py
+++ b/tests/support/detector_simulation.py
@@ -1,8 +1,8 @@
-"""N failure detectors on a simulated network, in simulated time, from one seed.
+"""Failure detectors on a simulated network, in simulated time, determined by one seed.
 
-A call is two messages. Each may be lost, and takes a time drawn anew; links may be cut one way or both, a
-process killed (its machine refuses) or its machine lost (silence), a node stopped and continued. What reaches
-a stopped node waits and is given to it in a drawn order when it goes on, as an event loop might find it.
+A call consists of two messages, each with a random delay and a probability of loss. Links can be blocked one
+way or both ways, a process can end (see `ProcessEnd`), and a node can be paused and resumed. Events that
+reach a paused node are queued and run in random order when it resumes, as an event loop might find them.
 """
 
 from __future__ import annotations
@@ -28,39 +28,39 @@
     ViewReceived,
 )
 
-SERVICE_OFFSET_MS = 1e6  # service time less the simulation's
-RENEWAL = 0.2  # of a lease term: nodes' last renewals before a cut are spread over so much
+SERVICE_OFFSET_MS = 1e6  # service time minus simulated time
+RENEWAL = 0.2  # fraction of the lease term between renewals, over which the last ones are spread
 
 
-class Gone(Enum):
-    """What a caller sees of a process that has ended."""
+class ProcessEnd(Enum):
+    """How calls to a process fail after its end."""
 
-    REFUSED = "refused"  # its machine refuses the connection
-    RESET = "reset"  # something before it takes the connection and closes it
-    SILENT = "silent"  # its machine is lost
+    REFUSED = "refused"  # the machine refuses the connection
+    RESET = "reset"  # a proxy in front of it accepts and closes the connection
+    SILENT = "silent"  # the machine is down, so that calls time out
 
 
 @dataclass
-class Node:
+class SimulatedNode:
     incarnation: int
     detector: FailureDetector
-    skew: float  # of its clock to the simulation's
+    skew: float  # of its clock relative to simulated time
     rng: random.Random
     alive: bool = True
-    gone: Gone = Gone.REFUSED
-    stopped: bool = False
-    waiting: list[Callable[[], None]] = field(default_factory=list)
-    replies: dict[int, Callable[[bytes | None], None]] = field(default_factory=dict)
-    sent: int = 0
+    process_end: ProcessEnd = ProcessEnd.REFUSED
+    paused: bool = False
+    queued_events: list[Callable[[], None]] = field(default_factory=list)
+    responders: dict[int, Callable[[bytes | None], None]] = field(default_factory=dict)
+    calls_sent: int = 0
     sent_bytes: int = 0
     ack_bytes_received: int = 0
-    viewed: list[ViewReceived] = field(default_factory=list)
-    quota_status: QuotaStatus | None = None  # stated anew before each tick
-    held_at: float | None = None  # when it began to hold
+    views: list[ViewReceived] = field(default_factory=list)
+    quota_status: QuotaStatus | None = None  # set in the detector before each tick
+    holding_since: float | None = None  # when it began to hold its quota
 
 
-class World:
-    """All of it. `delay` draws one message's time; `loss` is the part of calls that are lost."""
+class DetectorSimulation:
+    """Nodes and their network. `delay`: range of message delays in ms; `loss`: part of calls lost."""
 
     def __init__(
         self,
@@ -73,164 +73,174 @@
         self.now = 0.0
         self.rng = random.Random(seed)
         self.delay, self.loss = delay, loss
-        self.cut: set[tuple[int, int]] = set()  # (from, to): messages on it vanish
-        self.changes: list[tuple[float, int, ReachabilityChanged]] = []  # when, observer, change
-        self.before_tick: Callable[[Node], None] = lambda node: None
+        self.blocked_links: set[tuple[int, int]] = set()  # (sender, receiver); messages on them are dropped
+        self.changes: list[tuple[float, int, ReachabilityChanged]] = []  # (time, observer, change)
+        self.before_tick: Callable[[SimulatedNode], None] = lambda node: None
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._ids = itertools.count(1)
         self.nodes = {number: self._node(number, config) for number in range(1, size + 1)}
-        self.tell_all()
+        self.announce_members()
         for node in self.nodes.values():
-            self.after(self.rng.uniform(0, 100), lambda node=node: self._tick(node))  # type: ignore[misc]
+            self.schedule(self.rng.uniform(0, 100), lambda node=node: self._tick(node))  # type: ignore[misc]
 
-    def _node(self, number: int, config: DetectorConfig | None) -> Node:
+    def _node(self, number: int, config: DetectorConfig | None) -> SimulatedNode:
         own = random.Random(self.rng.random())
-        return Node(number, FailureDetector(number, own, config), self.rng.uniform(-1e6, 1e6), own)
+        return SimulatedNode(number, FailureDetector(number, own, config), self.rng.uniform(-1e6, 1e6), own)
 
-    def clock(self, node: Node) -> float:
+    def clock(self, node: SimulatedNode) -> float:
         return self.now + node.skew
 
     def siblings(self) -> list[Sibling]:
         return [Sibling(number, f"n{number}", f"at-{number}") for number in self.nodes]
 
-    def tell_all(self) -> None:
+    def announce_members(self) -> None:
         for node in self.nodes.values():
             node.detector.set_members(self.clock(node), self.siblings())
 
     # -------------------------------------------------------------- faults
 
-    def kill(self, number: int, gone: Gone = Gone.REFUSED) -> None:
-        self.nodes[number].alive, self.nodes[number].gone = False, gone
+    def kill(self, number: int, process_end: ProcessEnd = ProcessEnd.REFUSED) -> None:
+        self.nodes[number].alive, self.nodes[number].process_end = False, process_end
 
-    def stop(self, number: int, lasts: float) -> None:
+    def pause(self, number: int, duration_ms: float) -> None:
         node = self.nodes[number]
-        node.stopped = True
-        self.after(lasts, lambda: self._go_on(node))
+        node.paused = True
+        self.schedule(duration_ms, lambda: self._resume(node))
 
-    def stop_every(self, number: int, every: float, lasts: float) -> None:
-        self.stop(number, lasts)
-        self.after(every, lambda: self.stop_every(number, every, lasts))
+    def pause_periodically(self, number: int, interval_ms: float, duration_ms: float) -> None:
+        self.pause(number, duration_ms)
+        self.schedule(interval_ms, lambda: self.pause_periodically(number, interval_ms, duration_ms))
 
-    def cut_from_service(self, ttl_ms: float) -> None:
-        """All nodes lose the list service together: each begins to hold as its last renewal grows old."""
+    def disconnect_from_registry(self, ttl_ms: float) -> None:
+        """Disconnect all nodes from the list service; each begins to hold as its last renewal expires."""
         for node in self.nodes.values():
-            self.after(self.rng.uniform(0.0, RENEWAL * ttl_ms), lambda node=node: self._hold(node))  # type: ignore[misc]
+            self.schedule(
+                self.rng.uniform(0.0, RENEWAL * ttl_ms), lambda node=node: self._begin_holding(node)
+            )  # type: ignore[misc]
 
-    def _hold(self, node: Node) -> None:
-        node.quota_status, node.held_at = QuotaStatus.HOLDING, self.now
+    def _begin_holding(self, node: SimulatedNode) -> None:
+        node.quota_status, node.holding_since = QuotaStatus.HOLDING, self.now
 
-    def cut_between(self, left: Iterable[int], right: Iterable[int]) -> None:
+    def partition(self, left: Iterable[int], right: Iterable[int]) -> None:
         for one, other in itertools.product(list(left), list(right)):
-            self.cut |= {(one, other), (other, one)}
+            self.blocked_links |= {(one, other), (other, one)}
 
-    def _go_on(self, node: Node) -> None:
-        node.stopped = False
-        waiting, node.waiting = node.waiting, []
-        self.rng.shuffle(waiting)
-        for event in waiting:
+    def _resume(self, node: SimulatedNode) -> None:
+        node.paused = False
+        queued, node.queued_events = node.queued_events, []
+        self.rng.shuffle(queued)
+        for event in queued:
             event()
 
     # -------------------------------------------------------------- time
 
-    def after(self, wait: float, event: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (self.now + wait, next(self._ids), event))
+    def schedule(self, delay_ms: float, event: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (self.now + delay_ms, next(self._ids), event))
 
-    def run(self, lasts: float) -> None:
-        end = self.now + lasts
+    def run(self, duration_ms: float) -> None:
+        end = self.now + duration_ms
         while self._events and self._events[0][0] <= end:
             self.now, _, event = heapq.heappop(self._events)
             event()
         self.now = end
 
-    def run_until(self, done: Callable[[], bool], most: float) -> float:
-        """Run in steps of 10 ms; the time that it took, or inf."""
+    def run_until(self, done: Callable[[], bool], timeout_ms: float) -> float:
+        """Run in steps of 10 ms until `done`; return the time that this took, or inf after `timeout_ms`."""
         start = self.now
-        while self.now - start < most:
+        while self.now - start < timeout_ms:
             self.run(10.0)
             if done():
                 return self.now - start
         return float("inf")
 
-    # -------------------------------------------------------------- what is seen
+    # -------------------------------------------------------------- observations
 
-    def seen(self, target: int) -> dict[int, Reachability]:
-        """What each running node has of the target."""
+    def reachability_of(self, target: int) -> dict[int, Reachability]:
+        """The target's reachability at each live node."""
         return {
             number: node.detector.reachability()[target]
             for number, node in self.nodes.items()
             if number != target and node.alive
         }
 
-    def turned(self, state: Reachability) -> list[tuple[float, int, int]]:
-        """Every change to this state: when, observer, of whom."""
-        return [(at, who, change.incarnation) for at, who, change in self.changes if change.new is state]
+    def transitions_to(self, state: Reachability) -> list[tuple[float, int, int]]:
+        """Every transition to this state, as (time, observer, changed member)."""
+        return [
+            (at, observer, change.incarnation) for at, observer, change in self.changes if change.new is state
+        ]
 
-    def majority_waits(self, most: float) -> list[float]:
-        """From when each node began to hold to when it knew that a majority does, inf if not in `most`."""
+    def majority_waits(self, timeout_ms: float) -> list[float]:
+        """Time from when each node begins to hold until it knows that a majority does, or inf."""
         waits: dict[int, float] = {}
-        end = self.now + most
+        end = self.now + timeout_ms
         while self.now < end and len(waits) < len(self.nodes):
             self.run(10.0)
             for number, node in self.nodes.items():
-                if number not in waits and node.held_at is not None and self._knows_majority(node):
-                    waits[number] = self.now - node.held_at
+                if (
+                    number not in waits
+                    and node.holding_since is not None
+                    and self._knows_majority_holds(node)
+                ):
+                    waits[number] = self.now - node.holding_since
         return [waits.get(number, float("inf")) for number in self.nodes]
 
-    def _knows_majority(self, node: Node) -> bool:
-        holding = [said for said, _ in node.detector.quota_reports().values() if said is QuotaStatus.HOLDING]
+    def _knows_majority_holds(self, node: SimulatedNode) -> bool:
+        holding = [
+            status for status, _ in node.detector.quota_reports().values() if status is QuotaStatus.HOLDING
+        ]
         return 2 * len(holding) > len(self.nodes)
 
     # -------------------------------------------------------------- nodes
 
-    def in_turn(self, node: Node, event: Callable[[], None]) -> None:
-        """Run an event of a node's: not after its death, and when it goes on if it is stopped."""
-        if node.stopped and node.alive:
-            node.waiting.append(lambda: self.in_turn(node, event))
+    def run_when_active(self, node: SimulatedNode, event: Callable[[], None]) -> None:
+        """Run an event of a node: at once, when it resumes if it is paused, or never if it has ended."""
+        if node.paused and node.alive:
+            node.queued_events.append(lambda: self.run_when_active(node, event))
         elif node.alive:
             event()
 
-    def _tick(self, node: Node) -> None:
+    def _tick(self, node: SimulatedNode) -> None:
         def tick() -> None:
             self.before_tick(node)
             if node.quota_status is not None:
                 service_ms = self.now + SERVICE_OFFSET_MS
                 node.detector.set_quota_status(self.clock(node), node.quota_status, service_ms)
-            self._do(node, node.detector.tick(self.clock(node)))
+            self._perform(node, node.detector.tick(self.clock(node)))
             assert node.detector.due is not None
-            self.after(max(0.1, node.detector.due - self.clock(node)), lambda: self._tick(node))
+            self.schedule(max(0.1, node.detector.due - self.clock(node)), lambda: self._tick(node))
 
-        self.in_turn(node, tick)
+        self.run_when_active(node, tick)
 
-    def _do(self, node: Node, actions: Iterable[Action]) -> None:
+    def _perform(self, node: SimulatedNode, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case Probe() | IndirectProbe():
                     self._call(node, action)
                 case Ack():
-                    node.replies.pop(action.call)(action.payload)
+                    node.responders.pop(action.call)(action.payload)
                 case ReachabilityChanged():
                     self.changes.append((self.now, node.incarnation, action))
                 case ViewReceived():
-                    node.viewed.append(action)
+                    node.views.append(action)
 
     # -------------------------------------------------------------- calls
 
-    def _call(self, node: Node, action: Probe | IndirectProbe) -> None:
-        node.sent += 1
+    def _call(self, node: SimulatedNode, action: Probe | IndirectProbe) -> None:
+        node.calls_sent += 1
         node.sent_bytes += len(action.payload)
         other = self.nodes[int(action.address.removeprefix("at-"))]
-        over = False
+        ended = False
 
         def end(event: Callable[[], list[Action]]) -> None:
-            def once() -> None:
-                nonlocal over
-                if not over:
-                    over = True
-                    self._do(node, event())
+            def run_once() -> None:
+                nonlocal ended
+                if not ended:
+                    ended = True
+                    self._perform(node, event())
 
-            self.in_turn(node, once)
+            self.run_when_active(node, run_once)
 
-        def back(payload: bytes | None) -> None:
+        def on_response(payload: bytes | None) -> None:
             if payload is None:
                 end(lambda: node.detector.on_failure(self.clock(node), action.id, False))
             else:
@@ -239,32 +249,34 @@
 
         def arrive() -> None:
             if not other.alive:
-                if other.gone is not Gone.SILENT:
-                    refused = other.gone is Gone.REFUSED
+                if other.process_end is not ProcessEnd.SILENT:
+                    refused = other.process_end is ProcessEnd.REFUSED
                     refuse = lambda: node.detector.on_failure(self.clock(node), action.id, refused)  # noqa: E731
-                    self._message(other, node, lambda: end(refuse), lost_back)
+                    self._message(other, node, lambda: end(refuse), response_lost)
                 return
-            answer = lambda payload: self._message(other, node, lambda: back(payload), lost_back)  # noqa: E731
-            self.in_turn(other, lambda: self._serve(other, action, answer))
+            respond = lambda payload: self._message(other, node, lambda: on_response(payload), response_lost)  # noqa: E731
+            self.run_when_active(other, lambda: self._serve(other, action, respond))
 
-        lost = self.rng.random() < self.loss
-        lost_back = lost and self.rng.random() < 0.5
-        self._message(node, other, arrive, lost and not lost_back)
+        call_lost = self.rng.random() < self.loss
+        response_lost = call_lost and self.rng.random() < 0.5
+        self._message(node, other, arrive, call_lost and not response_lost)
         timeout = lambda: node.detector.on_failure(self.clock(node), action.id, False)  # noqa: E731
-        self.after(action.timeout_ms, lambda: end(timeout))
+        self.schedule(action.timeout_ms, lambda: end(timeout))
 
-    def _message(self, sender: Node, to: Node, arrive: Callable[[], None], lost: bool) -> None:
-        if not lost and (sender.incarnation, to.incarnation) not in self.cut:
-            self.after(self.rng.uniform(*self.delay), arrive)
+    def _message(
+        self, sender: SimulatedNode, to: SimulatedNode, arrive: Callable[[], None], lost: bool
+    ) -> None:
+        if not lost and (sender.incarnation, to.incarnation) not in self.blocked_links:
+            self.schedule(self.rng.uniform(*self.delay), arrive)
 
     def _serve(
-        self, node: Node, action: Probe | IndirectProbe, answer: Callable[[bytes | None], None]
+        self, node: SimulatedNode, action: Probe | IndirectProbe, respond: Callable[[bytes | None], None]
     ) -> None:
         if isinstance(action, Probe):
             payload, actions = node.detector.on_probe(self.clock(node), action.payload)
-            answer(payload)
+            respond(payload)
         else:
             call = next(self._ids)
-            node.replies[call] = answer
+            node.responders[call] = respond
             actions = node.detector.on_indirect_probe(self.clock(node), call, action.payload)
-        self._do(node, actions)
+        self._perform(node, actions)
