--- a/tests/membership/test_orders.py
+++ b/tests/membership/test_orders.py
@@ -1,7 +1,7 @@
-"""Every order of messages, faults and time for a small fleet of the real cores, to a stated depth.
+"""Model checking of leases, quotas and route activation: all interleavings up to a given depth.
 
-`tests/support/orders` is the checker. Each search prints its counts (`pytest -s`); each seeded mistake has to
-be found and prints its shortest trace.
+`tests/support/orders` is the model checker. Each search prints its counts (`pytest -s`). Each seeded mistake
+has to be found, and its shortest trace is printed.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
 from loadbalancer.routing import participant
 from tests.support.orders import mistakes
-from tests.support.orders.explore import Found, explore, walk
+from tests.support.orders.explore import SearchResult, explore, walk
 from tests.support.orders.parts import Bounds
-from tests.support.orders.rounds import Rounds
-from tests.support.orders.routes import Routes, Talk
-from tests.support.orders.routes_check import routes_check, routes_probe
-from tests.support.orders.shares import Shares
-from tests.support.orders.shares_check import quiet_check, share_check, share_probe
+from tests.support.orders.rounds import RoundsModel
+from tests.support.orders.routes import OperatorCommands, RouteModel
+from tests.support.orders.routes_check import route_invariant, route_recovery
+from tests.support.orders.shares import QuotaModel
+from tests.support.orders.shares_check import quota_invariant, quota_recovery, unaffected_group_invariant
 
 SKEWS = (0.0, 2000.0, -2000.0, 1000.0)
-ALL = Bounds().kinds
-ANEW = ALL | {"snapshot"}
-REJECTED = ALL | {"reject"}
-OLDER = ALL | {"older"}
-VOTING = frozenset(("send", "crash", "lead", "ballot", "unstored"))
-ENDING = frozenset(("send", "crash"))
-NONE = frozenset[str]()
-LASTING = frozenset(("crash", "lead", "snapshot"))
-TWO = (("pay",), ("pay",), ("find",), ("find",))
-BESIDE = (("pay",), ("pay",), ("find",), ("",))
-RESTARTED_ELSEWHERE = (("pay", "find", "pay"), ("pay",), ("pay",), ("find",))
-LAST_OF_PAY = (("pay", "find"), ("pay",), ("find",))
-NAMING_ONE = (("", "pay"), ("", "pay"), ("", "pay"))
-OF_PAY = frozenset(("n0", "n1"))
+ALL_FAULTS = Bounds().kinds
+WITH_SNAPSHOT = ALL_FAULTS | {"snapshot"}
+WITH_REJECTION = ALL_FAULTS | {"reject"}
+WITH_OLDER_RESPONSE = ALL_FAULTS | {"older"}
+ROUTE_FAULTS = frozenset(("send", "crash", "lead", "ballot", "unstored"))
+CRASH_AND_SEND = frozenset(("send", "crash"))
+NO_FAULTS = frozenset[str]()
+LASTING_FAULTS = frozenset(("crash", "lead", "snapshot"))
+TWO_GROUPS = (("pay",), ("pay",), ("find",), ("find",))
+MEMBER_WITHOUT_SERVICE = (("pay",), ("pay",), ("find",), ("",))
+RESTART_IN_OTHER_GROUP = (("pay", "find", "pay"), ("pay",), ("pay",), ("find",))
+GROUP_LOSES_MEMBER = (("pay", "find"), ("pay",), ("find",))
+RESTARTS_NAME_SERVICE = (("", "pay"), ("", "pay"), ("", "pay"))
+PAY_NODES = frozenset(("n0", "n1"))
 
 
 @pytest.fixture(autouse=True)
@@ -46,27 +46,35 @@
     )  # a pure function of its arguments
 
 
-def cold(nodes: int, faults: int, kinds: frozenset[str] = ALL, **more: Any) -> Shares:
-    """Nodes that have just started: none is enrolled."""
-    return Shares(Bounds(SKEWS[:nodes], kinds=kinds, **more), faults)
-
-
-def warm(kind: type[Shares], nodes: int, faults: int, kinds: frozenset[str] = ALL, **more: Any) -> Shares:
-    """All enrolled and electors, each with its part, attached for a term."""
-    world = kind(Bounds(SKEWS[:nodes], kinds=kinds, **more), 0).fair(8)
-    world.faults = faults
-    return world
-
-
-def fleet(
-    nodes: int, faults: int, talk: Talk, before: tuple[str, ...] = (), kinds: frozenset[str] = VOTING
-) -> Routes:
-    """As `warm`, with followers; each of the moves `before` done, by all nodes where it ends in a star."""
-    start = Routes(Bounds(SKEWS[:nodes], siblings=False, kinds=kinds), 0, Talk()).fair(8)
-    for move in before:
-        for at in range(nodes) if "*" in move else (0,):
-            start = dict(start.moves())[move.replace("*", f"n{at}")]
-    start.faults, start.talk = faults, talk
+def unenrolled(nodes: int, faults: int, kinds: frozenset[str] = ALL_FAULTS, **more: Any) -> QuotaModel:
+    """Return a model whose nodes have just started and are not enrolled."""
+    return QuotaModel(Bounds(SKEWS[:nodes], kinds=kinds, **more), faults)
+
+
+def settled(
+    kind: type[QuotaModel], nodes: int, faults: int, kinds: frozenset[str] = ALL_FAULTS, **more: Any
+) -> QuotaModel:
+    """Return a model whose nodes are electors with their target quotas, attached for a term."""
+    model = kind(Bounds(SKEWS[:nodes], kinds=kinds, **more), 0).run_without_faults(8)
+    model.faults = faults
+    return model
+
+
+def settled_routes(
+    nodes: int,
+    faults: int,
+    operator_commands: OperatorCommands,
+    before: tuple[str, ...] = (),
+    kinds: frozenset[str] = ROUTE_FAULTS,
+) -> RouteModel:
+    """As `settled`, with route participants, after the actions in `before`; "*" stands for each node."""
+    start = RouteModel(
+        Bounds(SKEWS[:nodes], siblings=False, kinds=kinds), 0, OperatorCommands()
+    ).run_without_faults(8)
+    for action in before:
+        for at in range(nodes) if "*" in action else (0,):
+            start = dict(start.transitions())[action.replace("*", f"n{at}")]
+    start.faults, start.operator_commands = faults, operator_commands
     return start
 
 
@@ -74,181 +82,267 @@
 PREPARED = (*INFORMED, "stored * 1")
 DECIDED = (*PREPARED, "vote * 1")
 
-SHARES: dict[str, tuple[Callable[[], Shares], int, int]] = {  # start, depth, at least so many states
-    "attached, no fault": (lambda: warm(Shares, 3, 0), 9, 20_000),
-    "attached, any fault": (lambda: warm(Shares, 3, 1), 7, 15_000),
-    "attached, any two faults": (lambda: warm(Shares, 3, 2), 6, 10_000),
-    "attached, any two faults, renewals rejected": (lambda: warm(Shares, 3, 2, REJECTED), 6, 15_000),
-    "attached, any two faults, older answers": (lambda: warm(Shares, 3, 2, OLDER), 6, 10_000),
-    "rounds, renewals rejected": (lambda: warm(Rounds, 3, 2, frozenset(("reject",))), 10, 5_000),
+QUOTA_SEARCHES: dict[
+    str, tuple[Callable[[], QuotaModel], int, int]
+] = {  # start, depth, at min_states so many states
+    "attached, no fault": (lambda: settled(QuotaModel, 3, 0), 9, 20_000),
+    "attached, any fault": (lambda: settled(QuotaModel, 3, 1), 7, 15_000),
+    "attached, any two faults": (lambda: settled(QuotaModel, 3, 2), 6, 10_000),
+    "attached, any two faults, renewals rejected": (
+        lambda: settled(QuotaModel, 3, 2, WITH_REJECTION),
+        6,
+        15_000,
+    ),
+    "attached, any two faults, older responses": (
+        lambda: settled(QuotaModel, 3, 2, WITH_OLDER_RESPONSE),
+        6,
+        10_000,
+    ),
+    "rounds, renewals rejected": (lambda: settled(RoundsModel, 3, 2, frozenset(("reject",))), 10, 5_000),
     "two enrolling, two faults": (
-        lambda: cold(2, 2, frozenset(("send", "repeat", "crash", "lead"))),
+        lambda: unenrolled(2, 2, frozenset(("send", "repeat", "crash", "lead"))),
         8,
         25_000,
     ),
-    "three enrolling, any fault": (lambda: cold(3, 1), 7, 15_000),
-    "rounds, any lasting fault": (lambda: warm(Rounds, 3, 1, NONE), 40, 300),
-    "rounds, two lasting faults": (lambda: warm(Rounds, 3, 2, frozenset(("crash", "lead"))), 11, 8_000),
+    "three enrolling, any fault": (lambda: unenrolled(3, 1), 7, 15_000),
+    "rounds, any lasting fault": (lambda: settled(RoundsModel, 3, 1, NO_FAULTS), 40, 300),
+    "rounds, two lasting faults": (
+        lambda: settled(RoundsModel, 3, 2, frozenset(("crash", "lead"))),
+        11,
+        8_000,
+    ),
 }
-GROUPS: dict[str, tuple[Callable[[], Shares], int, int]] = {  # as SHARES
-    "two groups, any fault": (lambda: warm(Shares, 4, 1, ANEW, services=TWO), 6, 7_000),
-    "a member beside two groups, any fault": (lambda: warm(Shares, 4, 1, ANEW, services=BESIDE), 6, 6_000),
+GROUP_SEARCHES: dict[str, tuple[Callable[[], QuotaModel], int, int]] = {  # as QUOTA_SEARCHES
+    "two groups, any fault": (
+        lambda: settled(QuotaModel, 4, 1, WITH_SNAPSHOT, services=TWO_GROUPS),
+        6,
+        7_000,
+    ),
+    "a member beside two groups, any fault": (
+        lambda: settled(QuotaModel, 4, 1, WITH_SNAPSHOT, services=MEMBER_WITHOUT_SERVICE),
+        6,
+        6_000,
+    ),
     "two groups and a restart elsewhere": (
-        lambda: warm(Shares, 4, 1, ANEW, services=RESTARTED_ELSEWHERE),
+        lambda: settled(QuotaModel, 4, 1, WITH_SNAPSHOT, services=RESTART_IN_OTHER_GROUP),
         6,
         8_000,
     ),
     "enrolling beside a group, two faults": (
-        lambda: cold(2, 2, ANEW, services=(("pay",), ("",))),
+        lambda: unenrolled(2, 2, WITH_SNAPSHOT, services=(("pay",), ("",))),
         7,
         12_000,
     ),
-    "two groups in rounds, a lasting fault": (lambda: warm(Rounds, 4, 1, LASTING, services=TWO), 25, 500),
+    "two groups in rounds, a lasting fault": (
+        lambda: settled(RoundsModel, 4, 1, LASTING_FAULTS, services=TWO_GROUPS),
+        25,
+        500,
+    ),
     "beside two groups in rounds, a lasting fault": (
-        lambda: warm(Rounds, 4, 1, LASTING, services=BESIDE),
+        lambda: settled(RoundsModel, 4, 1, LASTING_FAULTS, services=MEMBER_WITHOUT_SERVICE),
         25,
         500,
     ),
     "a restart elsewhere from a group of two, two faults": (
-        lambda: warm(Shares, 3, 2, frozenset(("send", "crash", "lead")), services=LAST_OF_PAY),
+        lambda: settled(QuotaModel, 3, 2, frozenset(("send", "crash", "lead")), services=GROUP_LOSES_MEMBER),
         6,
         3_000,
     ),
     "restarts that name a service, in rounds, three crashes": (
-        lambda: warm(Rounds, 3, 3, frozenset(("crash",)), services=NAMING_ONE),
+        lambda: settled(RoundsModel, 3, 3, frozenset(("crash",)), services=RESTARTS_NAME_SERVICE),
         4,
         1_500,
     ),
     "restarts elsewhere in rounds, two lasting faults": (
-        lambda: warm(Rounds, 4, 2, LASTING, services=RESTARTED_ELSEWHERE),
+        lambda: settled(RoundsModel, 4, 2, LASTING_FAULTS, services=RESTART_IN_OTHER_GROUP),
         5,
         3_000,
     ),
 }
-ROUTES: dict[str, tuple[Callable[[], Routes], int, int]] = {
-    "proposal, no fault": (lambda: fleet(3, 0, Talk()), 8, 5_000),
-    "two nodes, proposal, any fault": (lambda: fleet(2, 1, Talk()), 8, 15_000),
-    "prepared, any fault, halt": (lambda: fleet(2, 1, Talk(0, halts=1), PREPARED), 7, 10_000),
-    "three prepared, any fault": (lambda: fleet(3, 1, Talk(0), PREPARED), 6, 5_000),
-    "decided, an end and a late call": (lambda: fleet(2, 2, Talk(0), DECIDED, kinds=ENDING), 9, 15_000),
-    "decided, any fault, rollback": (lambda: fleet(2, 1, Talk(0, rollbacks=1), DECIDED), 9, 10_000),
+ROUTE_SEARCHES: dict[str, tuple[Callable[[], RouteModel], int, int]] = {
+    "proposal, no fault": (lambda: settled_routes(3, 0, OperatorCommands()), 8, 5_000),
+    "two nodes, proposal, any fault": (lambda: settled_routes(2, 1, OperatorCommands()), 8, 15_000),
+    "prepared, any fault, halt": (
+        lambda: settled_routes(2, 1, OperatorCommands(0, halts=1), PREPARED),
+        7,
+        10_000,
+    ),
+    "three prepared, any fault": (lambda: settled_routes(3, 1, OperatorCommands(0), PREPARED), 6, 5_000),
+    "decided, an end and a late call": (
+        lambda: settled_routes(2, 2, OperatorCommands(0), DECIDED, kinds=CRASH_AND_SEND),
+        9,
+        15_000,
+    ),
+    "decided, any fault, rollback": (
+        lambda: settled_routes(2, 1, OperatorCommands(0, rollbacks=1), DECIDED),
+        9,
+        10_000,
+    ),
 }
 
 
-@pytest.mark.parametrize("name", SHARES)
-def test_shares_keep_their_bound_in_every_order(name: str) -> None:
-    start, depth, least = SHARES[name]
-    told(name, explore(start(), share_check, depth, share_probe, 100), least)
+@pytest.mark.parametrize("name", QUOTA_SEARCHES)
+def test_quotas_stay_within_bound_in_every_order(name: str) -> None:
+    start, depth, min_states = QUOTA_SEARCHES[name]
+    assert_searched(name, explore(start(), quota_invariant, depth, quota_recovery, 100), min_states)
 
 
-@pytest.mark.parametrize("name", GROUPS)
-def test_each_service_has_its_whole_in_every_order(name: str) -> None:
-    start, depth, least = GROUPS[name]
-    told(name, explore(start(), share_check, depth, share_probe, 100), least)
+@pytest.mark.parametrize("name", GROUP_SEARCHES)
+def test_service_quotas_stay_within_bound_in_every_order(name: str) -> None:
+    start, depth, min_states = GROUP_SEARCHES[name]
+    assert_searched(name, explore(start(), quota_invariant, depth, quota_recovery, 100), min_states)
 
 
-def test_faults_of_one_group_cost_another_nothing() -> None:
-    start = warm(Rounds, 4, 2, ALL | LASTING, services=TWO, faulty=OF_PAY)
-    told("noisy beside quiet", explore(start, quiet_check(start, "find"), 8, share_probe, 100), 3_000)
+def test_faults_of_one_group_do_not_affect_another() -> None:
+    start = settled(RoundsModel, 4, 2, ALL_FAULTS | LASTING_FAULTS, services=TWO_GROUPS, faulty=PAY_NODES)
+    assert_searched(
+        "faults in one group",
+        explore(start, unaffected_group_invariant(start, "find"), 8, quota_recovery, 100),
+        3_000,
+    )
     start.faults = 8
-    check = quiet_check(start, "find")
-    told("walks, noisy beside quiet", walk(start, check, range(20), 120, share_probe), 300)
+    check = unaffected_group_invariant(start, "find")
+    assert_searched("walks, faults in one group", walk(start, check, range(20), 120, quota_recovery), 300)
 
 
-@pytest.mark.parametrize("name", ROUTES)
-def test_followers_run_what_is_decided_in_every_order(name: str) -> None:
-    start, depth, least = ROUTES[name]
-    told(name, explore(start(), routes_check, depth, routes_probe, 50), least)
+@pytest.mark.parametrize("name", ROUTE_SEARCHES)
+def test_participants_run_decided_version_in_every_order(name: str) -> None:
+    start, depth, min_states = ROUTE_SEARCHES[name]
+    assert_searched(name, explore(start(), route_invariant, depth, route_recovery, 50), min_states)
 
 
-def test_shares_keep_their_bound_on_long_random_runs() -> None:
-    told("walks", walk(warm(Shares, 3, 8), share_check, range(60), 120, share_probe), 2_000)
-    told("walks in rounds", walk(warm(Rounds, 3, 8), share_check, range(60), 120, share_probe), 1_000)
-    for name, kinds in (("renewals rejected", REJECTED), ("older answers", OLDER)):
-        start = warm(Shares, 3, 8, kinds)
-        told(f"walks, {name}", walk(start, share_check, range(60), 120, share_probe), 2_000)
+def test_quotas_stay_within_bound_on_long_random_runs() -> None:
+    assert_searched(
+        "walks", walk(settled(QuotaModel, 3, 8), quota_invariant, range(60), 120, quota_recovery), 2_000
+    )
+    assert_searched(
+        "walks in rounds",
+        walk(settled(RoundsModel, 3, 8), quota_invariant, range(60), 120, quota_recovery),
+        1_000,
+    )
+    for name, kinds in (("renewals rejected", WITH_REJECTION), ("older responses", WITH_OLDER_RESPONSE)):
+        start = settled(QuotaModel, 3, 8, kinds)
+        assert_searched(f"walks, {name}", walk(start, quota_invariant, range(60), 120, quota_recovery), 2_000)
 
 
-@pytest.mark.parametrize("services", [TWO, BESIDE, RESTARTED_ELSEWHERE], ids=["two", "beside", "elsewhere"])
-def test_each_service_has_its_whole_on_long_random_runs(services: tuple[tuple[str, ...], ...]) -> None:
-    for kind in (Shares, Rounds):
-        start = warm(kind, 4, 8, ANEW, services=services)
-        told(f"walks of {kind.__name__}", walk(start, share_check, range(20), 120, share_probe), 300)
+@pytest.mark.parametrize(
+    "services",
+    [TWO_GROUPS, MEMBER_WITHOUT_SERVICE, RESTART_IN_OTHER_GROUP],
+    ids=["two", "beside", "elsewhere"],
+)
+def test_service_quotas_stay_within_bound_on_long_random_runs(services: tuple[tuple[str, ...], ...]) -> None:
+    for kind in (QuotaModel, RoundsModel):
+        start = settled(kind, 4, 8, WITH_SNAPSHOT, services=services)
+        assert_searched(
+            f"walks of {kind.__name__}", walk(start, quota_invariant, range(20), 120, quota_recovery), 300
+        )
 
 
-def test_followers_run_what_is_decided_on_long_random_runs() -> None:
-    start = fleet(3, 8, Talk(3, 2, 2), kinds=ALL | VOTING)
-    told("walks", walk(start, routes_check, range(60), 120, routes_probe), 2_000)
+def test_participants_run_decided_version_on_long_random_runs() -> None:
+    start = settled_routes(3, 8, OperatorCommands(3, 2, 2), kinds=ALL_FAULTS | ROUTE_FAULTS)
+    assert_searched("walks", walk(start, route_invariant, range(60), 120, route_recovery), 2_000)
 
 
 MISTAKES: list[tuple[mistakes.Mistake, Callable[[], Any], Callable[[Any], str | None], int]] = [
-    (mistakes.vote_before_fsync, lambda: fleet(2, 0, Talk()), routes_check, 8),
-    (mistakes.moment_without_the_term, lambda: fleet(2, 0, Talk()), routes_check, 9),
-    (mistakes.answer_omits_the_decision, lambda: fleet(2, 0, Talk(0), PREPARED), routes_check, 9),
-    (mistakes.share_grows_by_hearing, lambda: warm(Shares, 3, 0, all_words=True), share_check, 4),
-    (mistakes.incarnation_does_not_rise, lambda: warm(Shares, 3, 1), share_check, 4),
-    (mistakes.hold_rests_on_any_word, lambda: warm(Rounds, 3, 1, NONE, all_words=True), share_check, 9),
-    (mistakes.row_given_away_without_a_majority, lambda: warm(Rounds, 3, 2, NONE), share_check, 9),
-    (mistakes.late_enrolment_frees_a_share, lambda: cold(2, 2, ENDING), share_check, 8),
+    (mistakes.vote_before_fsync, lambda: settled_routes(2, 0, OperatorCommands()), route_invariant, 8),
+    (
+        mistakes.activation_time_without_lease_term,
+        lambda: settled_routes(2, 0, OperatorCommands()),
+        route_invariant,
+        9,
+    ),
     (
-        mistakes.enrolling_again_does_not_renew_the_lease,
-        lambda: warm(Rounds, 3, 2, frozenset(("reject",))),
-        share_check,
+        mistakes.announcement_omits_decision,
+        lambda: settled_routes(2, 0, OperatorCommands(0), PREPARED),
+        route_invariant,
         9,
     ),
     (
-        mistakes.answer_is_taken_for_one_to_the_latest_call,
-        lambda: warm(Shares, 3, 2, frozenset(("send", "older"))),
-        share_check,
+        mistakes.sibling_reports_increase_quota,
+        lambda: settled(QuotaModel, 3, 0, all_reports=True),
+        quota_invariant,
+        4,
+    ),
+    (mistakes.incarnation_is_reused, lambda: settled(QuotaModel, 3, 1), quota_invariant, 4),
+    (
+        mistakes.hold_counts_reports_of_any_status,
+        lambda: settled(RoundsModel, 3, 1, NO_FAULTS, all_reports=True),
+        quota_invariant,
+        9,
+    ),
+    (
+        mistakes.quota_released_without_majority,
+        lambda: settled(RoundsModel, 3, 2, NO_FAULTS),
+        quota_invariant,
+        9,
+    ),
+    (mistakes.delayed_enrolment_frees_quota, lambda: unenrolled(2, 2, CRASH_AND_SEND), quota_invariant, 8),
+    (
+        mistakes.repeated_enrolment_does_not_renew_lease,
+        lambda: settled(RoundsModel, 3, 2, frozenset(("reject",))),
+        quota_invariant,
+        9,
+    ),
+    (
+        mistakes.response_is_matched_to_latest_call,
+        lambda: settled(QuotaModel, 3, 2, frozenset(("send", "older"))),
+        quota_invariant,
         5,
     ),
     (
-        mistakes.late_follower_knows_the_time_loosely,
-        lambda: fleet(2, 2, Talk(0), DECIDED, kinds=ENDING),
-        routes_check,
+        mistakes.late_participant_ignores_clock_bound,
+        lambda: settled_routes(2, 2, OperatorCommands(0), DECIDED, kinds=CRASH_AND_SEND),
+        route_invariant,
         9,
     ),
     (
-        mistakes.share_beside_the_group_ignored,
-        lambda: cold(3, 0, services=(("pay",), ("find",), ("",))),
-        share_check,
+        mistakes.external_quota_ignored,
+        lambda: unenrolled(3, 0, services=(("pay",), ("find",), ("",))),
+        quota_invariant,
         6,
     ),
     (
-        mistakes.enrolment_ends_the_row_of_another_group,
-        lambda: cold(2, 2, ENDING, services=(("find", "pay"), ("pay",))),
-        share_check,
+        mistakes.enrolment_removes_record_of_another_group,
+        lambda: unenrolled(2, 2, CRASH_AND_SEND, services=(("find", "pay"), ("pay",))),
+        quota_invariant,
         7,
     ),
-    (mistakes.grant_counted_in_another_group, lambda: cold(4, 0, services=TWO), share_check, 6),
     (
-        mistakes.changes_taken_over_a_gap,
-        lambda: warm(Shares, 4, 2, services=TWO, kinds=LASTING),
-        share_check,
+        mistakes.grant_uses_quota_of_another_group,
+        lambda: unenrolled(4, 0, services=TWO_GROUPS),
+        quota_invariant,
+        6,
+    ),
+    (
+        mistakes.changes_merged_over_gap,
+        lambda: settled(QuotaModel, 4, 2, services=TWO_GROUPS, kinds=LASTING_FAULTS),
+        quota_invariant,
         7,
     ),
 ]
 
 
 @pytest.mark.parametrize("mistake", MISTAKES, ids=lambda mistake: mistake[0].__name__)
-def test_a_seeded_mistake_is_found(mistake: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    wrong, start, check, depth = mistake
-    world = start()
-    wrong(monkeypatch)
-    found = explore(world, check, depth)
-    print(f"\n{wrong.__name__}: {found}")
-    assert found.broken is not None
+def test_seeded_mistake_is_found(mistake: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+    inject_mistake, start, check, depth = mistake
+    model = start()
+    inject_mistake(monkeypatch)
+    result = explore(model, check, depth)
+    print(f"\n{inject_mistake.__name__}: {result}")
+    assert result.violation is not None
     monkeypatch.undo()
-    assert explore(start(), check, len(found.trace)).broken is None, "the right core does not break there"
+    assert explore(start(), check, len(result.trace)).violation is None, (
+        "the correct implementation violates the check there"
+    )
 
 
-def test_a_gap_in_the_changes_told_is_harmless_to_the_right_node(monkeypatch: pytest.MonkeyPatch) -> None:
-    mistakes.changes_told_from_where_the_log_begins(monkeypatch)
-    start = warm(Shares, 4, 2, LASTING, services=TWO)
-    told("told over a gap", explore(start, share_check, 6, share_probe, 100), 2_000)
+def test_gap_in_sent_changes_is_harmless_to_correct_node(monkeypatch: pytest.MonkeyPatch) -> None:
+    mistakes.changes_sent_from_start_of_log(monkeypatch)
+    start = settled(QuotaModel, 4, 2, LASTING_FAULTS, services=TWO_GROUPS)
+    assert_searched("changes with a gap", explore(start, quota_invariant, 6, quota_recovery, 100), 2_000)
 
 
-def told(name: str, found: Found, least: int) -> None:
-    print(f"\n{name}: {found}")
-    assert found.broken is None, str(found)
-    assert found.states >= least
+def assert_searched(name: str, result: SearchResult, min_states: int) -> None:
+    print(f"\n{name}: {result}")
+    assert result.violation is None, str(result)
+    assert result.states >= min_states
--- a/tests/support/orders/__init__.py
+++ b/tests/support/orders/__init__.py
@@ -1,5 +1,6 @@
-"""An explicit-state checker: every order of messages, faults and time for a small fleet of the real cores.
+"""Explicit-state model checker for a small fleet: explores all interleavings of messages, faults and time.
 
-`explore` searches; `shares` is the world of leases and shares, `rounds` the same in longer runs with few
-faults, `routes` adds two-phase activation; `mistakes` holds the wrong cores that a search has to find.
+The models run the product's own state machines. `explore` searches; `shares` models leases and quotas,
+`rounds` the same in longer runs with few faults, `routes` adds two-phase activation of route versions;
+`mistakes` contains faulty implementations that a search has to find.
 """
--- a/tests/support/orders/explore.py
+++ b/tests/support/orders/explore.py
@@ -1,12 +1,12 @@
-"""Search through all orders of a world's moves, breadth first: the first break has the shortest trace.
+"""Breadth-first search of a model's state space: the first violation found has a shortest trace.
 
-A world is a small value that is never changed once it is out: `moves` yields the name of each move that is
-possible and the world it leads to. Worlds of the same `key` count as the same state and are gone on from
-once; of a key only its 64-bit hash is kept (among a million states two share one by chance with odds of 1 in
-10^7, and then one of them is not gone on from).
+A model is an immutable state: `transitions` yields each enabled action and its successor. States with the
+same `key` count as equal and are expanded once. Only a 64-bit hash of each key is stored; among a million
+states two collide with a probability of 1 in 10^7, and then one of them is not expanded.
 
-What a search shows: no run of at most `depth` moves breaks the invariant, within the bounds that the world
-itself states. `walk` goes deeper along random runs from a seed; it samples and shows nothing about the rest.
+A search without a violation shows that no run of at most `depth` actions violates the invariant, within the
+bounds of the model. `walk` goes deeper along random runs from a seed; it samples runs and proves nothing
+about the others.
 """
 
 from __future__ import annotations
@@ -18,133 +18,144 @@
 from typing import Protocol, TypeVar
 
 
-class World(Protocol):
-    def moves(self: W) -> Iterator[tuple[str, W]]: ...
+class Model(Protocol):
+    def transitions(self: M) -> Iterator[tuple[str, M]]: ...
 
     def key(self) -> Hashable: ...
 
 
-W = TypeVar("W", bound=World)
-Check = Callable[[W], str | None]  # what is broken in this state, if anything
+M = TypeVar("M", bound=Model)
+Check = Callable[[M], str | None]  # returns the violation in this state, if any
 
 
 @dataclass(slots=True)
-class Found:
-    """What a search came to. `states` are distinct ones, the start included; `probed` of them were asked
-    whether they come to a good end."""
+class SearchResult:
+    """Result of a search: `states` is the number of distinct states, including the start; `liveness_checked`
+    the number of those for which the liveness check ran."""
 
     states: int = 1
     transitions: int = 0
     depth: int = 0
-    probed: int = 0
+    liveness_checked: int = 0
     seconds: float = 0.0
-    broken: str | None = None
+    violation: str | None = None
     trace: list[str] = field(default_factory=list)
 
     def __str__(self) -> str:
         counts = (
-            f"{self.states} states, {self.transitions} transitions, depth {self.depth}, {self.probed} probed"
+            f"{self.states} states, {self.transitions} transitions, depth {self.depth}, "
+            f"{self.liveness_checked} checked for liveness"
         )
-        said = [f"{counts}, {self.seconds:.1f} s"]
-        if self.broken is not None:
-            said += [f"broken after {len(self.trace)} moves: {self.broken}"]
-            said += [f"  {at:2d} {move}" for at, move in enumerate(self.trace, 1)]
-        return "\n".join(said)
+        lines = [f"{counts}, {self.seconds:.1f} s"]
+        if self.violation is not None:
+            lines += [f"violation after {len(self.trace)} actions: {self.violation}"]
+            lines += [f"  {at:2d} {action}" for at, action in enumerate(self.trace, 1)]
+        return "\n".join(lines)
 
 
 def explore(
-    start: W,
-    check: Check[W],
+    start: M,
+    check: Check[M],
     depth: int,
-    probe: Check[W] | None = None,
-    every: int = 1,
-    most: int = 2_000_000,
-) -> Found:
-    """All runs of up to `depth` moves from `start`. `probe`, asked of each `every`-th new state, runs the
-    world on without faults and says what does not come to a good end. More than `most` states is a
-    RuntimeError: a search that was cut short shows nothing."""
-    found, began = Found(), time.perf_counter()
+    liveness_check: Check[M] | None = None,
+    liveness_interval: int = 1,
+    max_states: int = 2_000_000,
+) -> SearchResult:
+    """Explore all runs of up to `depth` actions from `start`.
+
+    `liveness_check` runs for every `liveness_interval`-th new state: it continues the model without faults
+    and returns what does not recover. Raises RuntimeError for more than `max_states` states, since an
+    incomplete search shows nothing.
+    """
+    result, started = SearchResult(), time.perf_counter()
     first = hash(start.key())
-    came: dict[int, tuple[int, str] | None] = {first: None}
-    frontier: list[tuple[int, W]] = [(first, start)]
-    found.broken = check(start)
-    while frontier and found.broken is None and found.depth < depth:
-        found.depth += 1
-        following: list[tuple[int, W]] = []
-        for number, world in frontier:
-            for move, after in world.moves():
-                found.transitions += 1
-                reached = hash(after.key())
-                if reached in came:
+    predecessors: dict[int, tuple[int, str] | None] = {first: None}
+    frontier: list[tuple[int, M]] = [(first, start)]
+    result.violation = check(start)
+    while frontier and result.violation is None and result.depth < depth:
+        result.depth += 1
+        next_frontier: list[tuple[int, M]] = []
+        for state_hash, model in frontier:
+            for action, successor in model.transitions():
+                result.transitions += 1
+                key_hash = hash(successor.key())
+                if key_hash in predecessors:
                     continue
-                came[reached] = (number, move)
-                found.broken = check(after)
-                if found.broken is None and probe is not None and len(came) % every == 0:
-                    found.probed += 1
-                    found.broken = probe(after)
-                if found.broken is not None:
-                    found.trace = _trace(came, reached)
+                predecessors[key_hash] = (state_hash, action)
+                result.violation = check(successor)
+                if (
+                    result.violation is None
+                    and liveness_check is not None
+                    and len(predecessors) % liveness_interval == 0
+                ):
+                    result.liveness_checked += 1
+                    result.violation = liveness_check(successor)
+                if result.violation is not None:
+                    result.trace = _trace(predecessors, key_hash)
                     break
-                following.append((reached, after))
-            if found.broken is not None:
+                next_frontier.append((key_hash, successor))
+            if result.violation is not None:
                 break
-        if len(came) > most:
-            raise RuntimeError(f"more than {most} states at depth {found.depth}")
-        frontier = following
-    found.states, found.seconds = len(came), time.perf_counter() - began
-    return found
+        if len(predecessors) > max_states:
+            raise RuntimeError(f"more than {max_states} states at depth {result.depth}")
+        frontier = next_frontier
+    result.states, result.seconds = len(predecessors), time.perf_counter() - started
+    return result
 
 
 def walk(
-    start: W, check: Check[W], seeds: Sequence[int], length: int, probe: Check[W] | None = None
-) -> Found:
-    """One random run of `length` moves for each seed. A move is drawn by its kind (the first word of its
-    name) first, so that kinds with many variants do not crowd out the others. A break's trace is cut down to
-    moves it needs, though not to the shortest."""
-    found, began = Found(states=0, depth=length), time.perf_counter()
+    start: M, check: Check[M], seeds: Sequence[int], length: int, liveness_check: Check[M] | None = None
+) -> SearchResult:
+    """Make one random run of `length` actions per seed.
+
+    The kind of action (the first word of its name) is drawn first, so that kinds with many variants do not
+    crowd out the others. The trace of a violation is reduced to actions that it needs, but not to the
+    shortest.
+    """
+    result, started = SearchResult(states=0, depth=length), time.perf_counter()
     seen: set[int] = set()
     for seed in seeds:
-        rng, world, trace = Random(seed), start, list[str]()
+        rng, model, trace = Random(seed), start, list[str]()
         for _ in range(length):
-            kinds: dict[str, list[tuple[str, W]]] = {}
-            for move, after in world.moves():
-                kinds.setdefault(move.split()[0], []).append((move, after))
+            kinds: dict[str, list[tuple[str, M]]] = {}
+            for action, successor in model.transitions():
+                kinds.setdefault(action.split()[0], []).append((action, successor))
             if not kinds:
                 break
-            move, world = rng.choice(kinds[rng.choice(sorted(kinds))])
-            trace.append(move)
-            found.transitions += 1
-            seen.add(hash(world.key()))
-            found.broken = check(world)
-            if found.broken is not None:
-                found.trace = _shorter(start, check, trace)
+            action, model = rng.choice(kinds[rng.choice(sorted(kinds))])
+            trace.append(action)
+            result.transitions += 1
+            seen.add(hash(model.key()))
+            result.violation = check(model)
+            if result.violation is not None:
+                result.trace = _shortened(start, check, trace)
                 break
-        if found.broken is None and probe is not None:
-            found.probed += 1
-            found.broken = probe(world)
-            found.trace = trace if found.broken is not None else []
-        if found.broken is not None:
+        if result.violation is None and liveness_check is not None:
+            result.liveness_checked += 1
+            result.violation = liveness_check(model)
+            result.trace = trace if result.violation is not None else []
+        if result.violation is not None:
             break
-    found.states, found.seconds = len(seen), time.perf_counter() - began
-    return found
+    result.states, result.seconds = len(seen), time.perf_counter() - started
+    return result
 
 
-def replay(start: W, trace: Sequence[str], check: Check[W]) -> str | None:
-    """What breaks first along these moves; None where nothing does or one of them is not possible."""
-    world = start
+def replay(start: M, trace: Sequence[str], check: Check[M]) -> str | None:
+    """Return the first violation along these actions; None if there is none or an action is not enabled."""
+    model = start
     for name in trace:
-        after = next((after for move, after in world.moves() if move == name), None)
-        if after is None:
+        successor = next((successor for action, successor in model.transitions() if action == name), None)
+        if successor is None:
             return None
-        world = after
-        broken = check(world)
-        if broken is not None:
-            return broken
+        model = successor
+        violation = check(model)
+        if violation is not None:
+            return violation
     return None
 
 
-def _shorter(start: W, check: Check[W], trace: list[str]) -> list[str]:
-    """The trace without moves that it breaks without, each tried from the end."""
+def _shortened(start: M, check: Check[M], trace: list[str]) -> list[str]:
+    """Remove each action, from the end, without which the trace still has a violation."""
     for at in reversed(range(len(trace))):
         shorter = trace[:at] + trace[at + 1 :]
         if replay(start, shorter, check) is not None:
@@ -152,9 +163,9 @@
     return trace
 
 
-def _trace(came: dict[int, tuple[int, str] | None], reached: int) -> list[str]:
-    moves = []
-    while (step := came[reached]) is not None:
-        reached, move = step
-        moves.append(move)
-    return moves[::-1]
+def _trace(predecessors: dict[int, tuple[int, str] | None], key_hash: int) -> list[str]:
+    actions = []
+    while (step := predecessors[key_hash]) is not None:
+        key_hash, action = step
+        actions.append(action)
+    return actions[::-1]
--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -1,4 +1,4 @@
-"""What makes two worlds of leases and shares the same state (the rules are in `shares`)."""
+"""State keys of the model of leases and quotas; `shares` describes what they leave out."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from loadbalancer.membership.quota_ledger import QuotaLedger
 from loadbalancer.registry.fleet_results import DueExpiry
 from loadbalancer.registry.fleet_state import NO_SERVICE
-from tests.support.orders.parts import TTL, Bounds, Node, Service, members_key, past
+from tests.support.orders.parts import TTL, Bounds, Node, Service, if_positive, members_key
 
-MOST_REJECTIONS = 3  # of more the pause is the same
+MAX_REJECTIONS = 3  # further rejections do not change the backoff
 
 
-class Keyed:
-    """A world's part that tells its state."""
+class QuotaStateKey:
+    """Base class of the models: computes the state key."""
 
     __slots__ = ()
     now: float
@@ -30,17 +30,17 @@
     nodes: tuple[Node, ...]
     service: Service
     plan: DueExpiry | None
-    broken: str | None
+    violation: str | None
 
     def key(self) -> tuple[Any, ...]:
         state = self.service.state
         numbers: dict[int | None, int] = {}
-        usable: dict[int | None, int] = {}  # no renewal names an answer before this one
+        usable: dict[int | None, int] = {}  # no further renewal states an earlier response
         for node in self.nodes:
-            if node.core is not None:
-                numbers[node.core.incarnation] = node.core._last_number
+            if node.lease is not None:
+                numbers[node.lease.incarnation] = node.lease._last_number
                 if not node.calls:
-                    usable[node.core.incarnation] = node.core._last_used_number
+                    usable[node.lease.incarnation] = node.lease._last_used_number
         plan = None
         if self.plan is not None:
             lapsed, support, repeats = self.plan.lapsed, self.plan.support, self.plan.repeated_enrolments
@@ -56,40 +56,40 @@
                     service,
                     self._changes_key(service, ledger),
                     tuple(
-                        self._row_key(
-                            row,
+                        self._record_key(
+                            record,
                             ledger.revision,
-                            numbers.get(row.incarnation, 0),
-                            usable.get(row.incarnation, -1),
+                            numbers.get(record.incarnation, 0),
+                            usable.get(record.incarnation, -1),
                         )
-                        for row in ledger.records()
+                        for record in ledger.records()
                     ),
                 )
                 for service, ledger in groups
             ),
             plan,
-            self.broken,
+            self.violation,
         )
 
     def _changes_key(self, service: str, ledger: QuotaLedger) -> tuple[Any, ...]:
-        """The change log as far back as a renewal may yet name: where it begins, and the last change of each
-        member."""
-        named = [ledger.revision]
+        """Key of the change log, as far back as a renewal may still refer to: its begin, and each member's
+        last change."""
+        revisions = [ledger.revision]
         for node in self.nodes:
-            core = node.core
+            lease = node.lease
             if (
-                core is not None
+                lease is not None
                 and node.service == service
-                and core.incarnation in ledger.records_by_incarnation
+                and lease.incarnation in ledger.records_by_incarnation
             ):
-                named.append(core.revision)
-            named += [
+                revisions.append(lease.revision)
+            revisions += [
                 sent.call.body["acked"]
                 for sent in node.calls
                 if sent.service == service
                 and sent.call.body.get("incarnation") in ledger.records_by_incarnation
             ]
-        since = max(ledger._changes._floor, min(at for at in named if at != FULL_LIST_REVISION))
+        since = max(ledger._changes._floor, min(at for at in revisions if at != FULL_LIST_REVISION))
         changed = {number: at for at, number in ledger._changes._changes if at > since}
         return (
             ledger.revision - since,
@@ -98,55 +98,64 @@
 
     def _node_key(self, node: Node, revisions: dict[str, int]) -> tuple[Any, ...]:
         if node.cached[:2] != (self.now, revisions):
-            node.cached = (self.now, revisions, self._made_key(node, revisions))
-        made: tuple[Any, ...] = node.cached[2]
-        return made
+            node.cached = (self.now, revisions, self._build_node_key(node, revisions))
+        node_key: tuple[Any, ...] = node.cached[2]
+        return node_key
 
-    def _made_key(self, node: Node, revisions: dict[str, int]) -> tuple[Any, ...]:
-        core, own = node.core, self.now + node.skew
+    def _build_node_key(self, node: Node, revisions: dict[str, int]) -> tuple[Any, ...]:
+        lease, node_now = node.lease, self.now + node.skew
         revision = revisions.get(node.service, 0)
-        base = 0 if core is None else core._last_number
+        base = 0 if lease is None else lease._last_number
         calls = tuple(
             (
                 sent.call.path,
                 base - sent.call.number,
-                self.now - sent.at,
-                *self._body_key(sent.call, base, revisions.get(sent.service, 0)),
+                self.now - sent.at_ms,
+                *self._call_key(sent.call, base, revisions.get(sent.service, 0)),
             )
             for sent in node.calls
         )
-        words = tuple((word.incarnation, self.now - word.at) for word in node.words)
-        if core is None:
-            return (node.starts, calls, words)
-        answers = tuple(
-            (base - number, None if told is None else self._told_key(told, revision))
-            for number, told in node.answers
+        delayed_reports = tuple(
+            (report.incarnation, self.now - report.at_ms) for report in node.delayed_reports
         )
-        out = core._in_flight
+        if lease is None:
+            return (node.starts, calls, delayed_reports)
+        responses = tuple(
+            (base - number, None if grant is None else self._grant_key(grant, revision))
+            for number, grant in node.responses
+        )
+        in_flight = lease._in_flight
         return (
             node.starts,
             calls,
-            words,
-            answers,
-            tuple(sorted((number, own - word.made_at_ms, word.status) for number, word in node.said.items())),
-            core.incarnation,
-            revision - core.revision,
-            core.elector,
-            round(core._quota, 6),
-            past(core.lease_end_ms - own),
-            past(core._quota_end_ms - own),
-            past(core._last_response_ms + ATTACHED_TERM_FRACTION * TTL - own),
-            base - core._last_used_number,
-            None if out is None else (out[0].path, base - out[0].number, own - out[1]),
-            max(0.0, core._next_call_ms - own),
-            core._needs_full_list,
-            core._enrols_again,
-            None if node.largest is None else round(node.largest[1].quota, 6),
-            min(core._rejections, MOST_REJECTIONS),
-            members_key(core.members),
+            delayed_reports,
+            responses,
+            tuple(
+                sorted(
+                    (number, node_now - report.made_at_ms, report.status)
+                    for number, report in node.reports.items()
+                )
+            ),
+            lease.incarnation,
+            revision - lease.revision,
+            lease.elector,
+            round(lease._quota, 6),
+            if_positive(lease.lease_end_ms - node_now),
+            if_positive(lease._quota_end_ms - node_now),
+            if_positive(lease._last_response_ms + ATTACHED_TERM_FRACTION * TTL - node_now),
+            base - lease._last_used_number,
+            None
+            if in_flight is None
+            else (in_flight[0].path, base - in_flight[0].number, node_now - in_flight[1]),
+            max(0.0, lease._next_call_ms - node_now),
+            lease._needs_full_list,
+            lease._enrols_again,
+            None if node.largest_grant is None else round(node.largest_grant[1].quota, 6),
+            min(lease._rejections, MAX_REJECTIONS),
+            members_key(lease.members),
         )
 
-    def _body_key(self, call: RegistryCall, base: int, revision: int) -> tuple[Any, ...]:
+    def _call_key(self, call: RegistryCall, base: int, revision: int) -> tuple[Any, ...]:
         body = call.body
         if call.path != "renew":
             return (call.path, body.get("start"), body.get("incarnation"))
@@ -159,23 +168,23 @@
             body["sent"] is None,
         )
 
-    def _told_key(self, told: LeaseGrant, revision: int) -> tuple[Any, ...]:
-        rows = () if told.members is UNSET else told.members
-        members = tuple(sorted((row.incarnation, row.rank, row.state) for row in rows))
-        since = None if told.since_revision is UNSET else revision - told.since_revision
+    def _grant_key(self, grant: LeaseGrant, revision: int) -> tuple[Any, ...]:
+        listed = () if grant.members is UNSET else grant.members
+        members = tuple(sorted((record.incarnation, record.rank, record.state) for record in listed))
+        since = None if grant.since_revision is UNSET else revision - grant.since_revision
         return (
-            told.incarnation,
-            revision - told.revision,
-            round(told.quota, 6),
-            told.elector,
+            grant.incarnation,
+            revision - grant.revision,
+            round(grant.quota, 6),
+            grant.elector,
             members,
             since,
-            told.removed,
+            grant.removed,
         )
 
-    def _row_key(self, row: MemberRecord, revision: int, base: int, usable: int) -> tuple[Any, ...]:
-        lease = self.service.clock._leases.get(row.incarnation)
-        told = None
+    def _record_key(self, record: MemberRecord, revision: int, base: int, usable: int) -> tuple[Any, ...]:
+        lease = self.service.clock._leases.get(record.incarnation)
+        lease_key = None
         if lease is not None:
             attached = lease.attached_since_ms is not None and self.now < lease.attached_until_ms
             applied = tuple(
@@ -183,7 +192,7 @@
                 for seq, at in lease.applied_at_ms.items()
                 if seq >= usable and self.now < at + ATTACHED_TERM_FRACTION * TTL
             )
-            told = (
+            lease_key = (
                 min(self.now - lease.last_renewal_ms, TTL + self.bounds.step),
                 base - lease.seq,
                 (min(self.now - lease.attached_since_ms, TTL), lease.attached_until_ms - self.now)
@@ -192,14 +201,14 @@
                 applied,
             )
         return (
-            row.incarnation,
-            row.rank,
-            row.start_id,
-            revision - row.enrolled_revision,
-            round(row.quota, 6),
-            revision - row.acknowledged_revision,
-            row.elector,
-            row.state,
-            base - row.renewal_seq,
-            told,
+            record.incarnation,
+            record.rank,
+            record.start_id,
+            revision - record.enrolled_revision,
+            round(record.quota, 6),
+            revision - record.acknowledged_revision,
+            record.elector,
+            record.state,
+            base - record.renewal_seq,
+            lease_key,
         )
--- a/tests/support/orders/mistakes.py
+++ b/tests/support/orders/mistakes.py
@@ -1,4 +1,5 @@
-"""Wrong cores: each replaces one method of a core by one with a mistake, which a search has to find."""
+"""Faulty implementations: each replaces one method of the product by one with a mistake that a search has to
+find."""
 
 from __future__ import annotations
 
@@ -28,119 +29,119 @@
 
 
 def vote_before_fsync(patch: pytest.MonkeyPatch) -> None:
-    right = RouteParticipant._advance_copy
+    original = RouteParticipant._advance_copy
 
-    def bring(self: RouteParticipant, now: float, number: int, its_digest: str) -> list[Action]:
-        actions = right(self, now, number, its_digest)
+    def advance_copy(self: RouteParticipant, now: float, number: int, digest: str) -> list[Action]:
+        actions = original(self, now, number, digest)
         if self._is_being_prepared(number) and any(isinstance(action, Store) for action in actions):
             actions = [*self._vote(number, self.copies[number]), *actions]
         return actions
 
-    patch.setattr(RouteParticipant, "_advance_copy", bring)
+    patch.setattr(RouteParticipant, "_advance_copy", advance_copy)
 
 
-def moment_without_the_term(patch: pytest.MonkeyPatch) -> None:
-    right = ActivationCoordinator.apply_due
+def activation_time_without_lease_term(patch: pytest.MonkeyPatch) -> None:
+    original = ActivationCoordinator.apply_due
 
-    def settle(self: ActivationCoordinator, log_ms: float, ttl_ms: float, bound_ms: float) -> None:
-        right(self, log_ms, 0.0, bound_ms)
+    def apply_due(self: ActivationCoordinator, log_ms: float, ttl_ms: float, bound_ms: float) -> None:
+        original(self, log_ms, 0.0, bound_ms)
 
-    patch.setattr(ActivationCoordinator, "apply_due", settle)
+    patch.setattr(ActivationCoordinator, "apply_due", apply_due)
 
 
-def answer_omits_the_decision(patch: pytest.MonkeyPatch) -> None:
-    right = ActivationCoordinator.announcement
+def announcement_omits_decision(patch: pytest.MonkeyPatch) -> None:
+    original = ActivationCoordinator.announcement
 
-    def answer(self: ActivationCoordinator) -> dict[str, Any]:
-        told = right(self)
-        if told["pending"] is not None:
-            told["pending"] |= {"phase": PREPARING, "at": None}
-        return told
+    def announcement_without_decision(self: ActivationCoordinator) -> dict[str, Any]:
+        announcement = original(self)
+        if announcement["pending"] is not None:
+            announcement["pending"] |= {"phase": PREPARING, "at": None}
+        return announcement
 
-    patch.setattr(ActivationCoordinator, "announcement", answer)
+    patch.setattr(ActivationCoordinator, "announcement", announcement_without_decision)
 
 
-def share_grows_by_hearing(patch: pytest.MonkeyPatch) -> None:
-    right = MemberLease.on_sibling_reports
+def sibling_reports_increase_quota(patch: pytest.MonkeyPatch) -> None:
+    original = MemberLease.on_sibling_reports
 
-    def heard(self: MemberLease, now: float, words: Mapping[int, SiblingReport]) -> None:
-        right(self, now, words)
-        self._quota = 1.0 / (1 + len(words)) if self._quota else 0.0
+    def on_sibling_reports(self: MemberLease, now: float, reports: Mapping[int, SiblingReport]) -> None:
+        original(self, now, reports)
+        self._quota = 1.0 / (1 + len(reports)) if self._quota else 0.0
 
-    patch.setattr(MemberLease, "on_sibling_reports", heard)
+    patch.setattr(MemberLease, "on_sibling_reports", on_sibling_reports)
 
 
-def incarnation_does_not_rise(patch: pytest.MonkeyPatch) -> None:
-    right = QuotaLedger.enrol
+def incarnation_is_reused(patch: pytest.MonkeyPatch) -> None:
+    original = QuotaLedger.enrol
 
     def enrol(self: QuotaLedger, name: str, address: str, zone: str, start: str) -> MemberRecord:
-        for row in self.records_by_incarnation.values():
-            if row.address == address and row.start_id != start:
-                self.last_incarnation = row.incarnation - 1
-        return right(self, name, address, zone, start)
+        for record in self.records_by_incarnation.values():
+            if record.address == address and record.start_id != start:
+                self.last_incarnation = record.incarnation - 1
+        return original(self, name, address, zone, start)
 
     patch.setattr(QuotaLedger, "enrol", enrol)
 
 
-def hold_rests_on_any_word(patch: pytest.MonkeyPatch) -> None:
-    right = MemberLease._majority_holds_until
+def hold_counts_reports_of_any_status(patch: pytest.MonkeyPatch) -> None:
+    original = MemberLease._majority_holds_until
 
-    def held_until(self: MemberLease, words: Mapping[int, SiblingReport]) -> float:
-        return right(
-            self, {number: replace(word, status=QuotaStatus.HOLDING) for number, word in words.items()}
+    def majority_holds_until(self: MemberLease, reports: Mapping[int, SiblingReport]) -> float:
+        return original(
+            self, {number: replace(report, status=QuotaStatus.HOLDING) for number, report in reports.items()}
         )
 
-    patch.setattr(MemberLease, "_majority_holds_until", held_until)
+    patch.setattr(MemberLease, "_majority_holds_until", majority_holds_until)
 
 
-def row_given_away_without_a_majority(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(QuotaLedger, "is_majority_attached", lambda self, support: True)
+def quota_released_without_majority(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(QuotaLedger, "is_majority_attached", lambda self, attached: True)
 
 
-def late_enrolment_frees_a_share(patch: pytest.MonkeyPatch) -> None:
-    """As the ledger was until a search found it: the row of a restarted process began with what was free."""
-    right = QuotaLedger.enrol
+def delayed_enrolment_frees_quota(patch: pytest.MonkeyPatch) -> None:
+    """An earlier fault of the ledger: the record of a restarted process began with unallocated quota."""
+    original = QuotaLedger.enrol
 
     def enrol(self: QuotaLedger, name: str, address: str, zone: str, start: str) -> MemberRecord:
-        known = any(row.start_id == start for row in self.records_by_incarnation.values())
-        row = right(self, name, address, zone, start)
+        known = any(record.start_id == start for record in self.records_by_incarnation.values())
+        record = original(self, name, address, zone, start)
         if not known:
-            row.quota = 0.0
-            self._allocate(row)
-        return row
+            record.quota = 0.0
+            self._allocate(record)
+        return record
 
     patch.setattr(QuotaLedger, "enrol", enrol)
 
 
-def late_follower_knows_the_time_loosely(patch: pytest.MonkeyPatch) -> None:
-    """As the follower was until a search found it: one that came after the decision switched whatever it knew
-    of service time."""
+def late_participant_ignores_clock_bound(patch: pytest.MonkeyPatch) -> None:
+    """An earlier fault of the participant: one that joined after the decision switched even if its service
+    time was not accurate enough."""
 
-    def ready(self: RouteParticipant, number: int, its_digest: str) -> bool:
+    def is_ready(self: RouteParticipant, number: int, digest: str) -> bool:
         copy = self.copies.get(number)
-        return copy is not None and copy.stage is CopyStage.STORED and copy.digest == its_digest
+        return copy is not None and copy.stage is CopyStage.STORED and copy.digest == digest
 
-    patch.setattr(RouteParticipant, "_is_ready", ready)
+    patch.setattr(RouteParticipant, "_is_ready", is_ready)
 
 
-def share_beside_the_group_ignored(patch: pytest.MonkeyPatch) -> None:
-    """What members that name no service may be taking is left out of a service's sum."""
-    right = FleetState._prepared
+def external_quota_ignored(patch: pytest.MonkeyPatch) -> None:
+    """The quota of members without a service is not counted in a service's sum."""
+    original = FleetState._prepared
 
     def prepared(self: FleetState, service: str) -> QuotaLedger:
-        ledger = right(self, service)
+        ledger = original(self, service)
         ledger.external = ExternalQuota(0.0, ledger.external.members)
         return ledger
 
     patch.setattr(FleetState, "_prepared", prepared)
 
 
-def grant_counted_in_another_group(patch: pytest.MonkeyPatch) -> None:
-    """What is free in a service's group is worked out from the rows of another service's."""
-    right = FleetState._prepared
+def grant_uses_quota_of_another_group(patch: pytest.MonkeyPatch) -> None:
+    """The unallocated quota of a group is calculated from the records of another group."""
+    original = FleetState._prepared
 
     def prepared(self: FleetState, service: str) -> QuotaLedger:
-        ledger = right(self, service)
+        ledger = original(self, service)
         other = next((group for name, group in self.services.items() if name != service), None)
         if service != NO_SERVICE and other is not None:
             ledger.external = ExternalQuota(
@@ -151,71 +152,72 @@
     patch.setattr(FleetState, "_prepared", prepared)
 
 
-def enrolment_ends_the_row_of_another_group(patch: pytest.MonkeyPatch) -> None:
-    """An enrolment under another service ends the earlier row at its address, and not only a renewal."""
-    right = FleetState.enrol_in
+def enrolment_removes_record_of_another_group(patch: pytest.MonkeyPatch) -> None:
+    """An enrolment with another service removes the earlier record at its address, instead of a renewal."""
+    original = FleetState.enrol_in
 
     def enrol_in(
         self: FleetState, service: str, name: str, address: str, zone: str, start: str
     ) -> MemberRecord:
-        row = right(self, service, name, address, zone, start)
-        for ended in superseded_by(row, self.records()):
+        record = original(self, service, name, address, zone, start)
+        for ended in superseded_by(record, self.records()):
             self.leave(ended)
-        return row
+        return record
 
     patch.setattr(FleetState, "enrol_in", enrol_in)
 
 
-def enrolling_again_does_not_renew_the_lease(patch: pytest.MonkeyPatch) -> None:
-    """The leader counts a lease from renewals and the first enrolment alone. A node whose renewal was
-    rejected enrols again, and counts its lease from that."""
-    right = LeaseClock.record_renewal
+def repeated_enrolment_does_not_renew_lease(patch: pytest.MonkeyPatch) -> None:
+    """The leader starts a lease only at renewals and the first enrolment, while a node whose renewal was
+    rejected enrols again and starts its lease from that."""
+    original = LeaseClock.record_renewal
 
-    def record_renewal(self: LeaseClock, now: float, incarnation: int, seq: int, answered: int) -> None:
-        if answered >= 0 or incarnation not in self._leases:
-            right(self, now, incarnation, seq, answered)
+    def record_renewal(self: LeaseClock, now: float, incarnation: int, seq: int, used_seq: int) -> None:
+        if used_seq >= 0 or incarnation not in self._leases:
+            original(self, now, incarnation, seq, used_seq)
 
     patch.setattr(LeaseClock, "record_renewal", record_renewal)
 
 
-def answer_is_taken_for_one_to_the_latest_call(patch: pytest.MonkeyPatch) -> None:
-    """As the shell did: whatever answer came to a call was used as the answer to it."""
-    right = MemberLease.on_grant
+def response_is_matched_to_latest_call(patch: pytest.MonkeyPatch) -> None:
+    """An earlier fault of the lease client: any response that arrived was used as the response to the latest
+    call."""
+    original = MemberLease.on_grant
 
     def on_grant(self: MemberLease, now: float, number: int, grant: LeaseGrant, ttl_ms: float) -> bool:
         latest = number if self._in_flight is None else self._in_flight[0].number
-        return right(self, now, latest, grant, ttl_ms)
+        return original(self, now, latest, grant, ttl_ms)
 
     patch.setattr(MemberLease, "on_grant", on_grant)
 
 
-def changes_told_from_where_the_log_begins(patch: pytest.MonkeyPatch) -> None:
-    """The service tells a process that is further behind than its change log what the log has. Harmless to
-    the right node, which sees by `since` that there is a gap, and asks for the whole list."""
-    right = QuotaLedger.grant
+def changes_sent_from_start_of_log(patch: pytest.MonkeyPatch) -> None:
+    """The service sends all that its change log has to a process that needs older changes. Harmless to a
+    correct node, which detects the gap by `since` and requests the complete list."""
+    original = QuotaLedger.grant
 
-    def grant(self: QuotaLedger, row: MemberRecord, acked: int, delta: bool = False) -> LeaseGrant:
-        floor = self._changes._floor
-        if not delta or acked == FULL_LIST_REVISION or acked >= floor:
-            return right(self, row, acked, delta)
-        told = right(self, row, floor, delta)
+    def grant(self: QuotaLedger, record: MemberRecord, acked: int, delta: bool = False) -> LeaseGrant:
+        log_floor = self._changes._floor
+        if not delta or acked == FULL_LIST_REVISION or acked >= log_floor:
+            return original(self, record, acked, delta)
+        grant_from_floor = original(self, record, log_floor, delta)
         return (
-            told
-            if told.since_revision is not UNSET
-            else replace_fields(told, since_revision=floor, members=())
+            grant_from_floor
+            if grant_from_floor.since_revision is not UNSET
+            else replace_fields(grant_from_floor, since_revision=log_floor, members=())
         )
 
     patch.setattr(QuotaLedger, "grant", grant)
 
 
-def changes_taken_over_a_gap(patch: pytest.MonkeyPatch) -> None:
-    """A node takes changes that begin at another revision than its own, and acknowledges the new one."""
-    changes_told_from_where_the_log_begins(patch)
-    right = MemberLease._merge_members
+def changes_merged_over_gap(patch: pytest.MonkeyPatch) -> None:
+    """A node merges changes since another revision than its own, and acknowledges the new one."""
+    changes_sent_from_start_of_log(patch)
+    original = MemberLease._merge_members
 
-    def take_members(self: MemberLease, grant: LeaseGrant) -> None:
+    def merge_members(self: MemberLease, grant: LeaseGrant) -> None:
         if grant.since_revision is not UNSET:
             self.revision = grant.since_revision
-        right(self, grant)
+        original(self, grant)
 
-    patch.setattr(MemberLease, "_merge_members", take_members)
+    patch.setattr(MemberLease, "_merge_members", merge_members)
--- a/tests/support/orders/parts.py
+++ b/tests/support/orders/parts.py
@@ -1,4 +1,4 @@
-"""What the worlds are made of: their bounds, a node's place, the service, and how these are copied."""
+"""Parts of the models: bounds, nodes, the list service, and functions that copy them."""
 
 from __future__ import annotations
 
@@ -16,130 +16,137 @@
 from loadbalancer.registry.fleet_state import NO_SERVICE, FleetState
 
 TTL = 1000.0
-MOST = 1.0 + 1e-6
+MAX_QUOTA_SUM = 1.0 + 1e-6
 NEVER = -math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """`skews`: of each node's own clock, in ms; `on_way`: calls of one node on their way at once; `kinds`:
-    the faults that there may be; `faulty`: the nodes that they befall, None for all.
+    """Bounds of a model: the number of nodes and what may happen.
 
-    `services`: of each node the services that its processes balance to, start by start, the last one for all
-    further starts; "" names none. Without it nobody names a service, and the commands are those of the first
-    release, which knew no groups."""
+    `skews` are the offsets of the nodes' own clocks in ms, `max_calls_in_flight` applies to each node,
+    `kinds` are the possible faults, and `faulty` the nodes that they can affect, or None for all.
+
+    `services` lists for each node the services that its processes balance to, one per start; the last one
+    applies to all further starts, and "" stands for no service. If empty, no node has a service, and the
+    commands are those of the first release, which had no groups.
+    """
 
     skews: tuple[float, ...] = (0.0, 0.0, 0.0)
     step: float = TTL / 4
-    on_way: int = 2
+    max_calls_in_flight: int = 2
     kinds: frozenset[str] = frozenset(("send", "repeat", "plan", "crash", "lead", "late"))
-    siblings: bool = True  # whether words are heard at all
-    all_words: bool = False  # also those that can change nothing, in a right core
+    siblings: bool = True  # whether siblings exchange reports
+    all_reports: bool = False  # also reports that a correct `MemberLease` ignores
     services: tuple[tuple[str, ...], ...] = ()
     faulty: frozenset[str] | None = None
 
     def service(self, at: int, start: int) -> str:
-        """What the process of this start, counted from 1, balances to."""
+        """The service that the process of this start balances to; starts count from 1."""
         if not self.services:
             return NO_SERVICE
         named = self.services[at]
         return named[min(start, len(named)) - 1]
 
 
-class Sent(NamedTuple):
+class SentCall(NamedTuple):
     call: RegistryCall
-    at: float  # true time
-    service: str  # that its process balances to
+    at_ms: float  # on the reference clock
+    service: str  # of the calling process
 
 
-class LateWord(NamedTuple):
-    """A word that its process holds, to be heard later."""
+class DelayedReport(NamedTuple):
+    """A `HOLDING` report that siblings may receive later."""
 
     incarnation: int
-    at: float  # true time
+    at_ms: float  # on the reference clock
     service: str
 
 
-class Least(Random):
+class MinimumRandom(Random):
+    """Returns the lower bound, to make jitter deterministic."""
+
     def uniform(self, a: float, b: float) -> float:
         return a
 
 
-RNG = Least(0)
+RNG = MinimumRandom(0)
 
 
 @dataclass(slots=True)
 class Node:
-    """A node's place: its process, if one runs, and what it and the ones before it have on the way."""
+    """A node: its current process, if any, and the messages in flight of this and earlier processes."""
 
     name: str
     skew: float
-    core: MemberLease | None = None
+    lease: MemberLease | None = None
     starts: int = 0
-    said: dict[int, SiblingReport] = field(default_factory=dict)  # siblings' latest words, by incarnation
-    calls: tuple[Sent, ...] = ()
-    answers: tuple[tuple[int, LeaseGrant | None], ...] = ()  # by call; None: no such row
-    words: tuple[LateWord, ...] = ()
-    service: str = NO_SERVICE  # that its process balances to
-    largest: tuple[int, LeaseGrant] | None = None  # of the answers used, that with the largest share, by call
-    cached: tuple[float, Any, Any] = (NEVER, None, None)  # its part of a key: at this time, these revisions
+    reports: dict[int, SiblingReport] = field(default_factory=dict)  # latest of siblings, by incarnation
+    calls: tuple[SentCall, ...] = ()
+    responses: tuple[
+        tuple[int, LeaseGrant | None], ...
+    ] = ()  # by call number; None if there is no such member
+    delayed_reports: tuple[DelayedReport, ...] = ()
+    service: str = NO_SERVICE  # of the current process
+    largest_grant: tuple[int, LeaseGrant] | None = None  # (call number, used grant with the largest quota)
+    cached: tuple[float, Any, Any] = (NEVER, None, None)  # (time, revisions, this node's part of the key)
 
     def copy(self) -> Node:
-        core = None if self.core is None else twin(self.core)
+        lease = None if self.lease is None else copy_lease(self.lease)
         return Node(
-            self.name, self.skew, core, self.starts, self.said, self.calls, self.answers, self.words,
-            self.service, self.largest,
+            self.name, self.skew, lease, self.starts, self.reports, self.calls, self.responses,
+            self.delayed_reports, self.service, self.largest_grant,
         )  # fmt: skip
 
 
 class Service(NamedTuple):
-    """What a command changes: copied as a whole before one."""
+    """The state that a command changes; copied before each command."""
 
     state: FleetState
     clock: LeaseClock
 
 
-def twin(core: MemberLease) -> MemberLease:
-    """All values in a core's fields are immutable, so a shallow copy does."""
-    new: MemberLease = object.__new__(type(core))
-    new.__dict__.update(core.__dict__)
+def copy_lease(lease: MemberLease) -> MemberLease:
+    """Return a shallow copy, which suffices as all field values are immutable."""
+    new: MemberLease = object.__new__(type(lease))
+    new.__dict__.update(lease.__dict__)
     return new
 
 
-def copied(state: FleetState) -> FleetState:
+def copy_state(state: FleetState) -> FleetState:
     return FleetState(
-        copied_ledger(state.ledger), state.routes.copy(), state.log_ms, state.term, state.leader_address,
+        copy_ledger(state.ledger), state.routes.copy(), state.log_ms, state.term, state.leader_address,
         state.epoch, state.ttl_ms, state.clock_bound_ms, state.repeated_enrolments,
-        {service: copied_ledger(ledger) for service, ledger in state.services.items()},
+        {service: copy_ledger(ledger) for service, ledger in state.services.items()},
         dict(state._service_of),
     )  # fmt: skip
 
 
-def copied_ledger(ledger: QuotaLedger) -> QuotaLedger:
+def copy_ledger(ledger: QuotaLedger) -> QuotaLedger:
     new: QuotaLedger = object.__new__(type(ledger))
     new.__dict__.update(ledger.__dict__)
     new._changes = ledger._changes.copy()
     new.records_by_incarnation = {
         number: MemberRecord(
-            row.name, row.address, row.zone, row.start_id, row.incarnation, row.rank,
-            row.enrolled_revision, row.quota, row.acknowledged_revision, row.elector, row.state,
-            row.renewal_seq,
+            record.name, record.address, record.zone, record.start_id, record.incarnation, record.rank,
+            record.enrolled_revision, record.quota, record.acknowledged_revision, record.elector,
+            record.state, record.renewal_seq,
         )
-        for number, row in ledger.records_by_incarnation.items()
+        for number, record in ledger.records_by_incarnation.items()
     }  # fmt: skip
     return new
 
 
-def waits(node: Node, number: int) -> bool:
+def awaits_response(node: Node, number: int) -> bool:
     return (
-        node.core is not None
-        and node.core._in_flight is not None
-        and node.core._in_flight[0].number == number
+        node.lease is not None
+        and node.lease._in_flight is not None
+        and node.lease._in_flight[0].number == number
     )
 
 
-def past(left: float) -> float | None:
-    return left if left > 0.0 else None
+def if_positive(remaining: float) -> float | None:
+    return remaining if remaining > 0.0 else None
 
 
 def members_key(members: Any) -> tuple[tuple[int, int, bool], ...]:
--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -1,17 +1,17 @@
-"""The world of two-phase activation: the world of leases (`shares`) with route versions in its log, and in
-each node the follower beside the enrolment core, joined as the shell joins them.
-
-Its own moves, beside those of `shares`: `propose`, `rollback` and `halt` (as many as `Talk` gives), `stored`
-and, at the cost of a fault, `unstored` (an fsync that succeeds or fails), `vote` (a vote is cast, applied and
-answered at this moment) and, at the cost of a fault, `ballot` (it does not arrive now; `ballot-arrives` later
-or never, its answer is lost). A crash that comes on an open write either loses it or finds it on the disk
-(`crash` and `crash-written`). What was stored before is found again by the next process. Fetches end at the
-moment they are asked for: a text never changes, so their order changes nothing but the time that a later
-write begins, and a write may take any time.
-
-Timers run on time: between two steps each follower is woken at the moment that it asks for, and each state at
-such a moment is checked. A process that sleeps through one serves nobody meanwhile. S stands off the true
-clock by `lag`, which a new leader makes larger by LAG: it goes on from what it knew, late by a replication.
+"""Model of two-phase activation: the model of leases (`shares`) with route versions in the log, and a
+`RouteParticipant` in each node, connected to the lease as in the control plane.
+
+Additional actions: `propose`, `rollback` and `halt` (as many as `OperatorCommands` allows); `stored` (an
+fsync succeeds) and, as a fault, `unstored` (it fails); `vote` (a vote is sent, applied and acknowledged at
+this moment) and, as a fault, `ballot` (the vote is delayed: it arrives by `ballot-arrives` later or never,
+and its response is lost). A crash during a write either loses it or leaves it on disk (`crash` and
+`crash-written`). The next process finds what was stored. Fetches end at once: a text never changes, so their
+order affects only the start of a later write, and a write may take any time.
+
+Timers are punctual: between two steps each participant gets its tick when it is due, and the invariant is
+checked at each such moment. (A process that misses one serves nobody meanwhile.) Service time differs from
+the reference clock by `lag`. A new leader increases it by LEADER_CHANGE_LAG_MS, since it continues from the
+service time that it knew, delayed by a replication.
 """
 
 from __future__ import annotations
@@ -31,267 +31,300 @@
 from loadbalancer.routing.actions import Action, Apply, CastVote, Delete, Fetch, Store
 from loadbalancer.routing.participant import RouteParticipant
 from tests.support.orders.parts import NEVER, TTL, Bounds, Node
-from tests.support.orders.routes_check import BOUND, PREPARE, routes_check
-from tests.support.orders.shares import Shares
+from tests.support.orders.routes_check import CLOCK_BOUND_MS, PREPARE_MS, route_invariant
+from tests.support.orders.shares import QuotaModel
 
-LAG = 10.0
-WAKES = 100
+LEADER_CHANGE_LAG_MS = 10.0
+MAX_TICKS_PER_STEP = 100
 TEXTS = tuple(f'[[class.default.group]]\nmodel = "m{at}"\nweight = 1.0\n' for at in (1, 2, 3))
 SERVERS = tuple(Endpoint(f"127.0.0.1:{at}", "a", 1, EndpointStatus.UP, model=f"m{at}") for at in (1, 2, 3))
 
 
 @dataclass(frozen=True, slots=True)
-class Talk:
-    """What operators may still say."""
+class OperatorCommands:
+    """The commands that operators may still issue."""
 
     proposals: int = 1
     rollbacks: int = 0
     halts: int = 0
 
 
-class Edge(NamedTuple):
-    """What a node has beside its enrolment: never changed in place."""
+class ParticipantState(NamedTuple):
+    """A node's route participant and its environment; never changed in place."""
 
-    follower: RouteParticipant
+    participant: RouteParticipant
     disk: tuple[tuple[int, str], ...] = ()
-    writing: tuple[tuple[int, str], ...] = ()
-    votes: tuple[CastVote, ...] = ()  # to be sent
-    ballots: tuple[CastVote, ...] = ()  # on their way, this process's and those of the ones before it
-    followed: float = NEVER  # it follows while its lease goes on: until then at least
+    pending_writes: tuple[tuple[int, str], ...] = ()
+    votes: tuple[CastVote, ...] = ()  # not sent yet
+    delayed_votes: tuple[CastVote, ...] = ()  # in flight, including those of earlier processes
+    follows_until_ms: float = NEVER  # it has to follow at least until then
 
 
-class Routes(Shares):
-    __slots__ = ("edges", "lag", "talk")
+class RouteModel(QuotaModel):
+    __slots__ = ("lag", "operator_commands", "participants")
 
-    def __init__(self, bounds: Bounds, faults: int, talk: Talk) -> None:
-        self.talk, self.lag = talk, 0.0
+    def __init__(self, bounds: Bounds, faults: int, operator_commands: OperatorCommands) -> None:
+        self.operator_commands, self.lag = operator_commands, 0.0
         super().__init__(bounds, faults)
-        self.service.state.clock_bound_ms = BOUND
-        self.edges = tuple(self._process(()) for _ in self.nodes)
+        self.service.state.clock_bound_ms = CLOCK_BOUND_MS
+        self.participants = tuple(self._start_participant(()) for _ in self.nodes)
 
-    # ---------------------------------------------------------------------- moves
+    # ---------------------------------------------------------------------- transitions
 
-    def moves(self) -> Iterator[tuple[str, Routes]]:
-        yield from super().moves()
-        yield from self._words_of_operators()
+    def transitions(self) -> Iterator[tuple[str, RouteModel]]:
+        yield from super().transitions()
+        yield from self._operator_transitions()
         for at in range(len(self.nodes)):
-            yield from self._votes_and_writes(at, self.nodes[at], self.edges[at])
+            yield from self._participant_transitions(at, self.nodes[at], self.participants[at])
 
-    def _votes_and_writes(self, at: int, node: Node, edge: Edge) -> Iterator[tuple[str, Routes]]:
-        for vote in edge.ballots:
+    def _participant_transitions(
+        self, at: int, node: Node, entry: ParticipantState
+    ) -> Iterator[tuple[str, RouteModel]]:
+        for vote in entry.delayed_votes:
             name = f"ballot-arrives {node.name} {vote.number}"
-            yield self._move(name, 0, lambda w, v=vote: w._late_ballot(at, v))
-        if node.core is None:
+            yield self._transition(name, 0, lambda m, v=vote: m._deliver_delayed_vote(at, v))
+        if node.lease is None:
             return
-        for vote in edge.votes:
+        for vote in entry.votes:
             name = f"{node.name} {vote.number}"
-            yield self._move(f"vote {name}", 0, lambda w, v=vote: w._cast(at, v))
-            if self._may("ballot"):
-                yield self._move(f"ballot {name}", 1, lambda w, v=vote: w._ballot(at, v))
-        for write in edge.writing[:1]:
+            yield self._transition(f"vote {name}", 0, lambda m, v=vote: m._cast_vote(at, v))
+            if self._may_inject("ballot"):
+                yield self._transition(f"ballot {name}", 1, lambda m, v=vote: m._delay_vote(at, v))
+        for write in entry.pending_writes[:1]:
             name = f"{node.name} {write[0]}"
-            yield self._move(f"stored {name}", 0, lambda w, x=write: w._stored(at, x, True))
-            if self._may("unstored"):
-                yield self._move(f"unstored {name}", 1, lambda w, x=write: w._stored(at, x, False))
-            if self._may("crash"):
-                yield self._move(f"crash-written {name}", 1, lambda w, x=write: w._crash_written(at, x))
-
-    def _words_of_operators(self) -> Iterator[tuple[str, Routes]]:
-        talk, routes = self.talk, self.service.state.routes
-        if talk.proposals:
+            yield self._transition(f"stored {name}", 0, lambda m, x=write: m._stored(at, x, True))
+            if self._may_inject("unstored"):
+                yield self._transition(f"unstored {name}", 1, lambda m, x=write: m._stored(at, x, False))
+            if self._may_inject("crash"):
+                yield self._transition(f"crash-written {name}", 1, lambda m, x=write: m._crash_written(at, x))
+
+    def _operator_transitions(self) -> Iterator[tuple[str, RouteModel]]:
+        operator_commands, routes = self.operator_commands, self.service.state.routes
+        if operator_commands.proposals:
             text = TEXTS[routes.last_number % len(TEXTS)]
-            rest = replace(talk, proposals=talk.proposals - 1)
-            yield self._move(
-                "propose", 0, lambda w: w._said(rest, lambda state: state.propose(text, w._s() + PREPARE))
+            rest = replace(operator_commands, proposals=operator_commands.proposals - 1)
+            yield self._transition(
+                "propose",
+                0,
+                lambda m: m._apply_operator_command(
+                    rest, lambda state: state.propose(text, m._service_ms() + PREPARE_MS)
+                ),
             )
-        if talk.rollbacks and routes.active_number:
-            rest = replace(talk, rollbacks=talk.rollbacks - 1)
-            yield self._move(
-                "rollback", 0, lambda w: w._said(rest, lambda state: state.rollback(0, w._s() + PREPARE))
+        if operator_commands.rollbacks and routes.active_number:
+            rest = replace(operator_commands, rollbacks=operator_commands.rollbacks - 1)
+            yield self._transition(
+                "rollback",
+                0,
+                lambda m: m._apply_operator_command(
+                    rest, lambda state: state.rollback(0, m._service_ms() + PREPARE_MS)
+                ),
+            )
+        if operator_commands.halts and routes.pending is not None:
+            rest = replace(operator_commands, halts=operator_commands.halts - 1)
+            yield self._transition(
+                "halt", 0, lambda m: m._apply_operator_command(rest, lambda state: state.halt(None))
             )
-        if talk.halts and routes.pending is not None:
-            rest = replace(talk, halts=talk.halts - 1)
-            yield self._move("halt", 0, lambda w: w._said(rest, lambda state: state.halt(None)))
 
-    def _said(self, rest: Talk, act: Any) -> None:
-        self.talk = rest
-        state = self._log()
+    def _apply_operator_command(self, rest: OperatorCommands, act: Any) -> None:
+        self.operator_commands = rest
+        state = self._begin_command()
         act(state)
         state.settle()
 
-    def _twin(self) -> Routes:
-        new = super()._twin()
-        new.edges, new.talk, new.lag = self.edges, self.talk, self.lag
+    def _copy(self) -> RouteModel:
+        new = super()._copy()
+        new.participants, new.operator_commands, new.lag = self.participants, self.operator_commands, self.lag
         return new
 
-    def _s(self) -> float:
+    def _service_ms(self) -> float:
         return self.now - self.lag
 
-    # ------------------------------------------------------------------ the follower
+    # ------------------------------------------------------------------ participants
 
-    def _process(self, disk: tuple[tuple[int, str], ...]) -> Edge:
-        follower = RouteParticipant(("read",), BOUND)
-        edge = Edge(follower, disk)
-        for action in follower.on_restored(disk):
+    def _start_participant(self, disk: tuple[tuple[int, str], ...]) -> ParticipantState:
+        participant = RouteParticipant(("read",), CLOCK_BOUND_MS)
+        entry = ParticipantState(participant, disk)
+        for action in participant.on_restored(disk):
             assert isinstance(action, Delete)
-        follower.endpoints = SERVERS
-        return edge
+        participant.endpoints = SERVERS
+        return entry
 
-    def _act(self, at: int, actions: list[Action]) -> None:
-        """Carry a follower's actions out, in order; its core is this world's own copy by now."""
-        edge, own = self.edges[at], self.now + self.nodes[at].skew
+    def _perform(self, at: int, actions: list[Action]) -> None:
+        """Perform a participant's actions in order; the participant has been copied into this state
+        before."""
+        entry, node_now = self.participants[at], self.now + self.nodes[at].skew
         for action in actions:
             match action:
                 case Fetch():
                     text = self.service.state.routes.text(action.number)
-                    self._put(at, edge)
-                    self._act(at, edge.follower.on_fetched(own, action.number, text))
-                    edge = self.edges[at]
+                    self._set_participant(at, entry)
+                    self._perform(at, entry.participant.on_fetched(node_now, action.number, text))
+                    entry = self.participants[at]
                 case Store():
-                    edge = edge._replace(writing=(*edge.writing, (action.number, action.text)))
+                    entry = entry._replace(
+                        pending_writes=(*entry.pending_writes, (action.number, action.text))
+                    )
                 case CastVote():
-                    edge = edge._replace(votes=(*edge.votes, action))
+                    entry = entry._replace(votes=(*entry.votes, action))
                 case Delete():
-                    kept = tuple(one for one in edge.disk if one[0] != action.number)
-                    edge = edge._replace(disk=kept)
+                    remaining = tuple(copy for copy in entry.disk if copy[0] != action.number)
+                    entry = entry._replace(disk=remaining)
                 case Apply():
                     pass
-        self._put(at, edge)
-        self._note(at)
-
-    def _note(self, at: int) -> None:
-        """A process that follows goes on to while its lease does."""
-        edge, own = self.edges[at], self.now + self.nodes[at].skew
-        stand, until = edge.follower.participation(own), edge.follower.lease_end_ms
-        if stand == "waiting" and own < edge.followed:
-            self.broken = f"{self.nodes[at].name} has ceased to follow while its lease went on"
+        self._set_participant(at, entry)
+        self._check_participation(at)
+
+    def _check_participation(self, at: int) -> None:
+        """Check that a following process goes on following while its lease lasts."""
+        entry, node_now = self.participants[at], self.now + self.nodes[at].skew
+        stand, until = entry.participant.participation(node_now), entry.participant.lease_end_ms
+        if stand == "waiting" and node_now < entry.follows_until_ms:
+            self.violation = f"{self.nodes[at].name} has stopped following before the end of its lease"
         follows = stand == "following" and until is not None
-        self._put(at, edge._replace(followed=until if follows else NEVER))
+        self._set_participant(at, entry._replace(follows_until_ms=until if follows else NEVER))
 
-    def _put(self, at: int, edge: Edge) -> None:
-        self.edges = (*self.edges[:at], edge, *self.edges[at + 1 :])
+    def _set_participant(self, at: int, entry: ParticipantState) -> None:
+        self.participants = (*self.participants[:at], entry, *self.participants[at + 1 :])
 
-    def _touch(self, at: int) -> Edge:
-        edge = self.edges[at]
-        edge = edge._replace(follower=edge.follower.copy())
-        self._put(at, edge)
-        return edge
+    def _copy_participant(self, at: int) -> ParticipantState:
+        entry = self.participants[at]
+        entry = entry._replace(participant=entry.participant.copy())
+        self._set_participant(at, entry)
+        return entry
 
-    def _grant(self, state: FleetState, row: MemberRecord, call: RegistryCall) -> LeaseResponse:
-        fields = asdict(super()._grant(state, row, call))
-        now = self._s()
+    def _grant(self, state: FleetState, record: MemberRecord, call: RegistryCall) -> LeaseResponse:
+        fields = asdict(super()._grant(state, record, call))
+        now = self._service_ms()
         return LeaseResponse(
             **fields, routes=state.routes.announcement(), ttl_ms=TTL, received_ms=now, responded_ms=now
         )
 
-    def _used(self, node: Node, sent: float, told: LeaseGrant) -> None:
-        assert isinstance(told, LeaseResponse)
-        core, own = node.core, self.now + node.skew
-        assert core is not None
-        assert core.incarnation is not None
+    def _on_grant_used(self, node: Node, sent: float, grant: LeaseGrant) -> None:
+        assert isinstance(grant, LeaseResponse)
+        lease, node_now = node.lease, self.now + node.skew
+        assert lease is not None
+        assert lease.incarnation is not None
         at = next(number for number, other in enumerate(self.nodes) if other.name == node.name)
-        follower = self._touch(at).follower
-        s = closest(own, sent, told.responded_ms, follower)
-        self._act(at, follower.on_answer(own, core.incarnation, core.lease_end_ms, s, told.routes))
+        participant = self._copy_participant(at).participant
+        s = narrowest_service_time(node_now, sent, grant.responded_ms, participant)
+        self._perform(
+            at, participant.on_answer(node_now, lease.incarnation, lease.lease_end_ms, s, grant.routes)
+        )
 
-    def _unknown(self, node: Node, own: float) -> None:
+    def _on_unregistered(self, node: Node, node_now: float) -> None:
         at = next(number for number, other in enumerate(self.nodes) if other.name == node.name)
-        self._act(at, self._touch(at).follower.on_unregistered(own))
+        self._perform(at, self._copy_participant(at).participant.on_unregistered(node_now))
 
     def _stored(self, at: int, write: tuple[int, str], ok: bool) -> None:
-        edge = self._touch(at)
-        disk = (*(one for one in edge.disk if one[0] != write[0]), write) if ok else edge.disk
-        self._put(at, edge._replace(writing=edge.writing[1:], disk=disk))
-        own = self.now + self.nodes[at].skew
-        self._act(at, edge.follower.on_stored(own, write[0], ok, "" if ok else "full"))
+        entry = self._copy_participant(at)
+        disk = (*(copy for copy in entry.disk if copy[0] != write[0]), write) if ok else entry.disk
+        self._set_participant(at, entry._replace(pending_writes=entry.pending_writes[1:], disk=disk))
+        node_now = self.now + self.nodes[at].skew
+        self._perform(at, entry.participant.on_stored(node_now, write[0], ok, "" if ok else "full"))
 
     def _crash(self, at: int) -> None:
         super()._crash(at)
-        edge = self.edges[at]
-        self._put(at, Edge(edge.follower, edge.disk, ballots=edge.ballots))
+        entry = self.participants[at]
+        self._set_participant(
+            at, ParticipantState(entry.participant, entry.disk, delayed_votes=entry.delayed_votes)
+        )
 
     def _crash_written(self, at: int, write: tuple[int, str]) -> None:
-        edge = self.edges[at]
-        self._put(at, edge._replace(disk=(*(one for one in edge.disk if one[0] != write[0]), write)))
+        entry = self.participants[at]
+        self._set_participant(
+            at, entry._replace(disk=(*(copy for copy in entry.disk if copy[0] != write[0]), write))
+        )
         self._crash(at)
 
     def _restart(self, at: int) -> None:
         super()._restart(at)
-        edge = self.edges[at]
-        self._put(at, self._process(edge.disk)._replace(ballots=edge.ballots))
+        entry = self.participants[at]
+        self._set_participant(
+            at, self._start_participant(entry.disk)._replace(delayed_votes=entry.delayed_votes)
+        )
 
     # ------------------------------------------------------------------------ votes
 
-    def _cast(self, at: int, vote: CastVote) -> None:
-        edge = self._touch(at)
-        self._put(at, edge._replace(votes=tuple(other for other in edge.votes if other is not vote)))
-        self._count(at, vote)
-        edge.follower.on_vote_acknowledged(vote.incarnation, vote.number)
-
-    def _ballot(self, at: int, vote: CastVote) -> None:
-        edge = self.edges[at]
-        votes = tuple(other for other in edge.votes if other is not vote)
-        self._put(at, edge._replace(votes=votes, ballots=(*edge.ballots, vote)))
-
-    def _late_ballot(self, at: int, vote: CastVote) -> None:
-        edge = self.edges[at]
-        ballots = tuple(other for other in edge.ballots if other is not vote)
-        self._put(at, edge._replace(ballots=ballots))
-        self._count(at, vote)
-
-    def _count(self, at: int, vote: CastVote) -> None:
-        state, core = self._log(), self.nodes[at].core
+    def _cast_vote(self, at: int, vote: CastVote) -> None:
+        entry = self._copy_participant(at)
+        self._set_participant(
+            at, entry._replace(votes=tuple(other for other in entry.votes if other is not vote))
+        )
+        self._count_vote(at, vote)
+        entry.participant.on_vote_acknowledged(vote.incarnation, vote.number)
+
+    def _delay_vote(self, at: int, vote: CastVote) -> None:
+        entry = self.participants[at]
+        votes = tuple(other for other in entry.votes if other is not vote)
+        self._set_participant(at, entry._replace(votes=votes, delayed_votes=(*entry.delayed_votes, vote)))
+
+    def _deliver_delayed_vote(self, at: int, vote: CastVote) -> None:
+        entry = self.participants[at]
+        delayed_votes = tuple(other for other in entry.delayed_votes if other is not vote)
+        self._set_participant(at, entry._replace(delayed_votes=delayed_votes))
+        self._count_vote(at, vote)
+
+    def _count_vote(self, at: int, vote: CastVote) -> None:
+        state, lease = self._begin_command(), self.nodes[at].lease
         state.routes.vote(vote.incarnation, vote.number, vote.yes, vote.reason)
         pending = state.routes.pending
         counted = (
             pending is not None and pending.number == vote.number and vote.incarnation in pending.yes_voters
         )
-        stored = any(number == vote.number for number, _ in self.edges[at].disk)
-        if counted and not stored and core is not None and core.incarnation == vote.incarnation:
-            self.broken = f"the yes of {self.nodes[at].name} is counted before its copy is stored"
+        stored = any(number == vote.number for number, _ in self.participants[at].disk)
+        if counted and not stored and lease is not None and lease.incarnation == vote.incarnation:
+            self.violation = f"the vote of {self.nodes[at].name} is counted before its copy is stored"
         state.settle()
 
     # ---------------------------------------------------------------------------- time
 
-    def _lead(self) -> None:
-        self.lag = min(self.lag + LAG, self.now - self.service.state.log_ms)  # never behind the log
-        super()._lead()
+    def _elect_leader(self) -> None:
+        self.lag = min(
+            self.lag + LEADER_CHANGE_LAG_MS, self.now - self.service.state.log_ms
+        )  # never behind the log
+        super()._elect_leader()
 
     def _tick(self) -> None:
-        """To the next step, by way of each moment that a follower asks to be woken at."""
+        """Advance to the next step, through each time at which a participant's tick is due."""
         end = self.now + self.bounds.step
-        for _ in range(WAKES):
-            wakes = [self._wake(at) for at in range(len(self.nodes))]
-            moment = max(self.now, min(wakes, default=math.inf))
+        for _ in range(MAX_TICKS_PER_STEP):
+            ticks = [self._next_tick(at) for at in range(len(self.nodes))]
+            moment = max(self.now, min(ticks, default=math.inf))
             if moment >= end:
                 break
             self.now = moment
-            for at, wake in enumerate(wakes):
-                if wake <= moment:
-                    self._act(at, self._touch(at).follower.tick(moment + self.nodes[at].skew))
+            for at, tick_at in enumerate(ticks):
+                if tick_at <= moment:
+                    self._perform(
+                        at, self._copy_participant(at).participant.tick(moment + self.nodes[at].skew)
+                    )
             self._decide()
-            self.broken = routes_check(self)
-            if self.broken is not None:
+            self.violation = route_invariant(self)
+            if self.violation is not None:
                 return
         else:
-            self.broken = f"followers ask to be woken over {WAKES} times in one step"
+            self.violation = f"participants request over {MAX_TICKS_PER_STEP} ticks in one step"
         self.now = end - self.bounds.step
         super()._tick()
         for at, node in enumerate(self.nodes):
-            if node.core is not None:
-                self._act(at, self._touch(at).follower.tick(self.now + node.skew))
+            if node.lease is not None:
+                self._perform(at, self._copy_participant(at).participant.tick(self.now + node.skew))
         self._decide()
 
-    def _wake(self, at: int) -> float:
+    def _next_tick(self, at: int) -> float:
         node = self.nodes[at]
-        due = None if node.core is None else self.edges[at].follower.next_tick_ms(self.now + node.skew)
+        due = (
+            None
+            if node.lease is None
+            else self.participants[at].participant.next_tick_ms(self.now + node.skew)
+        )
         return math.inf if due is None else due - node.skew
 
     def _decide(self) -> None:
-        if self.service.state.decision_due(self._s()):
-            self._log().settle()
+        if self.service.state.decision_due(self._service_ms()):
+            self._begin_command().settle()
 
-    # --------------------------------------------------------------------- states
+    # --------------------------------------------------------------------- state key
 
     def key(self) -> tuple[Any, ...]:
         state = self.service.state
@@ -300,30 +333,39 @@
             (
                 one.number,
                 one.phase,
-                None if one.activates_at_ms is None else max(one.activates_at_ms - self._s(), -2 * BOUND),
+                None
+                if one.activates_at_ms is None
+                else max(one.activates_at_ms - self._service_ms(), -2 * CLOCK_BOUND_MS),
             )
             for one in routes.versions
         )
         pending = None
         if routes.pending is not None:
             sets = (routes.pending.voters, routes.pending.required_voters, routes.pending.yes_voters)
-            pending = (sets, routes.pending.deadline_ms - self._s())
-        edges = tuple(self._edge_key(node, edge) for node, edge in zip(self.nodes, self.edges, strict=True))
-        return (*super().key(), self.talk, self.lag, versions, pending, edges)
-
-    def _edge_key(self, node: Node, edge: Edge) -> tuple[Any, ...]:
-        ballots = (edge.ballots, tuple(number for number, _ in edge.disk))
-        if node.core is None:
-            return ballots
-        follower, own = edge.follower, self.now + node.skew
-        told = follower.announced
+            pending = (sets, routes.pending.deadline_ms - self._service_ms())
+        participants = tuple(
+            self._participant_key(node, entry)
+            for node, entry in zip(self.nodes, self.participants, strict=True)
+        )
+        return (*super().key(), self.operator_commands, self.lag, versions, pending, participants)
+
+    def _participant_key(self, node: Node, entry: ParticipantState) -> tuple[Any, ...]:
+        delayed_votes = (entry.delayed_votes, tuple(number for number, _ in entry.disk))
+        if node.lease is None:
+            return delayed_votes
+        participant, node_now = entry.participant, self.now + node.skew
+        announced = participant.announced
         known = None
-        if told is not None:
-            at = None if told.activates_at_ms is None else max(told.activates_at_ms - self._s(), -2 * BOUND)
+        if announced is not None:
+            at = (
+                None
+                if announced.activates_at_ms is None
+                else max(announced.activates_at_ms - self._service_ms(), -2 * CLOCK_BOUND_MS)
+            )
             known = (
-                self.service.state.routes.revision - told.revision,
-                told.in_force.number,
-                told.pending,
+                self.service.state.routes.revision - announced.revision,
+                announced.in_force.number,
+                announced.pending,
                 at,
             )
         copies = tuple(
@@ -335,40 +377,45 @@
                 copy.vote_sent,
                 copy.vote_acknowledged,
                 copy.clock_confirmed,
-                max(0.0, copy.retry_at_ms - own),
+                max(0.0, copy.retry_at_ms - node_now),
             )
-            for number, copy in sorted(follower.copies.items(), key=lambda one: one[0])
+            for number, copy in sorted(participant.copies.items(), key=lambda item: item[0])
         )
-        live = None if follower.lease_end_ms is None else max(0.0, follower.lease_end_ms - own)
-        offset = tuple(round(edge + node.skew + self.lag, 3) for edge in follower.service_offset)
+        live = None if participant.lease_end_ms is None else max(0.0, participant.lease_end_ms - node_now)
+        offset = tuple(round(entry + node.skew + self.lag, 3) for entry in participant.service_offset)
         return (
-            *ballots,
-            edge.writing,
-            edge.votes,
-            edge.followed,
-            follower.running_version,
+            *delayed_votes,
+            entry.pending_writes,
+            entry.votes,
+            entry.follows_until_ms,
+            participant.running_version,
             live,
             offset,
             known,
             copies,
         )
 
-    # -------------------------------------------------------------------- fair runs
+    # -------------------------------------------------------------- runs without faults
 
-    def _fair_step(self) -> None:
-        super()._fair_step()
+    def _step_without_faults(self) -> None:
+        super()._step_without_faults()
         for at in range(len(self.nodes)):
-            while self.edges[at].writing:
-                self._stored(at, self.edges[at].writing[0], True)
-            while self.edges[at].votes:
-                self._cast(at, self.edges[at].votes[0])
-
-
-def closest(own: float, sent: float, told_s: float, follower: RouteParticipant) -> tuple[float, float]:
-    """S now. By this answer it is what it was at answering or later, by at most the time that the call took;
-    where this process knows it more closely from an earlier one, and the two agree, it keeps to that."""
-    new = (told_s, told_s + own - sent)
-    known = (follower.service_offset.low_ms + own, follower.service_offset.high_ms + own)
-    apart = known[1] < new[0] or new[1] < known[0]
+            while self.participants[at].pending_writes:
+                self._stored(at, self.participants[at].pending_writes[0], True)
+            while self.participants[at].votes:
+                self._cast_vote(at, self.participants[at].votes[0])
+
+
+def narrowest_service_time(
+    node_now: float, sent: float, response_ms: float, participant: RouteParticipant
+) -> tuple[float, float]:
+    """Return the interval of the current service time.
+
+    By this response, it is between the time stated in the response and that time plus the call's duration. A
+    narrower interval from an earlier response is kept if the two overlap.
+    """
+    new = (response_ms, response_ms + node_now - sent)
+    known = (participant.service_offset.low_ms + node_now, participant.service_offset.high_ms + node_now)
+    disjoint = known[1] < new[0] or new[1] < known[0]
     wider = known[1] - known[0] >= new[1] - new[0]
-    return new if follower.announced is None or apart or wider else known
+    return new if participant.announced is None or disjoint or wider else known
--- a/tests/support/orders/routes_check.py
+++ b/tests/support/orders/routes_check.py
@@ -1,4 +1,4 @@
-"""What must hold of two-phase activation in every state, and once faults end."""
+"""Invariant of two-phase activation, and recovery after faults."""
 
 from __future__ import annotations
 
@@ -9,53 +9,61 @@
 from tests.support.orders.parts import TTL
 
 if TYPE_CHECKING:
-    from tests.support.orders.routes import Routes
+    from tests.support.orders.routes import RouteModel
 
-BOUND = 20.0  # the clock bound, ms
-PREPARE = 4 * TTL  # from a proposal to its deadline
+CLOCK_BOUND_MS = 20.0  # maximum error of the participants' service time
+PREPARE_MS = 4 * TTL  # ms from a proposal to its deadline
 
 
-def decided(world: Routes) -> list[VersionRecord]:
-    """By T, the first being version 0."""
+def decided_versions(model: RouteModel) -> list[VersionRecord]:
+    """The decided versions by activation time; the first is version 0."""
     return sorted(
         (
-            one
-            for one in world.service.state.routes.versions
-            if one.activates_at_ms is not None and one.phase != ABORTED
+            version
+            for version in model.service.state.routes.versions
+            if version.activates_at_ms is not None and version.phase != ABORTED
         ),
-        key=lambda one: one.activates_at_ms or 0.0,
+        key=lambda version: version.activates_at_ms or 0.0,
     )
 
 
-def routes_check(world: Routes) -> str | None:
-    """Each node that follows runs what the log has decided, from its moment on, but for the clock bound
-    around that; so no two of them run different versions, and none runs one that is not decided."""
-    if world.broken is not None:
-        return world.broken
-    s, versions = world._s(), decided(world)
-    begun = [one.number for one in versions if (one.activates_at_ms or 0.0) <= s + BOUND]
-    settled = [one.number for one in versions if (one.activates_at_ms or 0.0) < s - BOUND]
-    right = {*settled[-1:], *begun[len(settled) :]}
-    for node, edge in zip(world.nodes, world.edges, strict=True):
-        if node.core is None:
+def route_invariant(model: RouteModel) -> str | None:
+    """Each following node runs the version that the log has in force at this time, with a tolerance of the
+    clock bound around its activation time. So no two nodes run different versions, and none an undecided
+    one."""
+    if model.violation is not None:
+        return model.violation
+    s, versions = model._service_ms(), decided_versions(model)
+    possible = [
+        version.number for version in versions if (version.activates_at_ms or 0.0) <= s + CLOCK_BOUND_MS
+    ]
+    settled = [
+        version.number for version in versions if (version.activates_at_ms or 0.0) < s - CLOCK_BOUND_MS
+    ]
+    allowed = {*settled[-1:], *possible[len(settled) :]}
+    for node, entry in zip(model.nodes, model.participants, strict=True):
+        if node.lease is None:
             continue
-        running, stand = edge.follower.running_version, edge.follower.participation(world.now + node.skew)
-        if stand == "following" and running not in right:
-            return f"{node.name} follows and runs version {running} where {sorted(right)} is in force"
-        if stand != "following" and running:
-            return f"{node.name} runs version {running} without being a follower"
+        running, participation = (
+            entry.participant.running_version,
+            entry.participant.participation(model.now + node.skew),
+        )
+        if participation == "following" and running not in allowed:
+            return f"{node.name} follows and runs version {running} while {sorted(allowed)} is in force"
+        if participation != "following" and running:
+            return f"{node.name} runs version {running} without being a participant"
     return None
 
 
-def routes_probe(world: Routes) -> str | None:
-    """Once faults end, a pending activation ends, and all nodes come to run the version in force."""
-    after = world.fair(math.ceil((PREPARE + 3 * TTL) / world.bounds.step))
-    broken = routes_check(after)
-    if broken is not None:
-        return f"in the fair run: {broken}"
-    if after.service.state.routes.pending is not None:
+def route_recovery(model: RouteModel) -> str | None:
+    """After faults end, a pending activation ends and all nodes run the version in force."""
+    final = model.run_without_faults(math.ceil((PREPARE_MS + 3 * TTL) / model.bounds.step))
+    violation = route_invariant(final)
+    if violation is not None:
+        return f"in the run without faults: {violation}"
+    if final.service.state.routes.pending is not None:
         return "a pending activation has not ended"
-    running = [edge.follower.running_version for edge in after.edges]
-    if set(running) != {after.service.state.routes.active_number}:
-        return f"nodes run {running}, in force is {after.service.state.routes.active_number}"
+    running = [entry.participant.running_version for entry in final.participants]
+    if set(running) != {final.service.state.routes.active_number}:
+        return f"nodes run {running}, in force is {final.service.state.routes.active_number}"
     return None
--- a/tests/support/orders/shares_check.py
+++ b/tests/support/orders/shares_check.py
@@ -1,7 +1,7 @@
 """What must hold of leases and shares in every state, and once faults end.
 
 A service's whole is what the processes that balance to it take together. A process that names no service may
-balance to any, so what it takes counts in each service's whole.
+balance to any, so what it quotas counts in each service's whole.
 """
 
 from __future__ import annotations
@@ -12,100 +12,105 @@
 
 from loadbalancer.registry.fleet_state import NO_SERVICE
 from tests.support.orders.explore import Check
-from tests.support.orders.parts import MOST, TTL
+from tests.support.orders.parts import MAX_QUOTA_SUM, TTL
 
 if TYPE_CHECKING:
-    from tests.support.orders.shares import Shares
-
-NEARLY = 0.99
-
-
-def taken(world: Shares) -> dict[str, float]:
-    """What is taken of each service's whole, and under NO_SERVICE what processes that name none take."""
-    shares = {NO_SERVICE: 0.0}
-    for node, share in zip(world.nodes, world.takes(), strict=True):
-        shares[node.service] = shares.get(node.service, 0.0) + share
-    beside = shares[NO_SERVICE]
-    return {service: share + (beside if service != NO_SERVICE else 0.0) for service, share in shares.items()}
-
-
-def granted(world: Shares) -> dict[str, float]:
-    """As `taken`, by the ledgers."""
-    state = world.service.state
-    beside = state.ledger.granted_quota()
-    of_services = {service: ledger.granted_quota() + beside for service, ledger in state.services.items()}
-    return {NO_SERVICE: beside} | of_services
-
-
-def share_check(world: Shares) -> str | None:
-    """Of each service the shares taken and those granted sum to at most 1; incarnations only rise; a node
-    that knows a member list's revision knows its members."""
-    for service, total in taken(world).items():
-        if total > MOST:
-            takes = [round(share, 3) for share in world.takes()]
-            return f"shares taken{of(service)} sum to {total:.3f}: {takes}"
-    for service, total in granted(world).items():
-        if total > MOST:
-            return f"shares granted{of(service)} sum to {total:.3f}"
-    return world.broken or members_check(world)
-
-
-def members_check(world: Shares) -> str | None:
-    """A node that acts on the present revision of its group's member list has that very list."""
-    state = world.service.state
-    for node in world.nodes:
-        core = node.core
-        if core is None or core.incarnation is None:
+    from tests.support.orders.shares import QuotaModel
+
+MIN_USED_QUOTA = 0.99
+
+
+def used_quotas(model: QuotaModel) -> dict[str, float]:
+    """The sum of quotas in use of each service; under NO_SERVICE that of processes without a service."""
+    sums = {NO_SERVICE: 0.0}
+    for node, quota in zip(model.nodes, model.quotas(), strict=True):
+        sums[node.service] = sums.get(node.service, 0.0) + quota
+    external = sums[NO_SERVICE]
+    return {service: total + (external if service != NO_SERVICE else 0.0) for service, total in sums.items()}
+
+
+def granted_quotas(model: QuotaModel) -> dict[str, float]:
+    """As `used_quotas`, but the quotas granted by the ledgers."""
+    state = model.service.state
+    external = state.ledger.granted_quota()
+    of_services = {service: ledger.granted_quota() + external for service, ledger in state.services.items()}
+    return {NO_SERVICE: external} | of_services
+
+
+def quota_invariant(model: QuotaModel) -> str | None:
+    """The quotas used and those granted sum to at most 1 per service; incarnations only rise; a node with the
+    current revision has the current member list."""
+    for service, total in used_quotas(model).items():
+        if total > MAX_QUOTA_SUM:
+            quotas = [round(quota, 3) for quota in model.quotas()]
+            return f"quotas used{of_service(service)} sum to {total:.3f}: {quotas}"
+    for service, total in granted_quotas(model).items():
+        if total > MAX_QUOTA_SUM:
+            return f"quotas granted{of_service(service)} sum to {total:.3f}"
+    return model.violation or member_list_invariant(model)
+
+
+def member_list_invariant(model: QuotaModel) -> str | None:
+    """A node with the current revision of its group's member list has the same members."""
+    state = model.service.state
+    for node in model.nodes:
+        lease = node.lease
+        if lease is None or lease.incarnation is None:
             continue
         ledger = state.services.get(node.service, state.ledger)
-        if core.incarnation not in ledger.records_by_incarnation or core.revision != ledger.revision:
+        if lease.incarnation not in ledger.records_by_incarnation or lease.revision != ledger.revision:
             continue
-        if set(core.members) != set(ledger.members()):
-            knows = [member.incarnation for member in core.members]
+        if set(lease.members) != set(ledger.members()):
+            known = [member.incarnation for member in lease.members]
             listed = list(ledger.records_by_incarnation)
-            return f"{node.name} knows {knows} as the members at {core.revision}: {listed}"
+            return f"{node.name} has the members {known} at {lease.revision}, listed are {listed}"
     return None
 
 
-def quiet_check(start: Shares, service: str) -> Check[Shares]:
-    """The check of a world in which no fault befalls the nodes of this service: what befalls others costs
-    them nothing, neither a part of their whole nor a change of their member list."""
+def unaffected_group_invariant(start: QuotaModel, service: str) -> Check[QuotaModel]:
+    """Return the invariant that faults of other groups affect neither the quotas nor the member list of this
+    service's nodes."""
     revision = start.service.state.group_revisions()[service]
 
-    def check(world: Shares) -> str | None:
-        if taken(world)[service] < NEARLY:
-            return f"without a fault of theirs the nodes of {service} take {taken(world)[service]:.3f}"
-        if world.service.state.group_revisions()[service] != revision:
-            return f"without a fault of theirs the member list of {service} has changed"
-        return share_check(world)
+    def check(model: QuotaModel) -> str | None:
+        if used_quotas(model)[service] < MIN_USED_QUOTA:
+            return (
+                f"without a fault of their own the nodes of {service} use {used_quotas(model)[service]:.3f}"
+            )
+        if model.service.state.group_revisions()[service] != revision:
+            return f"without a fault of its own the member list of {service} has changed"
+        return quota_invariant(model)
 
     return check
 
 
-def share_probe(world: Shares) -> str | None:
-    """Once faults end, each service's whole is taken again within four terms."""
-    after = world.fair(math.ceil(4 * TTL / world.bounds.step))
-    broken = share_check(after)
-    if broken is not None:
-        return f"in the fair run: {broken}"
-    wanted = aims(after)
-    for service, total in taken(after).items():
-        if total < NEARLY * wanted[service]:
-            return f"4 terms after the last fault the shares{of(service)} are {after.takes()}"
+def quota_recovery(model: QuotaModel) -> str | None:
+    """After faults end, the full quota of each service is in use again within four terms."""
+    final = model.run_without_faults(math.ceil(4 * TTL / model.bounds.step))
+    violation = quota_invariant(final)
+    if violation is not None:
+        return f"in the run without faults: {violation}"
+    expected = expected_quotas(final)
+    for service, total in used_quotas(final).items():
+        if total < MIN_USED_QUOTA * expected[service]:
+            return f"4 terms after the last fault the quotas{of_service(service)} are {final.quotas()}"
     return None
 
 
-def aims(world: Shares) -> dict[str, float]:
-    """What `taken` comes to once all have their part: the whole, but for a service beside a fuller one whose
-    nodes share with processes that name none, which take no more than the fuller one leaves them."""
-    nodes = Counter(node.service for node in world.nodes)
-    beside = nodes.pop(NO_SERVICE, 0)
-    most = max(nodes.values(), default=0)
-    of_beside = beside / max(1, beside + most)
-    return {NO_SERVICE: of_beside} | {
-        service: number / (number + beside) + of_beside for service, number in nodes.items()
+def expected_quotas(model: QuotaModel) -> dict[str, float]:
+    """The values of `used_quotas` once all nodes have their target quota.
+
+    They are 1, except for a service that has fewer nodes than another one while there are nodes without a
+    service: the latter get no more than the larger group leaves them.
+    """
+    nodes = Counter(node.service for node in model.nodes)
+    external = nodes.pop(NO_SERVICE, 0)
+    largest = max(nodes.values(), default=0)
+    external_quota = external / max(1, external + largest)
+    return {NO_SERVICE: external_quota} | {
+        service: number / (number + external) + external_quota for service, number in nodes.items()
     }
 
 
-def of(service: str) -> str:
+def of_service(service: str) -> str:
     return f" of {service}" if service != NO_SERVICE else ""
