--- a/tests/support/orders/routes.py
+++ b/tests/support/orders/routes.py
@@ -208,7 +208,8 @@
         participant = self._copy_participant(at).participant
         s = narrowest_service_time(node_now, sent, grant.responded_ms, participant)
         self._perform(
-            at, participant.on_answer(node_now, lease.incarnation, lease.lease_end_ms, s, grant.routes)
+            at,
+            participant.on_lease_response(node_now, lease.incarnation, lease.lease_end_ms, s, grant.routes),
         )
 
     def _on_unregistered(self, node: Node, node_now: float) -> None:
