--- a/tests/membership/test_orders.py
+++ b/tests/membership/test_orders.py
@@ -84,7 +84,7 @@
 
 QUOTA_SEARCHES: dict[
     str, tuple[Callable[[], QuotaModel], int, int]
-] = {  # start, depth, at min_states so many states
+] = {  # start, depth, minimum number of states
     "attached, no fault": (lambda: settled(QuotaModel, 3, 0), 9, 20_000),
     "attached, any fault": (lambda: settled(QuotaModel, 3, 1), 7, 15_000),
     "attached, any two faults": (lambda: settled(QuotaModel, 3, 2), 6, 10_000),
--- a/tests/support/orders/shares_check.py
+++ b/tests/support/orders/shares_check.py
@@ -1,7 +1,7 @@
-"""What must hold of leases and shares in every state, and once faults end.
+"""Invariants of leases and quotas, and recovery after faults.
 
-A service's whole is what the processes that balance to it take together. A process that names no service may
-balance to any, so what it quotas counts in each service's whole.
+The quotas of all processes that balance to a service sum to at most 1. A process without a service may balance
+to any, so its quota counts for each service.
 """
 
 from __future__ import annotations
