--- a/tests/support/orders/shares_check.py
+++ b/tests/support/orders/shares_check.py
@@ -1,7 +1,7 @@
 """Invariants of leases and quotas, and recovery after faults.
 
-The quotas of all processes that balance to a service sum to at most 1. A process without a service may balance
-to any, so its quota counts for each service.
+The quotas of all processes that balance to a service sum to at most 1. A process without a service may
+balance to any, so its quota counts for each service.
 """
 
 from __future__ import annotations
