--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -12,7 +12,7 @@
 from msgspec import UNSET
 
 from loadbalancer.membership import MemberLease, RegistryCall
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.control.background_tasks import BackgroundTasks
 from loadbalancer.node.control.clock import MembershipClock
 from loadbalancer.node.control.registry_client import RegistryClient, decode_lease_response
@@ -49,7 +49,7 @@
     ) -> None:
         """`service_time`: the estimate to update with the send and receive times of the calls."""
         self.member_lease = member_lease
-        self.on_lease_response: Callable[[float, LeaseAnswer], None] = lambda now, response: None
+        self.on_lease_response: Callable[[float, LeaseResponse], None] = lambda now, response: None
         self.on_lease_lost: Callable[[float], None] = lambda now: None
         self.on_quota_change: Callable[[], None] = lambda: None
         self.failures = 0
@@ -146,7 +146,7 @@
                 self._leave_acknowledged.set()
 
     def _process_lease_response(
-        self, sent_at: float, now: float, call: RegistryCall, response: LeaseAnswer
+        self, sent_at: float, now: float, call: RegistryCall, response: LeaseResponse
     ) -> None:
         if not self._belongs_to(call, response):
             self.mismatched_responses += 1
@@ -165,7 +165,7 @@
         self.on_lease_response(now, response)
         self.on_quota_change()
 
-    def _belongs_to(self, call: RegistryCall, response: LeaseAnswer) -> bool:
+    def _belongs_to(self, call: RegistryCall, response: LeaseResponse) -> bool:
         """Whether the response is to this call, and not to an earlier call or to another member's."""
         if call.path == RENEWAL and response.incarnation != call.body["incarnation"]:
             return False
--- a/loadbalancer/node/control/registry_client.py
+++ b/loadbalancer/node/control/registry_client.py
@@ -8,7 +8,7 @@
 import msgspec
 import orjson
 
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.address import Address
 from loadbalancer.node.control.errors import LeaseResponseError
 from loadbalancer.node.http import service_http as web
@@ -16,10 +16,10 @@
 MAX_IDLE_CONNECTIONS: Final = 2  # while a watch poll is open, it occupies one more connection
 _MS_PER_S: Final = 1000.0
 
-_lease_response_decoder = msgspec.json.Decoder(LeaseAnswer)
+_lease_response_decoder = msgspec.json.Decoder(LeaseResponse)
 
 
-def decode_lease_response(body: bytes) -> LeaseAnswer:
+def decode_lease_response(body: bytes) -> LeaseResponse:
     """Decode the response to an enrolment or a renewal; raise LeaseResponseError if it is malformed."""
     try:
         return _lease_response_decoder.decode(body)
--- a/loadbalancer/node/control/service_time.py
+++ b/loadbalancer/node/control/service_time.py
@@ -5,7 +5,7 @@
 import math
 from typing import Final
 
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.staleness import ClockOffsets
 from loadbalancer.staleness.clock_offsets import Interval
 
@@ -35,19 +35,19 @@
         interval = self.interval_ms(now)
         return None if interval is None else sum(interval) / 2
 
-    def is_older(self, response: LeaseAnswer) -> bool:
+    def is_older(self, response: LeaseResponse) -> bool:
         """Whether this response belongs to an earlier call than the last response does."""
         if response.term != self._term:
             return response.term < self._term
         return response.received_ms < self._last_response_ms
 
-    def add_response(self, sent_at: float, now: float, response: LeaseAnswer) -> None:
+    def add_response(self, sent_at: float, now: float, response: LeaseResponse) -> None:
         """Add the times of a call that was sent at `sent_at` and whose response arrived at `now`."""
         if response.term != self._term:
             self.discard()
-        self._term, self._last_response_ms = response.term, response.answered_ms
+        self._term, self._last_response_ms = response.term, response.responded_ms
         self._clock_offsets.add_sample(
-            REGISTRY_PEER, sent_at, response.received_ms, response.answered_ms, now
+            REGISTRY_PEER, sent_at, response.received_ms, response.responded_ms, now
         )
         self._sampled_at = now
 
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -257,7 +257,7 @@
 
 
 def test_change_log_returns_none_for_revisions_before_dropped_changes() -> None:
-    log = ChangeLog(5, kept=2)
+    log = ChangeLog(5, max_changes=2)
     for revision in (6, 7, 8):
         log.record(revision, (revision,))
     assert log.since(5) is None
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from loadbalancer.membership import MemberLease, SiblingReport
-from loadbalancer.membership.messages import LeaseAnswer
+from loadbalancer.membership.messages import LeaseResponse
 from loadbalancer.node.address import Address
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.control.clock import MembershipClock
@@ -132,7 +132,7 @@
     def quota_in_use(self, now: float) -> float:
         return 0.0 if self.lease is None else self.core.quota_in_force(now)
 
-    def _on_response(self, now: float, response: LeaseAnswer) -> None:
+    def _on_response(self, now: float, response: LeaseResponse) -> None:
         assert self.lease is not None
         self.lease.set_revisions(response.revision, int(response.routes.get("rev", 0)))
         self.renewals += 1
