--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,16 +1,23 @@
-"""A list service of three, two groups of real nodes and their servers under a seeded schedule of faults.
+"""Soak test: a list service of three instances, two groups of node processes and their servers, under faults.
 
     python -m bench.soak --seed N [--seconds S] [--runs K]
 
-Each run draws faults from its seed, one after another and overlapping: nodes told to end (killed at the
-protocol's earliest, while their callers go on using open connections), in series too; SIGHUP, standby and
-active; SIGKILL and SIGSTOP of nodes, instances and the agent; links parted, one way too, late, reset; calls
-lost, answers held, repeated, or older ones in place of newer. One run in three has a crowd of idle callers.
+Each run draws a schedule of overlapping faults from its seed:
 
-Throughout, every request that was taken has one answer, no write is executed twice, each service's quotas sum
-to at most 1, and no two nodes follow different route versions. After the last fault the whole is true again
-within RECOVERY_LIMIT_S. One JSON line a run; a run that broke a rule prints its schedule, and the same
-command plays it again.
+- graceful shutdown of one or two nodes by SIGTERM, with SIGKILL as early as the protocol allows, while
+  clients go on using their open connections;
+- SIGHUP, standby and active;
+- SIGKILL of nodes, instances and the agent, SIGSTOP of nodes and instances;
+- partitions between nodes, in both directions or one, delays and connection resets;
+- calls between a node and the agent that are blocked, delayed, or forwarded twice, and responses that are
+  blocked or replaced by older ones.
+
+In a third of the runs there are also many idle client connections.
+
+The run checks that every accepted request has one response, no write is executed twice, the quotas of each
+service sum to at most 1, and no two nodes follow different route versions. Within RECOVERY_LIMIT_S after the
+last fault the fleet must be stable again. Each run prints one JSON line; a run that breaks a rule prints its
+schedule too, and the same seed repeats the schedule.
 """
 
 from __future__ import annotations
@@ -37,37 +44,40 @@
 
 SERVICES = ("pay", "pay", "find", "find")
 INSTANCES = 3
-KILL_AFTER_S = 3.7  # from SIGTERM to SIGKILL: the longest deadline counts as 3 s at most, plus 0.7 s
-RECOVERY_LIMIT_S = 4 * TTL_MS / 1_000.0 + 10.0  # a lease, an electorate for a term, and processes that start
-CROWD_PART, CROWD_PER_NODE = 1 / 3, 120  # under what a node's descriptors hold
+KILL_AFTER_S = 3.7  # from SIGTERM to SIGKILL: request deadlines, which are capped at 3 s, plus 0.7 s
+# Time for a lease to expire, for the electors to be unchanged for a lease term, and for processes to start.
+RECOVERY_LIMIT_S = 4 * TTL_MS / 1_000.0 + 10.0
+# The ratio of runs with idle clients, and their number per node, which is below a node's descriptor limit.
+IDLE_CLIENTS_RATIO, IDLE_CLIENTS_PER_NODE = 1 / 3, 120
 MIN_PAUSE_S, MAX_PAUSE_S = 0.1, 2.5
-EXIT_BROKEN = 1
+EXIT_RULE_BROKEN = 1
 
 
 @dataclass(order=True)
 class Step:
-    """Something that is done at a time of the run (s)."""
+    """An action and its time in s from the start of the run."""
 
     at_s: float
     name: str
     act: Callable[[], object] = field(compare=False)
 
 
-class Soak:
-    """A fleet and what befalls it."""
+class FaultSchedule:
+    """Draws a schedule of faults for a fleet and runs it."""
 
     def __init__(self, fleet: Fleet, rng: Random) -> None:
         self._fleet, self._rng = fleet, rng
-        self._busy_until: dict[str, float] = {}  # s of the run, by what a fault befalls
+        # By target (a node, a link, the instances, the agent): the end of its reservation, in s of the run.
+        self._reserved_until: dict[str, float] = {}
         self.steps: list[Step] = []
 
     def plan(self, seconds: float) -> None:
-        """Draw the faults of so many seconds."""
+        """Draw the faults that begin within this many seconds."""
         kinds = (
-            self._end, self._end_in_series, self._reload, self._stand_by, self._kill, self._freeze,
-            self._kill_instance, self._freeze_instance, self._restart_agent, self._part, self._part_one_way,
-            self._delay, self._reset, self._cut_service, self._delay_service, self._hold_answers,
-            self._repeat, self._older,
+            self._shut_down, self._shut_down_two, self._reload, self._stand_by, self._kill, self._pause,
+            self._kill_instance, self._pause_instance, self._restart_agent, self._partition,
+            self._partition_one_way, self._delay, self._reset, self._cut_service, self._delay_service,
+            self._block_responses, self._duplicate_renewals, self._give_older_responses,
         )  # fmt: skip
         at = 0.0
         while at < seconds:
@@ -75,8 +85,8 @@
             at += self._rng.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
         self.steps.sort()
 
-    def play(self) -> None:
-        """Do what was planned, each step at its time."""
+    def run(self) -> None:
+        """Run the steps, each at its time."""
         start = time.monotonic()
         for step in self.steps:
             time.sleep(max(0.0, start + step.at_s - time.monotonic()))
@@ -84,55 +94,57 @@
 
     # ------------------------------------------------------------------ drawing
 
-    def _is_free(self, what: str, at: float, until: float) -> bool:
-        """Whether nothing befalls this now; it is taken until then."""
-        if self._busy_until.get(what, 0.0) > at:
+    def _reserve(self, target: str, at: float, until: float) -> bool:
+        """Reserve the target from `at` to `until`; return False if another fault has it reserved at `at`."""
+        if self._reserved_until.get(target, 0.0) > at:
             return False
-        self._busy_until[what] = until
+        self._reserved_until[target] = until
         return True
 
     def _add(self, at: float, name: str, act: Callable[[], object]) -> None:
         self.steps.append(Step(at, name, act))
 
-    def _node(self) -> int:
+    def _draw_node(self) -> int:
         return self._rng.randrange(len(SERVICES))
 
     # ------------------------------------------------------------------ nodes
 
-    def _end(self, at: float, node: int | None = None) -> None:
-        node = self._node() if node is None else node
+    def _shut_down(self, at: float, node: int | None = None) -> None:
+        node = self._draw_node() if node is None else node
         down_s = self._rng.uniform(0.0, 2.0)
-        if self._is_free(f"n{node}", at, at + KILL_AFTER_S + down_s + 1.0):
+        if self._reserve(f"n{node}", at, at + KILL_AFTER_S + down_s + 1.0):
             self._add(at, f"SIGTERM n{node}", partial(self._terminate, node))
-            self._add(at + KILL_AFTER_S, f"SIGKILL n{node} if it is there", partial(self._kill_rest, node))
+            self._add(
+                at + KILL_AFTER_S, f"SIGKILL n{node} if it is running", partial(self._kill_if_running, node)
+            )
             self._add(at + KILL_AFTER_S + down_s, f"start n{node}", partial(self._start, node))
 
-    def _end_in_series(self, at: float) -> None:
+    def _shut_down_two(self, at: float) -> None:
         for node in self._rng.sample(range(len(SERVICES)), 2):
-            self._end(at, node)
+            self._shut_down(at, node)
             at += self._rng.uniform(0.05, 1.0)
 
     def _reload(self, at: float) -> None:
-        node = self._node()
-        if self._is_free(f"n{node}", at, at + 0.2):
+        node = self._draw_node()
+        if self._reserve(f"n{node}", at, at + 0.2):
             for number in range(self._rng.randint(1, 4)):
                 self._add(at + 0.05 * number, f"SIGHUP n{node}", partial(self._signal, node, signal.SIGHUP))
 
     def _stand_by(self, at: float) -> None:
-        node, until = self._node(), at + self._rng.uniform(0.1, 4.0)
-        if self._is_free(f"n{node}", at, until):
-            self._add(at, f"standby n{node}", partial(self._door, node, "/standby"))
-            self._add(until, f"active n{node}", partial(self._door, node, "/active"))
+        node, until = self._draw_node(), at + self._rng.uniform(0.1, 4.0)
+        if self._reserve(f"n{node}", at, until):
+            self._add(at, f"standby n{node}", partial(self._call_operator_server, node, "/standby"))
+            self._add(until, f"active n{node}", partial(self._call_operator_server, node, "/active"))
 
     def _kill(self, at: float) -> None:
-        node, until = self._node(), at + self._rng.uniform(0.1, 12.0)
-        if self._is_free(f"n{node}", at, until + 1.0):
+        node, until = self._draw_node(), at + self._rng.uniform(0.1, 12.0)
+        if self._reserve(f"n{node}", at, until + 1.0):
             self._add(at, f"SIGKILL n{node}", partial(self._fleet.kill, node))
             self._add(until, f"start n{node}", partial(self._start, node))
 
-    def _freeze(self, at: float) -> None:
-        node, until = self._node(), at + self._rng.choice((0.1, 0.5, 2.0, 5.0, 12.0))
-        if self._is_free(f"n{node}", at, until):
+    def _pause(self, at: float) -> None:
+        node, until = self._draw_node(), at + self._rng.choice((0.1, 0.5, 2.0, 5.0, 12.0))
+        if self._reserve(f"n{node}", at, until):
             self._add(at, f"SIGSTOP n{node}", partial(self._signal, node, signal.SIGSTOP))
             self._add(until, f"SIGCONT n{node}", partial(self._signal, node, signal.SIGCONT))
 
@@ -140,20 +152,20 @@
 
     def _kill_instance(self, at: float) -> None:
         index, until = self._rng.randrange(INSTANCES), at + self._rng.uniform(0.2, 6.0)
-        if self._is_free("instances", at, until + 2.0):
+        if self._reserve("instances", at, until + 2.0):
             self._add(at, f"SIGKILL r{index}", partial(self._fleet.registry.kill, index))
             self._add(until, f"start r{index}", partial(self._fleet.registry.start, index))
 
-    def _freeze_instance(self, at: float) -> None:
+    def _pause_instance(self, at: float) -> None:
         index, until = self._rng.randrange(INSTANCES), at + self._rng.uniform(0.1, 6.0)
-        if self._is_free("instances", at, until):
+        if self._reserve("instances", at, until):
             for moment, number in ((at, signal.SIGSTOP), (until, signal.SIGCONT)):
-                act = partial(self._fleet.registry.kill, index, number)
-                self._add(moment, f"{number.name} r{index}", act)
+                action = partial(self._fleet.registry.kill, index, number)
+                self._add(moment, f"{number.name} r{index}", action)
 
     def _restart_agent(self, at: float) -> None:
         until = at + self._rng.uniform(0.1, 4.0)
-        if self._is_free("agent", at, until + 1.0):
+        if self._reserve("agent", at, until + 1.0):
             self._add(at, "SIGKILL agent", lambda: self._fleet.agent.stop())
             self._add(until, "start agent", self._start_agent)
 
@@ -162,53 +174,61 @@
 
     # ------------------------------------------------------------------ links
 
-    def _link(self, at: float, name: str, act: Callable[[int, int], object]) -> None:
-        """Between two nodes, until the links are healed, all at once."""
-        ones = tuple(self._rng.sample(range(len(SERVICES)), 2))
+    def _add_link_fault(self, at: float, name: str, act: Callable[[int, int], object]) -> None:
+        """Add a fault of the link between two nodes; only one at a time, because healing heals all links."""
+        nodes = tuple(self._rng.sample(range(len(SERVICES)), 2))
         until = at + self._rng.uniform(0.2, 10.0)
-        if self._is_free("links", at, until):
-            self._add(at, f"{name} n{ones[0]} n{ones[1]}", partial(act, *ones))
+        if self._reserve("links", at, until):
+            self._add(at, f"{name} n{nodes[0]} n{nodes[1]}", partial(act, *nodes))
             self._add(until, "heal links", self._fleet.net.heal)
 
-    def _part(self, at: float) -> None:
-        self._link(at, "part", self._fleet.net.cut)
+    def _partition(self, at: float) -> None:
+        self._add_link_fault(at, "partition", self._fleet.net.cut)
 
-    def _part_one_way(self, at: float) -> None:
-        self._link(at, "part one way", self._fleet.net.cut_one_way)
+    def _partition_one_way(self, at: float) -> None:
+        self._add_link_fault(at, "partition one way", self._fleet.net.cut_one_way)
 
     def _delay(self, at: float) -> None:
         ms = self._rng.uniform(5.0, 400.0)
-        self._link(at, f"delay {ms:.0f} ms", lambda a, b: self._fleet.net.delay(a, b, ms, ms / 2))
+        self._add_link_fault(at, f"delay {ms:.0f} ms", lambda a, b: self._fleet.net.delay(a, b, ms, ms / 2))
 
     def _reset(self, at: float) -> None:
-        self._link(at, "reset", self._fleet.net.reset)
-
-    def _post(self, at: float, name: str, longest_s: float, act: Callable[[int], object]) -> None:
-        """Between a node and the agent, until it is healed."""
-        node, until = self._node(), at + self._rng.uniform(0.2, longest_s)
-        if self._is_free(f"p{node}", at, until):
+        self._add_link_fault(at, "reset", self._fleet.net.reset)
+
+    def _add_agent_link_fault(
+        self, at: float, name: str, max_duration_s: float, act: Callable[[int], object]
+    ) -> None:
+        """Add a fault of the link between a node and the agent."""
+        node, until = self._draw_node(), at + self._rng.uniform(0.2, max_duration_s)
+        if self._reserve(f"p{node}", at, until):
             self._add(at, f"{name} n{node} agent", partial(act, node))
             self._add(until, f"heal n{node} agent", self._fleet.posts[node].heal)
 
     def _cut_service(self, at: float) -> None:
-        self._post(at, "part", 12.0, lambda node: self._fleet.posts[node].cut())
+        self._add_agent_link_fault(at, "partition", 12.0, lambda node: self._fleet.posts[node].cut())
 
     def _delay_service(self, at: float) -> None:
-        there, back = self._rng.uniform(0.0, 1_500.0), self._rng.uniform(0.0, 1_500.0)
-        name = f"delay {there:.0f} and {back:.0f} ms"
-        self._post(at, name, 10.0, lambda node: self._fleet.posts[node].delay(there, back))
+        to_agent, to_node = self._rng.uniform(0.0, 1_500.0), self._rng.uniform(0.0, 1_500.0)
+        name = f"delay {to_agent:.0f} and {to_node:.0f} ms"
+        self._add_agent_link_fault(
+            at, name, 10.0, lambda node: self._fleet.posts[node].delay(to_agent, to_node)
+        )
 
-    def _hold_answers(self, at: float) -> None:
+    def _block_responses(self, at: float) -> None:
         act = lambda node: self._fleet.posts[node].hold("renew", answers=True)  # noqa: E731
-        self._post(at, "hold answers", 6.0, act)
+        self._add_agent_link_fault(at, "block responses", 6.0, act)
 
-    def _repeat(self, at: float) -> None:
-        self._post(at, "repeat renewals", 10.0, lambda node: self._fleet.posts[node].repeat(3))
+    def _duplicate_renewals(self, at: float) -> None:
+        self._add_agent_link_fault(
+            at, "duplicate renewals", 10.0, lambda node: self._fleet.posts[node].repeat(3)
+        )
 
-    def _older(self, at: float) -> None:
-        self._post(at, "older answers", 15.0, lambda node: self._fleet.posts[node].give_older(2))
+    def _give_older_responses(self, at: float) -> None:
+        self._add_agent_link_fault(
+            at, "older responses", 15.0, lambda node: self._fleet.posts[node].give_older(2)
+        )
 
-    # ------------------------------------------------------------------ acts
+    # ------------------------------------------------------------------ actions
 
     def _is_running(self, node: int) -> bool:
         process = self._fleet.nodes[node].process
@@ -218,7 +238,7 @@
         if self._is_running(node):
             self._fleet.nodes[node].send(number)
 
-    def _door(self, node: int, target: str) -> None:
+    def _call_operator_server(self, node: int, target: str) -> None:
         with contextlib.suppress(OSError):
             self._fleet.nodes[node].call_door(target, "PUT")
 
@@ -226,7 +246,7 @@
         self._fleet._outages[node].append(Outage(time.monotonic(), drained=True))
         self._signal(node, signal.SIGTERM)
 
-    def _kill_rest(self, node: int) -> None:
+    def _kill_if_running(self, node: int) -> None:
         if self._is_running(node):
             self._fleet._outages[node].append(Outage(time.monotonic(), drained=False))
             self._fleet.nodes[node].kill()
@@ -238,76 +258,100 @@
 
 
 @contextlib.contextmanager
-def crowd(fleet: Fleet, size: int) -> Iterator[None]:
-    """So many idle callers at each node, which come again when their connection is closed."""
+def idle_clients(fleet: Fleet, count: int) -> Iterator[None]:
+    """Keep `count` idle connections open at each node; those that a node closes aren't opened again."""
     with contextlib.ExitStack() as stack:
         for node in fleet.nodes:
-            for _ in range(size):
+            for _ in range(count):
                 with contextlib.suppress(OSError):
                     stack.enter_context(socket.create_connection(("127.0.0.1", node.port), timeout=1.0))
         yield
 
 
-def read_and_unanswered(fleet: Fleet) -> dict[str, Outcome]:
-    """Requests that a node had read and whose connection ended without an answer; not of killed nodes."""
-    down = {node.port: fleet._outages[at] for at, node in enumerate(fleet.nodes)}
+def lost_requests(fleet: Fleet) -> dict[str, Outcome]:
+    """Return the requests that a node forwarded to a server but for which the client got no response.
+
+    Checked are the requests whose connection had been used before and was closed before the response came.
+    Requests to a node that was killed meanwhile are left out.
+    """
+    outages = {node.port: fleet._outages[at] for at, node in enumerate(fleet.nodes)}
+    # An outage by SIGTERM (`drained`) is no excuse: a draining node responds to what it has accepted.
     crossed = {name: outcome for load in fleet.loads for name, outcome in load.crossed.items()}
     return {
         name: outcome
         for name, outcome in crossed.items()
         if name in fleet.pool.servers_reached
-        and not any(span.excuses(outcome) for span in down[outcome.port] if not span.drained)
+        and not any(outage.excuses(outcome) for outage in outages[outcome.port] if not outage.drained)
     }
 
 
 def soak(seed: int, seconds: float, folder: Path) -> dict[str, object]:
-    """Play a run and return its figures; AssertionError where a rule was broken."""
+    """Run the test once and return its result; `broken` states the broken rule or the error, if any."""
     rng = Random(seed)
     fleet = Fleet(folder, len(SERVICES), SERVICES, load=KeepingLoad)
-    run = Soak(fleet, rng)
-    size = CROWD_PER_NODE if rng.random() < CROWD_PART else 0
-    run.plan(seconds)
-    row: dict[str, object] = {"seed": seed, "seconds": seconds, "steps": len(run.steps), "crowd": size}
+    schedule = FaultSchedule(fleet, rng)
+    clients = IDLE_CLIENTS_PER_NODE if rng.random() < IDLE_CLIENTS_RATIO else 0
+    schedule.plan(seconds)
+    result: dict[str, object] = {
+        "seed": seed,
+        "seconds": seconds,
+        "steps": len(schedule.steps),
+        "crowd": clients,
+    }
     try:
         with fleet.under_load():
-            with crowd(fleet, size):
-                run.play()
+            with idle_clients(fleet, clients):
+                schedule.run()
             ended = time.monotonic()
             fleet.wait_until_stable()
             recovered_s = time.monotonic() - ended
-        assert not (lost := read_and_unanswered(fleet)), f"read and not answered: {lost}"
-        row |= {"recovered_s": round(recovered_s, 1), "requests": sum(len(x.outcomes) for x in fleet.loads)}
+        assert not (lost := lost_requests(fleet)), (
+            f"requests that a node forwarded, without a response: {lost}"
+        )
+        result |= {
+            "recovered_s": round(recovered_s, 1),
+            "requests": sum(len(load.outcomes) for load in fleet.loads),
+        }
         assert recovered_s <= RECOVERY_LIMIT_S, f"stable {recovered_s:.1f} s after the last fault"
     except AssertionError as error:
-        return row | {"broken": str(error)[:2_000], "schedule": [(s.at_s, s.name) for s in run.steps]}
+        return result | {
+            "broken": str(error)[:2_000],
+            "schedule": [(step.at_s, step.name) for step in schedule.steps],
+        }
     except Exception:
-        return row | {"broken": traceback.format_exc(), "schedule": [(s.at_s, s.name) for s in run.steps]}
+        return result | {
+            "broken": traceback.format_exc(),
+            "schedule": [(step.at_s, step.name) for step in schedule.steps],
+        }
     finally:
         for node in fleet.nodes:
             if node.process is not None and node.process.poll() is None:
                 node.process.send_signal(signal.SIGCONT)
         fleet.close()
-    return row
+    return result
 
 
 def main() -> int:
+    """Run the test with consecutive seeds; return 0 if no rule was broken, else 1."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--seconds", type=float, default=30.0)
-    parser.add_argument("--runs", type=int, default=1, help="with seeds that follow")
-    parser.add_argument("--keep", type=Path, help="a folder for the logs")
-    asked = parser.parse_args()
+    parser.add_argument("--runs", type=int, default=1, help="number of runs, with consecutive seeds")
+    parser.add_argument("--keep", type=Path, help="folder in which the logs are retained")
+    arguments = parser.parse_args()
     broken = 0
-    for seed in range(asked.seed, asked.seed + asked.runs):
+    for seed in range(arguments.seed, arguments.seed + arguments.runs):
         with tempfile.TemporaryDirectory() as temporary:
-            folder = Path(temporary) if asked.keep is None else asked.keep / str(seed)
+            folder = Path(temporary) if arguments.keep is None else arguments.keep / str(seed)
             folder.mkdir(parents=True, exist_ok=True)
             began = time.monotonic()
-            row = soak(seed, asked.seconds, folder)
+            result = soak(seed, arguments.seconds, folder)
             load = round(os.getloadavg()[0], 1)
-            print(json.dumps(row | {"took_s": round(time.monotonic() - began, 1), "load": load}), flush=True)
-            broken += "broken" in row
-    return EXIT_BROKEN if broken else 0
+            print(
+                json.dumps(result | {"took_s": round(time.monotonic() - began, 1), "load": load}), flush=True
+            )
+            broken += "broken" in result
+    return EXIT_RULE_BROKEN if broken else 0
 
 
 if __name__ == "__main__":
