--- a/bench/failure_detector.py
+++ b/bench/failure_detector.py
@@ -1,19 +1,23 @@
-"""Figures of the failure detector on a simulated network (tests/support/detector_simulation.py). Outside CI.
+"""Benchmarks of the failure detector on a simulated network (tests/support/detector_simulation.py).
+
+CI does not run them.
 
     python bench/failure_detector.py kill [--sizes 2,7,25,100 --rounds 10]
     python bench/failure_detector.py false [--sizes 2,7,25,100 --minutes 5 --runs 3]
     python bench/failure_detector.py hold [--sizes 2,7,25,100 --rounds 5 --ttl 5000]
     python bench/failure_detector.py cost [--sizes 2,7,25,100 --seconds 20]
 
-Each prints JSON lines, by the size of the group.
-
-`kill`: ms from a node's end to `unheard` at each other node, by what callers see of the end and by links
-(fast: 0.3 to 1 ms a message; slow: 20 to 200 ms and 2% of calls lost).
-`false`: changes of live nodes under slow links, 2% lost and one node stopped for 300 ms again and again.
-`hold`: all nodes lose the list service; ms from when each begins to hold to when it knows that a majority
-does.
-`cost`, while attached and while all hold: probes a node sends a second, bytes of a probe and an ack without a
-view, bytes of payload in and out of a node a second, real CPU of the simulation for a node's second.
+Each benchmark prints JSON lines, one or more for each group size.
+
+`kill`: ms from the end of a node until each other node reports it as `unheard`, by how a call to the ended
+node fails and by link speed (fast: 0.3 to 1 ms per message; slow: 20 to 200 ms and 2% of calls lost).
+`false`: state changes reported of running nodes, with slow links, 2% of calls lost and one node repeatedly
+paused for 300 ms.
+`hold`: all nodes lose the list service; ms from the moment at which a node's quota status becomes `holding`
+until the node knows that a majority of nodes is `holding`.
+`cost`, first with all nodes attached, then with all `holding`: probes sent per node and second, bytes of a
+probe and of an ack, bytes of payload received and sent per node and second, and the CPU time that the
+simulation uses for one second of one node.
 """
 
 from __future__ import annotations
@@ -36,53 +40,66 @@
 FAST, SLOW = (0.3, 1.0), (20.0, 200.0)
 
 
-def say(**figures: object) -> None:
-    print(orjson.dumps(figures).decode(), flush=True)
+def print_result(**result: object) -> None:
+    """Print one JSON line at once, without buffering."""
+    print(orjson.dumps(result).decode(), flush=True)
 
 
-def kill(size: int, rounds: int) -> None:
+def measure_kill(size: int, rounds: int) -> None:
+    """Print the detection times of ended nodes for each kind of link and each way a call to them fails."""
     for links, delay, loss in (("fast", FAST, 0.0), ("slow", SLOW, 0.02)):
         for gone in Gone:
             times: list[float] = []
             for seed in range(rounds):
-                times += _waits_to_failed(size, seed, gone, delay, loss)
-            say(kill=gone.value, nodes=size, links=links, **spread(times))
+                times += _detection_times(size, seed, gone, delay, loss)
+            print_result(kill=gone.value, nodes=size, links=links, **spread(times))
 
 
-def _waits_to_failed(
+def _detection_times(
     size: int, seed: int, gone: Gone, delay: tuple[float, float], loss: float
 ) -> Iterator[float]:
+    """End node 1; return the ms until each other node reports it as `unheard`, or inf after 30 s."""
     world = World(size, seed, delay=delay, loss=loss)
     world.run(3000 + 37 * seed)
     killed_at = world.now
     world.kill(1, gone)
     world.run(30_000)
-    failures = reversed(world.turned(Reachability.UNREACHABLE))
-    first = {who: at for at, who, of in failures if of == 1}
-    return (first.get(who, math.inf) - killed_at for who in world.nodes if who != 1)
+    # Reversed, so that the first of several reports by one observer is retained.
+    reports = reversed(world.turned(Reachability.UNREACHABLE))
+    first_report = {observer: at for at, observer, target in reports if target == 1}
+    return (first_report.get(observer, math.inf) - killed_at for observer in world.nodes if observer != 1)
 
 
 def false_verdicts(nodes: int, minutes: float, seed: int) -> dict[str, object]:
+    """Count the state changes that are reported while every node is running; `false` has them by state."""
     world = World(nodes, seed, delay=SLOW, loss=0.02)
-    every = 600.0 + 200 * seed
-    world.stop_every(nodes, every, lasts=300.0)
+    pause_period_ms = 600.0 + 200 * seed
+    world.stop_every(nodes, pause_period_ms, lasts=300.0)
     world.run(minutes * 60_000)
-    changed = [state for state in Reachability if state is not Reachability.ALIVE]
-    turned = {state.value: len(world.turned(state)) for state in changed}
-    return {"false": turned, "nodes": nodes, "minutes": minutes, "stopped_every_ms": every, "seed": seed}
+    states = [state for state in Reachability if state is not Reachability.ALIVE]
+    changes = {state.value: len(world.turned(state)) for state in states}
+    return {
+        "false": changes,
+        "nodes": nodes,
+        "minutes": minutes,
+        "stopped_every_ms": pause_period_ms,
+        "seed": seed,
+    }
 
 
-def hold(size: int, rounds: int, ttl_ms: float) -> None:
+def measure_hold(size: int, rounds: int, ttl_ms: float) -> None:
+    """Print how long nodes without the list service wait until they know that a majority is `holding`."""
     for links, delay, loss in (("fast", FAST, 0.0), ("slow", SLOW, 0.02)):
         waits: list[float] = []
         for seed in range(rounds):
             world = _attached(size, seed, delay, loss)
             world.cut_from_service(ttl_ms)
             waits += world.majority_waits(2 * ttl_ms)
-        say(hold=ttl_ms, nodes=size, links=links, limit_ms=0.45 * ttl_ms, **spread(waits))
+        print_result(hold=ttl_ms, nodes=size, links=links, limit_ms=0.45 * ttl_ms, **spread(waits))
 
 
 def _attached(size: int, seed: int, delay: tuple[float, float] = FAST, loss: float = 0.0) -> World:
+    """Return a simulated network whose nodes have all been attached to the list service for 3 s."""
     world = World(size, seed, delay=delay, loss=loss)
     for node in world.nodes.values():
         node.quota_status = QuotaStatus.ATTACHED
@@ -90,44 +107,50 @@
     return world
 
 
-def cost(size: int, seconds: float) -> None:
+def measure_cost(size: int, seconds: float) -> None:
+    """Print what the detector costs a node: while all nodes are attached, and while all are `holding`."""
     world = _attached(size, 1)
-    say(cost="attached", nodes=size, **_spent(world, seconds))
+    print_result(cost="attached", nodes=size, **_cost_per_node(world, seconds))
     world.cut_from_service(5000)
     world.run(5000)
-    say(cost="all hold", nodes=size, **_spent(world, seconds))
+    print_result(cost="all hold", nodes=size, **_cost_per_node(world, seconds))
 
 
-def _spent(world: World, seconds: float) -> dict[str, float]:
-    """What a node spends, over some seconds from now."""
+def _cost_per_node(world: World, seconds: float) -> dict[str, float]:
+    """Run the simulation for `seconds` and return the probes, bytes and CPU time that a node used."""
     size = len(world.nodes)
-    before = [_counts(node) for node in world.nodes.values()]
-    start = time.process_time()
+    before = [_counters(node) for node in world.nodes.values()]
+    start_s = time.process_time()
     world.run(seconds * 1000)
-    used = time.process_time() - start
-    after = [_counts(node) for node in world.nodes.values()]
-    spent = [[new - old for new, old in zip(*pair, strict=True)] for pair in zip(after, before, strict=True)]
-    probes, probe_bytes, ack_bytes = (sum(column) for column in zip(*spent, strict=True))
+    cpu_s = time.process_time() - start_s
+    after = [_counters(node) for node in world.nodes.values()]
+    increases = [
+        [new - old for new, old in zip(*pair, strict=True)] for pair in zip(after, before, strict=True)
+    ]
+    probes, probe_bytes, ack_bytes = (sum(column) for column in zip(*increases, strict=True))
     return {
         "probes_per_node_s": round(probes / size / seconds, 2),
-        "most_probes_per_node_s": round(max(row[0] for row in spent) / seconds, 2),
+        "most_probes_per_node_s": round(max(row[0] for row in increases) / seconds, 2),
         "probe_bytes": round(probe_bytes / probes),
         "ack_bytes": round(ack_bytes / probes),
         "payload_bytes_in_and_out_per_node_s": round(2 * (probe_bytes + ack_bytes) / size / seconds),
-        "cpu_percent_per_node": round(100 * used / size / seconds, 3),
+        "cpu_percent_per_node": round(100 * cpu_s / size / seconds, 3),
     }
 
 
-def _counts(node: Node) -> tuple[int, int, int]:
+def _counters(node: Node) -> tuple[int, int, int]:
+    """Return the probes sent, the bytes of these probes and the bytes of the acks received."""
     return node.sent, node.sent_bytes, node.ack_bytes_received
 
 
 def spread(times: list[float]) -> dict[str, float]:
-    p50, p99 = (round(quantile(times, share)) for share in (0.5, 0.99))
+    """Return the number of times, their 50th and 99th percentile and their maximum."""
+    p50, p99 = (round(quantile(times, fraction)) for fraction in (0.5, 0.99))
     return {"samples": len(times), "p50_ms": p50, "p99_ms": p99, "max_ms": round(max(times))}
 
 
 def main() -> None:
+    """Run the benchmark named on the command line, once for each group size."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -138,17 +161,17 @@
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=20)
     parser.add_argument("--ttl", type=float, default=5000)
-    given = parser.parse_args()
-    for size in map(int, given.sizes.split(",")):
-        if given.what == "kill":
-            kill(size, given.rounds)
-        elif given.what == "false":
-            for seed in range(given.runs):
-                say(**false_verdicts(size, given.minutes, seed))
-        elif given.what == "hold":
-            hold(size, given.rounds, given.ttl)
+    arguments = parser.parse_args()
+    for size in map(int, arguments.sizes.split(",")):
+        if arguments.what == "kill":
+            measure_kill(size, arguments.rounds)
+        elif arguments.what == "false":
+            for seed in range(arguments.runs):
+                print_result(**false_verdicts(size, arguments.minutes, seed))
+        elif arguments.what == "hold":
+            measure_hold(size, arguments.rounds, arguments.ttl)
         else:
-            cost(size, given.seconds)
+            measure_cost(size, arguments.seconds)
 
 
 if __name__ == "__main__":
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures that the benches share: quantiles, and the CPU and memory of processes."""
+"""Measurements that the benches share: quantiles, and the CPU time and memory of processes."""
 
 from __future__ import annotations
 
@@ -10,19 +10,22 @@
 MB = 1024 * 1024
 
 
-def quantile(values: Sequence[float], share: float) -> float:
-    """The value below or at which this share of the values lies, one of them; ValueError for none."""
+def quantile(values: Sequence[float], fraction: float) -> float:
+    """Return the quantile at `fraction` (0 to 1), always one of the values: the higher of two neighbours.
+
+    Raise ValueError if there are no values.
+    """
     if not len(values):
         raise ValueError("no values to take a quantile of")
-    return float(numpy.quantile(values, share, method="higher"))
+    return float(numpy.quantile(values, fraction, method="higher"))
 
 
 def cpu_s(pid: int) -> float:
-    """CPU seconds of the process so far, user and system, in steps of the kernel's tick (10 ms)."""
+    """Return the CPU seconds used by the process, user and system; the kernel counts in steps of 10 ms."""
     times = psutil.Process(pid).cpu_times()
     return float(times.user + times.system)
 
 
 def rss_mb(pid: int) -> float:
-    """Resident memory of the process in MB."""
+    """Return the resident memory of the process in MB."""
     return float(psutil.Process(pid).memory_info().rss / MB)
--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes for bench/fleet.py: list service, agents, nodes, faults between them, servers."""
+"""A fleet of processes on loopback for the benches: list service, agents, nodes, stub servers, relays."""
 
 from __future__ import annotations
 
@@ -25,24 +25,27 @@
 from tests.support.registry_processes import Registry, ask, until
 from tests.support.stub_servers import StubServerPool
 
-LIMIT_S = 180.0  # for anything that has to come about: the machine may be slow
-AT_ONCE = 12  # processes started together
-PER_AGENT = 25
+LIMIT_S = 180.0  # timeout of every wait for a condition; long because the machine may be slow
+MAX_PARALLEL_STARTS = 12
+NODES_PER_AGENT = 25
 
-Figures = dict[str, Any]
+Result = dict[str, Any]  # one printed result of a benchmark
 
 
-def spread(values: Sequence[float], digits: int = 1) -> Figures:
-    """p50, p99 and max of what was measured, and how many there were."""
+def spread(values: Sequence[float], digits: int = 1) -> Result:
+    """Return the 50th and 99th percentile, the maximum and the number of the values."""
     if not values:
         return {"samples": 0}
-    figures = {"p50": quantile(values, 0.5), "p99": quantile(values, 0.99), "max": max(values)}
-    return {key: round(value, digits) for key, value in figures.items()} | {"samples": len(values)}
+    summary = {"p50": quantile(values, 0.5), "p99": quantile(values, 0.99), "max": max(values)}
+    return {key: round(value, digits) for key, value in summary.items()} | {"samples": len(values)}
 
 
 def cpu_ms(pid: int) -> float:
-    """What the process's threads have run on a core so far, by the scheduler's count: finer than the kernel's
-    tick of 10 ms, in which a node's control work of seconds would be a few steps."""
+    """Return the CPU time in ms that the process has used, from the kernel scheduler's count.
+
+    The process's CPU times have steps of 10 ms, which is too coarse: a node's control work of several seconds
+    is only a few such steps.
+    """
     total = 0.0
     for task in Path(f"/proc/{pid}/task").iterdir():
         with suppress(FileNotFoundError, ProcessLookupError):
@@ -50,24 +53,27 @@
     return total / 1e6
 
 
-class Tail:
-    """A node's log, read on from where it was last read."""
+class LogReader:
+    """Reads a node's log; each read continues where the last one ended."""
 
     def __init__(self, path: Path) -> None:
-        self._path, self._at = path, 0
+        self._path, self._offset = path, 0
 
     def read(self) -> list[tuple[float, str]]:
-        """The new whole lines that have a time: (s since 1970, to 1 ms; the line)."""
+        """Return new complete lines that begin with a time, as (Unix time in s to 1 ms, rest of the line)."""
         with suppress(FileNotFoundError), self._path.open("rb") as log:
-            log.seek(self._at)
+            log.seek(self._offset)
             data = log.read()
-            whole = data[: data.rfind(b"\n") + 1]
-            self._at += len(whole)
-            return [line for text in whole.decode().splitlines() if (line := _stamped(text)) is not None]
+            complete = data[: data.rfind(b"\n") + 1]
+            self._offset += len(complete)
+            return [
+                line for text in complete.decode().splitlines() if (line := _parse_log_line(text)) is not None
+            ]
         return []
 
 
-def _stamped(text: str) -> tuple[float, str] | None:
+def _parse_log_line(text: str) -> tuple[float, str] | None:
+    """Return the time and the rest of a log line, or None if the line does not begin with a time."""
     with suppress(ValueError):
         return datetime.strptime(text[:23], "%Y-%m-%d %H:%M:%S,%f").timestamp(), text[24:]
     return None
@@ -75,30 +81,39 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What a World is made of; `members` is False for the program without the part."""
+    """Size and settings of a `World`; `members` False: nodes run without a `members` configuration."""
 
     nodes: int
     ttl_ms: int = 1_500
-    bound_ms: int = 250
+    clock_bound_ms: int = 250
     prepare_ms: int = 10_000
     zones: int = 1
-    clocks_ms: Sequence[float] = (0.0,)  # of the nodes in turn
-    relayed: bool = False  # a relay on every link between nodes, a post between a node and its agent
+    clock_offsets_ms: Sequence[float] = (0.0,)  # assigned to the nodes in turn
+    relayed: bool = (
+        False  # relays for fault injection: one per link between nodes, one between node and agent
+    )
     members: bool = True
     servers: int = 2
     latency_ms: float = 2.0
-    room: int | None = None
-    models: Sequence[str] = ("m1", "m2")  # of the servers in turn
+    server_capacity: int | None = None  # requests in flight at a server, from which it responds 503
+    models: Sequence[str] = ("m1", "m2")  # assigned to the servers in turn
     pool: type[StubServerPool] = StubServerPool
     settings: dict[str, Any] = field(default_factory=dict)
-    member_settings: dict[str, Any] = field(default_factory=dict)  # further keys of `members`
+    member_settings: dict[str, Any] = field(
+        default_factory=dict
+    )  # further keys of the `members` configuration
     seed: int = 1
 
 
 class World:
+    """A running fleet: three instances of the list service, agents, nodes and stub servers.
+
+    It is a context manager that ends all processes on exit.
+    """
+
     def __init__(self, folder: Path, plan: Plan) -> None:
         self.folder, self.plan = folder, plan
-        self._texts = count(1)
+        self._table_numbers = count(1)
         self._closing: list[Callable[[], None]] = []
         try:
             self._start()
@@ -108,71 +123,83 @@
 
     def _start(self) -> None:
         plan = self.plan
-        service = {"ttl_ms": plan.ttl_ms, "clock_bound_ms": plan.bound_ms, "prepare_ms": plan.prepare_ms}
-        self.registry = Registry(self.folder, ttl_ms=600_000, members=lambda index: service)
+        member_settings = {
+            "ttl_ms": plan.ttl_ms,
+            "clock_bound_ms": plan.clock_bound_ms,
+            "prepare_ms": plan.prepare_ms,
+        }
+        self.registry = Registry(self.folder, ttl_ms=600_000, members=lambda index: member_settings)
         self._closing.append(self.registry.stop)
-        self.agents = [self.registry.agent() for _ in range(-(-plan.nodes // PER_AGENT))]
+        self.agents = [self.registry.agent() for _ in range(-(-plan.nodes // NODES_PER_AGENT))]
         self._closing += [agent.stop for agent in self.agents]
-        self.pool = plan.pool(plan.servers, plan.latency_ms, plan.room)
+        self.pool = plan.pool(plan.servers, plan.latency_ms, plan.server_capacity)
         self._closing.append(self.pool.close)
         for at in range(plan.servers):
             model = plan.models[at % len(plan.models)]
             self.registry.put(f"s{at}", self.pool.port(at), az="a", model=model)
-        self._listens = [free_port() for _ in range(plan.nodes)]
+        self._member_ports = [free_port() for _ in range(plan.nodes)]
         self.net: Net | None = None
-        self.posts: list[Post] = []
+        self.agent_links: list[Post] = []
         if plan.relayed:
-            self._relay()
-        self.nodes = [self.node(at) for at in range(plan.nodes)]
-        self._closing += [lambda node=node: _end(node) for node in self.nodes]  # type: ignore[misc]
+            self._start_relays()
+        self.nodes = [self.make_node(at) for at in range(plan.nodes)]
+        self._closing += [lambda node=node: _kill_if_running(node) for node in self.nodes]  # type: ignore[misc]
         self.launch(self.nodes)
 
-    def _relay(self) -> None:
-        self.net = Net([("127.0.0.1", port) for port in self._listens], seed=self.plan.seed)
+    def _start_relays(self) -> None:
+        self.net = Net([("127.0.0.1", port) for port in self._member_ports], seed=self.plan.seed)
         self._closing.append(self.net.close)
         loops = LoopThread()
         self._closing.append(loops.close)
         for at in range(self.plan.nodes):
-            relayed = {
+            relay_addresses = {
                 f"127.0.0.1:{port}": "{}:{}".format(*self.net.address(at, other))
-                for other, port in enumerate(self._listens)
+                for other, port in enumerate(self._member_ports)
                 if other != at
             }
             agent = ("127.0.0.1", self.agent(at).port)
-            self.posts.append(Post(agent, lambda told, relayed=relayed: relayed.get(told, told), loops))  # type: ignore[misc]
+            # The agent's responses name siblings by address; the node gets the relays' addresses instead.
+            self.agent_links.append(
+                Post(agent, lambda address, relays=relay_addresses: relays.get(address, address), loops)  # type: ignore[misc]
+            )
 
     def agent(self, at: int) -> Any:
-        return self.agents[at // PER_AGENT]
+        """Return the agent of node `at`."""
+        return self.agents[at // NODES_PER_AGENT]
 
-    def zone(self, at: int) -> int:
+    def zone_of(self, at: int) -> int:
+        """Return the zone of node `at`; zones are runs of consecutive nodes."""
         return at * self.plan.zones // self.plan.nodes
 
-    def of_zone(self, zone: int) -> list[int]:
-        return [at for at in range(self.plan.nodes) if self.zone(at) == zone]
+    def nodes_in_zone(self, zone: int) -> list[int]:
+        """Return the indexes of the zone's nodes."""
+        return [at for at in range(self.plan.nodes) if self.zone_of(at) == zone]
 
-    def node(self, at: int, members: bool | None = None) -> Node:
-        """Not started; without `members` as the plan says."""
+    def make_node(self, at: int, members: bool | None = None) -> Node:
+        """Return a node that is not started, by default with or without `members` as the plan states."""
         plan = self.plan
         row: dict[str, Any] = {"settings": {"registryMode": "push"} | plan.settings, "name": f"n{at}"}
         if plan.members if members is None else members:
             row["members"] = {
-                "listen": f"127.0.0.1:{self._listens[at]}",
-                "zone": f"z{self.zone(at)}",
+                "listen": f"127.0.0.1:{self._member_ports[at]}",
+                "zone": f"z{self.zone_of(at)}",
                 "routes": str(self.folder / f"routes-{at}"),
-                "clock_offset_ms": plan.clocks_ms[at % len(plan.clocks_ms)],
+                "clock_offset_ms": plan.clock_offsets_ms[at % len(plan.clock_offsets_ms)],
             } | plan.member_settings
-        discovery = self.posts[at].port if self.posts else self.agent(at).port
+        discovery = self.agent_links[at].port if self.agent_links else self.agent(at).port
         return Node(self.folder, [], discovery, **row)
 
     def launch(self, nodes: Sequence[Node]) -> None:
-        for at in range(0, len(nodes), AT_ONCE):
-            batch = nodes[at : at + AT_ONCE]
+        """Start the nodes in batches and wait until each one responds."""
+        for at in range(0, len(nodes), MAX_PARALLEL_STARTS):
+            batch = nodes[at : at + MAX_PARALLEL_STARTS]
             for node in batch:
                 node.launch()
             for node in batch:
-                until(lambda node=node: _up(node), LIMIT_S, f"{node.log.name} up")  # type: ignore[misc]
+                until(lambda node=node: _is_up(node), LIMIT_S, f"{node.log.name} up")  # type: ignore[misc]
 
     def close(self) -> None:
+        """End all that was started, the last first."""
         while self._closing:
             self._closing.pop()()
 
@@ -182,127 +209,149 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    # ------------------------------------------------------------------ what it says
+    # ------------------------------------------------------------------ status
 
     def status(self, at: int) -> dict[str, Any]:
-        status, found = self.nodes[at].call_door("/status/members")
-        if status != 200:
-            raise OSError(f"the door of n{at} answered {status}")
-        return found  # type: ignore[no-any-return]
-
-    def statuses(self, chosen: Iterable[int]) -> list[dict[str, Any]]:
+        """Return the GET /status/members response of node `at`; raise OSError unless it is a 200."""
+        code, members = self.nodes[at].call_door("/status/members")
+        if code != 200:
+            raise OSError(f"the admin server of n{at} responded {code}")
+        return members  # type: ignore[no-any-return]
+
+    def statuses(self, indexes: Iterable[int]) -> list[dict[str, Any]]:
+        """Return the /status/members responses of these nodes, read concurrently."""
         with ThreadPoolExecutor(16) as pool:
-            return list(pool.map(self.status, chosen))
+            return list(pool.map(self.status, indexes))
 
     def metrics(self, name: str) -> list[float]:
+        """Return the metric `proxy.NAME` of every node."""
         with ThreadPoolExecutor(16) as pool:
             return list(pool.map(lambda node: node.metric(f"proxy.{name}"), self.nodes))
 
-    def until_shared(self, chosen: Sequence[int] | None = None, heard: bool = True) -> None:
-        """Until these (or all) are all that is enrolled, each has its part and hears others if `heard`."""
-        chosen = range(len(self.nodes)) if chosen is None else chosen
-        part = 1.0 / len(chosen)
+    def wait_until_quotas_equal(
+        self, indexes: Sequence[int] | None = None, siblings_present: bool = True
+    ) -> None:
+        """Wait until exactly these nodes (default: all) are enrolled as electors with equal quotas.
 
-        def shared() -> bool:
+        `siblings_present`: also wait until each of them has the verdict `present` for all its siblings.
+        """
+        indexes = range(len(self.nodes)) if indexes is None else indexes
+        quota = 1.0 / len(indexes)
+
+        def equal() -> bool:
             return all(
-                found["rows"] == len(chosen)
-                and abs(found["share"] - part) < 1e-6
-                and found["elector"]
-                and (not heard or all(row["verdict"] == "present" for row in found["siblings"]))
-                for found in self.statuses(chosen)
+                status["rows"] == len(indexes)
+                and abs(status["share"] - quota) < 1e-6
+                and status["elector"]
+                and (not siblings_present or all(row["verdict"] == "present" for row in status["siblings"]))
+                for status in self.statuses(indexes)
             )
 
-        until(shared, LIMIT_S, f"a share of {part:.4f} at {len(chosen)} nodes")
+        until(equal, LIMIT_S, f"a quota of {quota:.4f} at {len(indexes)} nodes")
 
-    def warm(self) -> None:
-        """Until no node has a blind route: a group of such alone is a reason to vote no.
+    def warm_up(self) -> None:
+        """Send requests through all nodes until no node has a route with confidence `blind`.
 
-        All nodes are sent requests, as each prefers some servers and hears of the others from siblings.
+        A node rejects a route version that has a group with `blind` routes only. Requests go through every
+        node, because a node prefers some servers and learns about the others from its siblings.
         """
-        until(self._warmed, LIMIT_S, "a mark better than blind on every route")
+        until(self._is_warmed_up, LIMIT_S, "a confidence better than blind on every route")
 
-    def _warmed(self) -> bool:
+    def _is_warmed_up(self) -> bool:
         with ThreadPoolExecutor(16) as pool:
-            list(pool.map(self._send_some, self.nodes))
+            list(pool.map(self._send_requests, self.nodes))
             time.sleep(0.5)
-            return all(pool.map(self._sees_all, self.nodes))
+            return all(pool.map(self._knows_all_servers, self.nodes))
 
-    def _send_some(self, node: Node) -> None:
+    def _send_requests(self, node: Node) -> None:
         for number in range(2 * self.plan.servers):
             name = f"warm-{node.port}-{number}-{time.monotonic_ns()}"
             asyncio.run(
                 send_request(("127.0.0.1", node.port), "GET", f"/read/{name}", headers={"Req-Id": name})
             )
 
-    def _sees_all(self, node: Node) -> bool:
+    def _knows_all_servers(self, node: Node) -> bool:
         edges = node.call_door("/status/routes")[1]["edges"]
-        marks = [row["mark"] for row in edges if row["kind"] == "server"]
-        return len(marks) == self.plan.servers and "blind" not in marks
+        levels = [row["mark"] for row in edges if row["kind"] == "server"]
+        return len(levels) == self.plan.servers and "blind" not in levels
 
-    def rows(self) -> list[dict[str, Any]]:
+    def member_records(self) -> list[dict[str, Any]]:
+        """Return the list service's records of all members, live or not."""
         return ask(self.agents[0].port, "GET", "/fleet/members")[2]["members"]  # type: ignore[no-any-return]
 
     def routes(self) -> dict[str, Any]:
-        return until(self._routes, LIMIT_S, "routes read")  # type: ignore[no-any-return]
+        """Return the list service's GET /fleet/routes response, retried until it is a 200."""
+        return until(self._read_routes, LIMIT_S, "GET /fleet/routes")  # type: ignore[no-any-return]
 
-    def _routes(self) -> dict[str, Any] | None:
-        status, _, told = ask(self.agents[0].port, "GET", "/fleet/routes")
-        return told if status == 200 else None
+    def _read_routes(self) -> dict[str, Any] | None:
+        status, _, routes = ask(self.agents[0].port, "GET", "/fleet/routes")
+        return routes if status == 200 else None
 
     # ------------------------------------------------------------------ routes
 
     def propose(self, weights: Sequence[float] = (1.0, 1.0)) -> int:
-        """A version like no other so far: reads go to the models by these weights; 0 leaves one out."""
+        """Propose a route version and return its number.
+
+        Read requests go to the models by these weights; a model of weight 0 gets none. A comment makes the
+        text differ from that of every earlier version.
+        """
         groups = "".join(
             f'[[class.read.group]]\nmodel = "{model}"\nweight = {weight}\n'
             for model, weight in zip(self.plan.models, weights, strict=True)
             if weight
         )
-        text = f"{groups}# {next(self._texts)}\n".encode()
+        text = f"{groups}# {next(self._table_numbers)}\n".encode()
         port = self.agents[0].port
 
-        def said() -> int | None:
-            reply = asyncio.run(send_request(("127.0.0.1", port), "PUT", "/fleet/routes", text))
-            if reply.status == 400:
-                raise AssertionError(reply.body)
-            return int(orjson.loads(reply.body)["number"]) if reply.status == 200 else None
+        def proposed_number() -> int | None:
+            response = asyncio.run(send_request(("127.0.0.1", port), "PUT", "/fleet/routes", text))
+            if response.status == 400:
+                raise AssertionError(response.body)
+            return int(orjson.loads(response.body)["number"]) if response.status == 200 else None
 
-        return int(until(said, LIMIT_S, "a version proposed"))
+        return int(until(proposed_number, LIMIT_S, "a version proposed"))
 
 
-def _up(node: Node) -> bool:
+def _is_up(node: Node) -> bool:
     return node.call_door("/status/metrics")[0] == 200
 
 
-def _end(node: Node) -> None:
+def _kill_if_running(node: Node) -> None:
     if node.process is not None and node.process.poll() is None:
         node.kill()
 
 
-class Samples:
-    """GET /status/members of every node each `every_s`, from one thread, until `stop`."""
+class MembersSampler:
+    """Reads GET /status/members of every node every `period_s` on a thread until `stop`.
+
+    `samples` has each node's samples, by the node's index.
+    """
 
-    def __init__(self, nodes: Sequence[Node], every_s: float = 0.05) -> None:
-        self.of: list[list[Sample]] = [[] for _ in nodes]
+    def __init__(self, nodes: Sequence[Node], period_s: float = 0.05) -> None:
+        self.samples: list[list[Sample]] = [[] for _ in nodes]
         self._loops = LoopThread()
-        self._every_s, self._on = every_s, True
+        self._period_s, self._on = period_s, True
         self._loops.call(lambda: self._begin(nodes))
 
     def _begin(self, nodes: Sequence[Node]) -> None:
         self._tasks = [asyncio.create_task(self._read(at, node.door)) for at, node in enumerate(nodes)]
 
-    async def _read(self, at: int, door: int) -> None:
+    async def _read(self, at: int, operator_port: int) -> None:
         while True:
             sent = time.monotonic()
             with suppress(OSError, TimeoutError, ValueError):
-                reply = await send_request(("127.0.0.1", door), "GET", "/status/members", timeout_s=2.0)
-                if reply.status == 200:
-                    self.of[at].append(Sample(sent, time.monotonic(), orjson.loads(reply.body)))
-            await asyncio.sleep(max(0.0, sent + self._every_s - time.monotonic()))
+                response = await send_request(
+                    ("127.0.0.1", operator_port), "GET", "/status/members", timeout_s=2.0
+                )
+                if response.status == 200:
+                    self.samples[at].append(Sample(sent, time.monotonic(), orjson.loads(response.body)))
+            await asyncio.sleep(max(0.0, sent + self._period_s - time.monotonic()))
 
     def stop(self) -> None:
+        """End the sampling; `samples` stays readable."""
         self._loops.close()
 
 
 def load_average() -> float:
+    """Return the machine's load average over the last minute."""
     return round(os.getloadavg()[0], 1)
--- a/bench/lease_recovery.py
+++ b/bench/lease_recovery.py
@@ -1,11 +1,12 @@
-"""How soon members have a lease again after they were wrong about service time.
+"""Measures how soon members hold a lease again after a fault that falsifies their idea of service time.
 
     python bench/lease_recovery.py [--runs 200 --seed 1 --members 5]
 
-Each run draws a fault and its size: an older answer in place of a newer, the leader's or a member's clock
-set, a leader that continues service time from its log, a process stopped in the middle of a call, a wrong
-estimate. Clocks are injected (tests/support/lease_world.py). Prints one JSON line: times from the fault's end
-in terms of the lease, and how many members had none within the limit.
+Each run has one of these faults, with a random size: an old response in place of the current one, a step of
+the leader's or a member's clock, a new leader that knows service time from the log only, a process paused in
+the middle of a call, a wrong estimate of service time. Time is simulated (tests/support/lease_world.py). The
+program prints one JSON line: the times from the end of the fault to the next lease, in lease terms, and the
+number of members (`none`) that got no lease within the limit.
 """
 
 from __future__ import annotations
@@ -30,21 +31,27 @@
 
 LIMIT_TERMS = 12.0
 
-Fault = Callable[[LeaseWorld, Random], Awaitable[list[LeasedMember]]]  # returns the members that it befell
+Fault = Callable[[LeaseWorld, Random], Awaitable[list[LeasedMember]]]  # returns the affected members
+
+
+# The names of these functions are keys of the printed JSON.
 
 
 async def older_answer(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+    """Replace the response to a member's renewal by an older one."""
     member = rng.choice(world.members)
     await OlderAnswer(member, rng.uniform(0.2, 10.0) * TTL_MS).injected.wait()
     return [member]
 
 
 async def leader_clock_set(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+    """Step the leader's clock, forward or back."""
     world.service.clocks.offset_ms += rng.uniform(-3.0, 0.9) * TTL_MS
     return world.members
 
 
 async def member_clock_set(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+    """Step a member's clock forward."""
     member = rng.choice(world.members)
     member.clock.set_by(rng.uniform(0.1, 5.0) * TTL_MS)
     member.client._tick()
@@ -52,6 +59,7 @@
 
 
 async def service_time_lost(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+    """Replace the leader by one that knows service time from the log only."""
     world.service.lead(ServiceClock())
     while not world.service.leads():
         await pause(1.0)
@@ -59,16 +67,18 @@
 
 
 async def stopped_in_call(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+    """Pause a member's process between a response and its handling."""
     member = rng.choice(world.members)
     await StoppedInCall(member, rng.uniform(0.1, 5.0) * TTL_MS).going_on.wait()
     return [member]
 
 
 async def wrong_estimate(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+    """Give all members the same wrong estimate of service time."""
     await world.until_no_call_is_in_flight()
-    off_ms = rng.uniform(-10.0, 10.0) * TTL_MS
+    error_ms = rng.uniform(-10.0, 10.0) * TTL_MS
     for member in world.members:
-        believe_wrongly(member, world, off_ms)
+        believe_wrongly(member, world, error_ms)
     return world.members
 
 
@@ -77,8 +87,8 @@
 )  # fmt: skip
 
 
-def times_of(fault: Fault, members: int, seed: int) -> list[float]:
-    """The terms from the fault's end to a lease of each member that it befell."""
+def recovery_terms(fault: Fault, members: int, seed: int) -> list[float]:
+    """Return for each affected member the lease terms from the end of the fault to its next lease."""
     times: list[float] = []
 
     async def main() -> None:
@@ -86,8 +96,8 @@
         world = LeaseWorld(Path(folder), members, seed)
         await world.until_settled()
         await pause(rng.uniform(0.0, TTL_MS))
-        befallen = await fault(world, rng)
-        times.extend(await world.times_to_lease_ms(befallen, LIMIT_TERMS * TTL_MS))
+        affected = await fault(world, rng)
+        times.extend(await world.times_to_lease_ms(affected, LIMIT_TERMS * TTL_MS))
         world.close()
 
     with tempfile.TemporaryDirectory() as folder:
@@ -95,21 +105,25 @@
     return [time_ms / TTL_MS for time_ms in times]
 
 
-def percentile(times: list[float], part: float) -> float:
-    return round(sorted(times)[min(len(times) - 1, math.ceil(part * len(times)) - 1)], 3)
+def percentile(times: list[float], fraction: float) -> float:
+    """Return the smallest time that at least this fraction (0 to 1) of the times doesn't exceed."""
+    return round(sorted(times)[min(len(times) - 1, math.ceil(fraction * len(times)) - 1)], 3)
 
 
 def main() -> None:
+    """Run the faults in turn and print the recovery times by fault."""
     parser = argparse.ArgumentParser()
     for name, default in (("runs", 200), ("seed", 1), ("members", 5)):
         parser.add_argument(f"--{name}", type=int, default=default)
-    asked = parser.parse_args()
+    arguments = parser.parse_args()
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     logging.getLogger("loadbalancer").setLevel(logging.CRITICAL)
     by_fault: dict[str, list[float]] = {}
-    for at in range(asked.runs):
-        fault = FAULTS[at % len(FAULTS)]
-        by_fault.setdefault(fault.__name__, []).extend(times_of(fault, asked.members, asked.seed + at))
+    for number in range(arguments.runs):
+        fault = FAULTS[number % len(FAULTS)]
+        by_fault.setdefault(fault.__name__, []).extend(
+            recovery_terms(fault, arguments.members, arguments.seed + number)
+        )
     by_fault["all"] = [time for times in by_fault.values() for time in times]
     rows = {
         name: {
@@ -121,7 +135,7 @@
         }
         for name, times in by_fault.items()
     }
-    print(json.dumps({"runs": asked.runs, "seed": asked.seed, "terms": rows}))
+    print(json.dumps({"runs": arguments.runs, "seed": arguments.seed, "terms": rows}))
 
 
 if __name__ == "__main__":
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,17 +1,20 @@
-"""Figures of the node's state file: its write cost, and a node's return warm against cold. Outside CI.
+"""Benchmarks of the node's state file: its write cost, and restarts with it (warm) and without (cold).
+
+CI does not run them.
 
     python bench/recovery.py write [--servers 10000 --writes 50]
     python bench/recovery.py restart [--rounds 20]
     python bench/recovery.py threshold
     python bench/recovery.py refusals [--rounds 3 --callers 16]
 
-`write` encodes and writes (fsync, rename, fsync) the file of a node that lists so many servers.
-`restart` runs a node process under a steady client, kills it with SIGKILL and starts it again,
-with its state file (warm) and without (cold), and times each start to its first served request.
-`threshold` feeds the module a busy stretch, then a Restored of it, and compares the threshold at
-the first period of a warm start with the one it had and with a cold start's.
-`refusals` loads a node over 4 servers that take 2 calls of 50 ms at once each (more are answered 503),
-kills it and counts the answers other than 200 in the 10 s after its start again, warm and cold.
+`write` encodes and writes (fsync, rename, fsync) the state file of a node with `--servers` listed servers.
+`restart` runs a node process under constant load, kills it with SIGKILL and starts it again, with its state
+file (warm) and without (cold), and measures the time from each start to the first request with status 200.
+`threshold` runs a balancer under load, restores its state in a new one, and compares three thresholds: before
+the restart, and in the first control period of a warm and of a cold start.
+`refusals` loads a node in front of 4 servers, each with a capacity of 2 concurrent requests of 50 ms (others
+get a 503), kills the node and counts the responses other than 200 in the 10 s after its restart, warm and
+cold.
 Each prints one JSON line.
 """
 
@@ -51,34 +54,36 @@
 
 
 def write(count: int, writes: int) -> dict[str, Any]:
+    """Measure the encoding, writing and verifying of a state file with `count` servers."""
     listed = make_endpoints(count)
     endpoints = {server.name: ("10.1.0.1", 7000 + at) for at, server in enumerate(listed)}
     listing = DiscoveryResponse(count, True, listed, endpoints)
     learned = Balancer(settings(), 1, 0.0).learned_state()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "n0.state"
-        encodes, puts = [], []
+        encode_times, write_times = [], []
         for _ in range(writes):
             began = time.perf_counter()
             data = snapshot.encode_state("n0", time.time() * 1000.0, learned, {}, listing)
             encoded = time.perf_counter()
             write_atomically(path, data)
-            encodes.append(encoded - began)
-            puts.append(time.perf_counter() - encoded)
+            encode_times.append(encoded - began)
+            write_times.append(time.perf_counter() - encoded)
         began = time.perf_counter()
         snapshot.verify_state(path.read_bytes(), "n0", time.time() * 1000.0, 0)
         verify_ms = (time.perf_counter() - began) * 1000.0
     return {
         "servers": count,
         "bytes": len(data),
-        "encode_ms_p50": round(statistics.median(encodes) * 1000.0, 2),
-        "write_ms_p50": round(statistics.median(puts) * 1000.0, 2),
-        "write_ms_max": round(max(puts) * 1000.0, 2),
+        "encode_ms_p50": round(statistics.median(encode_times) * 1000.0, 2),
+        "write_ms_p50": round(statistics.median(write_times) * 1000.0, 2),
+        "write_ms_max": round(max(write_times) * 1000.0, 2),
         "verify_ms": round(verify_ms, 2),
     }
 
 
-def _first_served(port: int) -> float:
+def _seconds_to_first_success(port: int) -> float:
+    """Send requests until one gets status 200; return the time that this took in s."""
     began = time.monotonic()
     while True:
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=1)
@@ -95,8 +100,9 @@
 
 
 def restart(rounds: int) -> dict[str, Any]:
+    """Measure the time from a node's start to its first success after a SIGKILL, warm and cold."""
     upstream = StubServerPool(1)
-    figures: dict[str, list[float]] = {"warm": [], "cold": []}
+    times_by_kind: dict[str, list[float]] = {"warm": [], "cold": []}
     try:
         with tempfile.TemporaryDirectory() as folder:
             for kind in ("warm", "cold"):
@@ -109,10 +115,10 @@
                     assert node.process is None or node.process.poll() is not None
                     node.start()
                     listening = time.monotonic() - began
-                    figures[kind].append(listening + _first_served(node.port))
-                    client = Load(node.port)
+                    times_by_kind[kind].append(listening + _seconds_to_first_success(node.port))
+                    load = Load(node.port)
                     time.sleep(0.3)
-                    client.finish()
+                    load.finish()
                     node.kill()
     finally:
         upstream.close()
@@ -122,17 +128,19 @@
             "max_ms": round(max(times) * 1000.0, 1),
             "rounds": len(times),
         }
-        for kind, times in figures.items()
+        for kind, times in times_by_kind.items()
     }
 
 
-def _load(port: int, callers: int, seconds: float, prefix: str) -> Counter[int]:
+def _run_load(port: int, callers: int, seconds: float, prefix: str) -> Counter[int]:
+    """Send requests from `callers` concurrent clients for `seconds`; return the responses by status."""
     load = Load(port, prefix, workers=callers, timeout_s=2.0)
     time.sleep(seconds)
     return load.finish()
 
 
 def refusals(rounds: int, callers: int) -> dict[str, Any]:
+    """Count the responses other than 200 after a node's restart under load, warm and cold."""
     backends = StubServerPool(4, latency_ms=50.0, capacity=2)
     found: dict[str, list[float]] = {"warm": [], "cold": []}
     try:
@@ -141,13 +149,13 @@
                 state = Path(folder) / f"{kind}.state"
                 node = Node(Path(folder), backends.known_targets(), state=str(state), state_every_ms=200)
                 node.start()
-                _load(node.port, callers, 10.0, f"{kind}-")  # learned under this load
+                _run_load(node.port, callers, 10.0, f"{kind}-")  # the node learns from this load
                 for number in range(rounds):
                     node.kill()
                     if kind == "cold":
                         state.unlink(missing_ok=True)
                     node.start()
-                    statuses = _load(node.port, callers, 10.0, f"{kind}{number}-")
+                    statuses = _run_load(node.port, callers, 10.0, f"{kind}{number}-")
                     found[kind].append(sum(statuses.values()) - statuses[200])
                     found.setdefault(f"{kind}_answers", []).append(sum(statuses.values()))
                 node.kill()
@@ -157,46 +165,50 @@
 
 
 def threshold() -> dict[str, Any]:
+    """Compare the threshold of a busy balancer with those of new ones with its state and without."""
     listed = make_endpoints(8)
     busy = Balancer(settings(), 1, 0.0)
     busy.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, listed))
     now, number = 0.0, 0
-    while now < 20_000.0:  # twenty seconds of a busy pool whose servers answer in 40 ms
+    while now < 20_000.0:  # 20 s: a request every 5 ms, each with a server latency of 40 ms
         now += 5.0
-        for act in busy.handle(now, Request(f"r{number}", "read", now + 1000.0)):
-            if isinstance(act, Send):
-                busy.handle(now + 40.0, AttemptOutcome(act.id, 0, act.server, AttemptResult.OK, 40.0, True))
+        for action in busy.handle(now, Request(f"r{number}", "read", now + 1000.0)):
+            if isinstance(action, Send):
+                busy.handle(
+                    now + 40.0, AttemptOutcome(action.id, 0, action.server, AttemptResult.OK, 40.0, True)
+                )
         number += 1
         busy.handle(now, TimerFired("period"))
     before = busy.threshold(1.0, len(busy.ready))
     found = {}
     for kind, event in (("warm", StateRestored(busy.learned_state(), 500.0)), ("cold", None)):
-        node = Balancer(settings(), 2, 0.0)
-        node.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, listed))
+        balancer = Balancer(settings(), 2, 0.0)
+        balancer.handle(0.0, EndpointListUpdate(EndpointListKind.FULL, listed))
         if event is not None:
-            node.handle(0.0, event)
-        node.handle(0.0, TimerFired("period"))
-        found[kind] = round(node.threshold(1.0, len(node.ready)), 1)
+            balancer.handle(0.0, event)
+        balancer.handle(0.0, TimerFired("period"))
+        found[kind] = round(balancer.threshold(1.0, len(balancer.ready)), 1)
     return {"before_kill": round(before, 1), "first_period": found}
 
 
 def main() -> None:
+    """Run the benchmark named on the command line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("figure", choices=["write", "restart", "threshold", "refusals"])
     parser.add_argument("--callers", type=int, default=16)
     parser.add_argument("--servers", type=int, default=10_000)
     parser.add_argument("--writes", type=int, default=50)
     parser.add_argument("--rounds", type=int, default=20)
-    told = parser.parse_args()
-    if told.figure == "write":
-        result = write(told.servers, told.writes)
-    elif told.figure == "restart":
-        result = restart(told.rounds)
-    elif told.figure == "refusals":
-        result = refusals(told.rounds, told.callers)
+    arguments = parser.parse_args()
+    if arguments.figure == "write":
+        result = write(arguments.servers, arguments.writes)
+    elif arguments.figure == "restart":
+        result = restart(arguments.rounds)
+    elif arguments.figure == "refusals":
+        result = refusals(arguments.rounds, arguments.callers)
     else:
         result = threshold()
-    print(orjson.dumps({told.figure: result}).decode())
+    print(orjson.dumps({arguments.figure: result}).decode())
 
 
 if __name__ == "__main__":
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -1,4 +1,6 @@
-"""Figures of the list service on loopback: propagation, leader loss, a large list. Outside CI.
+"""Benchmarks of the list service on loopback: propagation, leader loss, a large list.
+
+CI does not run them.
 
     python bench/registry.py propagation [--changes 1000 --agents 10]
     python bench/registry.py failover [--rounds 5]
@@ -6,9 +8,15 @@
     python bench/registry.py outage [--seconds 30]
     python bench/registry.py node [--servers 10000]
 
-Each starts three instances and the agents as processes (tests/support/registry_processes.py) in a fresh
-folder and prints one JSON line of figures. A watcher in this process follows each agent as a node
-does (a watch, then the next one at once), so "seen" is when a node would have the change.
+`propagation`: time from a write at the leader until each agent's watchers have the change.
+`failover`: time from the kill of the leader until writes succeed again.
+`large`: registration, reads and propagation of a list of `--servers` servers.
+`outage`: reads at an agent while all instances are down for `--seconds`, and the time to recover.
+`node`: time and memory that a node takes for a complete list of `--servers` servers.
+
+Each benchmark starts three instances and the agents as processes (tests/support/registry_processes.py) in a
+new folder and prints one JSON line. To find out when a node would receive a change, this process watches each
+agent as a node does: as soon as one watch call has its response, it sends the next.
 """
 
 from __future__ import annotations
@@ -34,60 +42,62 @@
 
 
 async def follow(port: int, seen: dict[str, float], stop: asyncio.Event) -> None:
-    """Watch an agent as a node does, noting when each uid first shows."""
+    """Watch an agent as a node does; `seen` gets the time at which each uid is first received."""
     since: int | None = None
     while not stop.is_set():
         target = "/discovery/hosts" if since is None else f"/discovery/hosts?since={since}&timeout_ms=1000"
         try:
-            reply = await send_request(("127.0.0.1", port), "GET", target, timeout_s=3)
+            response = await send_request(("127.0.0.1", port), "GET", target, timeout_s=3)
         except (OSError, TimeoutError):
             await asyncio.sleep(0.01)
             continue
         now = time.monotonic()
-        page = orjson.loads(reply.body)
+        page = orjson.loads(response.body)
         since = page["rev"]
         for row in page["targets"]:
             seen.setdefault(row["uid"], now)
 
 
-async def read_on(port: int, counts: dict[str, int], stop: asyncio.Event) -> None:
-    """Read an agent's whole list every 10 ms, counting the reads that failed."""
+async def read_repeatedly(port: int, counts: dict[str, int], stop: asyncio.Event) -> None:
+    """Read an agent's complete list again and again, 10 ms apart, and count the failed reads."""
     while not stop.is_set():
         counts["reads"] += 1
         try:
-            reply = await send_request(("127.0.0.1", port), "GET", "/discovery/hosts", timeout_s=1)
-            counts["failures"] += reply.status != 200
+            response = await send_request(("127.0.0.1", port), "GET", "/discovery/hosts", timeout_s=1)
+            counts["failures"] += response.status != 200
         except (OSError, TimeoutError):
             counts["failures"] += 1
         await asyncio.sleep(0.01)
 
 
 async def register(port: int, prefix: str, count: int) -> None:
-    """Register `count` servers, 32 writes in flight at a time."""
+    """Register `count` servers with up to 32 writes in flight."""
     limit = asyncio.Semaphore(32)
 
-    async def one(number: int) -> None:
+    async def register_one(number: int) -> None:
         async with limit:
             assert await put(port, f"{prefix}-{number}", f"127.0.0.1:{1024 + number % 60000}") == 200
 
-    await asyncio.gather(*(one(number) for number in range(count)))
+    await asyncio.gather(*(register_one(number) for number in range(count)))
 
 
 async def put(port: int, uid: str, endpoint: str) -> int:
+    """Register one server at an instance and return the response's status."""
     body = orjson.dumps({"uid": uid, "endpoint": endpoint})
-    reply = await send_request(("127.0.0.1", port), "PUT", f"/registry/targets/{uid}", body, timeout_s=5)
-    return reply.status
+    response = await send_request(("127.0.0.1", port), "PUT", f"/registry/targets/{uid}", body, timeout_s=5)
+    return response.status
 
 
 async def propagation(folder: Path, changes: int, agents: int) -> dict[str, Any]:
+    """Measure the time from each of `changes` writes until it is received from every agent."""
     registry = Registry(folder, ttl_ms=600_000)
     started = [registry.agent() for _ in range(agents)]
     try:
         for agent in started:
-            until(lambda agent=agent: agent.page() is not None, what="an agent")
+            until(lambda agent=agent: agent.page() is not None, what="an agent with a list")
         registry.put("s-warm")
         for agent in started:
-            until(lambda agent=agent: "s-warm" in agent.listed(), what="a warm agent")
+            until(lambda agent=agent: "s-warm" in agent.listed(), what="an agent with the first server")
         views: list[dict[str, float]] = [{} for _ in started]
         stop = asyncio.Event()
         watchers = [asyncio.create_task(follow(a.port, v, stop)) for a, v in zip(started, views, strict=True)]
@@ -106,7 +116,9 @@
         stop.set()
         for watcher in watchers:
             watcher.cancel()
-        delays = [(view[uid] - at) * 1000 for view in views for uid, at in sent.items() if uid in view]
+        delays = [
+            (view[uid] - sent_at) * 1000 for view in views for uid, sent_at in sent.items() if uid in view
+        ]
         missing = changes * agents - len(delays)
         return {
             "bench": "propagation",
@@ -125,15 +137,16 @@
 
 
 async def failover(folder: Path, rounds: int) -> dict[str, Any]:
+    """Kill the leader `rounds` times; measure how long writes fail, and count an agent's failed reads."""
     registry = Registry(folder, ttl_ms=600_000)
     agent = registry.agent()
     gaps = []
     try:
         registry.put("s-0")
-        until(lambda: "s-0" in agent.listed(), what="the agent")
+        until(lambda: "s-0" in agent.listed(), what="the agent with the first server")
         counts = {"reads": 0, "failures": 0}
         stop = asyncio.Event()
-        reader = asyncio.create_task(read_on(agent.port, counts, stop))
+        reader = asyncio.create_task(read_repeatedly(agent.port, counts, stop))
         for number in range(rounds):
             leader = registry.leader()
             killed = time.monotonic()
@@ -171,19 +184,20 @@
 
 
 async def large(folder: Path, servers: int, agents: int) -> dict[str, Any]:
+    """Register a large list; measure reads of it, the propagation of one more server, and memory."""
     registry = Registry(folder, ttl_ms=600_000)
     started = []
     try:
         leader = registry.http[registry.leader()]
-        begun = time.monotonic()
+        start = time.monotonic()
         await register(leader, "l", servers)
-        registered_s = time.monotonic() - begun
+        registered_s = time.monotonic() - start
         timings = []
         for _ in range(20):
-            at = time.monotonic()
-            reply = await send_request(("127.0.0.1", leader), "GET", "/discovery/hosts", timeout_s=10)
-            timings.append((time.monotonic() - at) * 1000)
-        size = len(reply.body)
+            start = time.monotonic()
+            response = await send_request(("127.0.0.1", leader), "GET", "/discovery/hosts", timeout_s=10)
+            timings.append((time.monotonic() - start) * 1000)
+        size = len(response.body)
         started = [registry.agent() for _ in range(agents)]
         for agent in started:
             until(
@@ -194,11 +208,11 @@
         watchers = [asyncio.create_task(follow(a.port, v, stop)) for a, v in zip(started, views, strict=True)]
         while not all(len(view) >= servers for view in views):
             await asyncio.sleep(0.05)
-        at = time.monotonic()
+        start = time.monotonic()
         assert await put(leader, "l-new", "127.0.0.1:9") == 200
         while not all("l-new" in view for view in views):
             await asyncio.sleep(0.001)
-        fan_out_ms = max(view["l-new"] for view in views) - at
+        fan_out_s = max(view["l-new"] for view in views) - start
         stop.set()
         for watcher in watchers:
             watcher.cancel()
@@ -211,7 +225,7 @@
             "full_list_bytes": size,
             "full_list_p50_ms": round(quantile(timings, 0.5), 1),
             "full_list_max_ms": round(max(timings), 1),
-            "fan_out_all_agents_ms": round(fan_out_ms * 1000, 1),
+            "fan_out_all_agents_ms": round(fan_out_s * 1000, 1),
             "instance_rss_mb": [round(rss_mb(pid)) for pid in instances],
             "agent_rss_mb_median": round(statistics.median(rss_mb(a.process.pid) for a in started)),
         }
@@ -222,30 +236,30 @@
 
 
 async def outage(folder: Path, seconds: float) -> dict[str, Any]:
-    """All three instances killed for a while: the agent's reads meanwhile, and the way back."""
+    """Kill all three instances for `seconds`; count the agent's failed reads and measure the recovery."""
     registry = Registry(folder, ttl_ms=10_000)
     agent = registry.agent()
     try:
         for number in range(100):
             registry.put(f"o-{number}")
-        until(lambda: len(agent.listed()) == 100, what="the agent's list")
+        until(lambda: len(agent.listed()) == 100, what="the agent with all servers")
         counts = {"reads": 0, "failures": 0}
         stop = asyncio.Event()
-        reader = asyncio.create_task(read_on(agent.port, counts, stop))
+        reader = asyncio.create_task(read_repeatedly(agent.port, counts, stop))
         for index in range(3):
             registry.kill(index)
         await asyncio.sleep(seconds)
         listed_during = len(agent.listed())
-        back = time.monotonic()
+        restarted = time.monotonic()
         for index in range(3):
             registry.start(index)
         registry.leader(within_s=30)
-        leader_ms = (time.monotonic() - back) * 1000
+        leader_ms = (time.monotonic() - restarted) * 1000
         while await put(registry.http[registry.leader()], "o-after", "127.0.0.1:9") != 200:
             await asyncio.sleep(0.02)
-        writes_ms = (time.monotonic() - back) * 1000
-        until(lambda: "o-after" in agent.listed(), what="the agent following again")
-        agent_ms = (time.monotonic() - back) * 1000
+        writes_ms = (time.monotonic() - restarted) * 1000
+        until(lambda: "o-after" in agent.listed(), what="the agent with a new server again")
+        agent_ms = (time.monotonic() - restarted) * 1000
         stop.set()
         await reader
         return {
@@ -265,7 +279,7 @@
 
 
 async def one_node(folder: Path, servers: int) -> dict[str, Any]:
-    """A node process taking a whole list of many servers from its agent: time and memory."""
+    """Measure the time and memory that a node takes for a complete list from its agent, then one change."""
     registry = Registry(folder, ttl_ms=600_000)
     agent = registry.agent()
     node = Node(folder, [], agent.port, settings={"registryMode": "push"})
@@ -273,18 +287,18 @@
         leader = registry.http[registry.leader()]
         await register(leader, "n", servers)
         until(lambda: len(agent.page()["targets"]) == servers, within_s=60, what="a full agent")
-        began = time.monotonic()
+        start = time.monotonic()
         node.launch()
-        until(lambda: node.listed() == servers, within_s=60, what="the node's whole list")
-        whole_ms = (time.monotonic() - began) * 1000
-        at = time.monotonic()
+        until(lambda: node.listed() == servers, within_s=60, what="the node's complete list")
+        complete_ms = (time.monotonic() - start) * 1000
+        change_start = time.monotonic()
         assert await put(leader, "n-new", "127.0.0.1:9") == 200
-        until(lambda: node.listed() == servers + 1, within_s=30, what="one change at the node")
+        until(lambda: node.listed() == servers + 1, within_s=30, what="the change at the node")
         return {
             "bench": "node",
             "servers": servers,
-            "start_to_whole_list_ms": round(whole_ms),
-            "one_change_ms": round((time.monotonic() - at) * 1000, 1),
+            "start_to_whole_list_ms": round(complete_ms),
+            "one_change_ms": round((time.monotonic() - change_start) * 1000, 1),
             "node_rss_mb": round(rss_mb(node.process.pid)),
         }
     finally:
@@ -294,6 +308,7 @@
 
 
 def main() -> None:
+    """Run the benchmark named on the command line and print its result."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("bench", choices=["propagation", "failover", "large", "outage", "node"])
     parser.add_argument("--seconds", type=float, default=30.0)
@@ -304,17 +319,17 @@
     arguments = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="registry-bench-") as folder:
         if arguments.bench == "propagation":
-            figures = asyncio.run(propagation(Path(folder), arguments.changes, arguments.agents or 10))
+            result = asyncio.run(propagation(Path(folder), arguments.changes, arguments.agents or 10))
         elif arguments.bench == "failover":
-            figures = asyncio.run(failover(Path(folder), arguments.rounds))
+            result = asyncio.run(failover(Path(folder), arguments.rounds))
         elif arguments.bench == "node":
-            figures = asyncio.run(one_node(Path(folder), arguments.servers))
+            result = asyncio.run(one_node(Path(folder), arguments.servers))
         elif arguments.bench == "outage":
-            figures = asyncio.run(outage(Path(folder), arguments.seconds))
+            result = asyncio.run(outage(Path(folder), arguments.seconds))
         else:
-            figures = asyncio.run(large(Path(folder), arguments.servers, arguments.agents or 100))
-    figures["cores"] = os.cpu_count()
-    print(orjson.dumps(figures).decode())
+            result = asyncio.run(large(Path(folder), arguments.servers, arguments.agents or 100))
+    result["cores"] = os.cpu_count()
+    print(orjson.dumps(result).decode())
 
 
 if __name__ == "__main__":
--- a/bench/scale/datapath.py
+++ b/bench/scale/datapath.py
@@ -89,7 +89,7 @@
         member_settings={"ask_every_ms": probe_period_ms},
     )
     with World(folder, plan) as world:
-        nodes = {OFF: world.node(0, members=False)} if members else {OFF: world.nodes[0]}
+        nodes = {OFF: world.make_node(0, members=False)} if members else {OFF: world.nodes[0]}
         if members:
             nodes[ON] = world.nodes[0]
             world.launch([nodes[OFF]])
@@ -97,7 +97,7 @@
             for node in nodes.values():
                 until(lambda node=node: node.listed() == servers, LIMIT_S, "the list")  # type: ignore[misc]
             if members:
-                world.until_shared()
+                world.wait_until_quotas_equal()
             assert isinstance(world.pool, StubPool)
             addresses = [("127.0.0.1", port) for port in world.pool.ports]
             yield Bench(nodes, addresses, world.pool.pids)
