--- a/bench/fleet_detection.py
+++ b/bench/fleet_detection.py
@@ -23,7 +23,7 @@
 
 
 def detect(folder: Path, nodes: int, rounds: int, ttl_ms: int, seed: int) -> Iterator[Result]:
-    """Kill a node: ms until each other node reports it as `unheard`, and from lease expiry to full quotas."""
+    """Kill a node: ms until it is `unheard` at the others; ms from lease expiry until they hold its quota."""
     rng = random.Random(seed)
     slowest, detections, recoveries = [], [], []
     with World(folder, Plan(nodes, ttl_ms=ttl_ms)) as world:
@@ -46,7 +46,7 @@
 
 
 def _kill_and_restart(world: World, victim: int) -> tuple[list[float], float]:
-    """Return the ms from the kill to `unheard` at each other node, and from lease expiry to full quotas."""
+    """Return the ms to `unheard` at each other node, and from lease expiry until they hold the quota."""
     others = [at for at in range(world.plan.nodes) if at != victim]
     incarnation = world.status(victim)["incarnation"]
     logs = {at: LogReader(world.nodes[at].log) for at in others}
@@ -78,7 +78,7 @@
     until(
         lambda: min(status["share"] for status in world.statuses(others)) > quota - 1e-6,
         LIMIT_S,
-        "full quotas",
+        "the others holding the quota",
     )
     recovery_ms = (time.monotonic() - expired_at) * 1000.0
     verdicts = [
--- a/bench/fleet_routes.py
+++ b/bench/fleet_routes.py
@@ -221,7 +221,7 @@
     def result(self, samples: list[list[Sample]], outcomes: dict[str, Outcome]) -> Result:
         """Check the invariants on the samples of all nodes and the outcomes of all requests.
 
-        A request counts as lost if it got no response although its node was not down at any time meanwhile.
+        A request counts as lost if it got no response although its node was running all the time.
         """
         lost = [
             name
--- a/bench/fleet_traffic.py
+++ b/bench/fleet_traffic.py
@@ -143,7 +143,7 @@
     if plan.members:
         world.wait_until_quotas_equal()
         first = min(range(plan.nodes), key=lambda at: world.status(at)["incarnation"])
-        if first in killed:  # if a group is split in halves, the half with the first incarnation goes on
+        if first in killed:  # of two halves of a group, the one with the first incarnation continues
             killed = set(world.nodes_in_zone(0))
     for node in world.nodes:
         until(lambda node=node: node.listed() == plan.servers, LIMIT_S, "the endpoint list")
@@ -184,9 +184,8 @@
 
 # A control period is 0.15 of the objective, so `sure` lasts for 0.48 s and `blind` begins after 7.7 s.
 LATENCY_OBJECTIVE_MS = 200.0
-Attempt = tuple[
-    float, str, str, bool
-]  # time of arrival (monotonic, s), server, request id, whether it failed
+# Time of arrival at the server (monotonic, s), server, request id, whether the attempt failed.
+Attempt = tuple[float, str, str, bool]
 
 
 class RecordingPool(StubServerPool):
--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -89,9 +89,8 @@
     prepare_ms: int = 10_000
     zones: int = 1
     clock_offsets_ms: Sequence[float] = (0.0,)  # assigned to the nodes in turn
-    relayed: bool = (
-        False  # relays for fault injection: one per link between nodes, one between node and agent
-    )
+    # Relays for fault injection: one on each link between two nodes, one between each node and its agent.
+    relayed: bool = False
     members: bool = True
     servers: int = 2
     latency_ms: float = 2.0
@@ -99,9 +98,8 @@
     models: Sequence[str] = ("m1", "m2")  # assigned to the servers in turn
     pool: type[StubServerPool] = StubServerPool
     settings: dict[str, Any] = field(default_factory=dict)
-    member_settings: dict[str, Any] = field(
-        default_factory=dict
-    )  # further keys of the `members` configuration
+    # Further keys of the nodes' `members` configuration.
+    member_settings: dict[str, Any] = field(default_factory=dict)
     seed: int = 1
 
 
@@ -331,9 +329,9 @@
         self.samples: list[list[Sample]] = [[] for _ in nodes]
         self._loops = LoopThread()
         self._period_s, self._on = period_s, True
-        self._loops.call(lambda: self._begin(nodes))
+        self._loops.call(lambda: self._start(nodes))
 
-    def _begin(self, nodes: Sequence[Node]) -> None:
+    def _start(self, nodes: Sequence[Node]) -> None:
         self._tasks = [asyncio.create_task(self._read(at, node.door)) for at, node in enumerate(nodes)]
 
     async def _read(self, at: int, operator_port: int) -> None:
--- a/bench/lease_recovery.py
+++ b/bench/lease_recovery.py
@@ -1,4 +1,4 @@
-"""Measures how soon members hold a lease again after a fault that falsifies their idea of service time.
+"""Measures how soon members hold a lease again after a fault made them wrong about service time.
 
     python bench/lease_recovery.py [--runs 200 --seed 1 --members 5]
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -275,8 +275,8 @@
     Requests to a node that was killed meanwhile are left out.
     """
     outages = {node.port: fleet._outages[at] for at, node in enumerate(fleet.nodes)}
-    # An outage by SIGTERM (`drained`) is no excuse: a draining node responds to what it has accepted.
     crossed = {name: outcome for load in fleet.loads for name, outcome in load.crossed.items()}
+    # Outages by SIGTERM (`drained`) excuse no loss: a draining node responds to all requests it has accepted.
     return {
         name: outcome
         for name, outcome in crossed.items()
