--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -63,15 +63,15 @@
         path = Path(folder) / "n0.state"
         encode_times, write_times = [], []
         for _ in range(writes):
-            began = time.perf_counter()
+            start = time.perf_counter()
             data = snapshot.encode_state("n0", time.time() * 1000.0, learned, {}, listing)
             encoded = time.perf_counter()
             write_atomically(path, data)
-            encode_times.append(encoded - began)
+            encode_times.append(encoded - start)
             write_times.append(time.perf_counter() - encoded)
-        began = time.perf_counter()
+        start = time.perf_counter()
         snapshot.verify_state(path.read_bytes(), "n0", time.time() * 1000.0, 0)
-        verify_ms = (time.perf_counter() - began) * 1000.0
+        verify_ms = (time.perf_counter() - start) * 1000.0
     return {
         "servers": count,
         "bytes": len(data),
@@ -84,14 +84,14 @@
 
 def _seconds_to_first_success(port: int) -> float:
     """Send requests until one gets status 200; return the time that this took in s."""
-    began = time.monotonic()
+    start = time.monotonic()
     while True:
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=1)
         try:
             name = f"b{time.monotonic_ns()}"
             connection.request("GET", f"/read/{name}", headers={"Req-Id": name})
             if connection.getresponse().status == 200:
-                return time.monotonic() - began
+                return time.monotonic() - start
         except OSError:
             pass
         finally:
@@ -101,27 +101,27 @@
 
 def restart(rounds: int) -> dict[str, Any]:
     """Measure the time from a node's start to its first success after a SIGKILL, warm and cold."""
-    upstream = StubServerPool(1)
+    servers = StubServerPool(1)
     times_by_kind: dict[str, list[float]] = {"warm": [], "cold": []}
     try:
         with tempfile.TemporaryDirectory() as folder:
             for kind in ("warm", "cold"):
                 state = Path(folder) / f"{kind}.state"
-                node = Node(Path(folder), upstream.known_targets(), state=str(state), state_every_ms=100)
+                node = Node(Path(folder), servers.known_targets(), state=str(state), state_every_ms=100)
                 for _ in range(rounds):
                     if kind == "cold":
                         state.unlink(missing_ok=True)
-                    began = time.monotonic()
+                    start = time.monotonic()
                     assert node.process is None or node.process.poll() is not None
                     node.start()
-                    listening = time.monotonic() - began
-                    times_by_kind[kind].append(listening + _seconds_to_first_success(node.port))
+                    listening_s = time.monotonic() - start
+                    times_by_kind[kind].append(listening_s + _seconds_to_first_success(node.port))
                     load = Load(node.port)
                     time.sleep(0.3)
                     load.finish()
                     node.kill()
     finally:
-        upstream.close()
+        servers.close()
     return {
         kind: {
             "start_to_first_served_ms_p50": round(statistics.median(times) * 1000.0, 1),
@@ -141,13 +141,13 @@
 
 def refusals(rounds: int, callers: int) -> dict[str, Any]:
     """Count the responses other than 200 after a node's restart under load, warm and cold."""
-    backends = StubServerPool(4, latency_ms=50.0, capacity=2)
+    servers = StubServerPool(4, latency_ms=50.0, capacity=2)
     found: dict[str, list[float]] = {"warm": [], "cold": []}
     try:
         with tempfile.TemporaryDirectory() as folder:
             for kind in ("warm", "cold"):
                 state = Path(folder) / f"{kind}.state"
-                node = Node(Path(folder), backends.known_targets(), state=str(state), state_every_ms=200)
+                node = Node(Path(folder), servers.known_targets(), state=str(state), state_every_ms=200)
                 node.start()
                 _run_load(node.port, callers, 10.0, f"{kind}-")  # the node learns from this load
                 for number in range(rounds):
@@ -160,7 +160,7 @@
                     found.setdefault(f"{kind}_answers", []).append(sum(statuses.values()))
                 node.kill()
     finally:
-        backends.close()
+        servers.close()
     return {kind: [int(value) for value in values] for kind, values in found.items()}
 
 
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -201,7 +201,9 @@
         started = [registry.agent() for _ in range(agents)]
         for agent in started:
             until(
-                lambda agent=agent: len(agent.page()["targets"]) == servers, within_s=60, what="a full agent"
+                lambda agent=agent: len(agent.page()["targets"]) == servers,
+                within_s=60,
+                what="an agent with the complete list",
             )
         views: list[dict[str, float]] = [{} for _ in started]
         stop = asyncio.Event()
@@ -286,7 +288,11 @@
     try:
         leader = registry.http[registry.leader()]
         await register(leader, "n", servers)
-        until(lambda: len(agent.page()["targets"]) == servers, within_s=60, what="a full agent")
+        until(
+            lambda: len(agent.page()["targets"]) == servers,
+            within_s=60,
+            what="an agent with the complete list",
+        )
         start = time.monotonic()
         node.launch()
         until(lambda: node.listed() == servers, within_s=60, what="the node's complete list")
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -344,11 +344,11 @@
         with tempfile.TemporaryDirectory() as temporary:
             folder = Path(temporary) if arguments.keep is None else arguments.keep / str(seed)
             folder.mkdir(parents=True, exist_ok=True)
-            began = time.monotonic()
+            start = time.monotonic()
             result = soak(seed, arguments.seconds, folder)
             load = round(os.getloadavg()[0], 1)
             print(
-                json.dumps(result | {"took_s": round(time.monotonic() - began, 1), "load": load}), flush=True
+                json.dumps(result | {"took_s": round(time.monotonic() - start, 1), "load": load}), flush=True
             )
             broken += "broken" in result
     return EXIT_RULE_BROKEN if broken else 0
