--- a/bench/fleet_detection.py
+++ b/bench/fleet_detection.py
@@ -209,9 +209,9 @@
     outside = [at for at in range(world.plan.nodes) if at not in inside]
     time.sleep(0.5 + wait_s)
     cut = time.monotonic()
-    world.net.cut(inside, outside)
+    world.net.partition(inside, outside)
     for at in inside:
-        world.posts[at].cut()
+        world.agent_proxies[at].partition()
     until(
         lambda: min(found["share"] for found in world.statuses(outside)) > 1.0 / len(outside) - 1e-6,
         LIMIT_S,
@@ -221,7 +221,7 @@
     healed = time.monotonic()
     world.net.heal()
     for at in inside:
-        world.posts[at].heal()
+        world.agent_proxies[at].heal()
     world.until_shared(heard=False)
     end = time.monotonic()
     moments = [cut + STEP_S * step for step in range(int((end - cut) / STEP_S))]
--- a/bench/fleet_routes.py
+++ b/bench/fleet_routes.py
@@ -152,8 +152,8 @@
         world = self._world
         assert world.net is not None
         world.net.heal()
-        for post in world.posts:
-            post.heal()
+        for proxy in world.agent_proxies:
+            proxy.heal()
         for index, instance in enumerate(world.registry.processes):
             if instance is None:
                 world.registry.start(index)
@@ -181,13 +181,13 @@
         node.send(signal.SIGCONT)
 
     def _cut_service(self) -> None:
-        self._world.posts[self._one()].cut()
+        self._world.agent_proxies[self._one()].partition()
 
     def _cut_nodes(self) -> None:
         everyone = range(self._world.plan.nodes)
         some = self._rng.sample(everyone, self._rng.randrange(1, len(everyone)))
         assert self._world.net is not None
-        self._world.net.cut(some, [at for at in everyone if at not in some])
+        self._world.net.partition(some, [at for at in everyone if at not in some])
 
     def _kill_leader(self) -> None:
         registry = self._world.registry
--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -18,7 +18,7 @@
 
 from bench.figures import quantile
 from loadbalancer.node.http.service_http import send_request
-from tests.support.faults import LoopThread, Net, Post
+from tests.support.faults import AgentProxy, LoopThread, RelayNetwork
 from tests.support.invariant_sampler import Sample
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
@@ -119,8 +119,8 @@
             model = plan.models[at % len(plan.models)]
             self.registry.put(f"s{at}", self.pool.port(at), az="a", model=model)
         self._listens = [free_port() for _ in range(plan.nodes)]
-        self.net: Net | None = None
-        self.posts: list[Post] = []
+        self.net: RelayNetwork | None = None
+        self.agent_proxies: list[AgentProxy] = []
         if plan.relayed:
             self._relay()
         self.nodes = [self.node(at) for at in range(plan.nodes)]
@@ -128,7 +128,7 @@
         self.launch(self.nodes)
 
     def _relay(self) -> None:
-        self.net = Net([("127.0.0.1", port) for port in self._listens], seed=self.plan.seed)
+        self.net = RelayNetwork([("127.0.0.1", port) for port in self._listens], seed=self.plan.seed)
         self._closing.append(self.net.close)
         loops = LoopThread()
         self._closing.append(loops.close)
@@ -139,7 +139,9 @@
                 if other != at
             }
             agent = ("127.0.0.1", self.agent(at).port)
-            self.posts.append(Post(agent, lambda told, relayed=relayed: relayed.get(told, told), loops))  # type: ignore[misc]
+            self.agent_proxies.append(
+                AgentProxy(agent, lambda told, relayed=relayed: relayed.get(told, told), loops)  # type: ignore[misc]
+            )
 
     def agent(self, at: int) -> Any:
         return self.agents[at // PER_AGENT]
@@ -161,7 +163,7 @@
                 "routes": str(self.folder / f"routes-{at}"),
                 "clock_offset_ms": plan.clocks_ms[at % len(plan.clocks_ms)],
             } | plan.member_settings
-        discovery = self.posts[at].port if self.posts else self.agent(at).port
+        discovery = self.agent_proxies[at].port if self.agent_proxies else self.agent(at).port
         return Node(self.folder, [], discovery, **row)
 
     def launch(self, nodes: Sequence[Node]) -> None:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -171,10 +171,10 @@
             self._add(until, "heal links", self._fleet.net.heal)
 
     def _part(self, at: float) -> None:
-        self._link(at, "part", self._fleet.net.cut)
+        self._link(at, "part", self._fleet.net.partition)
 
     def _part_one_way(self, at: float) -> None:
-        self._link(at, "part one way", self._fleet.net.cut_one_way)
+        self._link(at, "part one way", self._fleet.net.partition_one_way)
 
     def _delay(self, at: float) -> None:
         ms = self._rng.uniform(5.0, 400.0)
@@ -188,25 +188,29 @@
         node, until = self._node(), at + self._rng.uniform(0.2, longest_s)
         if self._is_free(f"p{node}", at, until):
             self._add(at, f"{name} n{node} agent", partial(act, node))
-            self._add(until, f"heal n{node} agent", self._fleet.posts[node].heal)
+            self._add(until, f"heal n{node} agent", self._fleet.agent_proxies[node].heal)
 
     def _cut_service(self, at: float) -> None:
-        self._post(at, "part", 12.0, lambda node: self._fleet.posts[node].cut())
+        self._post(at, "part", 12.0, lambda node: self._fleet.agent_proxies[node].partition())
 
     def _delay_service(self, at: float) -> None:
         there, back = self._rng.uniform(0.0, 1_500.0), self._rng.uniform(0.0, 1_500.0)
         name = f"delay {there:.0f} and {back:.0f} ms"
-        self._post(at, name, 10.0, lambda node: self._fleet.posts[node].delay(there, back))
+        self._post(at, name, 10.0, lambda node: self._fleet.agent_proxies[node].delay(there, back))
 
     def _hold_answers(self, at: float) -> None:
-        act = lambda node: self._fleet.posts[node].hold("renew", answers=True)  # noqa: E731
+        act = lambda node: self._fleet.agent_proxies[node].hold("renew", responses=True)  # noqa: E731
         self._post(at, "hold answers", 6.0, act)
 
     def _repeat(self, at: float) -> None:
-        self._post(at, "repeat renewals", 10.0, lambda node: self._fleet.posts[node].repeat(3))
+        self._post(
+            at, "repeat renewals", 10.0, lambda node: self._fleet.agent_proxies[node].duplicate_renewals(3)
+        )
 
     def _older(self, at: float) -> None:
-        self._post(at, "older answers", 15.0, lambda node: self._fleet.posts[node].give_older(2))
+        self._post(
+            at, "older answers", 15.0, lambda node: self._fleet.agent_proxies[node].replay_older_responses(2)
+        )
 
     # ------------------------------------------------------------------ acts
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -107,7 +107,7 @@
     fleet: Fleet, cut_off: tuple[int, ...], takes: tuple[float, float]
 ) -> None:
     with fleet.under_load() as watch:
-        fleet.net.cut(*HALVES)
+        fleet.net.partition(*HALVES)
         fleet.cut_service(*cut_off)
 
         def ended(status: Status) -> bool:
@@ -131,7 +131,7 @@
 ) -> None:
     with fleet.under_load() as watch:
         start = time.monotonic()
-        held = [fleet.posts[at].hold("/fleet/renew", answers=True) for at in (3, 4)]
+        held = [fleet.agent_proxies[at].hold("/fleet/renew", responses=True) for at in (3, 4)]
         fleet.wait_until_all("shares yielded", lambda status: status["share"] == 0.0, 3, 4)
         until_later(fleet, TTL_MS)
         assert {
@@ -169,8 +169,8 @@
 ) -> None:
     with fleet.under_load() as watch:
         start = time.monotonic()
-        fleet.net.cut(0, 1)
-        fleet.net.cut_one_way(2, 3)
+        fleet.net.partition(0, 1)
+        fleet.net.partition_one_way(2, 3)
         for at, other in ((0, 1), (1, 0), (2, 3), (3, 2)):
             fleet.wait_until_all(
                 f"n{other} parted at n{at}",
@@ -182,7 +182,7 @@
         fleet.net.lose(range(5), range(5), 0.02)
         fleet.net.delay(0, (1, 2, 3, 4), 5.0)
         fleet.net.delay((1, 2, 3, 4), 0, 80.0)
-        fleet.posts[0].delay(5.0, 80.0)
+        fleet.agent_proxies[0].delay(5.0, 80.0)
         asymmetric = time.monotonic()
         until_later(fleet, 2 * TTL_MS)
         found = watch.since(start)
--- a/tests/fleet/test_fleet_routes.py
+++ b/tests/fleet/test_fleet_routes.py
@@ -42,7 +42,7 @@
 
 
 def held_vote(fleet: Fleet, at: int) -> Hold:
-    return fleet.posts[at].hold("/routes/vote")
+    return fleet.agent_proxies[at].hold("/routes/vote")
 
 
 def wait_for(hold: Hold) -> None:
@@ -108,7 +108,7 @@
         number = fleet.propose()
         wait_for(held)
         until_voted(fleet, number, 4)
-        fleet.net.cut((0, 1, 2), (3, 4))
+        fleet.net.partition((0, 1, 2), (3, 4))
         fleet.cut_service(4)
         held.release()
         at = until_decided(fleet, number)
@@ -116,7 +116,7 @@
         knew = fleet.status(3)["routes"]["at"] == at
         fleet.cut_service(3)  # it knows, and its lease runs past T: it switches by itself
         wait_until(fleet, at + healed_ms)
-        fleet.posts[4].heal()
+        fleet.agent_proxies[4].heal()
         fleet.net.heal()
         until_followed(fleet, number, 0, 1, 2, 4)
         fleet.wait_until_all(
--- a/tests/fleet/test_groups_small.py
+++ b/tests/fleet/test_groups_small.py
@@ -85,7 +85,7 @@
         until_samples(watch, 20)
         for at, share in ((ALONE, 1.0), (FIRST, 0.5), (SECOND, 0.5)):
             assert shares(watch.samples[at]) == {share}
-        fleet.net.cut(*((at,) for at in PAIR))
+        fleet.net.partition(*((at,) for at in PAIR))
         fleet.wait_until_all("the younger one's yield", takes(0.0), younger)
         until_samples(watch, 20)
         assert shares(watch.samples[older]) == {0.5}
@@ -94,7 +94,7 @@
 
 def test_two_that_reach_the_list_service_and_not_each_other_keep_their_shares(fleet: Fleet) -> None:
     with fleet.under_load() as watch:
-        fleet.net.cut(*((at,) for at in PAIR))
+        fleet.net.partition(*((at,) for at in PAIR))
         fleet.wait_until_all(
             "neither hearing the other", lambda status: "present" not in verdict_on_others(status), *PAIR
         )
--- a/tests/registry/test_registry_node.py
+++ b/tests/registry/test_registry_node.py
@@ -45,10 +45,10 @@
         registry.remove("s1")
         until(lambda: backends.request_counts["s2"] > 5, what="a change committed after the leader died")
 
-        relay.set_silent(True)  # a watch that never answers
+        relay.set_blocked(True)  # a watch that never answers
         before = backends.request_counts["s2"]
         until(lambda: backends.request_counts["s2"] > before + 20, what="service while discovery is silent")
-        relay.set_silent(False)
+        relay.set_blocked(False)
         relay.reset()
         dropped = backends.request_counts["s0"]
         registry.put("s0", backends.port(0), az="a")
--- a/tests/support/faults/flow.py
+++ b/tests/support/faults/flow.py
@@ -1,4 +1,4 @@
-"""One way of one connection through a relay: bytes and ends kept in order, late, held or lost."""
+"""One direction of a connection through a relay: data and stream end in order, delayed, blocked or lost."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
 from enum import Enum
 from random import Random
 
-HIGH, LOW = 256 * 1024, 64 * 1024  # bytes held for one way: over HIGH its source waits, until under LOW
+# Buffered bytes of one direction: above HIGH reading from its source pauses, below LOW it resumes.
+HIGH, LOW = 256 * 1024, 64 * 1024
 
 
 @dataclass(slots=True)
-class Way:
-    """What befalls all that goes one way through a relay."""
+class DirectionFaults:
+    """Faults that apply to all data in one direction of a relay."""
 
-    silent: bool = False  # held until it is silent no more, as TCP sends again once a cable is joined
+    blocked: bool = False  # data is delivered once unblocked, as TCP retransmits when a cable is plugged in
     delay_ms: float = 0.0
-    jitter_ms: float = 0.0  # up to so much more, drawn for each piece; order is kept
+    jitter_ms: float = 0.0  # maximum extra delay, drawn for each chunk; order is preserved
 
 
-class Ending(Enum):
+class StreamEnd(Enum):
+    """How the source's side of a connection ended."""
+
     EOF = "eof"  # the source sends no more
-    RESET = "reset"  # the source's connection is gone
+    RESET = "reset"  # the source's connection was reset or closed
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """End a connection so that the other side sees a reset, with what it was still to be sent thrown away."""
+    """Close a connection with a TCP reset and discard its unsent data."""
     with contextlib.suppress(OSError):  # it is closed already
         linger = struct.pack("ii", 1, 0)
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -38,65 +41,66 @@
 
 
 class Flow:
-    """Moves what one socket sends to the other one, as its way says; runs on the relay's loop."""
+    """Forwards one socket's data to the other, with the faults of its direction; runs on the relay's loop."""
 
-    def __init__(self, way: Way, rng: Random, ended: Callable[[], None]) -> None:
-        self.way = way
+    def __init__(self, faults: DirectionFaults, rng: Random, on_eof_sent: Callable[[], None]) -> None:
+        self.faults = faults
         self.source: asyncio.Transport | None = None
         self.sink: asyncio.Transport | None = None
-        self.lost = False  # bytes go nowhere from now on; an ending still passes
-        self.eof_passed = False
-        self.over = False  # nothing passes any more
+        self.discards_data = False  # further bytes are dropped; the end of the stream is still forwarded
+        self.eof_sent = False
+        self.stopped = False  # nothing is forwarded any more
         self._rng = rng
-        self._ended = ended
-        self._held: deque[tuple[float, bytes | Ending]] = deque()
+        self._on_eof_sent = on_eof_sent
+        self._buffer: deque[tuple[float, bytes | StreamEnd]] = deque()
         self._size = 0
         self._last_due = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._sink_full = False
         self._paused = False
 
-    def feed(self, piece: bytes | Ending) -> None:
-        if self.over or (self.lost and isinstance(piece, bytes)):
+    def feed(self, chunk: bytes | StreamEnd) -> None:
+        """Queue a chunk or the stream's end, and forward what is due."""
+        if self.stopped or (self.discards_data and isinstance(chunk, bytes)):
             return
-        late_ms = self.way.delay_ms
-        if self.way.jitter_ms:
-            late_ms += self._rng.uniform(0.0, self.way.jitter_ms)
-        due = asyncio.get_running_loop().time() + late_ms / 1000.0 if late_ms else 0.0
+        delay_ms = self.faults.delay_ms
+        if self.faults.jitter_ms:
+            delay_ms += self._rng.uniform(0.0, self.faults.jitter_ms)
+        due = asyncio.get_running_loop().time() + delay_ms / 1000.0 if delay_ms else 0.0
         self._last_due = max(self._last_due, due)
-        self._held.append((self._last_due, piece))
-        if isinstance(piece, bytes):
-            self._size += len(piece)
+        self._buffer.append((self._last_due, chunk))
+        if isinstance(chunk, bytes):
+            self._size += len(chunk)
         self.push()
 
     def push(self) -> None:
-        """Pass on what is due; called again when its time comes, or the way or the sink opens."""
+        """Forward what is due; called again after a delay, an unblocking or the sink's connection."""
         if self.sink is not None:
             now = asyncio.get_running_loop().time()
-            while self._held and not (self.way.silent or self.over):
-                due, piece = self._held[0]
+            while self._buffer and not (self.faults.blocked or self.stopped):
+                due, chunk = self._buffer[0]
                 if due > now:
                     self._wake_at(due)
                     break
-                if self.sink.is_closing():  # its end is known, and comes to the source by connection_lost
+                if self.sink.is_closing():  # the source is notified by the sink's connection_lost
                     self.stop()
                     break
-                self._held.popleft()
-                self._pass(self.sink, piece)
-        self._mind_source()
-
-    def _pass(self, sink: asyncio.Transport, piece: bytes | Ending) -> None:
-        if isinstance(piece, bytes):
-            self._size -= len(piece)
-            sink.write(piece)
-        elif piece is Ending.RESET:
+                self._buffer.popleft()
+                self._forward(self.sink, chunk)
+        self._update_reading()
+
+    def _forward(self, sink: asyncio.Transport, chunk: bytes | StreamEnd) -> None:
+        if isinstance(chunk, bytes):
+            self._size -= len(chunk)
+            sink.write(chunk)
+        elif chunk is StreamEnd.RESET:
             self.stop()
             reset(sink)
         else:
-            self.eof_passed = True
-            with contextlib.suppress(OSError):  # it was reset meanwhile, which connection_lost will tell
+            self.eof_sent = True
+            with contextlib.suppress(OSError):  # it was reset meanwhile; connection_lost will handle that
                 sink.write_eof()
-            self._ended()
+            self._on_eof_sent()
 
     def _wake_at(self, due: float) -> None:
         if self._timer is not None:
@@ -104,23 +108,25 @@
         self._timer = asyncio.get_running_loop().call_at(due, self.push)
 
     def set_sink_full(self, full: bool) -> None:
+        """Apply the sink's flow control: while its write buffer is full, the source isn't read."""
         self._sink_full = full
-        self._mind_source()
+        self._update_reading()
 
-    def _mind_source(self) -> None:
+    def _update_reading(self) -> None:
         if self.source is None or self.source.is_closing():
             return
-        if not self._paused and (self._sink_full or self._size > HIGH) and not self.over:
+        if not self._paused and (self._sink_full or self._size > HIGH) and not self.stopped:
             self._paused = True
             self.source.pause_reading()
-        elif self._paused and (self.over or (not self._sink_full and self._size < LOW)):
+        elif self._paused and (self.stopped or (not self._sink_full and self._size < LOW)):
             self._paused = False
             self.source.resume_reading()
 
     def stop(self) -> None:
-        self.over = True
-        self._held.clear()
+        """Discard the buffer and forward nothing more."""
+        self.stopped = True
+        self._buffer.clear()
         self._size = 0
         if self._timer is not None:
             self._timer.cancel()
-        self._mind_source()
+        self._update_reading()
--- a/tests/support/faults/loops.py
+++ b/tests/support/faults/loops.py
@@ -1,4 +1,4 @@
-"""An event loop on a thread of its own, which a test's thread hands work to."""
+"""An event loop on its own thread, to which a test's thread submits work."""
 
 from __future__ import annotations
 
@@ -8,21 +8,23 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-PATIENCE_S = 10.0  # a loop that takes longer over one piece of work is stuck, and the test should fail
+RESULT_TIMEOUT_S = 10.0  # a loop that takes longer over one call is stuck, and the test should fail
 
 
 class LoopThread:
+    """An event loop that runs on a daemon thread until closed."""
+
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self._thread.start()
 
     def run(self, work: Coroutine[Any, Any, T]) -> T:
-        """The coroutine's result, from the loop; TimeoutError where it takes over 10 s."""
-        return asyncio.run_coroutine_threadsafe(work, self.loop).result(PATIENCE_S)
+        """Run the coroutine on the loop and return its result; raise TimeoutError after 10 s."""
+        return asyncio.run_coroutine_threadsafe(work, self.loop).result(RESULT_TIMEOUT_S)
 
     def call(self, work: Callable[[], T]) -> T:
-        """work() done on the loop, between its callbacks; what it returned or raised."""
+        """Call work() on the loop, between its callbacks; return or raise what it does."""
 
         async def done() -> T:
             return work()
@@ -30,7 +32,7 @@
         return self.run(done())
 
     def close(self) -> None:
-        """End every task on the loop, then the loop and its thread."""
+        """Cancel every task on the loop, then stop the loop and its thread."""
 
         async def end() -> None:
             tasks = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
--- a/tests/support/faults/relay.py
+++ b/tests/support/faults/relay.py
@@ -1,62 +1,68 @@
-"""One relay between two programs, set from the test's thread."""
+"""One relay between two programs, controlled from the test's thread."""
 
 from __future__ import annotations
 
-from tests.support.faults.link import Address, Link, Ways
+from tests.support.faults.link import Address, Direction, Link
 from tests.support.faults.loops import LoopThread
 
 
 class Relay:
-    """Stands where one program dials another and passes, holds, delays, loses or ends what goes through.
+    """A TCP relay between a client and a target that forwards, blocks, delays, loses or resets.
 
-    `there` is the way from the dialler to the target, `back` the other one. Each setting holds once its
-    call has returned, for connections there are and for new ones.
+    The forward direction is from the client to the target. Each setting applies once its call has returned,
+    to open connections and to new ones.
     """
 
     def __init__(self, target: Address, seed: object = 0, loops: LoopThread | None = None) -> None:
-        self._own = loops is None
+        self._owns_loops = loops is None
         self._loops = LoopThread() if loops is None else loops
         self._link = Link(target, seed)
         self.address = self._link.address
         self.target = target
-        self._loops.call(lambda: self._link.accept(True))
+        self._loops.call(lambda: self._link.set_accepting(True))
 
     @property
-    def opened(self) -> int:
-        """Connections taken so far."""
-        return self._link.opened
+    def accepted(self) -> int:
+        """Connections accepted so far."""
+        return self._link.accepted
 
     @property
     def lost_calls(self) -> int:
         return self._link.lost_calls
 
-    def set_silent(self, silent: bool = True, way: Ways = "both") -> None:
-        """A vanished machine, or a cut in one way: connections stay open, nothing passes, ends neither, and
-        new ones are taken and left silent. Passed on, in order, once it is silent no more."""
-        self._loops.call(lambda: self._link.silence(silent, way))
+    def set_blocked(self, blocked: bool = True, direction: Direction = "both") -> None:
+        """Simulate an unreachable machine, or one direction of a link that fails.
 
-    def delay(self, ms: float, jitter_ms: float = 0.0, way: Ways = "both") -> None:
-        """Each piece so late, and up to jitter_ms more; order is kept."""
-        self._loops.call(lambda: self._link.delay(ms, jitter_ms, way))
+        Connections stay open without any data or end of stream; new ones are accepted and get no response.
+        Unblocking delivers all in order.
+        """
+        self._loops.call(lambda: self._link.set_blocked(blocked, direction))
 
-    def lose(self, chance: float) -> None:
-        """Of the calls from now on (bytes there after an answer), lose each with this chance: itself or its
-        answer, at even odds. Its connection says no more, until one side closes it."""
-        self._loops.call(lambda: setattr(self._link, "loss", chance))
+    def delay(self, ms: float, jitter_ms: float = 0.0, direction: Direction = "both") -> None:
+        """Delay each chunk by `ms`, and by up to `jitter_ms` more; order is preserved."""
+        self._loops.call(lambda: self._link.delay(ms, jitter_ms, direction))
 
-    def accept(self, taking: bool) -> None:
-        """Stop taking connections, as a machine too busy to: dialling it times out. Or take them again."""
-        self._loops.call(lambda: self._link.accept(taking))
+    def lose(self, probability: float) -> None:
+        """Lose each new call (client bytes after a response) with this probability.
+
+        Either the call itself or its response is lost, equally often. Its connection delivers nothing more
+        until one side closes it.
+        """
+        self._loops.call(lambda: setattr(self._link, "loss", probability))
+
+    def set_accepting(self, accepting: bool) -> None:
+        """Accept connections, or stop accepting: clients time out, as with an overloaded machine."""
+        self._loops.call(lambda: self._link.set_accepting(accepting))
 
     def reset(self) -> None:
-        """End every connection at once, as a process that dies does."""
+        """Reset every connection at once, as when a process is killed."""
         self._loops.call(self._link.reset)
 
     def heal(self) -> None:
-        """No fault any more; what was lost stays so."""
+        """Remove all faults; lost calls stay lost."""
         self._loops.call(self._link.heal)
 
     def close(self) -> None:
         self._loops.call(self._link.close)
-        if self._own:
+        if self._owns_loops:
             self._loops.close()
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.faults import LoopThread, Net, Post
+from tests.support.faults import AgentProxy, LoopThread, RelayNetwork
 from tests.support.invariant_sampler import Status, StatusSampler, quota_violations, version_conflicts
 from tests.support.load import Load, Outcome
 from tests.support.node_processes import Node
@@ -67,21 +67,21 @@
         for at, model in enumerate(MODELS):
             self.registry.put(f"s{at}", self.pool.port(at), az="a", model=model)
         self._listens = [free_port() for _ in range(size)]
-        self.net = Net([("127.0.0.1", port) for port in self._listens], seed=folder.name)
+        self.net = RelayNetwork([("127.0.0.1", port) for port in self._listens], seed=folder.name)
         self._loops = LoopThread()
-        self.posts = [self._post(at) for at in range(size)]
+        self.agent_proxies = [self._post(at) for at in range(size)]
         self.nodes = [self._node(folder, at) for at in range(size)]
         self._outages: dict[int, list[Outage]] = {at: [] for at in range(size)}
         for node in self.nodes:
             node.launch()
 
-    def _post(self, at: int) -> Post:
+    def _post(self, at: int) -> AgentProxy:
         relayed = {
             f"127.0.0.1:{port}": "{}:{}".format(*self.net.address(at, other))
             for other, port in enumerate(self._listens)
             if other != at
         }
-        return Post(("127.0.0.1", self.agent.port), lambda told: relayed.get(told, told), self._loops)
+        return AgentProxy(("127.0.0.1", self.agent.port), lambda told: relayed.get(told, told), self._loops)
 
     def _node(self, folder: Path, at: int) -> Node:
         members = {
@@ -92,7 +92,9 @@
             "service": self.services[at],
         }
         settings = {"registryMode": "push"}
-        return Node(folder, [], self.posts[at].port, name=f"n{at}", settings=settings, members=members)
+        return Node(
+            folder, [], self.agent_proxies[at].port, name=f"n{at}", settings=settings, members=members
+        )
 
     def _instance(self, index: int) -> dict[str, int | str]:
         groups = "true" if any(self.services) else "false"
@@ -164,8 +166,8 @@
 
     def wait_until_stable(self) -> None:
         """Restart and heal all; wait until members are present, quotas equal and routes settled."""
-        for post in self.posts:
-            post.heal()
+        for proxy in self.agent_proxies:
+            proxy.heal()
         self.net.heal()
         for index in range(3):
             if self.registry.processes[index] is None:
@@ -218,7 +220,7 @@
 
     def cut_service(self, *chosen: int) -> None:
         for at in chosen:
-            self.posts[at].cut()
+            self.agent_proxies[at].partition()
 
     # ------------------------------------------------------------------ routes
 
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -141,7 +141,7 @@
         """Part an instance from the others (silent links, as a cut cable), or join it again."""
         for pair, link in self.links.items():
             if index in pair:
-                link.set_silent(silent)
+                link.set_blocked(silent)
 
     def start(self, index: int) -> None:
         arguments = ["-m", "loadbalancer.registry", "serve", "--config", str(self.config(index))]
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,4 +1,4 @@
-"""The relay between two programs; its faults and the net of many are in tests/faults."""
+"""The relay between two programs; faults and networks of relays are in tests/support/faults."""
 
 from tests.support.faults import Relay
 
