--- a/bench/scale/__main__.py
+++ b/bench/scale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bench.scale COMMAND`: the scale tests (bench/scale/README.md); --help names all commands."""
+"""`python -m bench.scale COMMAND` runs the scale tests (bench/scale/README.md); --help lists all commands."""
 
 from __future__ import annotations
 
@@ -7,20 +7,21 @@
 
 import typer
 
-PARTS = (
+# Modules of this package with a typer `app`.
+COMMAND_MODULES = (
     "control",
     "listing",
     "datapath",
     "chains",
     "report",
-)  # modules of this package, each with commands in its `app`
+)
 
 
 def commands() -> typer.Typer:
-    """The commands of all parts as one program."""
+    """Return one program with the commands of all modules."""
     program = typer.Typer(help="Scale tests of the platform in bench/scale/size.toml.", no_args_is_help=True)
-    for part in PARTS:
-        name = f"bench.scale.{part}"
+    for module in COMMAND_MODULES:
+        name = f"bench.scale.{module}"
         if importlib.util.find_spec(name) is not None:
             program.add_typer(importlib.import_module(name).app)
     return program
--- a/bench/scale/chain_model.py
+++ b/bench/scale/chain_model.py
@@ -1,9 +1,9 @@
 """Chains of tiers in simulated time: real Balancers, modelled servers, no sockets.
 
-A tier is some nodes, each a Balancer over all of the tier's servers. A server works on a call, calls the next
-tier through one of its nodes, and answers once that has answered: an error where the call was refused or
-failed, as a server that depends on it must. It passes on the time that it was given, as a node's deadline
-header tells it (loadbalancer/node/listener/request_translation.py). The same seed gives the same run.
+A tier has several nodes, each a Balancer in front of all of the tier's servers. A server processes a call,
+calls the next tier through one of that tier's nodes, and responds after it got a response: with an error if
+its call was rejected or failed. It forwards the remaining time, which a real node sends in its deadline
+header (loadbalancer/node/listener/request_translation.py). The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -32,97 +32,101 @@
 from loadbalancer.service_settings import Effect, ServiceClass, Settings
 
 CLASS = "read"
-WAY_BACK_MS = RESPONSE_MARGIN_S * 1000.0
+RESPONSE_MARGIN_MS = RESPONSE_MARGIN_S * 1000.0
 NETWORK_MS = 0.25  # one way between a node and a server
-UTILISATION_MS = 1000.0  # smoothing of the utilisation that a server reports
+UTILISATION_MS = 1000.0  # time constant that smooths the utilisation in a server's load report
 
 
 class Clock:
-    """Simulated time: what is due happens in the order of its time, at equal times as it was asked for."""
+    """Simulated time: scheduled functions run in the order of their times, then of their scheduling."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
         self._due: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count()
 
-    def after(self, delay_ms: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (self.now_ms + delay_ms, next(self._numbers), act))
+    def after(self, delay_ms: float, function: Callable[[], None]) -> None:
+        heapq.heappush(self._due, (self.now_ms + delay_ms, next(self._numbers), function))
 
     def run(self, until_ms: float) -> None:
         while self._due and self._due[0][0] <= until_ms:
-            self.now_ms, _, act = heapq.heappop(self._due)
-            act()
+            self.now_ms, _, function = heapq.heappop(self._due)
+            function()
 
 
-class Answer(Enum):
-    """How a call through a node ended."""
+class CallResult(Enum):
+    """Result of a call through a node."""
 
     OK = "ok"
-    REFUSED = "refused"
+    REJECTED = "rejected"
     FAILED = "failed"
 
 
 @dataclass(slots=True)
-class UserCall:
-    """A user's call and all that was sent for it, by tier (0: the front)."""
+class ClientCall:
+    """A client's call and all attempts made for it, by tier (0: the front)."""
 
     arrived_ms: float
-    sends: list[int]
-    refusals: list[int]  # by the nodes of each tier
+    attempts_by_tier: list[int]
+    rejections_by_tier: list[int]  # rejections by the nodes of each tier
     ended_ms: float = math.nan
-    answer: Answer | None = None
+    result: CallResult | None = None
 
 
 @dataclass(slots=True)
 class Call:
-    """One call at a node: a user's, or a server's of the tier above."""
+    """One call at a node, from a client or from a server of the previous tier."""
 
     id: str
     node: Node
-    user: UserCall
-    give_up_at_ms: float
-    on_answer: Callable[[Answer], None]
+    client_call: ClientCall
+    deadline_ms: float
+    on_result: Callable[[CallResult], None]
     attempts: list[Attempt] = field(default_factory=list)
     done: bool = False
 
 
 @dataclass(slots=True)
 class Attempt:
+    """One attempt of a call at a server."""
+
     call: Call
     number: int
     server: Server
     sent_ms: float
-    give_up_at_ms: float
+    deadline_ms: float
     ended: bool = False
-    below: Call | None = None  # the server's call to the next tier
+    next_tier_call: Call | None = None
 
 
 # ------------------------------------------------------------------------- servers
 
 
-class Trouble(Enum):
-    """What is wrong with the last tier."""
+class Fault(Enum):
+    """Fault of the last tier."""
 
     HEALTHY = "healthy"
-    SLOW = "slow"  # each answer waits, without a core
-    FAILING = "failing"  # a share of the answers are errors
-    SATURATED = "saturated"  # more calls come than its cores can serve
+    SLOW = "slow"  # each response is delayed without use of a core
+    FAILING = "failing"  # a fraction of the responses are errors
+    SATURATED = "saturated"  # calls arrive faster than its cores can serve them
 
 
 @dataclass(slots=True)
-class Conduct:
-    """How a server serves; changed while it runs."""
+class ServerBehaviour:
+    """How a server responds; may change during a run."""
 
-    work_ms: float  # mean of an exponential distribution
-    wait_ms: float = 0.0  # mean of what is waited after it, without a core
-    error_share: float = 0.0
+    work_ms: float  # mean time on its core, of an exponential distribution
+    wait_ms: float = 0.0  # mean further delay without a core, of an exponential distribution
+    error_fraction: float = 0.0
 
 
 class Server:
-    """One core, a bounded queue before it, and the node that its calls to the next tier go through."""
+    """A server with one core, a bounded queue, and a node for its calls to the next tier."""
 
-    def __init__(self, clock: Clock, name: str, conduct: Conduct, room: int, seed: str) -> None:
-        self.clock, self.name, self.conduct, self.room = clock, name, conduct, room
+    def __init__(
+        self, clock: Clock, name: str, behaviour: ServerBehaviour, queue_capacity: int, seed: str
+    ) -> None:
+        self.clock, self.name, self.behaviour, self.queue_capacity = clock, name, behaviour, queue_capacity
         self.next_tier: Node | None = None
         self._random = Random(seed)
         self._queue: deque[Attempt] = deque()
@@ -130,61 +134,63 @@
         self._utilisation, self._changed_ms = 0.0, 0.0
 
     def receive(self, attempt: Attempt) -> None:
-        if len(self._queue) >= self.room:
+        if len(self._queue) >= self.queue_capacity:
             self._respond(attempt, AttemptResult.REJECTED)
             return
         self._queue.append(attempt)
-        self._work()
+        self._start_next()
 
-    def abandon(self, attempt: Attempt) -> None:
-        """The caller has gone: work under way is finished, its call to the next tier is given up."""
-        if attempt.below is not None:
-            attempt.below.node.lapse(attempt.below)
+    def cancel(self, attempt: Attempt) -> None:
+        """Cancel an attempt: work in progress is finished, the call to the next tier is cancelled."""
+        if attempt.next_tier_call is not None:
+            attempt.next_tier_call.node.cancel(attempt.next_tier_call)
 
     def report(self) -> dict[str, float]:
-        self._follow_utilisation()
+        self._update_utilisation()
         return {"queue": float(len(self._queue)), "util": self._utilisation}
 
-    def _work(self) -> None:
+    def _start_next(self) -> None:
         while self._queue and not self._busy:
             attempt = self._queue.popleft()
             if attempt.ended:
                 continue
             self._set_busy(True)
-            work_ms = self._random.expovariate(1.0 / self.conduct.work_ms)
-            self.clock.after(work_ms, lambda attempt=attempt: self._worked(attempt))  # type: ignore[misc]
+            work_ms = self._random.expovariate(1.0 / self.behaviour.work_ms)
+            self.clock.after(work_ms, lambda attempt=attempt: self._on_work_done(attempt))  # type: ignore[misc]
 
-    def _worked(self, attempt: Attempt) -> None:
+    def _on_work_done(self, attempt: Attempt) -> None:
         self._set_busy(False)
-        self._work()
+        self._start_next()
         if attempt.ended:
             return
         if self.next_tier is not None:
-            attempt.below = self.next_tier.call(
-                attempt.call.user, attempt.give_up_at_ms, lambda answer: self._answered(attempt, answer)
+            attempt.next_tier_call = self.next_tier.call(
+                attempt.call.client_call,
+                attempt.deadline_ms,
+                lambda result: self._on_next_tier_result(attempt, result),
             )
-        elif self.conduct.wait_ms:
-            wait_ms = self._random.expovariate(1.0 / self.conduct.wait_ms)
+        elif self.behaviour.wait_ms:
+            wait_ms = self._random.expovariate(1.0 / self.behaviour.wait_ms)
             self.clock.after(wait_ms, lambda: self._finish(attempt))
         else:
             self._finish(attempt)
 
     def _finish(self, attempt: Attempt) -> None:
-        failed = self._random.random() < self.conduct.error_share
+        failed = self._random.random() < self.behaviour.error_fraction
         self._respond(attempt, AttemptResult.ERROR if failed else AttemptResult.OK)
 
-    def _answered(self, attempt: Attempt, answer: Answer) -> None:
-        self._respond(attempt, AttemptResult.OK if answer is Answer.OK else AttemptResult.ERROR)
+    def _on_next_tier_result(self, attempt: Attempt, result: CallResult) -> None:
+        self._respond(attempt, AttemptResult.OK if result is CallResult.OK else AttemptResult.ERROR)
 
     def _respond(self, attempt: Attempt, result: AttemptResult) -> None:
         report = self.report()
         self.clock.after(NETWORK_MS, lambda: attempt.call.node.end(attempt, result, report))
 
     def _set_busy(self, busy: bool) -> None:
-        self._follow_utilisation()
+        self._update_utilisation()
         self._busy = busy
 
-    def _follow_utilisation(self) -> None:
+    def _update_utilisation(self) -> None:
         gain = 1.0 - math.exp((self._changed_ms - self.clock.now_ms) / UTILISATION_MS)
         self._utilisation += gain * (self._busy - self._utilisation)
         self._changed_ms = self.clock.now_ms
@@ -194,7 +200,7 @@
 
 
 class Node:
-    """The host of one Balancer in front of a tier's servers, as loadbalancer/node/ is in a real node."""
+    """Runs one Balancer in front of a tier's servers, as loadbalancer/node/ does in a real node."""
 
     def __init__(
         self, clock: Clock, tier: int, settings: Settings, servers: Sequence[Server], seed: int
@@ -205,72 +211,76 @@
         self._calls: dict[str, Call] = {}
         self._numbers = count(1)
         listed = tuple(Endpoint(name) for name in self._servers)
-        self._tell(EndpointListUpdate(EndpointListKind.FULL, listed))
+        self._handle(EndpointListUpdate(EndpointListKind.FULL, listed))
 
-    def call(self, user: UserCall, give_up_at_ms: float, on_answer: Callable[[Answer], None]) -> Call:
-        call = Call(f"call-{next(self._numbers)}", self, user, give_up_at_ms - WAY_BACK_MS, on_answer)
+    def call(
+        self, client_call: ClientCall, deadline_ms: float, on_result: Callable[[CallResult], None]
+    ) -> Call:
+        call = Call(
+            f"call-{next(self._numbers)}", self, client_call, deadline_ms - RESPONSE_MARGIN_MS, on_result
+        )
         self._calls[call.id] = call
-        self._tell(Request(call.id, CLASS, call.give_up_at_ms))
+        self._handle(Request(call.id, CLASS, call.deadline_ms))
         return call
 
-    def lapse(self, call: Call) -> None:
-        """Its caller has gone."""
+    def cancel(self, call: Call) -> None:
+        """Cancel a call whose client or server no longer waits for it."""
         if not call.done:
             call.done = True
-            self._tell(RequestCancelled(call.id))
+            self._handle(RequestCancelled(call.id))
             self._forget(call)
 
     def end(self, attempt: Attempt, result: AttemptResult, report: dict[str, float] | None) -> None:
-        """An attempt's one outcome; the first good answer goes to the caller before the Balancer hears it."""
+        """Handle an attempt's outcome, once; deliver a successful response before notifying the Balancer."""
         if attempt.ended:
             return
         attempt.ended = True
         call = attempt.call
         if result is AttemptResult.OK:
-            self._answer(call, Answer.OK)
+            self._finish_call(call, CallResult.OK)
         elif result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED):
-            attempt.server.abandon(attempt)
+            attempt.server.cancel(attempt)
         latency_ms = self.clock.now_ms - attempt.sent_ms
         server = attempt.server.name
-        self._tell(AttemptOutcome(call.id, attempt.number, server, result, latency_ms, call.done, report))
+        self._handle(AttemptOutcome(call.id, attempt.number, server, result, latency_ms, call.done, report))
         self._forget(call)
 
-    def _tell(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         for action in self.balancer.handle(self.clock.now_ms, event):
-            self._act(action)
+            self._execute(action)
 
-    def _act(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Send():
                 self._send(self._calls[action.id], action)
             case Reject():
-                self._calls[action.id].user.refusals[self.tier] += 1
-                self._answer(self._calls[action.id], Answer.REFUSED)
+                self._calls[action.id].client_call.rejections_by_tier[self.tier] += 1
+                self._finish_call(self._calls[action.id], CallResult.REJECTED)
             case Fail():
-                self._answer(self._calls[action.id], Answer.FAILED)
+                self._finish_call(self._calls[action.id], CallResult.FAILED)
             case Cancel():
                 attempt = self._calls[action.id].attempts[action.attempt]
                 self.clock.after(0.0, lambda: self.end(attempt, AttemptResult.CANCELLED, None))
             case SetTimer():
-                self.clock.after(action.delay_ms, lambda: self._tell(TimerFired(action.name)))
+                self.clock.after(action.delay_ms, lambda: self._handle(TimerFired(action.name)))
             case Watch():
-                pass  # the list never changes here
+                pass  # the endpoint list never changes here
 
     def _send(self, call: Call, action: Send) -> None:
         now_ms = self.clock.now_ms
-        left_ms = call.give_up_at_ms - now_ms
-        timeout_ms = min(left_ms, action.timeout_ms) if action.timeout_ms > 0.0 else left_ms
+        remaining_ms = call.deadline_ms - now_ms
+        timeout_ms = min(remaining_ms, action.timeout_ms) if action.timeout_ms > 0.0 else remaining_ms
         server = self._servers[action.server]
         attempt = Attempt(call, len(call.attempts), server, now_ms, now_ms + timeout_ms)
         call.attempts.append(attempt)
-        call.user.sends[self.tier] += 1
+        call.client_call.attempts_by_tier[self.tier] += 1
         self.clock.after(NETWORK_MS, lambda: server.receive(attempt))
         self.clock.after(timeout_ms, lambda: self.end(attempt, AttemptResult.TIMEOUT, None))
 
-    def _answer(self, call: Call, answer: Answer) -> None:
+    def _finish_call(self, call: Call, result: CallResult) -> None:
         if not call.done:
             call.done = True
-            call.on_answer(answer)
+            call.on_result(result)
             self._forget(call)
 
     def _forget(self, call: Call) -> None:
@@ -283,26 +293,26 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """What a chain is made of, and what its trouble is where it has one."""
+    """Size and load of a chain, and the parameters of each fault."""
 
     depth: int
     nodes: int = 3  # of each tier
     servers: int = 6  # of each tier
-    room: int = 32  # calls that wait at a server; more are turned away
+    queue_capacity: int = 32  # calls in a server's queue; further ones are rejected
     work_ms: float = 20.0
-    calls_per_s: float = 100.0  # users'
-    aim_ms: float = 2000.0
-    give_up_ms: float = 5000.0
+    calls_per_s: float = 100.0  # of all clients
+    latency_objective_ms: float = 2000.0
+    client_timeout_ms: float = 5000.0
     max_attempts: int = 3
     slow_ms: float = 600.0
-    error_share: float = 0.3
-    overload: float = 1.5  # a saturated last tier is sent so many times what it could serve
+    error_fraction: float = 0.3
+    overload: float = 1.5  # load of a saturated last tier, as a multiple of what it can serve
 
     def settings(self, tier: int) -> Settings:
         read = ServiceClass(
             CLASS,
-            latency_objective_ms=self.aim_ms,
-            client_timeout_ms=self.give_up_ms,
+            latency_objective_ms=self.latency_objective_ms,
+            client_timeout_ms=self.client_timeout_ms,
             priority_weight=12.0,
             effect=Effect.IDEMPOTENT,
         )
@@ -315,37 +325,38 @@
             max_attempts=self.max_attempts,
         )
 
-    def last_tier(self, trouble: Trouble) -> Conduct:
-        match trouble:
-            case Trouble.HEALTHY:
-                return Conduct(self.work_ms)
-            case Trouble.SLOW:
-                return Conduct(self.work_ms, wait_ms=self.slow_ms)
-            case Trouble.FAILING:
-                return Conduct(self.work_ms, error_share=self.error_share)
-            case Trouble.SATURATED:
-                return Conduct(self.overload * self.servers * 1000.0 / self.calls_per_s)
+    def last_tier_behaviour(self, fault: Fault) -> ServerBehaviour:
+        match fault:
+            case Fault.HEALTHY:
+                return ServerBehaviour(self.work_ms)
+            case Fault.SLOW:
+                return ServerBehaviour(self.work_ms, wait_ms=self.slow_ms)
+            case Fault.FAILING:
+                return ServerBehaviour(self.work_ms, error_fraction=self.error_fraction)
+            case Fault.SATURATED:
+                return ServerBehaviour(self.overload * self.servers * 1000.0 / self.calls_per_s)
 
 
 class Chain:
-    """Tiers under users whose calls come as a Poisson process and are not repeated by them."""
+    """Tiers behind clients whose calls arrive as a Poisson process; clients don't retry."""
 
     def __init__(self, shape: Shape, seed: int) -> None:
         self.shape, self.clock = shape, Clock()
-        self.users: list[UserCall] = []
+        self.client_calls: list[ClientCall] = []
         self._random = Random(f"users-{seed}")
         self._tiers = [self._servers(tier, seed) for tier in range(shape.depth)]
         nodes = [self._nodes(tier, seed) for tier in range(shape.depth)]
         self._front = nodes[0]
-        for servers, below in zip(self._tiers[:-1], nodes[1:], strict=True):
+        for servers, next_tier_call in zip(self._tiers[:-1], nodes[1:], strict=True):
             for at, server in enumerate(servers):
-                server.next_tier = below[at % len(below)]
+                server.next_tier = next_tier_call[at % len(next_tier_call)]
 
     def _servers(self, tier: int, seed: int) -> list[Server]:
         shape = self.shape
         names = [f"tier-{tier}-server-{at}" for at in range(shape.servers)]
         return [
-            Server(self.clock, name, Conduct(shape.work_ms), shape.room, f"{seed}-{name}") for name in names
+            Server(self.clock, name, ServerBehaviour(shape.work_ms), shape.queue_capacity, f"{seed}-{name}")
+            for name in names
         ]
 
     def _nodes(self, tier: int, seed: int) -> list[Node]:
@@ -353,30 +364,32 @@
         seeds = [Random(f"{seed}-tier-{tier}-node-{at}").getrandbits(63) for at in range(shape.nodes)]
         return [Node(self.clock, tier, shape.settings(tier), self._tiers[tier], seed) for seed in seeds]
 
-    def set_last_tier(self, trouble: Trouble) -> None:
+    def set_last_tier(self, fault: Fault) -> None:
         for server in self._tiers[-1]:
-            server.conduct = self.shape.last_tier(trouble)
+            server.behaviour = self.shape.last_tier_behaviour(fault)
 
-    def run(self, warm_ms: float, measured_ms: float, trouble: Trouble) -> list[UserCall]:
-        """Healthy for `warm_ms`, then with the trouble; the calls that came with it, all ended."""
+    def run(self, warm_ms: float, measured_ms: float, fault: Fault) -> list[ClientCall]:
+        """Run healthy for `warm_ms`, then with the fault; return the calls that arrived during the fault."""
         end_ms = warm_ms + measured_ms
-        self.clock.after(warm_ms, lambda: self.set_last_tier(trouble))
-        self._next_user(end_ms)
-        self.clock.run(end_ms + self.shape.give_up_ms)
-        return [user for user in self.users if user.arrived_ms >= warm_ms]
+        self.clock.after(warm_ms, lambda: self.set_last_tier(fault))
+        self._schedule_arrival(end_ms)
+        self.clock.run(end_ms + self.shape.client_timeout_ms)
+        return [client_call for client_call in self.client_calls if client_call.arrived_ms >= warm_ms]
 
-    def _next_user(self, end_ms: float) -> None:
+    def _schedule_arrival(self, end_ms: float) -> None:
         delay_ms = self._random.expovariate(self.shape.calls_per_s / 1000.0)
         if self.clock.now_ms + delay_ms < end_ms:
             self.clock.after(delay_ms, lambda: self._arrive(end_ms))
 
     def _arrive(self, end_ms: float) -> None:
         now_ms, depth = self.clock.now_ms, self.shape.depth
-        user = UserCall(now_ms, [0] * depth, [0] * depth)
-        self.users.append(user)
+        client_call = ClientCall(now_ms, [0] * depth, [0] * depth)
+        self.client_calls.append(client_call)
         node = self._random.choice(self._front)
-        node.call(user, now_ms + self.shape.give_up_ms, lambda answer: self._end(user, answer))
-        self._next_user(end_ms)
+        node.call(
+            client_call, now_ms + self.shape.client_timeout_ms, lambda result: self._end(client_call, result)
+        )
+        self._schedule_arrival(end_ms)
 
-    def _end(self, user: UserCall, answer: Answer) -> None:
-        user.answer, user.ended_ms = answer, self.clock.now_ms
+    def _end(self, client_call: ClientCall, result: CallResult) -> None:
+        client_call.result, client_call.ended_ms = result, self.clock.now_ms
--- a/bench/scale/control.py
+++ b/bench/scale/control.py
@@ -1,4 +1,4 @@
-"""`control`: the platform's control path at a fraction of its size, with what befalls it."""
+"""`control`: the platform's control path at a fraction of its size, with churn and faults."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
 
 from bench.scale import goals, limits, records
 from bench.scale.events import Durations, Events
-from bench.scale.measure import Measuring
+from bench.scale.measure import PhaseRecorder
 from bench.scale.platform import build_platform
 from bench.scale.records import Record, Run
-from bench.scale.world import Options, World, say
+from bench.scale.world import Options, World, log_progress
 
-EVENTS = ("steady", "list", "leader", "rack", "zone", "regions")  # in the order in which they come
+EVENTS = ("steady", "list", "leader", "rack", "zone", "regions")  # in the order in which they happen
 LIMIT_S = 295.0
-HURRY = 60.0  # a minute of the run has the churn of an hour
-EVENT_TTLS, PARTED_TTLS = 3.0, 6.0
+HURRY = 60.0  # acceleration of churn: a minute of the run has the churn of an hour
+EVENT_TTLS, PARTITION_TTLS = 3.0, 6.0
 START_SPREAD_S = 10.0
-MOST_PROCESSES = 8
-REFUSED = 3  # exit status
-NODES_PER_PROCESS = 25  # at least, where there are so many
+MAX_PROCESSES = 8
+EXIT_TOO_LARGE = 3  # exit status
+NODES_PER_PROCESS = 25  # minimum, if there are that many nodes
 
 app = typer.Typer()
 
 
 class Plan(Struct, frozen=True):
+    """A run of the control path: its size, durations, events and time limit."""
+
     options: Options
     durations: Durations
     events: tuple[str, ...]
@@ -41,7 +43,7 @@
 
 
 def parse_events(text: str) -> tuple[str, ...]:
-    """ValueError names what is no event."""
+    """Return the chosen events in their order; raise ValueError with the names that are unknown."""
     if text in ("all", "none"):
         return EVENTS if text == "all" else ()
     chosen = text.split(",")
@@ -52,11 +54,12 @@
 
 
 def processes_for(nodes: int) -> int:
-    return max(1, min(MOST_PROCESSES, nodes // NODES_PER_PROCESS))
+    """Return the default number of processes for so many hollow nodes."""
+    return max(1, min(MAX_PROCESSES, nodes // NODES_PER_PROCESS))
 
 
 async def run_control(plan: Plan) -> Record:
-    """The record of one run, whatever became of it: what broke off stands among its failures."""
+    """Return the record of one run; an error or timeout of the run is one of its failures."""
     options = plan.options
     platform = build_platform(options.factor, options.seed)
     run = Run("control", options.factor, options.seed, _as_options(plan), options.checkout)
@@ -70,9 +73,9 @@
         _cancel_on_signals()
         try:
             async with asyncio.timeout(plan.limit_s):
-                await _carry_out(world, run, plan)
+                await _run_events(world, run, plan)
         except TimeoutError:
-            run.failures.append(f"ended by its limit of {plan.limit_s:.0f} s")
+            run.failures.append(f"stopped at its time limit of {plan.limit_s:.0f} s")
         except (OSError, RuntimeError, AssertionError) as failure:
             run.failures.append(f"{type(failure).__name__}: {str(failure)[:300]}")
         finally:
@@ -86,7 +89,7 @@
 
 
 def _cancel_on_signals() -> None:
-    """An interrupted run ends what it has started. Signals reach the main thread alone."""
+    """Cancel the run on SIGINT and SIGTERM, so that it stops its processes; only the main thread can."""
     task = asyncio.current_task()
     assert task is not None
     with contextlib.suppress(ValueError, RuntimeError):
@@ -94,27 +97,27 @@
             asyncio.get_running_loop().add_signal_handler(number, task.cancel)
 
 
-async def _carry_out(world: World, run: Run, plan: Plan) -> None:
-    began = time.monotonic()
-    say(f"starting {len(world.hollow)} hollow and {len(world.real_places)} real nodes")
+async def _run_events(world: World, run: Run, plan: Plan) -> None:
+    started = time.monotonic()
+    log_progress(f"starting {len(world.hollow)} hollow and {len(world.real_places)} real nodes")
     await world.open()
-    run.add("platform", "opened", round(time.monotonic() - began, 1), "s")
-    measuring = Measuring(world, run)
-    events = Events(world, measuring, plan.durations)
-    say("enrolment")
+    run.add("platform", "opened", round(time.monotonic() - started, 1), "s")
+    recorder = PhaseRecorder(world, run)
+    events = Events(world, recorder, plan.durations)
+    log_progress("enrolment")
     await events.enrol()
     steps: dict[str, Callable[[], Awaitable[None]]] = {
         "steady": events.steady,
-        "list": events.list_changes,
-        "leader": events.leader_killed,
-        "rack": events.rack_lost,
-        "zone": events.zone_lost,
-        "regions": events.regions_parted,
+        "list": events.change_list,
+        "leader": events.kill_leader,
+        "rack": events.fail_rack,
+        "zone": events.fail_zone,
+        "regions": events.partition_regions,
     }
     for event in plan.events:
         if limits.over_memory():
             raise RuntimeError("over half of the machine's memory is in use")
-        say(event)
+        log_progress(event)
         await steps[event]()
 
 
@@ -135,12 +138,12 @@
         "steady_s": durations.steady,
         "hurry": durations.hurry,
         "event_s": durations.event,
-        "parted_s": durations.parted,
+        "parted_s": durations.partitioned,
     }
 
 
 def print_record(record: Record, whole: bool) -> None:
-    """All figures, or those that answer a goal; then what was missed."""
+    """Print all figures, or those that have a goal, and then the goals that were missed."""
     names = {goal.name for goal in goals.control_goals(0.0, 0.0, 0.0)}
     for figure in record.figures:
         if whole or figure.name in names:
@@ -151,24 +154,26 @@
 
 @app.command()
 def control(
-    factor: Annotated[float, typer.Option(help="Of the platform's size.")] = 0.25,
+    factor: Annotated[float, typer.Option(help="Fraction of the platform's size.")] = 0.25,
     seed: int = 1,
-    minutes: Annotated[float, typer.Option(help="Of ordinary churn.")] = 1.0,
-    hurry: Annotated[float, typer.Option(help="Ordinary churn comes so many times as often.")] = HURRY,
+    minutes: Annotated[float, typer.Option(help="Duration of ordinary churn.")] = 1.0,
+    hurry: Annotated[float, typer.Option(help="Acceleration of ordinary churn.")] = HURRY,
     events: Annotated[str, typer.Option(help=f"all, none, or some of {','.join(EVENTS)}.")] = "all",
-    program: Annotated[Path | None, typer.Option(help="A checkout whose program is run; else this.")] = None,
+    program: Annotated[Path | None, typer.Option(help="Checkout to measure; default: this one.")] = None,
     ttl_ms: int = 5_000,
     probes: Annotated[bool, typer.Option(help="Whether nodes probe their siblings.")] = True,
-    probe_period_ms: Annotated[float | None, typer.Option(help="Else as the program has it.")] = None,
+    probe_period_ms: Annotated[float | None, typer.Option(help="Default: the program's own.")] = None,
     real_nodes: int = 8,
-    real_agents: Annotated[int, typer.Option(help="Hollow nodes with an agent process each.")] = 0,
-    processes: Annotated[int | None, typer.Option(help="Of hollow nodes.")] = None,
+    real_agents: Annotated[int, typer.Option(help="Hollow nodes that have an agent process each.")] = 0,
+    processes: Annotated[int | None, typer.Option(help="Number of processes of hollow nodes.")] = None,
     limit_s: float = LIMIT_S,
-    start_spread_s: Annotated[float, typer.Option(help="All nodes start within so long.")] = START_SPREAD_S,
+    start_spread_s: Annotated[
+        float, typer.Option(help="Time within which all nodes start.")
+    ] = START_SPREAD_S,
     whole: Annotated[bool, typer.Option(help="Print every figure.")] = False,
     keep: Annotated[bool, typer.Option(help="Write the record to bench/scale/records.")] = True,
 ) -> None:
-    """All nodes from nothing, ordinary churn, a killed leader, a lost rack and zone, parted regions."""
+    """Measure enrolment, ordinary churn, a killed leader, a lost rack and zone, and partitioned regions."""
     chosen = parse_events(events)
     term_s = ttl_ms / 1000.0
     nodes = len(build_platform(factor, seed).nodes)
@@ -189,15 +194,15 @@
         steady=60.0 * minutes,
         hurry=hurry,
         event=EVENT_TTLS * term_s,
-        parted=PARTED_TTLS * term_s,
+        partitioned=PARTITION_TTLS * term_s,
     )
     if limits.load_is_high():
-        say("the machine is busy: times of this run tell of other programs too")
+        log_progress("the machine is busy: other programs affect the times of this run")
     try:
         record = asyncio.run(run_control(Plan(options, durations, chosen, limit_s)))
     except limits.TooLargeError as refusal:
         typer.echo(f"refused: {refusal}", err=True)
-        raise typer.Exit(REFUSED) from refusal
+        raise typer.Exit(EXIT_TOO_LARGE) from refusal
     print_record(record, whole)
     if keep:
-        say(f"written: {records.append(record)}")
+        log_progress(f"written: {records.append(record)}")
--- a/bench/scale/datapath.py
+++ b/bench/scale/datapath.py
@@ -1,7 +1,7 @@
-"""`python -m bench.scale datapath`: the latency, processor time and memory that a node adds to calls.
+"""`python -m bench.scale datapath`: the latency, processor time and memory that a node adds to requests.
 
 Real processes on loopback: list service, agent, stub servers, and a node with its default settings; with
-`--members` also one that knows siblings, in the same run. One record holds all rates of a run.
+`--members` the same run also measures a node that has siblings. One record holds all rates of a run.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 from bench.fleet_world import LIMIT_S, Plan, World
 from bench.scale import records
-from bench.scale.caller import Address, Caller
+from bench.scale.client import Address, Client
 from bench.scale.core_waits import CoreWaits
-from bench.scale.paired import DIRECT, NOISE, Paired, PairedRun, quantile_ms
+from bench.scale.paired import DIRECT, NOISE, PairedResult, PairedRun, quantile_ms
 from bench.scale.platform import read_size
 from bench.scale.stub_pool import StubPool
 from tests.support.node_processes import Node
@@ -32,9 +32,9 @@
 KIND = "datapath"
 OFF, ON = "off", "on"  # the node without and with `members`
 LEASE_TERM_MS = 5_000
-IDLE_S = 20.0  # processor time is told in steps of 10 ms: 0.05% of a core
-WARM_CALLS = 200
-FEWEST_SAMPLES = 100  # for a p99
+IDLE_S = 20.0  # the kernel reports processor time in steps of 10 ms: 0.05% of a core over this time
+WARMUP_REQUESTS = 200
+MIN_SAMPLES = 100  # for a p99
 MB = 1024.0 * 1024.0
 
 app = typer.Typer()
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Bench:
-    """What runs: the nodes under test by path, and the stub servers behind them."""
+    """The running nodes under test, by path, and the stub servers behind them."""
 
     nodes: dict[str, Node]
     servers: list[Address]
@@ -57,29 +57,29 @@
         return [("127.0.0.1", self.nodes[path].port)] if path in self.nodes else self.servers
 
     def pids(self, path: str) -> list[int]:
-        """Of the processes on the way of a call by this path, this one included."""
+        """Return the ids of all processes on this path, this process included."""
         node = [self.process(path).pid] if path in self.nodes else []
         return [os.getpid(), *node, *self.server_pids]
 
 
 @contextmanager
-def callers(bench: Bench, seed: int) -> Iterator[dict[str, Caller]]:
-    """One for each path."""
+def clients(bench: Bench, seed: int) -> Iterator[dict[str, Client]]:
+    """Yield a client for each path."""
     with ExitStack() as closing:
-        found = {}
+        by_path = {}
         for path in (DIRECT, NOISE, *bench.nodes):
             waits = CoreWaits(bench.pids(path))
             closing.callback(waits.close)
-            found[path] = Caller(bench.addresses(path), seed, waits)
-            closing.callback(found[path].close)
-        yield found
+            by_path[path] = Client(bench.addresses(path), seed, waits)
+            closing.callback(by_path[path].close)
+        yield by_path
 
 
 @contextmanager
 def started(
     folder: Path, servers: int, siblings: int, members: bool, probe_period_ms: float
 ) -> Iterator[Bench]:
-    """A node without `members`, and if `members` one among so many siblings."""
+    """Start a node without `members`; with `members` also one that has so many siblings."""
     plan = Plan(
         nodes=1 + siblings if members else 1,
         ttl_ms=LEASE_TERM_MS,
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True)
 class ProcessorTime:
-    """A process's time on cores so far, its time ready to run without one, and when both were read."""
+    """A process's time on cores so far, its time waiting for a core, and when both were read."""
 
     used_s: float
     waited_s: float
@@ -129,18 +129,18 @@
 
 
 def run_queue_wait_s(process: psutil.Process) -> float:
-    """How long its threads have been ready to run without a core: the second figure of schedstat."""
+    """Return how long its threads were ready to run without a core: the second value of schedstat."""
     threads = Path(f"/proc/{process.pid}/task").iterdir()
     return sum(int((thread / "schedstat").read_text().split()[1]) for thread in threads) / 1e9
 
 
 @dataclass(frozen=True)
 class NodeCost:
-    """What a node's process used of a core, sent nothing and under the calls; its memory at the end."""
+    """A node's use of a core when idle and under load, and its memory at the end."""
 
     idle_percent: float
     busy_percent: float
-    waited_percent: float  # ready to run under the calls, while other processes held the cores
+    waited_percent: float  # of the time under load: ready to run while other processes used the cores
     memory_mb: float
 
     def ms_per_call(self, calls_per_s: float) -> float:
@@ -152,17 +152,18 @@
 
 @dataclass(frozen=True)
 class Measured:
-    """What one rate gave."""
+    """Results of one rate."""
 
-    calls: Paired
+    calls: PairedResult
     costs: dict[str, NodeCost]  # by path
 
 
 async def measure(bench: Bench, rate: float, groups: int, seed: int) -> Measured:
+    """Measure the idle nodes, then so many groups of requests at this rate."""
     processes = {path: bench.process(path) for path in bench.nodes}
-    with callers(bench, seed) as by_path:
-        run = PairedRun(by_path, rate, seed)
-        await run.warm(WARM_CALLS)
+    with clients(bench, seed) as clients_by_path:
+        run = PairedRun(clients_by_path, rate, seed)
+        await run.warm_up(WARMUP_REQUESTS)
         idle_from = {path: ProcessorTime.of(process) for path, process in processes.items()}
         await asyncio.sleep(IDLE_S)
         busy_from = {path: ProcessorTime.of(process) for path, process in processes.items()}
@@ -184,10 +185,12 @@
 
 
 def phase(rate: float, path: str) -> str:
+    """Return the phase's name in the records."""
     return f"{rate:g}/s" if path == OFF else f"{rate:g}/s, members"
 
 
 def add_figures(run: records.Run, rate: float, measured: Measured) -> None:
+    """Add the figures of one rate to the run."""
     calls = measured.calls
     calls_per_s = calls.groups_per_s
     plain = phase(rate, OFF)
@@ -195,76 +198,85 @@
         _add_latency(run, name, calls, name, plain)
     run.add("call", "calls_per_s", round(calls_per_s, 2), "1/s", plain, calls.groups)
     for path, cost in measured.costs.items():
-        at = phase(rate, path)
-        run.add("call", "failed", calls.failed_by(path), "calls", at, calls.groups)
-        _add_latency(run, "through", calls, path, at)
-        run.add("node", "call_cpu_ms", round(cost.ms_per_call(calls_per_s), 4), "ms", at, calls.groups)
+        phase_name = phase(rate, path)
+        run.add("call", "failed", calls.failed_by(path), "calls", phase_name, calls.groups)
+        _add_latency(run, "through", calls, path, phase_name)
+        run.add(
+            "node", "call_cpu_ms", round(cost.ms_per_call(calls_per_s), 4), "ms", phase_name, calls.groups
+        )
         waited_ms = cost.waited_ms_per_call(calls_per_s)
-        run.add("node", "call_wait_for_core_ms", round(waited_ms, 4), "ms", at, calls.groups)
-        run.add("node", "cpu_percent", round(cost.busy_percent, 3), "%", at)
-        run.add("node", "idle_cpu_percent", round(cost.idle_percent, 3), "%", at)
-        run.add("node", "memory_mb", round(cost.memory_mb, 1), "MB", at)
+        run.add("node", "call_wait_for_core_ms", round(waited_ms, 4), "ms", phase_name, calls.groups)
+        run.add("node", "cpu_percent", round(cost.busy_percent, 3), "%", phase_name)
+        run.add("node", "idle_cpu_percent", round(cost.idle_percent, 3), "%", phase_name)
+        run.add("node", "memory_mb", round(cost.memory_mb, 1), "MB", phase_name)
 
 
-def _add_latency(run: records.Run, name: str, calls: Paired, path: str, at: str) -> None:
+def _add_latency(run: records.Run, name: str, calls: PairedResult, path: str, phase_name: str) -> None:
     times = calls.paths[path]
     for percent in (50, 99):
         value = round(quantile_ms(times.total, percent), 3)
-        run.add("call", f"{name}_p{percent}_ms", value, "ms", at, calls.groups)
+        run.add("call", f"{name}_p{percent}_ms", value, "ms", phase_name, calls.groups)
     if path == DIRECT:
         return
     added = "noise" if path == NOISE else "added"
-    for name, found in (("pair", times.added), ("undisturbed", times.undisturbed)):
-        samples = found.get_total_count()
-        for percent in (50, 99) if samples >= FEWEST_SAMPLES else ():
-            value = round(quantile_ms(found, percent), 3)
-            run.add("call", f"{added}_{name}_p{percent}_ms", value, "ms", at, samples)
+    for name, added_times in (("pair", times.added), ("undisturbed", times.undisturbed)):
+        samples = added_times.get_total_count()
+        for percent in (50, 99) if samples >= MIN_SAMPLES else ():
+            value = round(quantile_ms(added_times, percent), 3)
+            run.add("call", f"{added}_{name}_p{percent}_ms", value, "ms", phase_name, samples)
 
 
 def check(run: records.Run, rate: float, measured: Measured, bound_ms: float) -> None:
-    """Note what the run missed."""
+    """Add to the run's failures each path over the bound and each kind of failed request."""
     for path in measured.costs:
         added_ms = quantile_ms(measured.calls.paths[path].added, 99.0)
         if added_ms > bound_ms:
             run.failures.append(f"{phase(rate, path)}: p99 added {added_ms:.3f} ms, bound {bound_ms:g} ms")
-    for (path, said), count in sorted(measured.calls.failed.items()):
-        run.failures.append(f"{phase(rate, path)}: {count} calls by the path {path} failed: {said}")
+    for (path, error), count in sorted(measured.calls.failed.items()):
+        run.failures.append(f"{phase(rate, path)}: {count} requests on the path {path} failed: {error}")
 
 
 # --------------------------------------------------------------------- the command
 
-FEWEST_GROUPS = 3000  # 30 calls lie beyond the p99
-LONGEST_S = 150.0  # for one rate
-LOWEST_RATE, HIGHEST_RATE = 0.1, 2000.0
+MIN_GROUPS = 3000  # leaves 30 requests above the p99
+MAX_SECONDS = 150.0  # for one rate
+MIN_RATE, MAX_RATE = 0.1, 2000.0
 
 
 def groups_at(rate: float, seconds: float) -> int:
-    """So many groups that the p99 has some samples beyond it, within the time for one rate."""
-    return max(1, int(min(max(FEWEST_GROUPS, rate * seconds), rate * LONGEST_S)))
+    """Return how many groups to send: enough for samples above the p99, within the time limit of a rate."""
+    return max(1, int(min(max(MIN_GROUPS, rate * seconds), rate * MAX_SECONDS)))
 
 
 def parse_rates(text: str) -> list[float]:
+    """Return the rates, or raise BadParameter."""
     try:
         rates = [float(word) for word in text.split(",")]
     except ValueError:
         rates = []
-    if not rates or not all(LOWEST_RATE <= rate <= HIGHEST_RATE for rate in rates):
-        raise typer.BadParameter(f"{text!r}: rates are numbers from {LOWEST_RATE:g} to {HIGHEST_RATE:g}")
+    if not rates or not all(MIN_RATE <= rate <= MAX_RATE for rate in rates):
+        raise typer.BadParameter(f"{text!r}: rates are numbers from {MIN_RATE:g} to {MAX_RATE:g}")
     return rates
 
 
 @app.command()
 def datapath(
-    rate: Annotated[str, typer.Option(help="Calls a second on the node, each in turn.")] = "23,93,400",
-    seconds: Annotated[float, typer.Option(help="For each rate, if that gives enough calls.")] = 30.0,
+    rate: Annotated[
+        str, typer.Option(help="Requests per second at the node, one after another.")
+    ] = "23,93,400",
+    seconds: Annotated[
+        float, typer.Option(help="For each rate; longer if there are too few requests.")
+    ] = 30.0,
     servers: Annotated[int, typer.Option(min=1, max=32)] = 7,
-    members: Annotated[bool, typer.Option(help="Measure a node with `members` beside it.")] = False,
-    siblings: Annotated[int, typer.Option(min=0, max=32, help="Of that node.")] = 6,
-    probe_period_ms: Annotated[float, typer.Option(help="Of that node and its siblings.")] = 1000.0,
+    members: Annotated[bool, typer.Option(help="Also measure a node with `members`.")] = False,
+    siblings: Annotated[int, typer.Option(min=0, max=32, help="Siblings of the node with `members`.")] = 6,
+    probe_period_ms: Annotated[
+        float, typer.Option(help="For the node with `members` and its siblings.")
+    ] = 1000.0,
     seed: int = 1,
     record: Annotated[bool, typer.Option(help="Write a record.")] = True,
 ) -> None:
-    """The latency and the processor time that a node adds to a call, beside the same call sent directly."""
+    """Measure the latency and processor time that a node adds to a request, against a direct request."""
     rates = parse_rates(rate)
     options: dict[str, records.Option] = {
         "rate": rate,
@@ -282,7 +294,7 @@
     ):
         for calls_per_s in rates:
             groups = groups_at(calls_per_s, seconds)
-            typer.echo(f"{calls_per_s:g}/s: {groups} groups of calls, {groups / calls_per_s:.0f} s")
+            typer.echo(f"{calls_per_s:g}/s: {groups} groups of requests, {groups / calls_per_s:.0f} s")
             measured = asyncio.run(measure(bench, calls_per_s, groups, seed))
             add_figures(run, calls_per_s, measured)
             check(run, calls_per_s, measured, bound_ms)
--- a/bench/scale/fits.py
+++ b/bench/scale/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points: slope and intercept with their standard errors."""
+"""Linear regression of measured points: slope and intercept with their standard errors."""
 
 from __future__ import annotations
 
@@ -8,16 +8,18 @@
 import numpy as np
 from msgspec import Struct
 
-FEWEST_FOR_SPREAD = 3  # through two points every line fits
+MIN_POINTS_FOR_ERROR = 3  # two points always lie on a line, without an error
 
 
 class Point(Struct, frozen=True, order=True):
+    """A measured value y at x."""
+
     x: float
     y: float
 
 
 class Estimate(Struct, frozen=True):
-    """A value and its standard error; None: too few points to tell."""
+    """A value and its standard error, or None with too few points."""
 
     value: float
     error: float | None = None
@@ -29,11 +31,12 @@
     slope: Estimate
     intercept: Estimate
     points: int
-    variance: float | None  # of what the line leaves over
+    variance: float | None  # of the residuals
     mean_x: float
     sum_x2: float  # of squared distances from the mean
 
     def at(self, x: float) -> Estimate:
+        """Return the line's value at x with its standard error."""
         value = self.intercept.value + self.slope.value * x
         if self.variance is None:
             return Estimate(value)
@@ -42,17 +45,17 @@
 
 
 def fit(points: Sequence[Point]) -> Fit | None:
-    """None where fewer than two different x were measured."""
+    """Return the regression line, or None with fewer than two different x."""
     if len({point.x for point in points}) < 2:
         return None
     x = np.array([point.x for point in points])
     y = np.array([point.y for point in points])
     design = np.column_stack([np.ones_like(x), x])
     (intercept, slope), *_ = np.linalg.lstsq(design, y, rcond=None)
-    left_over = float(((y - design @ np.array([intercept, slope])) ** 2).sum())
+    squared_residuals = float(((y - design @ np.array([intercept, slope])) ** 2).sum())
     mean_x = float(x.mean())
     sum_x2 = float(((x - mean_x) ** 2).sum())
-    variance = left_over / (len(x) - 2) if len(x) >= FEWEST_FOR_SPREAD else None
+    variance = squared_residuals / (len(x) - 2) if len(x) >= MIN_POINTS_FOR_ERROR else None
     slope_error = None if variance is None else math.sqrt(variance / sum_x2)
     intercept_error = None if variance is None else math.sqrt(variance * (1 / len(x) + mean_x**2 / sum_x2))
     return Fit(
--- a/bench/scale/goals.py
+++ b/bench/scale/goals.py
@@ -1,4 +1,4 @@
-"""What a control-path run has to show: the goals, each by the figure that answers it."""
+"""Goals of a control-path run: an upper bound for each figure that must meet one."""
 
 from __future__ import annotations
 
@@ -6,21 +6,23 @@
 
 from bench.scale.records import Figure, Role, Run
 
-FIRST_FACTOR = 3.0  # for some seconds around the loss of a zone
-BUSY = " (the machine did not keep up with its own timers)"
+ZONE_LOSS_FACTOR = 3.0  # relaxes the bounds for some seconds after the loss of a zone
+BUSY_NOTE = " (the machine did not keep up with its own timers)"
 ORDINARY = ("steady",)
 LEASE_PHASES = ("steady", "leader_killed", "leader_back")
 
 
 class Goal(Struct, frozen=True):
+    """The maximum allowed for one figure."""
+
     role: Role
     name: str
-    most: float
-    phases: tuple[str, ...] = ()  # none: all that have the figure
+    max_value: float
+    phases: tuple[str, ...] = ()  # empty: all phases that have the figure
 
 
 def control_goals(cpu_percent: float, memory_mb: float, bytes_per_s: float) -> list[Goal]:
-    """The bounds on a node are the operators' (size.toml)."""
+    """Return all goals; the arguments are the operators' bounds for a node (size.toml)."""
     first = ("zone_lost_first",)
     return [
         Goal("platform", "all_enrolled", 30.0, ("enrolment",)),
@@ -31,9 +33,9 @@
         Goal("node", "rss_mb_max", memory_mb),
         Goal("node", "bytes_in_max", bytes_per_s, ORDINARY),
         Goal("node", "bytes_out_max", bytes_per_s, ORDINARY),
-        Goal("node", "cpu_percent_max", FIRST_FACTOR * cpu_percent, first),
-        Goal("node", "bytes_in_max", FIRST_FACTOR * bytes_per_s, first),
-        Goal("node", "bytes_out_max", FIRST_FACTOR * bytes_per_s, first),
+        Goal("node", "cpu_percent_max", ZONE_LOSS_FACTOR * cpu_percent, first),
+        Goal("node", "bytes_in_max", ZONE_LOSS_FACTOR * bytes_per_s, first),
+        Goal("node", "bytes_out_max", ZONE_LOSS_FACTOR * bytes_per_s, first),
         Goal("leader", "cpu_percent_max", 50.0, ORDINARY),
         Goal("follower", "cpu_percent_max", 50.0, ORDINARY),
         Goal("leader", "rss_mb_max", 512.0),
@@ -45,14 +47,14 @@
 
 
 def missed(run: Run, goals: list[Goal]) -> list[str]:
-    """A line for each figure that is over its goal, or that was not reached at all."""
+    """Return a line for each figure that is over its goal or was not reached."""
     busy = {figure.phase for figure in run.figures if figure.name == "kept_up" and not figure.value}
     lines = []
     for goal in goals:
         for figure in run.figures:
             line = _miss(goal, figure)
             if line:
-                lines.append(line + (BUSY if figure.phase in busy else ""))
+                lines.append(line + (BUSY_NOTE if figure.phase in busy else ""))
     return lines
 
 
@@ -61,9 +63,9 @@
         return ""
     if goal.phases and figure.phase not in goal.phases:
         return ""
-    what = f"{figure.phase}: {figure.role} {figure.name}"
+    label = f"{figure.phase}: {figure.role} {figure.name}"
     if figure.value is None:
-        return f"{what}: not reached, goal {goal.most:g}"
-    if isinstance(figure.value, str) or figure.value <= goal.most:
+        return f"{label}: not reached, goal {goal.max_value:g}"
+    if isinstance(figure.value, str) or figure.value <= goal.max_value:
         return ""
-    return f"{what}: {figure.value:g} {figure.unit}, goal {goal.most:g}"
+    return f"{label}: {figure.value:g} {figure.unit}, goal {goal.max_value:g}"
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -1,7 +1,7 @@
-"""A hollow node: the program's own control path (net/fleet and the cores under it) without callers, servers
-and balancer, and its agent's code beside it in the same process.
+"""A hollow node: the program's own control plane without clients, servers and balancer.
 
-All that is taken from the program under test is imported here, so that a name which has moved is mended here.
+Its agent's code runs in the same process. Everything that is used of the program under test is imported here,
+so that only this module changes when the program's modules are renamed.
 """
 
 from __future__ import annotations
@@ -26,69 +26,70 @@
 from loadbalancer.endpoints import AttemptResult, Endpoint
 from loadbalancer.node.clock import Clock
 from loadbalancer.node.config import NodeConfig, parse_config
-from loadbalancer.node.control import control_plane as fleet_part
+from loadbalancer.node.control import control_plane as control_plane_module
 from loadbalancer.node.control.registry_client import RegistryClient
 from loadbalancer.node.http import service_http as web
 from loadbalancer.registry.agent import RegistryFollower, SourceList
 from loadbalancer.registry.settings import AgentSettings
 from tests.support.loopback import config_row
 
-ALL = "all"  # the group where shares are not by service
-LATE = 0.25  # of the term: a renewal that took longer counts as late
-KEPT_MOST = 128  # connections kept to siblings and from them, as a real node has
-KEPT_LARGE = 16  # in a group of over KEPT_MOST each is dialled anew anyhow before its turn comes again
+ONE_GROUP = "all"  # the name of the one group, if quotas are not by service
+LATE_FRACTION = 0.25  # of the lease term: a renewal that took longer counts as late
+MAX_CACHED = 128  # connections cached to and from siblings, as in a real node
+# Connections cached in a group of over MAX_CACHED nodes, where each is closed before it would be used again.
+MAX_CACHED_LARGE_GROUP = 16
 LIST_CONFIRMED_MS = 2_000.0
-SEEN_EVERY_S = 1.0  # own facts on servers are made anew, as calls would make them
+OBSERVATION_PERIOD_S = 1.0  # period of simulated observations of servers, which requests make in a real node
 
 
-class Figures:
-    """What the nodes of a process measure together, since the last `take`."""
+class NodeMeasurements:
+    """Measurements of all nodes of a process since the last collection."""
 
     def __init__(self) -> None:
         self.renewals, self.enrolments, self.changes = Times(), Times(), Times()
-        self.by_agent = Times()  # of the renewals, those through an agent process
+        self.by_agent = Times()  # the renewals that went through an agent process
         self.renewed = self.late = self.unknown = self.yielded = 0
-        self.refused: dict[str, int] = {}
+        self.failed_calls: dict[str, int] = {}
         self.changes_seen: dict[str, int] = {}
 
-    def refuse(self, path: str, why: str) -> None:
-        key = f"{path} {why}"
-        self.refused[key] = self.refused.get(key, 0) + 1
+    def count_failure(self, path: str, reason: str) -> None:
+        key = f"{path} {reason}"
+        self.failed_calls[key] = self.failed_calls.get(key, 0) + 1
 
-    def saw_change(self, uid: str) -> None:
+    def count_change(self, uid: str) -> None:
         written_ns = int(uid.rpartition("-")[2])
         self.changes.add((time.monotonic_ns() - written_ns) / 1e6)
         self.changes_seen[uid] = self.changes_seen.get(uid, 0) + 1
 
 
-class InnerAgent(RegistryFollower):
-    """The agent's code, called without a socket between it and its node."""
+class InProcessAgent(RegistryFollower):
+    """The agent's code, called by its node without a socket."""
 
-    def __init__(self, spec: HollowSpec, instances: list[int], figures: Figures) -> None:
+    def __init__(self, spec: HollowSpec, instances: list[int], measurements: NodeMeasurements) -> None:
         settings = AgentSettings(
             listen=("127.0.0.1", spec.port), registries=tuple(("127.0.0.1", port) for port in instances)
         )
         quiet = structlog.make_filtering_bound_logger(logging.CRITICAL)
         super().__init__(settings, structlog.wrap_logger(None, wrapper_class=quiet))
-        self.figures = figures
+        self.measurements = measurements
 
     def _apply(self, received: SourceList) -> None:
-        before, follows = set(self.cache.entries), self.cache.filled
+        before, was_filled = set(self.cache.entries), self.cache.filled
         super()._apply(received)
         for uid in self.cache.entries.keys() - before:
-            if follows and uid.startswith(CHANGE):
-                self.figures.saw_change(uid)
+            if was_filled and uid.startswith(CHANGE):
+                self.measurements.count_change(uid)
 
     async def call(self, method: str, target: str, body: bytes, timeout_ms: float) -> web.ReceivedResponse:
         url = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         async with asyncio.timeout(timeout_ms / 1000.0):
-            answer = await self.handle(web.HttpRequest(method, url.path, query, {}, body))
-        return web.ReceivedResponse(answer.status, answer.headers, answer.body)
+            response = await self.handle(web.HttpRequest(method, url.path, query, {}, body))
+        return web.ReceivedResponse(response.status, response.headers, response.body)
 
 
-class MeasuredAgent(RegistryClient):
-    """The node's side of its agent: inner or a real process; each call is timed and what fails is counted."""
+class TimedAgentClient(RegistryClient):
+    """The node's client of its agent, in this process or its own; times calls and counts failed ones."""
 
     def __init__(self, address: Callable[[], Any], node: HollowNode) -> None:
         super().__init__(address)
@@ -97,171 +98,189 @@
     async def post(self, path: str, body: Any, timeout_ms: float) -> web.ReceivedResponse:
         sent = time.monotonic()
         try:
-            reply = await self._post(path, body, timeout_ms)
+            response = await self._post(path, body, timeout_ms)
         except (OSError, TimeoutError) as failure:
-            self._failed(path, type(failure).__name__)
+            self._count_failure(path, type(failure).__name__)
             raise
-        if reply.status != 200:
-            self._failed(path, str(reply.status))
+        if response.status != 200:
+            self._count_failure(path, str(response.status))
         elif path in ("enrol", "renew"):
-            self._timed((time.monotonic() - sent) * 1000.0)
-        return reply
+            self._count_success((time.monotonic() - sent) * 1000.0)
+        return response
 
     async def _post(self, path: str, body: Any, timeout_ms: float) -> web.ReceivedResponse:
         agent = self._address()
-        if not isinstance(agent, InnerAgent):
+        if not isinstance(agent, InProcessAgent):
             return await super().post(path, body, timeout_ms)
         return await agent.call("POST", f"/fleet/{path}", orjson.dumps(body), timeout_ms)
 
     async def get(self, target: str, timeout_ms: float) -> web.ReceivedResponse:
         agent = self._address()
-        if not isinstance(agent, InnerAgent):
+        if not isinstance(agent, InProcessAgent):
             return await super().get(target, timeout_ms)
         return await agent.call("GET", f"/fleet/{target}", b"", timeout_ms)
 
-    def _timed(self, ms: float) -> None:
-        figures = self._node.figures
-        figures.renewals.add(ms)
+    def _count_success(self, ms: float) -> None:
+        measurements = self._node.measurements
+        measurements.renewals.add(ms)
         if self._node.agent is None:
-            figures.by_agent.add(ms)
-        figures.renewed += 1
-        figures.late += ms > LATE * self._node.ttl_ms
+            measurements.by_agent.add(ms)
+        measurements.renewed += 1
+        measurements.late += ms > LATE_FRACTION * self._node.ttl_ms
 
-    def _failed(self, path: str, why: str) -> None:
-        figures = self._node.figures
-        figures.refuse(path, why)
-        figures.late += path == "renew"
-        figures.unknown += (path, why) == ("renew", "404")
+    def _count_failure(self, path: str, reason: str) -> None:
+        measurements = self._node.measurements
+        measurements.count_failure(path, reason)
+        measurements.late += path == "renew"
+        measurements.unknown += (path, reason) == ("renew", "404")
 
 
 class HollowNode:
-    """One node; `start` again after an end, as a process that is started anew."""
-
-    def __init__(self, spec: HollowSpec, setup: Setup, figures: Figures) -> None:
-        self.spec, self._setup, self.figures = spec, setup, figures
-        self.group = spec.service if setup.scoped else ALL
-        self.turn = asyncio.Lock()  # held while it starts or ends
-        self.part: Any = None
-        self.agent: InnerAgent | None = None
+    """One hollow node; after it has ended, `start` begins a new incarnation as a restarted process does."""
+
+    def __init__(self, spec: HollowSpec, setup: Setup, measurements: NodeMeasurements) -> None:
+        self.spec, self._setup, self.measurements = spec, setup, measurements
+        self.group = spec.service if setup.scoped else ONE_GROUP
+        self.lock = asyncio.Lock()  # locked while it starts or ends
+        self.control_plane: Any = None
+        self.agent: InProcessAgent | None = None
         self._tasks: list[asyncio.Task[None]] = []
-        self._began = 0.0
-        self._had_share = False
+        self._started = 0.0
+        self._had_quota = False
 
     async def start(self) -> None:
-        self._began = time.monotonic()
+        self._started = time.monotonic()
         if self.spec.agent_port is None:
-            self.agent = InnerAgent(self.spec, self._setup.instances, self.figures)
+            self.agent = InProcessAgent(self.spec, self._setup.instances, self.measurements)
             self._tasks.append(asyncio.create_task(self.agent.follow()))
-        self.part = self._make_part()
+        self.control_plane = self._make_control_plane()
         self._time_enrolment()
         if self._setup.probes:
-            await self.part.start()
+            await self.control_plane.start()
         else:
-            self.part.route_activator.start()
-            self.part.freshness.start()
-            self.part.lease_client.start()
-        self._tasks.append(asyncio.create_task(self._see_servers()))
+            self.control_plane.route_activator.start()
+            self.control_plane.freshness.start()
+            self.control_plane.lease_client.start()
+        self._tasks.append(asyncio.create_task(self._observe_servers()))
 
-    def _make_part(self) -> Any:
-        """The fleet's part as node/node.py makes it, with stand-ins for the rest of the node."""
+    def _make_control_plane(self) -> Any:
+        """Return the control plane as node/node.py builds it, with fakes for the rest of the node."""
         config = _config(self.spec, self._setup)
-        where: Any = self.agent if self.agent is not None else ("127.0.0.1", self.spec.agent_port or 0)
-        watcher = SimpleNamespace(address=where)
+        agent_address: Any = (
+            self.agent if self.agent is not None else ("127.0.0.1", self.spec.agent_port or 0)
+        )
+        watcher = SimpleNamespace(address=agent_address)
         clock = Clock(asyncio.get_running_loop())
         servers = _Servers(clock, self._setup.servers[self.spec.service])
-        driver = SimpleNamespace(handle_event=lambda event: None, before_event=[], balancer=_balancer(config))
+        driver = SimpleNamespace(
+            handle_event=lambda event: None, before_event=[], balancer=_fake_balancer(config)
+        )
 
-        def agent(address: Callable[[], Any]) -> MeasuredAgent:
-            return MeasuredAgent(address, self)
+        def agent(address: Callable[[], Any]) -> TimedAgentClient:
+            return TimedAgentClient(address, self)
 
-        fleet_part.RegistryClient = agent  # type: ignore[attr-defined, assignment]
-        return fleet_part.ControlPlane(config, clock, servers, watcher, driver)  # type: ignore[arg-type]
+        control_plane_module.RegistryClient = agent  # type: ignore[attr-defined, assignment]
+        return control_plane_module.ControlPlane(config, clock, servers, watcher, driver)  # type: ignore[arg-type]
 
     def _time_enrolment(self) -> None:
-        """Note when the first answer comes, ahead of what the part does with it."""
-        lease = self.part.lease_client
-        carry_on = lease.on_answer
+        """Record the time to the first response to enrolment, before the lease client handles it."""
+        lease = self.control_plane.lease_client
+        original = lease.on_answer
 
-        def first(now: float, answer: Any) -> None:
-            self.figures.enrolments.add((time.monotonic() - self._began) * 1000.0)
-            lease.on_answer = carry_on
-            carry_on(now, answer)
+        def on_first_response(now: float, response: Any) -> None:
+            self.measurements.enrolments.add((time.monotonic() - self._started) * 1000.0)
+            lease.on_answer = original
+            original(now, response)
 
-        lease.on_answer = first
+        lease.on_answer = on_first_response
 
-    async def _see_servers(self) -> None:
-        """Facts on servers go out with the probes' payloads, as many as calls would make."""
-        view = self.part.freshness.table
+    async def _observe_servers(self) -> None:
+        """Record observations of servers, so that probes carry as much data as with real requests."""
+        freshness_table = self.control_plane.freshness.table
         while True:
-            now = self.part.clock.now_ms()
+            now = self.control_plane.clock.now_ms()
             for uid in self._setup.servers[self.spec.service]:
-                view.record_outcome(now, uid, AttemptResult.OK)
-            await asyncio.sleep(SEEN_EVERY_S)
+                freshness_table.record_outcome(now, uid, AttemptResult.OK)
+            await asyncio.sleep(OBSERVATION_PERIOD_S)
 
     async def leave(self) -> None:
-        part, self.part = self.part, None
-        if part is None:
+        """Shut down gracefully."""
+        control_plane, self.control_plane = self.control_plane, None
+        if control_plane is None:
             return
-        part.begin_drain()
-        await part.stop()
-        self._end(part)
-
-    def vanish(self) -> None:
-        part, self.part = self.part, None
-        if part is not None:
-            self._end(part)
-
-    def _end(self, part: Any) -> None:
-        part.close()
+        control_plane.begin_drain()
+        await control_plane.stop()
+        self._end(control_plane)
+
+    def fail(self) -> None:
+        """End without notice, as when the machine fails."""
+        control_plane, self.control_plane = self.control_plane, None
+        if control_plane is not None:
+            self._end(control_plane)
+
+    def _end(self, control_plane: Any) -> None:
+        control_plane.close()
         for task in self._tasks:
             task.cancel()
         self._tasks.clear()
-        self.agent, self._had_share = None, False
+        self.agent, self._had_quota = None, False
 
-    def taking(self) -> float:
-        """The share that this node takes now."""
-        if self.part is None:
+    def quota(self) -> float:
+        """Return the quota in force at this node, and count if it fell to 0."""
+        if self.control_plane is None:
             return 0.0
-        share = float(self.part.lease_client.member_lease.quota_in_force(self.part.clock.now_ms()))
-        if self._had_share and share <= 0.0:
-            self.figures.yielded += 1
-        self._had_share = share > 0.0
-        return share
-
-    def measure_into(self, figures: Figures) -> None:
-        self.figures = figures
+        quota = float(
+            self.control_plane.lease_client.member_lease.quota_in_force(self.control_plane.clock.now_ms())
+        )
+        if self._had_quota and quota <= 0.0:
+            self.measurements.yielded += 1
+        self._had_quota = quota > 0.0
+        return quota
+
+    def measure_into(self, measurements: NodeMeasurements) -> None:
+        self.measurements = measurements
         if self.agent is not None:
-            self.agent.figures = figures
+            self.agent.measurements = measurements
 
-    def part_probes(self) -> tuple[int, int]:
-        """Sent and taken since the node's start."""
-        if self.part is None:
+    def probe_counts(self) -> tuple[int, int]:
+        """Return the probes sent and received since the node's start."""
+        if self.control_plane is None:
             return 0, 0
-        return probes(self.part)
+        return probes(self.control_plane)
 
     def verdicts(self) -> list[str]:
-        """What this node makes of each sibling."""
-        if self.part is None:
+        """Return the failure detector's verdict on each sibling."""
+        if self.control_plane is None:
             return []
-        return [verdict.value for verdict in self.part.group.verdicts(self.part.clock.now_ms()).values()]
+        return [
+            verdict.value
+            for verdict in self.control_plane.group.verdicts(self.control_plane.clock.now_ms()).values()
+        ]
 
     @property
     def ttl_ms(self) -> float:
-        return float(self.part.lease_client.member_lease.ttl_ms) if self.part is not None else math.inf
+        return (
+            float(self.control_plane.lease_client.member_lease.ttl_ms)
+            if self.control_plane is not None
+            else math.inf
+        )
 
     @property
     def enrolled(self) -> bool:
-        return self.part is not None and self.part.lease_client.member_lease.incarnation is not None
+        return (
+            self.control_plane is not None
+            and self.control_plane.lease_client.member_lease.incarnation is not None
+        )
 
     @property
     def attached(self) -> bool:
         return self.enrolled and bool(
-            self.part.lease_client.member_lease.is_attached(self.part.clock.now_ms())
+            self.control_plane.lease_client.member_lease.is_attached(self.control_plane.clock.now_ms())
         )
 
     @property
     def elector(self) -> bool:
-        return self.enrolled and bool(self.part.lease_client.member_lease.elector)
+        return self.enrolled and bool(self.control_plane.lease_client.member_lease.elector)
 
     @property
     def has_list(self) -> bool:
@@ -269,7 +288,7 @@
 
 
 class _Servers:
-    """The server list as the view reads it: the servers of the node's own service."""
+    """A fixed endpoint list for the freshness table: the servers of the node's own service."""
 
     def __init__(self, clock: Clock, uids: list[str]) -> None:
         self._clock = clock
@@ -281,11 +300,11 @@
         return self._clock.unix_ms() // LIST_CONFIRMED_MS * LIST_CONFIRMED_MS
 
 
-def probes(part: Any) -> tuple[int, int]:
-    """Sent and taken; earlier releases name their shell otherwise."""
-    if hasattr(part, "probe_transport"):
-        return part.probe_transport.probes_sent, part.probe_transport.probes_received
-    return part.hearing.asks, part.hearing.asked
+def probes(control_plane: Any) -> tuple[int, int]:
+    """Return the probes sent and received; earlier releases have other names for both."""
+    if hasattr(control_plane, "probe_transport"):
+        return control_plane.probe_transport.probes_sent, control_plane.probe_transport.probes_received
+    return control_plane.hearing.asks, control_plane.hearing.asked
 
 
 _seeds = itertools.count(1)
@@ -293,18 +312,18 @@
 
 def _config(spec: HollowSpec, setup: Setup) -> NodeConfig:
     group = len(setup.servers[spec.service]) if setup.scoped else len(setup.regions)
-    kept = KEPT_MOST if group <= KEPT_MOST else KEPT_LARGE
+    max_cached = MAX_CACHED if group <= MAX_CACHED else MAX_CACHED_LARGE_GROUP
     members: dict[str, Any] = {"listen": f"127.0.0.1:{spec.port}", "zone": spec.zone}
     if setup.probe_period_ms is not None:
         members["ask_every_ms"] = setup.probe_period_ms
     if setup.scoped:
         members["service"] = spec.service
-    limits = {"cores": 1.0, "memory_mb": 192, "sockets": 8 * kept}
+    limits = {"cores": 1.0, "memory_mb": 192, "sockets": 8 * max_cached}
     row = config_row("127.0.0.1:9", name=spec.name, members=members, limits=limits)
     return parse_config(orjson.dumps(row))
 
 
-def _balancer(config: NodeConfig) -> Any:
-    """Its period is the real module's; it has no calls."""
+def _fake_balancer(config: NodeConfig) -> Any:
+    """Return a fake balancer without requests that has the real module's period."""
     real = Balancer(config.settings, next(_seeds), 0.0)
     return SimpleNamespace(period_ms=real.period_ms, pool=lambda: (0.0, 0, 0.0))
--- a/bench/scale/hollow_names.py
+++ b/bench/scale/hollow_names.py
@@ -1,3 +1,4 @@
-"""Names that a run and its hollow processes agree on."""
+"""Names shared by a run and its processes of hollow nodes."""
 
-CHANGE = "change-"  # uids of servers that are listed to be waited for: change-NUMBER-NANOSECONDS
+# Prefix of the uids of servers whose propagation is measured: change-NUMBER-NANOSECONDS.
+CHANGE = "change-"
--- a/bench/scale/layout.py
+++ b/bench/scale/layout.py
@@ -1,6 +1,6 @@
-"""What docs/CAPACITY.md shows of the records: tables, their rows, bounds, mechanisms, and control machines.
+"""Layout of docs/CAPACITY.md, read from report.toml: tables, rows, bounds, mechanisms, control machines.
 
-Read from report.toml. A bound is a number, or the name of one of the operators' in size.toml.
+A bound is a number, or the name of one of the operators' bounds in size.toml.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 LAYOUT_FILE = Path(__file__).with_name("report.toml")
 
-Scope = Literal["service", "all"]  # of the groups that nodes share in: one a service, or one of all
+Scope = Literal["service", "all"]  # of the groups among which quotas are divided: one per service, or one
 Axis = Literal["nodes", "calls", "service"]
 Text = Annotated[str, Meta(min_length=1)]
 
 
 class Phase(Struct, frozen=True, forbid_unknown_fields=True):
-    """A part of a run as records name it. On the axis of calls: what follows the rate in that name."""
+    """A part of a run. `name` is its name in the records; on the axis of calls, its part after the rate."""
 
     name: str
-    when: Text  # in the tables
-    event: bool = False  # the first seconds after a fault, in which more may be allowed
+    when: Text  # its name in the tables
+    event: bool = False  # the first seconds after a fault, with relaxed bounds
 
 
 class Row(Struct, frozen=True, forbid_unknown_fields=True):
-    """A figure of the records in some phases, and the mechanism that carries it."""
+    """A figure of the records in some phases, and the mechanism that keeps it within its bound."""
 
     label: Text
     role: Role
@@ -40,13 +40,13 @@
     mechanism: Text
     phases: Annotated[list[str], Meta(min_length=1)]
     bound: float | str | None = None
-    bound_in: list[str] = []  # none: in all its phases
-    event_times: float = 1.0  # so much more is allowed in an event
+    bound_in: list[str] = []  # empty: in all its phases
+    event_times: float = 1.0  # factor of the bound in an event
     counted: bool = False  # whether the number of observations is shown
-    noise: str = ""  # the figure that tells how much of this one is noise of machine and method
+    noise: str = ""  # the figure that measures the noise of machine and method in this one
 
     def limit(self, phase: Phase, bounds: Bounds) -> float | None:
-        """What is allowed in that phase; ValueError where the operators have no bound of that name."""
+        """Return the bound in that phase or None; raise ValueError if size.toml has no bound of its name."""
         if self.bound is None or (self.bound_in and phase.name not in self.bound_in):
             return None
         times = self.event_times if phase.event else 1.0
@@ -58,26 +58,26 @@
 
 
 class Target(Struct, frozen=True, forbid_unknown_fields=True):
-    """A place on the axis that figures are worked out for."""
+    """A position on the axis for which figures are computed."""
 
     label: Text
     x: float
 
 
 class Table(Struct, frozen=True, forbid_unknown_fields=True):
-    """Figures over one axis; the first target is the size that bounds are judged at."""
+    """Figures over one axis; bounds are judged at the first target."""
 
     name: Text
     kind: Text  # of records
     axis: Axis
-    per: float  # slopes are told for so many of the axis
+    per: float  # slopes are shown per this many units of the axis
     per_label: Text
     targets: Annotated[list[Target], Meta(min_length=1)]
     rows: Annotated[list[Row], Meta(min_length=1)]
 
 
 class Machine(Struct, frozen=True, forbid_unknown_fields=True):
-    """One of the machines set aside for control, and what is placed there."""
+    """A machine reserved for the control path, and the roles placed on it."""
 
     name: Text
     region: Text
@@ -87,14 +87,17 @@
 
 
 class Layout(Struct, frozen=True, forbid_unknown_fields=True):
+    """The contents of report.toml."""
+
     chains_mechanism: Text
-    probe_period_ms: dict[Scope, float]  # that runs count with; where none is given: the program's own
+    # Only runs with this probe period are shown; for a scope without one, runs with the program's own.
+    probe_period_ms: dict[Scope, float]
     phases: list[Phase]
     tables: list[Table]
     machines: list[Machine]
 
     def phase(self, name: str) -> Phase:
-        """ValueError where there is none of that name."""
+        """Return the phase of that name, or raise ValueError."""
         for phase in self.phases:
             if phase.name == name:
                 return phase
@@ -102,5 +105,5 @@
 
 
 def read_layout(path: Path = LAYOUT_FILE) -> Layout:
-    """ValueError says which key of the file is wrong."""
+    """Read report.toml; raise ValueError that names an invalid key."""
     return msgspec.convert(tomllib.loads(path.read_text()), Layout)
--- a/bench/scale/listing.py
+++ b/bench/scale/listing.py
@@ -1,4 +1,4 @@
-"""`listing`: what a node without callers costs by the number of servers that its agent lists."""
+"""`listing`: CPU and memory of a node without clients, by the number of servers in its agent's list."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from bench.scale.processes import Meter
 from bench.scale.program import RealAgent, RealNode
 from bench.scale.records import Record, Run
-from bench.scale.world import Options, World, say
+from bench.scale.world import Options, World, log_progress
 from tests.support.ports import free_port
 
 SIZES = (10, 350, 700, 1400)
@@ -25,7 +25,7 @@
 
 
 async def run_listing(sizes: list[int], seconds: float, checkout: Path | None) -> Record:
-    """Two nodes, one with the fleet's part in a group of its own, at each length of the list."""
+    """Measure two nodes at each list size: one with `members`, alone in its group, and one without."""
     run = Run("listing", 1.0, 1, {"seconds": seconds, "sizes": ",".join(map(str, sizes))}, checkout)
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
         options = Options(
@@ -50,9 +50,9 @@
                 await world.put_all(world.platform.nodes[listed:size])
                 listed = size
                 await asyncio.sleep(SETTLE_S)
-                meter, began = Meter(world.program.watched), time.monotonic()
+                meter, started = Meter(world.program.watched), time.monotonic()
                 await asyncio.sleep(seconds)
-                say(f"{size} listed, {time.monotonic() - began:.0f} s")
+                log_progress(f"{size} listed, {time.monotonic() - started:.0f} s")
                 _add(run, meter, size)
         finally:
             for node in nodes:
@@ -85,14 +85,16 @@
 
 @app.command()
 def listing(
-    sizes: Annotated[str, typer.Option(help="Servers listed, rising.")] = ",".join(map(str, SIZES)),
+    sizes: Annotated[str, typer.Option(help="Numbers of listed servers, ascending.")] = ",".join(
+        map(str, SIZES)
+    ),
     seconds: float = 15.0,
-    program: Annotated[Path | None, typer.Option(help="A checkout whose program is run; else this.")] = None,
+    program: Annotated[Path | None, typer.Option(help="Checkout to measure; default: this one.")] = None,
     keep: Annotated[bool, typer.Option(help="Write the record to bench/scale/records.")] = True,
 ) -> None:
-    """CPU and memory of a node by the servers listed, with the fleet's part and without."""
+    """Measure CPU and memory of a node by the number of listed servers, with `members` and without."""
     record = asyncio.run(run_listing([int(size) for size in sizes.split(",")], seconds, program))
     for figure in record.figures:
         typer.echo(f"{figure.phase:12} {figure.role:6} {figure.name:28} {figure.value} {figure.unit}")
     if keep:
-        say(f"written: {records.append(record)}")
+        log_progress(f"written: {records.append(record)}")
--- a/bench/scale/markdown.py
+++ b/bench/scale/markdown.py
@@ -1,4 +1,4 @@
-"""Tables and numbers as docs/CAPACITY.md shows them."""
+"""Markdown tables and number formats of docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def number(value: float) -> str:
-    """Three digits that count, without an exponent."""
+    """Return the number with three significant digits, without an exponent."""
     if math.isinf(value):
         return "∞"
     if value == 0.0:
@@ -24,6 +24,7 @@
 
 
 def estimate(found: Estimate | None) -> str:
+    """Return the value with its standard error, if known."""
     if found is None:
         return NOTHING
     spread = NOTHING if found.error is None else f" ± {number(found.error)}"
@@ -31,7 +32,7 @@
 
 
 def table(heads: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """A table, or a line that says that there is nothing to show."""
+    """Return a table, or the line "not run" if it has no rows."""
     if not rows:
         return "not run\n"
     lines = [heads, ["---"] * len(heads), *rows]
--- a/bench/scale/platform.py
+++ b/bench/scale/platform.py
@@ -1,9 +1,9 @@
-"""The platform under test: regions, zones, racks, services, a call graph and rates of events, by one factor.
+"""Model of the platform under test: regions, zones, racks, services, call graph and event rates.
 
-The factor scales the number of nodes, services, racks, calls and events. Service sizes keep their
-distribution, and the largest keeps its size where it is under LARGEST_SHARE of all nodes, so that figures
-that depend on the size of a service may be compared across factors. The same factor and seed give the same
-platform.
+One factor scales the number of nodes, services, racks, calls and events. Service sizes keep their
+distribution, and the largest service keeps its size while it is under MAX_LARGEST_FRACTION of all nodes, so
+that figures that depend on the size of a service can be compared across factors. The same factor and seed
+give the same platform.
 """
 
 from __future__ import annotations
@@ -18,25 +18,27 @@
 from msgspec import Meta, Struct
 
 SIZE_FILE = Path(__file__).with_name("size.toml")
-LARGEST_SHARE = 0.4
-FEWEST_SERVICES = 4
-EXPONENTS = (0.01, 3.0)  # of the law of sizes: between them the fit is looked for
-NOISE = (0.5, 2.0)  # a service's calls a node are the mean times a figure between these
+MAX_LARGEST_FRACTION = 0.4
+MIN_SERVICES = 4
+EXPONENTS = (0.01, 3.0)  # search range for the exponent of the power law of service sizes
+RANDOM_FACTOR = (0.5, 2.0)  # range of the random factor on a service's calls per node and on an edge's weight
 FACTOR_LIMITS = (0.005, 4.0)
 
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 Positive = Annotated[float, Meta(gt=0.0, le=1e9)]
-Share = Annotated[float, Meta(ge=0.0, lt=1.0)]
+Fraction = Annotated[float, Meta(ge=0.0, lt=1.0)]
 Name = Annotated[str, Meta(min_length=1, max_length=40)]
 
 
 class Region(Struct, frozen=True, forbid_unknown_fields=True):
+    """A region and its zones."""
+
     name: Name
     zones: Annotated[list[Name], Meta(min_length=1)]
 
 
 class Rates(Struct, frozen=True, forbid_unknown_fields=True):
-    """Events a day in the whole platform."""
+    """Events per day in the whole platform."""
 
     failures: Positive
     restarts: Positive
@@ -47,7 +49,7 @@
 
 
 class Bounds(Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operators allow."""
+    """The operators' upper bounds."""
 
     control_cpu_percent: Positive
     control_memory_mb: Positive
@@ -58,12 +60,12 @@
 
 
 class Size(Struct, frozen=True, forbid_unknown_fields=True):
-    """The configuration file: the platform at factor 1."""
+    """The contents of size.toml: the platform at factor 1."""
 
     nodes: Count
     services: Count
     largest_service: Count
-    single_node_share: Share
+    single_node_share: Fraction
     calls_per_s: Positive
     deepest_chain: Count
     callers_per_service: Count
@@ -74,14 +76,16 @@
 
 
 class Service(Struct, frozen=True):
+    """A service, its tier in the call graph and its number of nodes."""
+
     index: int
     name: str
-    tier: int  # 1: called by users
+    tier: int  # 1: called by clients outside the platform
     nodes: int
 
 
 class Edge(Struct, frozen=True):
-    """Calls from one service to another; `caller` is None for users."""
+    """Calls from one service to another; `caller` is None for clients outside the platform."""
 
     caller: int | None
     callee: int
@@ -89,7 +93,7 @@
 
 
 class NodePlace(Struct, frozen=True):
-    """A node (and its server) and where it stands."""
+    """A node (with its server) and its placement."""
 
     index: int
     name: str
@@ -100,6 +104,8 @@
 
 
 class Platform(Struct, frozen=True):
+    """A platform built for one factor and seed."""
+
     factor: float
     seed: int
     size: Size
@@ -128,7 +134,7 @@
         return max(self.services, key=lambda service: service.nodes)
 
     def depth(self) -> int:
-        """Calls on the longest path from a user's call."""
+        """Return the number of calls on the longest path through the call graph."""
         depth = {service.index: 1 for service in self.services}
         callers: dict[int, list[int]] = {service.index: [] for service in self.services}
         for edge in self.edges:
@@ -141,12 +147,12 @@
 
 
 def read_size(path: Path = SIZE_FILE) -> Size:
-    """ValueError says which key of the file is wrong."""
+    """Read size.toml; raise ValueError that names an invalid key."""
     return msgspec.convert(tomllib.loads(path.read_text()), Size)
 
 
 def build_platform(factor: float, seed: int, size: Size | None = None) -> Platform:
-    """ValueError where the factor is out of range."""
+    """Build the platform; raise ValueError if the factor is out of range."""
     if not FACTOR_LIMITS[0] <= factor <= FACTOR_LIMITS[1]:
         raise ValueError(f"factor {factor} is not from {FACTOR_LIMITS[0]} to {FACTOR_LIMITS[1]}")
     size = size or read_size()
@@ -167,11 +173,11 @@
 
 
 def service_sizes(size: Size, nodes: int, services: int) -> list[int]:
-    """Sizes that sum to `nodes`: a share of single nodes, the others falling from the largest by a power.
+    """Return sizes that sum to `nodes`: a fraction of single nodes, the others by a power law of their rank.
 
-    Ranks are spread over those at factor 1, so that other factors draw from the same distribution.
+    Ranks are spread over the range of factor 1, so that all factors have the same distribution.
     """
-    largest = min(size.largest_service, int(nodes * LARGEST_SHARE))
+    largest = min(size.largest_service, int(nodes * MAX_LARGEST_FRACTION))
     single = round(services * size.single_node_share)
     count = services - single
     spread = (size.services - 1) / max(1, count - 1)
@@ -189,7 +195,7 @@
 
 
 def _rounded(sizes: Sequence[float], total: int) -> list[int]:
-    """Whole sizes with this sum: those with the largest remainders are rounded up."""
+    """Round to integers with this sum: those with the largest remainders are rounded up."""
     whole = [int(size) for size in sizes]
     by_remainder = sorted(range(len(sizes)), key=lambda at: whole[at] - sizes[at])
     for at in range(total - sum(whole)):
@@ -198,8 +204,8 @@
 
 
 def _services(size: Size, factor: float, random: Random) -> list[Service]:
-    nodes = max(FEWEST_SERVICES * 2, round(size.nodes * factor))
-    count = max(FEWEST_SERVICES, round(size.services * factor))
+    nodes = max(MIN_SERVICES * 2, round(size.nodes * factor))
+    count = max(MIN_SERVICES, round(size.services * factor))
     sizes = service_sizes(size, nodes, count)
     random.shuffle(sizes)
     deepest = min(size.deepest_chain, count)
@@ -214,13 +220,16 @@
 
 
 def _edges(size: Size, factor: float, services: Sequence[Service], random: Random) -> list[Edge]:
-    """Each service is called from the tier above, so that the chain is as deep as there are tiers, and from
-    some further ones above; its calls go with its size."""
+    """Return the call graph.
+
+    Each service is called from the tier directly above, which makes the longest chain as deep as there are
+    tiers, and from some further services above. Its calls are proportional to its size.
+    """
     edges: list[Edge] = []
     for service in services:
-        calls = service.nodes * random.uniform(*NOISE)
+        calls = service.nodes * random.uniform(*RANDOM_FACTOR)
         callers = _callers(size, service, services, random)
-        weights = [random.uniform(*NOISE) for _ in callers]
+        weights = [random.uniform(*RANDOM_FACTOR) for _ in callers]
         edges += [
             Edge(caller, service.index, calls * weight / sum(weights))
             for caller, weight in zip(callers, weights, strict=True)
@@ -243,7 +252,7 @@
 
 
 def _nodes(size: Size, services: Sequence[Service], random: Random) -> list[NodePlace]:
-    """A service's nodes are spread over all zones, and over the racks of each."""
+    """Spread the nodes of each service over all zones, and over the racks of each zone."""
     zones = [(region.name, zone) for region in size.regions for zone in region.zones]
     total = sum(service.nodes for service in services)
     racks = max(1, round(total / len(zones) / size.nodes_per_rack))
--- a/bench/scale/processes.py
+++ b/bench/scale/processes.py
@@ -1,4 +1,4 @@
-"""CPU, memory and traffic of the processes of a run, by role, between two moments."""
+"""CPU, memory and traffic of a run's processes between two readings."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 MB = 2**20
 
 
-class Watched:
-    """A process of the run. `counts` is the file that it counts its traffic in, by the kinds of `ports`."""
+class WatchedProcess:
+    """A process of the run, which counts its traffic in the file `counts` by the kinds of `ports`."""
 
     def __init__(self, role: Role, name: str, pid: int, counts: Path, ports: Mapping[str, int]) -> None:
         self.role, self.name, self.pid = role, name, pid
@@ -25,7 +25,7 @@
         self._process = psutil.Process(pid)
 
     def reading(self) -> Reading | None:
-        """None where the process has ended."""
+        """Return the current values, or None if the process has ended."""
         try:
             with self._process.oneshot():
                 cpu = self._process.cpu_times()
@@ -37,6 +37,8 @@
 
 
 class Reading(Struct, frozen=True):
+    """Totals of a process at one time."""
+
     at: float  # s, monotonic
     cpu_s: float
     rss_mb: float
@@ -44,7 +46,7 @@
 
 
 class Usage(Struct, frozen=True):
-    """What a process used between two readings, a second."""
+    """A process's usage between two readings; traffic is per second."""
 
     role: Role
     name: str
@@ -58,7 +60,8 @@
     by_kind: dict[str, tuple[float, float]]  # bytes in and out
 
 
-def usage(process: Watched, before: Reading, after: Reading) -> Usage:
+def usage(process: WatchedProcess, before: Reading, after: Reading) -> Usage:
+    """Return the usage between two readings."""
     seconds = max(1e-6, after.at - before.at)
     changed = {kind: now.since(before.traffic[kind]) for kind, now in after.traffic.items()}
     traffic = sockets.total(changed)
@@ -77,18 +80,18 @@
 
 
 class Meter:
-    """Readings of all processes at one moment, to be compared with the next."""
+    """Readings of all processes at its creation, the start of the measured interval."""
 
-    def __init__(self, processes: Iterable[Watched]) -> None:
+    def __init__(self, processes: Iterable[WatchedProcess]) -> None:
         self._before = {
             process: reading for process in processes if (reading := process.reading()) is not None
         }
 
     def usages(self) -> list[Usage]:
-        """Since this was made; processes that have ended meanwhile are left out."""
-        found = []
+        """Return the usage of each process since then, without processes that have ended."""
+        usages = []
         for process, before in self._before.items():
             after = process.reading()
             if after is not None:
-                found.append(usage(process, before, after))
-        return found
+                usages.append(usage(process, before, after))
+        return usages
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -1,6 +1,6 @@
-"""Processes of the program under test, from any checkout: instances of the list service, agents, real nodes.
+"""Processes of the program under test, from any checkout: list service instances, agents and real nodes.
 
-Each counts its traffic (sockets.py) by way of a `sitecustomize` that is put first on its path.
+Each counts its traffic (sockets.py) through a `sitecustomize` module that is first on its PYTHONPATH.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 from typing import Any
 
 from bench.scale import sockets
-from bench.scale.processes import Watched
+from bench.scale.processes import WatchedProcess
 from bench.scale.records import Role
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
 from tests.support.registry_processes import Registry, running, until
 
-HERE = Path(__file__).resolve().parent.parent.parent
-CUSTOMIZE = "from bench.scale.sockets import install_from_environment\n\ninstall_from_environment()\n"
+CHECKOUT = Path(__file__).resolve().parent.parent.parent
+SITECUSTOMIZE = "from bench.scale.sockets import install_from_environment\n\ninstall_from_environment()\n"
 STOP_S = 10.0
 
 
 class Program:
-    """A checkout whose program is run; what it writes goes under `folder`."""
+    """The program of a checkout; its processes write their files to `folder`."""
 
     def __init__(self, checkout: Path | None, folder: Path) -> None:
-        """No checkout: the one that these tests stand in."""
-        self.checkout = (checkout or HERE).resolve()
+        """Without a checkout, use the one of this module."""
+        self.checkout = (checkout or CHECKOUT).resolve()
         self.folder = folder
         self._path = folder / "path"
         self._path.mkdir()
-        (self._path / "sitecustomize.py").write_text(CUSTOMIZE)
+        (self._path / "sitecustomize.py").write_text(SITECUSTOMIZE)
         (self._path / "bench").mkdir()
-        (self._path / "bench" / "scale").symlink_to(HERE / "bench" / "scale")
-        self.watched: list[Watched] = []
+        (self._path / "bench" / "scale").symlink_to(CHECKOUT / "bench" / "scale")
+        self.watched: list[WatchedProcess] = []
 
     def environment(self, counts: Path, ports: Mapping[str, int]) -> dict[str, str]:
-        """The scale tests of this checkout over the program of the other."""
+        """Return an environment with the scale tests of this checkout and the program of the other."""
         return os.environ | {
             "PYTHONPATH": f"{self._path}{os.pathsep}{self.checkout}",
             sockets.COUNTS_FILE: str(counts),
@@ -49,7 +49,7 @@
     def spawn(
         self, role: Role, name: str, arguments: list[str], ports: Mapping[str, int]
     ) -> subprocess.Popen[bytes]:
-        """Start it, count its traffic by these ports, and watch it."""
+        """Start and watch a process that counts its traffic by these ports."""
         counts = self.counts(name)
         with (self.folder / f"{name}.log").open("ab") as log:
             process = subprocess.Popen(
@@ -66,16 +66,16 @@
         return self.folder / f"{name}.counts"
 
     def watch(self, role: Role, name: str, pid: int, ports: Mapping[str, int]) -> None:
-        """A process of that name that has been watched before is the one that this has replaced."""
+        """Watch a process; it replaces a watched process of the same name."""
         self.watched = [process for process in self.watched if process.name != name]
-        self.watched.append(Watched(role, name, pid, self.counts(name), ports))
+        self.watched.append(WatchedProcess(role, name, pid, self.counts(name), ports))
 
 
 class Instances(Registry):
-    """Three instances of the list service of a program; `relayed` where links between them are to be cut."""
+    """Three list service instances of a program; `relayed` puts relays between them for partitions."""
 
     def __init__(self, program: Program, ttl_ms: int, relayed: bool, groups: bool) -> None:
-        """`groups`: whether the program has a group for each service, and is to use it."""
+        """`groups` enables a group for each service, which older programs don't have."""
         self._program, self._groups = program, groups
         super().__init__(
             program.folder,
@@ -104,7 +104,7 @@
 
 
 class RealAgent:
-    """An agent process beside one node."""
+    """The agent process of one node."""
 
     def __init__(self, program: Program, name: str, instances: list[int]) -> None:
         self.port = free_port()
@@ -115,11 +115,11 @@
         self.process = program.spawn("agent", name, arguments, {"node": self.port})
 
     def stop(self) -> None:
-        _end(self.process)
+        _terminate(self.process)
 
 
 class RealNode:
-    """A node process without callers; with the fleet's part where `members` are its settings."""
+    """A node process without clients; `members` are its settings of that name, if any."""
 
     def __init__(self, program: Program, name: str, agent: RealAgent, members: dict[str, Any] | None) -> None:
         self.name = name
@@ -146,15 +146,15 @@
         return process
 
     def metric(self, name: str) -> float:
-        """One of the node's figures; OSError where it does not answer."""
+        """Return one of the node's metrics; raise OSError if it does not respond."""
         return self._node.metric(f"proxy.{name}")
 
     def stop(self) -> None:
         if self._node.process is not None:
-            _end(self._node.process)
+            _terminate(self._node.process)
 
 
-def _end(process: subprocess.Popen[bytes]) -> None:
+def _terminate(process: subprocess.Popen[bytes]) -> None:
     process.terminate()
     try:
         process.wait(STOP_S)
--- a/bench/scale/records.py
+++ b/bench/scale/records.py
@@ -1,6 +1,6 @@
-"""One JSON file for each run, in `records/`: what was run, where, and every figure that it gave.
+"""Records of runs: one JSON file each in `records/`, with program, options, machine load and all figures.
 
-docs/CAPACITY.md is filled and checked from these files alone. A record is never changed after it was written.
+docs/CAPACITY.md is generated and checked from these files alone. A record is never changed once written.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 class Figure(Struct, frozen=True, omit_defaults=True):
     """One measured value.
 
-    `phase` is the part of the run that it was measured in (enrolment, steady, leader_killed, ...), empty for
-    the whole run; `samples` how many observations stand behind it, 0 where that means nothing.
+    `phase` is the part of the run in which it was measured (enrolment, steady, leader_killed, ...), empty for
+    the complete run; `samples` is the number of observations, 0 where that does not apply.
     """
 
     role: Role
@@ -49,19 +49,21 @@
 
 
 class Program(Struct, frozen=True):
-    """The program that was measured: the commit of its checkout, and whether files differed from it."""
+    """The commit of a checkout, and whether its files differed from that commit."""
 
     commit: str
     dirty: bool
 
 
 class Record(Struct, frozen=True):
-    form: int
+    """The contents of a record file."""
+
+    form: int  # version of the format
     kind: str  # the command: control, latency, chains, ...
-    factor: float  # of the platform's size; 0 where it has no part in the run
+    factor: float  # of the platform's size; 0 if the run does not depend on it
     seed: int
-    program: Program
-    bench: Program  # the checkout of the scale tests, where it is another
+    program: Program  # the checkout of the measured program
+    bench: Program  # the checkout of the scale tests
     started: str  # UTC, ISO 8601
     seconds: float
     cores: int
@@ -69,7 +71,7 @@
     load_after: Load
     options: dict[str, Option]
     figures: list[Figure]
-    failures: list[str] = []  # goals and checks that the run missed, and what broke off
+    failures: list[str] = []  # missed goals and checks, and errors that ended the run
 
     def find(self, role: Role, name: str, phase: str = "") -> Figure | None:
         for figure in self.figures:
@@ -78,7 +80,7 @@
         return None
 
     def number(self, role: Role, name: str, phase: str = "") -> float | None:
-        """The figure's value where there is one and it is a number."""
+        """Return the figure's value as a number, or None if there is no such figure or it is no number."""
         figure = self.find(role, name, phase)
         if figure is None or isinstance(figure.value, str) or figure.value is None:
             return None
@@ -86,11 +88,12 @@
 
 
 def load_now() -> Load:
+    """Return the current load averages."""
     return Load(*(round(value, 2) for value in os.getloadavg()))
 
 
 def program_at(checkout: Path) -> Program:
-    """Records that were added since count as no difference."""
+    """Return the checkout's commit and whether it has changes, except to records."""
     commit = _git(checkout, "rev-parse", "HEAD").strip() or "unknown"
     changed = [
         line
@@ -108,7 +111,7 @@
 
 
 class Run:
-    """A run under way: begun before anything is measured, ended by `finish`."""
+    """A run in progress: created before anything is measured, completed by `finish`."""
 
     def __init__(
         self,
@@ -118,12 +121,12 @@
         options: dict[str, Option],
         checkout: Path | None = None,
     ) -> None:
-        """`checkout`: of the program that is measured; none: the one that these tests stand in."""
-        own = Path(__file__).resolve().parent.parent.parent
+        """`checkout` is that of the measured program; None: the checkout of this module."""
+        this_checkout = Path(__file__).resolve().parent.parent.parent
         self.kind, self.factor, self.seed, self.options = kind, factor, seed, options
         self.figures: list[Figure] = []
         self.failures: list[str] = []
-        self._program, self._bench = program_at(checkout or own), program_at(own)
+        self._program, self._bench = program_at(checkout or this_checkout), program_at(this_checkout)
         self._began = datetime.datetime.now(datetime.UTC)
         self._load = load_now()
 
@@ -153,7 +156,7 @@
 
 
 def append(record: Record, folder: Path = FOLDER) -> Path:
-    """Write the record to a file of its own; FileExistsError rather than change one that is there."""
+    """Write the record to a new file and return its path; raise FileExistsError if it exists."""
     folder.mkdir(parents=True, exist_ok=True)
     stamp = "".join(letter for letter in record.started[:19] if letter.isalnum())
     path = folder / f"{stamp}-{record.kind}-{record.factor:g}-{record.program.commit[:8]}.json"
@@ -163,7 +166,7 @@
 
 
 def read(path: Path) -> Record:
-    """ValueError says which field of the file is wrong."""
+    """Read a record; raise ValueError that names an invalid field."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Record)
     except msgspec.MsgspecError as error:
@@ -171,10 +174,11 @@
 
 
 def read_all(folder: Path = FOLDER) -> Iterator[Record]:
-    """All records, the oldest first."""
+    """Yield all records in the order of their file names, oldest first."""
     for path in sorted(folder.glob("*.json")):
         yield read(path)
 
 
 def of_kind(records: Iterable[Record], kind: str) -> list[Record]:
+    """Return the records of one command."""
     return [record for record in records if record.kind == kind]
--- a/bench/scale/report.py
+++ b/bench/scale/report.py
@@ -1,6 +1,6 @@
 """`python -m bench.scale report`: fill the tables of docs/CAPACITY.md from the records, or check them.
 
-A table stands between `<!-- table: NAME -->` and `<!-- end -->`; all else on the page is prose.
+A table is the text between `<!-- table: NAME -->` and `<!-- end -->`; the rest of the page is not changed.
 """
 
 from __future__ import annotations
@@ -25,11 +25,12 @@
 
 
 def sources(folder: Path = records.FOLDER) -> Sources:
+    """Read layout, platform size and records."""
     return Sources(read_layout(), read_size(), list(records.read_all(folder)))
 
 
 def filled(page: str, found: Sources) -> str:
-    """The page with every table as the records give it; ValueError where a table is unknown or missing."""
+    """Return the page with all tables filled in; raise ValueError if a table is unknown or missing."""
     there = [match[1] for match in TABLE.finditer(page)]
     lacking = sorted(set(tables.names(found)) - set(there))
     if lacking:
@@ -42,8 +43,9 @@
 
 
 def difference(page: str, wanted: str) -> str:
+    """Return the first lines of a diff."""
     lines = difflib.unified_diff(
-        page.splitlines(), wanted.splitlines(), "the page", "as the records give it", lineterm="", n=0
+        page.splitlines(), wanted.splitlines(), "the page", "generated from the records", lineterm="", n=0
     )
     return "\n".join(list(lines)[:DIFFERENCE_LINES])
 
@@ -51,11 +53,11 @@
 @app.command()
 def report(
     write: Annotated[bool, typer.Option("--write", help="Fill the tables.")] = False,
-    check: Annotated[bool, typer.Option("--check", help="Exit 1 where the page differs.")] = False,
-    page: Annotated[Path, typer.Option(help="To fill or check.")] = PAGE,
-    folder: Annotated[Path, typer.Option(help="Of the records.")] = records.FOLDER,
+    check: Annotated[bool, typer.Option("--check", help="Exit 1 if the page differs.")] = False,
+    page: Annotated[Path, typer.Option(help="The page to fill or check.")] = PAGE,
+    folder: Annotated[Path, typer.Option(help="The folder of the records.")] = records.FOLDER,
 ) -> None:
-    """Fill or check the tables of docs/CAPACITY.md; with neither print what is missing."""
+    """Fill or check the tables of docs/CAPACITY.md; without an option print the table `missing`."""
     found = sources(folder)
     if not write and not check:
         typer.echo(summary_tables.missing(found))
--- a/bench/scale/role_tables.py
+++ b/bench/scale/role_tables.py
@@ -1,4 +1,4 @@
-"""Tables of docs/CAPACITY.md that have a row for each figure: of a role, of predictions, of two scopes."""
+"""Tables of docs/CAPACITY.md with a row for each figure: one for each role, predictions, and scopes."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 
 NOT_RUN = "not run"
 NOT_REACHED = "not reached"
-MOST_SHOWN = 6  # sizes that a cell names one by one
-OFF_BY = 0.25  # a prediction that is further off is flagged
+MAX_SIZES_SHOWN = 6  # maximum number of sizes that a cell lists
+MAX_PREDICTION_ERROR = 0.25  # relative error above which a prediction is flagged
 
 
 # ------------------------------------------------------------------ one role each
 
 
-def role_table(sources: Sources, of: Table) -> str:
-    heads = ["figure", "when", "unit", "measured", f"slope a {of.per_label}", "intercept"]
-    heads += [target.label for target in of.targets] + ["bound", "met", "carried by"]
+def role_table(sources: Sources, spec: Table) -> str:
+    """Return the table of one role."""
+    heads = ["figure", "when", "unit", "measured", f"slope a {spec.per_label}", "intercept"]
+    heads += [target.label for target in spec.targets] + ["bound", "met", "carried by"]
     scope = newest_scope(sources.records)
-    found = judge(sources.layout, of, sources.size.bounds, sources.records, scope)
+    found = judge(sources.layout, spec, sources.size.bounds, sources.records, scope)
     return table(heads, [_role_row(judged) for judged in found])
 
 
 def _role_row(judged: Judged) -> list[str]:
-    of, line = judged.table, judged.series.line
-    slope = None if line is None else _times(line.slope, of.per)
+    spec, line = judged.table, judged.series.line
+    slope = None if line is None else _times(line.slope, spec.per)
     return [
         judged.row.label,
         judged.phase.when,
@@ -40,7 +41,7 @@
         measured(judged.series, judged.row.counted),
         estimate(slope) if line else _no_slope(judged.series),
         estimate(line.intercept) if line else NOTHING,
-        *(figure_at(judged.series, target.x) for target in of.targets),
+        *(figure_at(judged.series, target.x) for target in spec.targets),
         NOTHING if judged.limit is None else number(judged.limit),
         _met(judged),
         judged.row.mechanism,
@@ -48,7 +49,7 @@
 
 
 def measured(found: Series, counted: bool = False) -> str:
-    """The mean at each size, if `counted` with the number of observations."""
+    """Return the mean at each size; with `counted` also the number of observations."""
     at: dict[float, list[float | None]] = defaultdict(list)
     counts: dict[float, int] = defaultdict(int)
     for sample in found.samples:
@@ -56,7 +57,7 @@
         counts[sample.x] += sample.count
     if not at:
         return NOT_RUN
-    if len(at) > MOST_SHOWN:
+    if len(at) > MAX_SIZES_SHOWN:
         return f"{len(found.samples)} values from {number(min(at))} to {number(max(at))}"
     shown = {x: f"{_mean(values)} (of {counts[x]})" if counted else _mean(values) for x, values in at.items()}
     return "; ".join(f"{number(x)}: {text}" for x, text in shown.items())
@@ -74,7 +75,7 @@
 
 
 def figure_at(found: Series, x: float) -> str:
-    """As worked out, else as measured there."""
+    """Return the value on the line at x, or the measured mean if there is no line."""
     line = found.line
     if line is not None:
         return estimate(line.at(x))
@@ -89,7 +90,7 @@
         return f"undecided: noise {number(judged.noise or 0.0)}"
     if judged.verdict is Verdict.NOT_RUN:
         return NOT_RUN
-    return ", ".join(part for part in (judged.verdict.value, judged.how) if part)
+    return ", ".join(part for part in (judged.verdict.value, judged.origin) if part)
 
 
 def _times(found: Estimate, factor: float) -> Estimate:
@@ -100,36 +101,38 @@
 
 
 def predictions(sources: Sources) -> str:
-    """What the smaller sizes foretell for factor 1, beside what it showed."""
+    """Return the table of predictions for factor 1 from smaller sizes, with the measured values."""
     heads = ["role", "figure", "when", "unit", "from", "foretold", "measured", "off by", "over a quarter"]
     rows = [row for judged in sources.judged() if (row := _prediction(judged)) is not None]
     return table(heads, rows)
 
 
 def _prediction(judged: Judged) -> list[str] | None:
-    """None where this was not tested."""
+    """Return the row, or None if there is no line of smaller sizes or nothing was measured at factor 1."""
     x = judged.table.targets[0].x
     line = judged.series.below(x).line
     here = Series(judged.series.near(x)).points
     if judged.table.axis != "nodes" or line is None or not here:
         return None
-    foretold, showed = line.at(x), fmean(point.y for point in here)
-    off = abs(foretold.value - showed) / abs(showed) if showed else (0.0 if not foretold.value else 1.0)
+    predicted, actual = line.at(x), fmean(point.y for point in here)
+    relative_error = (
+        abs(predicted.value - actual) / abs(actual) if actual else (0.0 if not predicted.value else 1.0)
+    )
     return [
         judged.table.name,
         judged.row.label,
         judged.phase.when,
         judged.row.unit,
         measured(judged.series.below(x)),
-        estimate(foretold),
-        number(showed),
-        f"{100.0 * off:.0f}%",
-        "**yes**" if off > OFF_BY else "no",
+        estimate(predicted),
+        number(actual),
+        f"{100.0 * relative_error:.0f}%",
+        "**yes**" if relative_error > MAX_PREDICTION_ERROR else "no",
     ]
 
 
 def scopes(sources: Sources) -> str:
-    """Runs in which all nodes are one group beside runs with a group for each service, at the same size."""
+    """Return the table that compares one group of all nodes with a group for each service, at equal sizes."""
     heads = ["role", "figure", "when", "unit", "nodes", "one group", "by service", "ratio"]
     rows: list[list[str]] = []
     by_service = chosen(sources.layout, sources.records, "control", "service")
@@ -137,11 +140,11 @@
     if not by_service or not one_group:
         return table(heads, rows)
     bounds = sources.size.bounds
-    for of in sources.layout.tables:
-        if of.axis == "nodes":
+    for spec in sources.layout.tables:
+        if spec.axis == "nodes":
             pairs = zip(
-                judge(sources.layout, of, bounds, one_group, "all"),
-                judge(sources.layout, of, bounds, by_service, "service"),
+                judge(sources.layout, spec, bounds, one_group, "all"),
+                judge(sources.layout, spec, bounds, by_service, "service"),
                 strict=True,
             )
             rows += [row for before, after in pairs for row in _scope_rows(before, after)]
--- a/bench/scale/series.py
+++ b/bench/scale/series.py
@@ -1,7 +1,7 @@
-"""Points of one figure over the size of the platform, the rate of calls, or the size of a service.
+"""Series of one figure over the size of the platform, the rate of calls, or the size of a service.
 
-Of records that tell of the same place and seed the newest counts. Runs of the control path with another
-cadence of probes than the layout names, or without probes, are trials: none of their figures count here.
+Of several records with the same position and seed the newest is used. Runs of the control path with another
+probe period than the layout's, or without probes, are trials and are not used.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 
 class Sample(Struct, frozen=True):
-    """One value of one record; None: the run didn't get there."""
+    """One value of one record, or None if the run didn't reach it."""
 
     x: float
     value: float | None
-    count: int = 0  # of observations behind it
+    count: int = 0  # of observations
 
 
 class Series(Struct, frozen=True):
-    """All that was measured of a figure in one phase."""
+    """All samples of a figure in one phase."""
 
     samples: list[Sample]
 
@@ -41,30 +41,32 @@
         return fit(self.points)
 
     def near(self, x: float, within: float = 0.02) -> list[Sample]:
-        """What was measured at this place."""
+        """Return the samples measured at x."""
         return [sample for sample in self.samples if abs(sample.x - x) <= within * x]
 
     def below(self, x: float, within: float = 0.02) -> Series:
+        """Return the series of samples measured below x."""
         return Series([sample for sample in self.samples if sample.x < x * (1.0 - within)])
 
 
 def scope_of(record: Record) -> Scope:
-    """Whether nodes shared by service in that run, or all with all."""
+    """Return whether that run had a group for each service, or one group."""
     figure = record.find("platform", "scoped_by_service")
     return "service" if figure is not None and figure.value is True else "all"
 
 
 def newest_scope(records: Sequence[Record]) -> Scope:
+    """Return "service" if any run had a group for each service."""
     scopes = {scope_of(record) for record in records if record.kind == "control"}
     return "service" if "service" in scopes else "all"
 
 
 def chosen(layout: Layout, records: Sequence[Record], kind: str, scope: Scope) -> list[Record]:
-    """The runs whose figures count, the newest first."""
+    """Return the records that are used for the page, newest first."""
     found = [record for record in records if record.kind == kind]
     if kind == "control":
         period_ms = layout.probe_period_ms.get(scope)
-        found = [one for one in found if scope_of(one) == scope and _probes_each(one, period_ms)]
+        found = [record for record in found if scope_of(record) == scope and _probes_each(record, period_ms)]
     return sorted(found, key=lambda record: record.started, reverse=True)
 
 
@@ -74,7 +76,7 @@
 
 
 def series(records: Sequence[Record], axis: Axis, row: Row, phase: Phase, name: str = "") -> Series:
-    """`records`: the newest first; `name`: another figure in the place of the row's."""
+    """Return the series of the row's figure, or of the figure `name`; `records` are the newest first."""
     newest: dict[tuple[str, float, int], Sample] = {}
     for record in records:
         for key, sample in _samples(record, axis, row, phase, name or row.figure):
@@ -83,7 +85,7 @@
 
 
 def _samples(record: Record, axis: Axis, row: Row, phase: Phase, name: str) -> Iterator[tuple[str, Sample]]:
-    """With what tells apart samples of one record at one place."""
+    """Yield samples, each with a key that distinguishes samples of one record at the same position."""
     if axis == "nodes":
         nodes, figure = record.number("platform", "nodes"), record.find(row.role, name, phase.name)
         if nodes is not None and figure is not None:
--- a/bench/scale/sockets.py
+++ b/bench/scale/sockets.py
@@ -1,9 +1,9 @@
-"""Counts of what a Python process sends and receives at its sockets, HTTP heads included, by kind of traffic.
+"""Traffic counters of a Python process at its sockets, HTTP heads included, by kind of traffic.
 
-`install` replaces the sending and receiving methods of `socket.socket`, over which asyncio and pysyncobj both
-work, and keeps the counts in a file mapped into memory, which another process reads with `read`. Bytes that
-the kernel adds (TCP and IP headers) are not in them; `sends` and `receives` tell how many there may be. Only
-the standard library is used, as this is loaded into the programs that are measured.
+`install` replaces the sending and receiving methods of `socket.socket`, which asyncio and pysyncobj both use,
+and stores the counts in a memory-mapped file, which another process reads with `read`. TCP and IP headers are
+not counted; `sends` and `receives` allow an estimate of them. Only the standard library is used, because this
+module is loaded into the programs that are measured.
 """
 
 from __future__ import annotations
@@ -18,14 +18,16 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-COUNTS_FILE = "SCALE_COUNTS_FILE"  # environment: where the counts are kept
-COUNTS_PORTS = "SCALE_COUNTS_PORTS"  # environment: "kind=port,kind=port", local ports and ports dialled
-KINDS = 8  # at most, `other` among them
+COUNTS_FILE = "SCALE_COUNTS_FILE"  # environment variable: file of the counts
+COUNTS_PORTS = "SCALE_COUNTS_PORTS"  # environment variable: "kind=port,kind=port", local and remote ports
+KINDS = 8  # maximum number of kinds, `other` included
 OTHER = "other"
 ROW = struct.Struct("=QQQQ")  # bytes in, bytes out, receives, sends
 
 
 class Traffic(NamedTuple):
+    """Bytes and socket calls in both directions."""
+
     bytes_in: int = 0
     bytes_out: int = 0
     receives: int = 0
@@ -35,35 +37,35 @@
         return Traffic(*(one + another for one, another in zip(self, other, strict=True)))
 
     def since(self, earlier: Traffic) -> Traffic:
-        return Traffic(*(now - then for now, then in zip(self, earlier, strict=True)))
+        return Traffic(*(now - before for now, before in zip(self, earlier, strict=True)))
 
 
 class Counter:
-    """The counts of this process, in a file of KINDS rows."""
+    """The counters of this process, in a file of KINDS rows."""
 
     def __init__(self, path: Path, ports: Mapping[str, int]) -> None:
-        """`ports`: by kind, a port of this process or one that it dials."""
+        """`ports` has for each kind a local port or one that the process connects to."""
         self._kinds = {port: at + 1 for at, port in enumerate(ports.values())}
-        self._of: weakref.WeakKeyDictionary[socket.socket, int] = weakref.WeakKeyDictionary()
+        self._offsets: weakref.WeakKeyDictionary[socket.socket, int] = weakref.WeakKeyDictionary()
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT)
         os.ftruncate(descriptor, KINDS * ROW.size)
         self._map = mmap.mmap(descriptor, KINDS * ROW.size)
         os.close(descriptor)
 
     def received(self, sock: socket.socket, size: int) -> None:
-        offset = self._row(sock)
+        offset = self._offset(sock)
         bytes_in, bytes_out, receives, sends = ROW.unpack_from(self._map, offset)
         ROW.pack_into(self._map, offset, bytes_in + size, bytes_out, receives + 1, sends)
 
     def sent(self, sock: socket.socket, size: int) -> None:
-        offset = self._row(sock)
+        offset = self._offset(sock)
         bytes_in, bytes_out, receives, sends = ROW.unpack_from(self._map, offset)
         ROW.pack_into(self._map, offset, bytes_in, bytes_out + size, receives, sends + 1)
 
-    def _row(self, sock: socket.socket) -> int:
-        row = self._of.get(sock)
+    def _offset(self, sock: socket.socket) -> int:
+        row = self._offsets.get(sock)
         if row is None:
-            row = self._of[sock] = self._kind(sock) * ROW.size
+            row = self._offsets[sock] = self._kind(sock) * ROW.size
         return row
 
     def _kind(self, sock: socket.socket) -> int:
@@ -77,7 +79,7 @@
 
 
 def install(counter: Counter) -> None:
-    """Count from here on, on every socket of this process that is over IP."""
+    """Count the traffic of all IP sockets of this process from now on."""
     for name in ("recv", "recvfrom", "recvmsg"):
         _replace(name, lambda sock, result: counter.received(sock, len(_data(result))))
     _replace("recv_into", lambda sock, result: counter.received(sock, result))
@@ -104,23 +106,25 @@
 
 
 def install_from_environment() -> None:
-    """As the environment says; nothing where it says nothing."""
+    """Install the counter that the environment variables describe, if they are set."""
     path = os.environ.get(COUNTS_FILE)
     if path:
         install(Counter(Path(path), parse_ports(os.environ.get(COUNTS_PORTS, ""))))
 
 
 def format_ports(ports: Mapping[str, int]) -> str:
+    """Return the value of COUNTS_PORTS."""
     return ",".join(f"{kind}={port}" for kind, port in ports.items())
 
 
 def parse_ports(text: str) -> dict[str, int]:
+    """Return the ports by kind of a value of COUNTS_PORTS."""
     pairs = (part.partition("=") for part in text.split(",") if part)
     return {kind: int(port) for kind, _, port in pairs}
 
 
 def read(path: Path, ports: Mapping[str, int]) -> dict[str, Traffic]:
-    """The counts of a process by kind, `other` among them; all zero before it has begun to count."""
+    """Return the counts of a process by kind, `other` included; all 0 before it has started counting."""
     data = path.read_bytes() if path.exists() else b""
     kinds = [OTHER, *ports]
     if len(data) < KINDS * ROW.size:
@@ -129,4 +133,5 @@
 
 
 def total(by_kind: Mapping[str, Traffic]) -> Traffic:
+    """Return the sum over all kinds."""
     return functools.reduce(Traffic.plus, by_kind.values(), Traffic())
--- a/bench/scale/sources.py
+++ b/bench/scale/sources.py
@@ -1,4 +1,4 @@
-"""What docs/CAPACITY.md is made from."""
+"""The inputs from which docs/CAPACITY.md is generated."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Sources(Struct, frozen=True):
-    """All that the page is made from."""
+    """Layout, platform size and records."""
 
     layout: Layout
     size: Size
--- a/bench/scale/stub_pool.py
+++ b/bench/scale/stub_pool.py
@@ -1,4 +1,4 @@
-"""Stub servers as processes of their own, in place of the tests' pool on a thread."""
+"""A pool of stub server processes, in place of the tests' pool on a thread."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StubPool(StubServerPool):
-    """So many processes of bench.scale.stub_server; latency and capacity of the tests' pool don't apply."""
+    """A number of bench.scale.stub_server processes; latency and capacity of the tests' pool don't apply."""
 
     def __init__(self, count: int, latency_ms: float = 0.0, capacity: int | None = None) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="stub-servers-")
--- a/bench/scale/summary_tables.py
+++ b/bench/scale/summary_tables.py
@@ -1,4 +1,4 @@
-"""Tables of docs/CAPACITY.md over all roles: chains, control machines, and what is missing."""
+"""Tables of docs/CAPACITY.md over all roles: chains, control machines, and bounds that are not met."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from bench.scale.chains import KIND as CHAINS
-from bench.scale.chains import MULTIPLIED
+from bench.scale.chains import MAX_RETRY_MULTIPLICATION
 from bench.scale.markdown import NOTHING, estimate, number, table
 from bench.scale.records import Record
 from bench.scale.role_tables import NOT_RUN, figure_at
@@ -17,14 +17,14 @@
 
 # -------------------------------------------------------------------------- chains
 
-SENDS_LET_IN = "worst_tier_sends_per_call_let_in"
+ATTEMPTS_PER_ADMITTED_CALL = "worst_tier_sends_per_call_let_in"
 CHAIN_FIGURES = (
     ("sends_per_call", "sends"),
     ("sends_per_call_p99", "p99"),
     ("most_sends_for_a_call", "most"),
     ("worst_tier", "busiest tier"),
     ("worst_tier_sends_per_call", "its sends"),
-    (SENDS_LET_IN, "its sends a call let in"),
+    (ATTEMPTS_PER_ADMITTED_CALL, "its sends a call let in"),
     ("last_tier_sends_per_call", "sends to the last"),
     ("goodput_share", "answered in time"),
     ("refused_share", "refused"),
@@ -34,7 +34,7 @@
 
 
 def chain_records(sources: Sources) -> list[Record]:
-    """The newest for each rate and number of attempts."""
+    """Return the newest record of chains for each rate and number of attempts."""
     newest: dict[tuple[object, object], Record] = {}
     for record in sorted(sources.records, key=lambda record: record.started):
         if record.kind == CHAINS:
@@ -43,6 +43,7 @@
 
 
 def chains(sources: Sources) -> str:
+    """Return the table of chains."""
     heads = ["calls/s", "attempts", "last tier, depth", *(head for _, head in CHAIN_FIGURES)]
     rows = [row for record in chain_records(sources) for row in _chain_rows(record)]
     return table(heads, rows)
@@ -79,7 +80,7 @@
 
 
 def machines(sources: Sources) -> str:
-    """What is placed on each control machine, with the figures of its roles at ordinary time, at factor 1."""
+    """Return the table of control machines, with their roles' figures in the steady phase at factor 1."""
     heads = ["machine", "region", "zone", "runs", *(head for _, head in MACHINE_FIGURES)]
     of_role = {
         (judged.row.role, judged.row.figure): figure_at(judged.series, judged.table.targets[0].x)
@@ -101,20 +102,22 @@
 
 
 class Miss(Struct, frozen=True):
-    """Something that is over its bound, and how far."""
+    """A bound that is not met: value relative to bound, and its line in the page."""
 
     ratio: float
-    told: str
+    text: str
 
 
 def missing(sources: Sources) -> str:
-    """What breaks its bound, worst first; then what is undecided, and what was not run."""
+    """Return the list of bounds that are exceeded, worst first, then those undecided and those not run."""
     found = sources.judged()
-    misses = [Miss(one.ratio, _broken(one)) for one in found if one.verdict is Verdict.MISSED]
-    misses += _multiplied(sources)
+    misses = [Miss(judged.ratio, _describe(judged)) for judged in found if judged.verdict is Verdict.MISSED]
+    misses += _multiplied_retries(sources)
     in_order = sorted(misses, key=lambda miss: -miss.ratio)
-    ordered = [f"{at}. {miss.told}" for at, miss in enumerate(in_order, 1)]
-    undecided = [f"- undecided: {_broken(one)}" for one in found if one.verdict is Verdict.UNDECIDED]
+    ordered = [f"{at}. {miss.text}" for at, miss in enumerate(in_order, 1)]
+    undecided = [
+        f"- undecided: {_describe(judged)}" for judged in found if judged.verdict is Verdict.UNDECIDED
+    ]
     parts = [ordered or ["No bound was found broken."], undecided]
     not_run = _not_run(found)
     if not_run:
@@ -123,24 +126,24 @@
 
 
 def _not_run(found: Sequence[Judged]) -> list[str]:
-    """A line for each figure, with the phases that lack it."""
+    """Return a line for each figure, with the phases in which it was not run."""
     phases: dict[str, list[str]] = defaultdict(list)
     for judged in found:
         if judged.verdict is Verdict.NOT_RUN:
             phases[f"{judged.table.name}: {judged.row.label}"].append(judged.phase.when)
-    return [f"- {name} ({'; '.join(those)})" for name, those in phases.items()]
+    return [f"- {name} ({'; '.join(phase_names)})" for name, phase_names in phases.items()]
 
 
-def _broken(judged: Judged) -> str:
+def _describe(judged: Judged) -> str:
     limit = number(judged.limit or 0.0)
-    how = f"({judged.how or 'measured'}{_counted(judged)})"
+    how = f"({judged.origin or 'measured'}{_counted(judged)})"
     value = None if judged.basis is None else judged.basis.value
     if value is None:
-        told = f"not reached {how}, bound {limit} {judged.row.unit}"
+        text = f"not reached {how}, bound {limit} {judged.row.unit}"
     else:
-        told = f"{estimate(value)} {judged.row.unit} {how}, bound {limit}: {_over(judged)}"
+        text = f"{estimate(value)} {judged.row.unit} {how}, bound {limit}: {_over(judged)}"
     noise = NOTHING if judged.noise is None else f"; noise {number(judged.noise)}"
-    return f"{judged.name}: {told}{noise}. Carried by: {judged.row.mechanism}."
+    return f"{judged.name}: {text}{noise}. Carried by: {judged.row.mechanism}."
 
 
 def _counted(judged: Judged) -> str:
@@ -153,30 +156,30 @@
     return f"{number(judged.ratio)} times" if judged.limit else "over a bound of 0"
 
 
-def _multiplied(sources: Sources) -> list[Miss]:
-    """The worst chain of each record whose sends multiply."""
+def _multiplied_retries(sources: Sources) -> list[Miss]:
+    """Return the worst chain of each record in which retries of several tiers multiply."""
     found = [_worst_chain(record) for record in chain_records(sources)]
     return [
         Miss(
-            sends / MULTIPLIED,
-            f"{name}: {number(sends)} sends to one tier for a call let in, bound of these tests "
-            f"{number(MULTIPLIED)}: {number(sends / MULTIPLIED)} times. "
+            attempts / MAX_RETRY_MULTIPLICATION,
+            f"{name}: {number(attempts)} sends to one tier for a call let in, bound of these tests "
+            f"{number(MAX_RETRY_MULTIPLICATION)}: {number(attempts / MAX_RETRY_MULTIPLICATION)} times. "
             f"Carried by: {sources.layout.chains_mechanism}.",
         )
-        for sends, name in found
-        if sends > MULTIPLIED
+        for attempts, name in found
+        if attempts > MAX_RETRY_MULTIPLICATION
     ]
 
 
 def _worst_chain(record: Record) -> tuple[float, str]:
-    """Its sends to one tier for a call that the front let in, and what it is."""
-    sends, phase = max(
+    """Return the attempts at one tier for each admitted call in the worst chain, and that chain's name."""
+    attempts, phase = max(
         (
             (float(figure.value), figure.phase)
             for figure in record.figures
-            if figure.name == SENDS_LET_IN and isinstance(figure.value, int | float)
+            if figure.name == ATTEMPTS_PER_ADMITTED_CALL and isinstance(figure.value, int | float)
         ),
         default=(0.0, NOTHING),
     )
     options = f"{_option(record, 'rate')} calls/s, {_option(record, 'attempts')} attempts"
-    return sends, f"chains at {options} ({phase})"
+    return attempts, f"chains at {options} ({phase})"
--- a/bench/scale/tables.py
+++ b/bench/scale/tables.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md by their names, each made from the records alone."""
+"""The tables of docs/CAPACITY.md by name, each generated from the records alone."""
 
 from __future__ import annotations
 
@@ -16,20 +16,21 @@
 
 
 def size(sources: Sources) -> str:
-    of, rates = sources.size, sources.size.rates_per_day
-    zones = ", ".join(f"{region.name} ({', '.join(region.zones)})" for region in of.regions)
+    """Return the table of the platform's size."""
+    spec, rates = sources.size, sources.size.rates_per_day
+    zones = ", ".join(f"{region.name} ({', '.join(region.zones)})" for region in spec.regions)
     rows = [
-        ["servers, each with its node", number(of.nodes)],
-        ["services", number(of.services)],
-        ["largest service, in nodes", number(of.largest_service)],
-        ["calls a second over all edges", number(of.calls_per_s)],
-        ["calls a second on a node, mean", number(of.calls_per_s / of.nodes)],
-        ["deepest chain", number(of.deepest_chain)],
+        ["servers, each with its node", number(spec.nodes)],
+        ["services", number(spec.services)],
+        ["largest service, in nodes", number(spec.largest_service)],
+        ["calls a second over all edges", number(spec.calls_per_s)],
+        ["calls a second on a node, mean", number(spec.calls_per_s / spec.nodes)],
+        ["deepest chain", number(spec.deepest_chain)],
         ["regions and zones", zones],
         ["failures a day", number(rates.failures)],
         ["restarts a day", number(rates.restarts)],
         ["changes of configuration a day", number(rates.config_changes)],
-        ["control machines", number(of.bounds.control_machines)],
+        ["control machines", number(spec.bounds.control_machines)],
     ]
     return table(["what", "at factor 1"], rows)
 
@@ -38,6 +39,7 @@
 
 
 def records_table(sources: Sources) -> str:
+    """Return the table of all records, oldest first."""
     in_order = sorted(sources.records, key=lambda record: record.started)
     return table(RECORD_HEADS, [_record_row(record) for record in in_order])
 
@@ -68,14 +70,15 @@
 
 
 def render(sources: Sources, name: str) -> str:
-    """ValueError where there is no table of that name."""
+    """Return the table of that name, or raise ValueError."""
     if name in TABLES:
         return TABLES[name](sources)
-    for of in sources.layout.tables:
-        if of.name == name:
-            return role_table(sources, of)
+    for spec in sources.layout.tables:
+        if spec.name == name:
+            return role_table(sources, spec)
     raise ValueError(f"no table is named {name!r}")
 
 
 def names(sources: Sources) -> list[str]:
-    return [*TABLES, *(of.name for of in sources.layout.tables)]
+    """Return the names of all tables."""
+    return [*TABLES, *(spec.name for spec in sources.layout.tables)]
--- a/bench/scale/verdicts.py
+++ b/bench/scale/verdicts.py
@@ -1,4 +1,4 @@
-"""Whether a figure keeps its bound at the size the bound is for: as measured there, else as worked out."""
+"""Verdicts on whether a figure meets its bound at the bound's size: measured there, else extrapolated."""
 
 from __future__ import annotations
 
@@ -14,22 +14,24 @@
 from bench.scale.records import Record
 from bench.scale.series import Sample, Series, chosen, series
 
-NOISE_SHARE = 0.5  # of a bound: noise over it leaves a miss undecided
+MAX_NOISE_FRACTION = 0.5  # fraction of a bound; with more noise than that, an exceeded bound is undecided
 
 
 class Verdict(Enum):
+    """Whether a bound is met, as shown in the tables."""
+
     MET = "yes"
     MISSED = "no"
-    UNDECIDED = "undecided"  # over the bound, but so may be the noise alone
+    UNDECIDED = "undecided"  # over the bound, possibly by noise alone
     NOT_RUN = "not run"
     NO_BOUND = ""
 
 
 class Basis(Struct, frozen=True):
-    """What a verdict rests on."""
+    """The value that a verdict depends on."""
 
     value: Estimate | None  # None: not reached
-    x: float | None  # where it was measured; None: worked out
+    x: float | None  # position where it was measured; None: extrapolated
 
 
 class Judged(Struct, frozen=True):
@@ -49,26 +51,28 @@
         return f"{self.table.name}: {self.row.label}, {self.phase.when}"
 
     @property
-    def how(self) -> str:
-        """How the basis was come by, empty where it was measured at the target itself."""
+    def origin(self) -> str:
+        """Origin of the basis; empty if it was measured at the target itself."""
         if self.basis is None or self.basis.x == self.table.targets[0].x:
             return ""
         return "worked out" if self.basis.x is None else f"at {self.basis.x:,.0f}"
 
     @property
     def ratio(self) -> float:
-        """How far over its bound; infinite for any value over 0, and for what was not reached."""
+        """Value divided by bound; infinite for a bound of 0 and for a value that was not reached."""
         value = None if self.basis is None else self.basis.value
         return math.inf if value is None or not self.limit else value.value / self.limit
 
 
 def judge_all(layout: Layout, bounds: Bounds, records: Sequence[Record], scope: Scope) -> list[Judged]:
+    """Return the verdicts on all rows of all tables."""
     return [judged for table in layout.tables for judged in judge(layout, table, bounds, records, scope)]
 
 
 def judge(
     layout: Layout, table: Table, bounds: Bounds, records: Sequence[Record], scope: Scope
 ) -> Iterator[Judged]:
+    """Yield the verdicts on all rows of one table, by phase."""
     of_kind = chosen(layout, records, table.kind, scope)
     for row in table.rows:
         for name in row.phases:
@@ -83,14 +87,17 @@
 ) -> Judged:
     x = table.targets[0].x
     basis = _basis(found, x)
-    noise_here = None if noise is None else _most(noise.near(x))
+    noise_here = None if noise is None else _max(noise.near(x))
     verdict = _verdict(basis, x, limit, noise_here)
     return Judged(table, row, phase, found, limit, basis, noise_here, verdict)
 
 
 def _basis(found: Series, x: float) -> Basis | None:
-    """What the figure is judged by: the worst measured at this place; else a run up to it that didn't get
-    there; else what the line gives; else the worst of the largest size under it. None: not run."""
+    """Return the value by which the figure is judged, or None if it was not run.
+
+    In this order: the worst value measured at x; a smaller run that did not reach the figure; the line's
+    value at x; the worst value of the largest smaller size.
+    """
     if found.near(x):
         return _measured(found, x)
     smaller = found.below(x).samples
@@ -104,11 +111,11 @@
 
 def _measured(found: Series, x: float) -> Basis:
     here = found.near(x)
-    most = None if any(sample.value is None for sample in here) else _most(here)
-    return Basis(None if most is None else Estimate(most), x)
+    maximum = None if any(sample.value is None for sample in here) else _max(here)
+    return Basis(None if maximum is None else Estimate(maximum), x)
 
 
-def _most(samples: Sequence[Sample]) -> float | None:
+def _max(samples: Sequence[Sample]) -> float | None:
     return max((sample.value for sample in samples if sample.value is not None), default=None)
 
 
@@ -121,4 +128,4 @@
         return Verdict.MISSED
     if basis.value.value <= limit:
         return Verdict.MET if basis.x in (None, x) else Verdict.NOT_RUN
-    return Verdict.UNDECIDED if noise is not None and noise > NOISE_SHARE * limit else Verdict.MISSED
+    return Verdict.UNDECIDED if noise is not None and noise > MAX_NOISE_FRACTION * limit else Verdict.MISSED
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -1,4 +1,4 @@
-"""All processes of a control-path run: list service, hollow nodes, real agents and nodes, their faults."""
+"""All processes of a control-path run: list service, hollow nodes, real agents and real nodes."""
 
 from __future__ import annotations
 
@@ -20,20 +20,23 @@
 from bench.scale.messages import HollowSpec, Setup
 from bench.scale.platform import NodePlace, Platform
 from bench.scale.program import Instances, Program, RealAgent, RealNode
-from bench.scale.shares import RealShare
+from bench.scale.quotas import RealNodeQuota
 from loadbalancer.node.http.service_http import send_request
 from tests.support.ports import free_port
 
 RAFT_LEADER = 2  # pysyncobj's number of the state
-SERVERS_SHOWN = 48  # a view's entry has facts on so many servers at most
-PUTS_AT_ONCE = 40
-POLL_S = 1.0  # of real nodes' shares
-STOPPED_ZONE, STOPPED_REGION = "east-3", "west"
+MAX_OBSERVED_SERVERS = 48  # maximum number of servers in a node's freshness report
+MAX_CONCURRENT_PUTS = 40
+POLL_PERIOD_S = 1.0  # period in which real nodes' quotas are read
+FAILED_ZONE, PARTITIONED_REGION = "east-3", "west"
 REGION_OF_INSTANCES = ("east", "east", "west")
-REAL_SIZES = (1.0, 0.3, 0.07, 0.07, 0.03, 0.02, 0.01, 0.5)  # of the largest service: where real nodes stand
+# Sizes of the services whose nodes are real, as fractions of the largest service.
+REAL_NODE_SERVICE_SIZES = (1.0, 0.3, 0.07, 0.07, 0.03, 0.02, 0.01, 0.5)
 
 
 class Options(Struct, frozen=True):
+    """Options of a control-path run."""
+
     factor: float
     seed: int
     checkout: Path | None
@@ -48,25 +51,25 @@
 
 
 def pick_real(platform: Platform, count: int, rack: str) -> list[NodePlace]:
-    """Nodes of services of unlike sizes, none where a zone or this rack is going to be lost."""
+    """Return nodes of services of different sizes, outside the zone and the rack that will fail."""
     largest = platform.largest().nodes
-    apart = [node for node in platform.nodes if node.zone != STOPPED_ZONE and node.rack != rack]
+    candidates = [node for node in platform.nodes if node.zone != FAILED_ZONE and node.rack != rack]
     size = {service.index: service.nodes for service in platform.services}
     chosen: list[NodePlace] = []
     for at in range(count):
-        wanted = REAL_SIZES[at % len(REAL_SIZES)] * largest
-        free = [node for node in apart if node not in chosen]
+        wanted = REAL_NODE_SERVICE_SIZES[at % len(REAL_NODE_SERVICE_SIZES)] * largest
+        free = [node for node in candidates if node not in chosen]
         chosen.append(min(free, key=lambda node: (abs(size[node.service] - wanted), node.index)))
     return chosen
 
 
 def pick_rack(platform: Platform) -> str:
-    """A rack outside the zone that is going to be lost."""
-    return min(node.rack for node in platform.nodes if node.zone != STOPPED_ZONE)
+    """Return a rack outside the zone that will fail."""
+    return min(node.rack for node in platform.nodes if node.zone != FAILED_ZONE)
 
 
 class World:
-    """Made by `open`; `close` ends every process that it has started."""
+    """The processes of a run, started by `open` and stopped by `close`."""
 
     def __init__(self, platform: Platform, options: Options, folder: Path) -> None:
         self.platform, self.options = platform, options
@@ -74,7 +77,7 @@
         self.program = Program(options.checkout, folder)
         self.rack = pick_rack(platform)
         self.real_places = pick_real(platform, options.real_nodes, self.rack)
-        self.real_shares: list[RealShare] = []
+        self.real_quotas: list[RealNodeQuota] = []
         self.real_nodes: list[RealNode] = []
         self.agents: list[RealAgent] = []
         real = {place.index for place in self.real_places}
@@ -93,7 +96,7 @@
         limits.check(limits.Plan(processes, len(self.hollow), len(self.platform.nodes)))
 
     async def open_service(self) -> None:
-        """The list service alone."""
+        """Start the list service only."""
         options = self.options
         self.instances = await asyncio.to_thread(
             Instances, self.program, options.ttl_ms, options.relayed, self.scoped
@@ -114,7 +117,7 @@
         options = self.options
         specs = [self._spec(place, at) for at, place in enumerate(self.hollow)]
         servers = {
-            service.name: [node.name for node in self.platform.nodes_of(service.index)][:SERVERS_SHOWN]
+            service.name: [node.name for node in self.platform.nodes_of(service.index)][:MAX_OBSERVED_SERVERS]
             for service in self.platform.services
         }
         regions = {self.ports[place.index]: place.region for place in self.platform.nodes}
@@ -146,8 +149,8 @@
             agent_port=self.agents[at].port if at < len(self.agents) else None,
         )
 
-    def launch_real(self) -> None:
-        """Real nodes, each with an agent of its own."""
+    def launch_real_nodes(self) -> None:
+        """Start the real nodes, each with its own agent."""
         for at, place in enumerate(self.real_places):
             agent = RealAgent(self.program, f"agent-{at}", self.instances.http)
             self.agents.append(agent)
@@ -163,20 +166,20 @@
             node = RealNode(self.program, place.name, agent, members)
             node.launch()
             self.real_nodes.append(node)
-            self.real_shares.append(RealShare(self.group_of(place)))
-        self._poll = asyncio.create_task(self._poll_shares())
+            self.real_quotas.append(RealNodeQuota(self.group_of(place)))
+        self._poll = asyncio.create_task(self._poll_quotas())
 
-    async def _poll_shares(self) -> None:
+    async def _poll_quotas(self) -> None:
         while True:
-            for node, share in zip(self.real_nodes, self.real_shares, strict=False):
+            for node, quota in zip(self.real_nodes, self.real_quotas, strict=False):
                 try:
                     found = await asyncio.to_thread(node.metric, "share")
                 except (OSError, ValueError, IndexError):
                     found = 0.0
-                share.add(time.monotonic(), found)
-            await asyncio.sleep(POLL_S)
+                quota.add(time.monotonic(), found)
+            await asyncio.sleep(POLL_PERIOD_S)
 
-    async def stop_real(self) -> None:
+    async def stop_real_nodes(self) -> None:
         if self._poll is not None:
             self._poll.cancel()
         nodes, self.real_nodes = self.real_nodes, []
@@ -184,7 +187,7 @@
             await asyncio.to_thread(node.stop)
 
     async def close(self) -> None:
-        await self.stop_real()
+        await self.stop_real_nodes()
         if hasattr(self, "children"):
             await self.children.stop()
         for agent in self.agents:
@@ -202,7 +205,7 @@
         return {self.group_of(place) for place in self.platform.nodes}
 
     async def leader_name(self) -> str:
-        """Of the instance that leads now, as its process is named; empty where none does."""
+        """Return the process name of the current leader, or "" if there is none."""
 
         def find() -> str:
             for index in self.instances.live():
@@ -215,17 +218,17 @@
         return await asyncio.to_thread(find)
 
     def indices(self, places: Iterable[NodePlace]) -> list[int]:
-        """Of those that are hollow."""
+        """Return the indices of the hollow nodes among these."""
         hollow = {place.index for place in self.hollow}
         return [place.index for place in places if place.index in hollow]
 
     # ---------------------------------------------------------------- server list
 
     async def put_all(self, places: Iterable[NodePlace]) -> None:
-        turns = asyncio.Semaphore(PUTS_AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_PUTS)
 
         async def put(place: NodePlace) -> None:
-            async with turns:
+            async with semaphore:
                 await self.put(place.name, place.zone)
 
         await asyncio.gather(*(put(place) for place in places))
@@ -236,31 +239,34 @@
     async def remove(self, uid: str) -> None:
         await self._write("DELETE", uid, None)
 
-    async def _write(self, method: str, uid: str, row: dict[str, Any] | None) -> None:
-        """Said again at the next instance until one commits it."""
-        body = b"" if row is None else orjson.dumps(row)
+    async def _write(self, method: str, uid: str, target: dict[str, Any] | None) -> None:
+        """Retry at a random live instance until one commits the write."""
+        body = b"" if target is None else orjson.dumps(target)
         while True:
             port = self.random.choice([self.instances.http[at] for at in self.instances.live()])
             try:
-                reply = await send_request(("127.0.0.1", port), method, f"/registry/targets/{uid}", body, 5.0)
+                response = await send_request(
+                    ("127.0.0.1", port), method, f"/registry/targets/{uid}", body, 5.0
+                )
             except (OSError, TimeoutError):
                 continue
-            if reply.status == 200:
+            if response.status == 200:
                 return
             await asyncio.sleep(0.05)
 
 
 def _is_scoped(program: Program) -> bool:
-    """Whether the program under test has shares by service."""
+    """Whether the program under test divides quotas by service."""
     texts = [path.read_text() for path in (program.checkout / "loadbalancer").rglob("*.py")]
     settings = [text.partition("class MembershipSettings")[2] for text in texts]
     return any("\n    service: " in text for text in settings)
 
 
 def make_folder() -> tempfile.TemporaryDirectory[str]:
+    """Return a temporary folder for a run."""
     return tempfile.TemporaryDirectory(prefix="scale-")
 
 
-def say(text: str) -> None:
-    """A line of progress."""
+def log_progress(text: str) -> None:
+    """Print a line of progress to stderr."""
     print(f"[{time.strftime('%H:%M:%S')}] {text}", file=sys.stderr, flush=True)
--- a/tests/scale/test_fleet_figures.py
+++ b/tests/scale/test_fleet_figures.py
@@ -1,4 +1,4 @@
-"""The benches of the fleet call each other with the arguments that they take."""
+"""Fleet benches call each other with matching arguments; a mismatch would fail only in a long bench run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from bench import fleet_detection
 
 
-def test_the_figure_of_the_list_service_calls_its_bench(
+def test_list_service_metric_calls_renewals_bench_with_its_arguments(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     renewals = create_autospec(fleet_detection.renewals)
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale tests' own parts, and the control path at 0.02 of the platform's size (bench/scale)."""
+"""Components of the scale tests (bench/scale), and a control path run at 0.02 of the platform's size."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from bench.scale.histograms import Times
 from bench.scale.messages import Sample
 from bench.scale.platform import build_platform, read_size
+from bench.scale.quotas import RealNodeQuota, sum_up
 from bench.scale.records import Record, Run
-from bench.scale.shares import RealShare, sum_up
 from bench.scale.world import Options
 
 FACTORS = (0.02, 0.25, 0.5, 1.0, 2.0)
 
 
 @pytest.mark.parametrize("factor", FACTORS)
-def test_a_platform_has_the_size_that_its_factor_says(factor: float) -> None:
+def test_platform_size_matches_factor(factor: float) -> None:
     size, platform = read_size(), build_platform(factor, 1)
     assert len(platform.nodes) == round(size.nodes * factor)
     assert len(platform.services) == round(size.services * factor)
@@ -35,23 +35,23 @@
         assert platform.largest().nodes == size.largest_service
 
 
-def test_a_platform_is_drawn_from_its_seed() -> None:
+def test_platform_is_determined_by_seed() -> None:
     assert build_platform(0.25, 3) == build_platform(0.25, 3)
     assert build_platform(0.25, 3) != build_platform(0.25, 4)
 
 
-def test_calls_go_from_a_lower_tier_to_a_higher_one() -> None:
+def test_calls_go_from_lower_to_higher_tiers() -> None:
     platform = build_platform(0.5, 2)
     tier = {service.index: service.tier for service in platform.services}
     assert all(edge.caller is None or tier[edge.caller] < tier[edge.callee] for edge in platform.edges)
 
 
-def test_a_factor_out_of_range_is_refused() -> None:
+def test_factor_out_of_range_is_rejected() -> None:
     with pytest.raises(ValueError, match="factor 9"):
         build_platform(9.0, 1)
 
 
-def test_a_record_is_read_as_it_was_written_and_never_written_over(tmp_path: Path) -> None:
+def test_record_is_read_as_written_and_never_overwritten(tmp_path: Path) -> None:
     run = Run("control", 0.02, 1, {"ttl_ms": 5_000})
     run.add("node", "cpu_percent_max", 0.4, "% of a core", "steady", 8)
     record = run.finish()
@@ -66,38 +66,38 @@
         records.read(path)
 
 
-def test_all_committed_records_are_read() -> None:
+def test_all_committed_records_can_be_read() -> None:
     for record in records.read_all():
         assert record.form == records.FORM
         assert record.figures
 
 
-def test_shares_are_summed_by_group_over_all_processes() -> None:
+def test_quotas_are_summed_by_group_over_all_processes() -> None:
     one = [Sample(10, 1.0, {"a": 0.5, "b": 1.0}), Sample(11, 1.0, {"a": 0.5})]
     other = [Sample(10, 2.0, {"a": 0.6}), Sample(11, 2.0, {"a": 0.5})]
     sums = sum_up([one, other], [], 0.1, ["a", "b"])
     assert (sums.moments, sums.at_once) == (2, 2)
-    assert (sums.most, sums.most_group) == (1.1, "a")
-    assert (sums.over_whole, sums.over_under_way) == (1, 1)
-    assert sums.little == 0.25  # group b at the second moment
+    assert (sums.max_sum, sums.max_sum_group) == (1.1, "a")
+    assert (sums.over_max, sums.over_change_max) == (1, 1)
+    assert sums.fraction_below_min == 0.25  # group b at the second moment
 
 
-def test_a_process_that_sampled_late_counts_with_the_lesser_of_its_samples_around_the_moment() -> None:
+def test_late_process_counts_with_smaller_of_surrounding_samples() -> None:
     one = [Sample(tick, 0.0, {"a": 0.3}) for tick in range(10, 14)]
     other = [Sample(10, 0.0, {"a": 0.7}), Sample(12, 90.0, {"a": 0.6}), Sample(13, 0.0, {"a": 0.8})]
     sums = sum_up([one, other], [], 0.1, ["a"])
     assert (sums.moments, sums.at_once) == (4, 2)  # at 11 and 12 with 0.6
-    assert (sums.most, sums.over_whole) == (1.1, 1)
+    assert (sums.max_sum, sums.over_max) == (1.1, 1)
 
 
-def test_a_real_node_counts_with_the_lesser_of_the_answers_around_a_moment() -> None:
-    real = RealShare("a")
+def test_real_node_counts_with_smaller_of_surrounding_polls() -> None:
+    real = RealNodeQuota("a")
     real.add(0.9, 0.5)
     real.add(1.9, 0.2)
-    assert sum_up([[Sample(10, 0.0, {"a": 0.6})]], [real], 0.1, ["a"]).most == 0.8
+    assert sum_up([[Sample(10, 0.0, {"a": 0.6})]], [real], 0.1, ["a"]).max_sum == 0.8
 
 
-def test_times_are_merged_as_they_were_recorded() -> None:
+def test_histograms_of_two_processes_are_merged() -> None:
     one, other = Times(), Times()
     for ms in range(1, 100):
         one.add(float(ms))
@@ -105,10 +105,10 @@
     one.merge(Times.decode(other.encode()))
     assert one.count == 100
     assert one.at(50.0) == pytest.approx(50.0, rel=0.01)
-    assert one.most() == pytest.approx(5_000.0, rel=0.01)
+    assert one.maximum() == pytest.approx(5_000.0, rel=0.01)
 
 
-def test_bytes_are_counted_by_the_port_they_go_through(tmp_path: Path) -> None:
+def test_bytes_are_counted_by_port(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         port = server.getsockname()[1]
         counter = sockets.Counter(tmp_path / "counts", {"members": port})
@@ -120,14 +120,14 @@
     assert found[sockets.OTHER] == sockets.Traffic()
 
 
-def test_a_run_that_is_too_large_is_refused() -> None:
+def test_run_over_process_or_memory_limit_is_rejected() -> None:
     with pytest.raises(limits.TooLargeError, match="processes"):
-        limits.check(limits.Plan(limits.PROCESSES + 1, 1, 1))
+        limits.check(limits.Plan(limits.MAX_PROCESSES + 1, 1, 1))
     with pytest.raises(limits.TooLargeError, match="MB"):
         limits.check(limits.Plan(10, 1_000_000, 1_400))
 
 
-def test_events_are_named_in_the_order_in_which_they_come() -> None:
+def test_parsed_events_are_in_order_of_the_run() -> None:
     assert parse_events("all") == EVENTS
     assert parse_events("none") == ()
     assert parse_events("zone,leader") == ("leader", "zone")
@@ -136,7 +136,7 @@
 
 
 def small_run() -> Record:
-    """The same code as at full size; its times say nothing on a machine that runs other tests."""
+    """Run the same code as at full size; its times are not meaningful on a machine that runs other tests."""
     options = Options(
         factor=0.02,
         seed=1,
@@ -150,19 +150,19 @@
         relayed=True,
     )
     durations = Durations(
-        start_spread=0.5, steady=2.0, hurry=60.0, event=2.0, parted=3.0, change_every=0.05, changes=10
+        start_spread=0.5, steady=2.0, hurry=60.0, event=2.0, partitioned=3.0, change_every=0.05, changes=10
     )
     plan = Plan(options, durations, ("steady", "list", "leader", "zone", "regions"), limit_s=120.0)
     return asyncio.run(run_control(plan))
 
 
 def _verdicts(record: Record, phase: str) -> list[float]:
-    """How many siblings the nodes hold for present, failed and so on."""
+    """Return the numbers of siblings by verdict (present, failed, ...) over all hollow nodes."""
     figures = [figure for figure in record.figures if figure.name.startswith("verdict ")]
     return [float(figure.value or 0) for figure in figures if figure.phase == phase]
 
 
-def test_the_control_path_at_a_fiftieth_of_the_size_keeps_the_rule_and_comes_back() -> None:
+def test_small_control_run_keeps_quota_sums_within_1_and_settles_after_faults() -> None:
     record = small_run()
     broken = [failure for failure in record.failures if "share" in failure or ": " not in failure]
     assert not broken, broken
--- a/tests/scale/test_scale_datapath.py
+++ b/tests/scale/test_scale_datapath.py
@@ -1,4 +1,4 @@
-"""The measuring of the data path (bench/scale): pairs of calls, what fails, and the parsing of rates."""
+"""Measurement of the data path (bench/scale): paired requests, failed requests, parsing of rates."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 import pytest
 import typer
 
-from bench.scale.caller import Caller, CallTime, FailedCallError, is_whole
+from bench.scale.client import CallTime, Client, FailedCallError, is_complete
 from bench.scale.core_waits import CoreWaits
 from bench.scale.datapath import groups_at, parse_rates
-from bench.scale.paired import DIRECT, NOISE, UNDISTURBED_NS, Paired, PairedRun, PathTimes
+from bench.scale.paired import DIRECT, NOISE, UNDISTURBED_NS, PairedResult, PairedRun, PathTimes
 from tests.support.loopback import Message, Peer, reply
 
 SLOW_S = 0.02
 
 
-async def _paired(direct: Peer, node: Peer, groups: int) -> Paired:
+async def _paired(direct: Peer, node: Peer, groups: int) -> PairedResult:
     for peer in (direct, node):
         await peer.start()
     addresses = {DIRECT: direct.port, NOISE: direct.port, "off": node.port}
-    callers = {name: Caller([("127.0.0.1", port)], seed=1) for name, port in addresses.items()}
+    clients = {name: Client([("127.0.0.1", port)], seed=1) for name, port in addresses.items()}
     try:
-        return await PairedRun(callers, rate=1000.0, seed=1).measure(groups)
+        return await PairedRun(clients, rate=1000.0, seed=1).measure(groups)
     finally:
-        for caller in callers.values():
-            caller.close()
+        for client in clients.values():
+            client.close()
         for peer in (direct, node):
             peer.stop()
 
 
-def test_added_latency_is_taken_from_the_direct_call_of_the_same_group() -> None:
+def test_added_latency_is_relative_to_direct_request_of_same_group() -> None:
     async def slow(_message: Message) -> bytes:
         await asyncio.sleep(SLOW_S)
         return reply()
@@ -41,7 +41,7 @@
     assert found.groups == 50
     assert found.failed == {}
     through, added = found.paths["off"].total, found.paths["off"].added
-    assert through.get_min_value() >= SLOW_S * 1e6 * 0.99  # the histogram keeps three digits
+    assert through.get_min_value() >= SLOW_S * 1e6 * 0.99  # the histogram has three significant digits
     assert 0 < added.get_value_at_percentile(50) <= through.get_value_at_percentile(50)
     assert found.paths[DIRECT].added.get_max_value() == 0
 
@@ -56,7 +56,7 @@
     assert times.undisturbed.get_max_value() == pytest.approx(2000, rel=0.01)
 
 
-def test_waits_for_a_core_are_read_from_the_scheduler() -> None:
+def test_core_waits_are_read_from_scheduler() -> None:
     waits = CoreWaits([os.getpid()])
     before = waits()
     assert before > 0
@@ -64,7 +64,7 @@
     waits.close()
 
 
-def test_a_group_with_a_failed_call_is_counted_and_not_measured() -> None:
+def test_group_with_failed_request_is_counted_and_not_measured() -> None:
     async def refuse(_message: Message) -> bytes:
         return reply(503, b"")
 
@@ -75,36 +75,36 @@
     assert (found.failed_by("off"), found.failed_by(DIRECT)) == (5, 0)
 
 
-def test_a_closed_connection_fails_its_call() -> None:
+def test_closed_connection_fails_its_request() -> None:
     async def closed() -> None:
         async def close(_message: Message) -> None:
             return None
 
         peer = await Peer(close).start()
-        caller = Caller([("127.0.0.1", peer.port)], seed=1)
+        client = Client([("127.0.0.1", peer.port)], seed=1)
         try:
             with pytest.raises(FailedCallError, match="closed"):
-                await caller.call("call-1")
+                await client.call("call-1")
         finally:
             peer.stop()
 
     asyncio.run(closed())
 
 
-def test_an_answer_is_whole_with_all_of_its_body() -> None:
+def test_response_is_complete_with_all_of_its_body() -> None:
     head = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n"
-    assert not is_whole(b"HTTP/1.1 200 OK\r\n")
-    assert not is_whole(head + b"don")
-    assert is_whole(head + b"done")
+    assert not is_complete(b"HTTP/1.1 200 OK\r\n")
+    assert not is_complete(head + b"don")
+    assert is_complete(head + b"done")
 
 
-def test_a_slow_rate_is_measured_longer_but_within_its_limit() -> None:
+def test_slow_rate_is_measured_longer_within_time_limit() -> None:
     assert groups_at(400.0, 30.0) == 12_000
     assert groups_at(93.0, 30.0) == 3_000
     assert groups_at(1.0, 30.0) == 150
 
 
-def test_rates_are_numbers_in_range() -> None:
+def test_rates_outside_range_are_rejected() -> None:
     assert parse_rates("23,93") == [23.0, 93.0]
     for text in ("0", "1,9999", "x"):
         with pytest.raises(typer.BadParameter):
--- a/tests/support/test_faults.py
+++ b/tests/support/test_faults.py
@@ -105,7 +105,7 @@
         network.close()
 
 
-def test_partition_accepts_clients_without_connecting_and_hides_closed_connections(
+def test_partition_accepts_without_connecting_and_hides_closed_connections(
     loops: LoopThread,
 ) -> None:
     servers = [EchoServer(loops) for _ in range(2)]
