--- a/bench/scale/chain_model.py
+++ b/bench/scale/chain_model.py
@@ -68,7 +68,7 @@
 
     arrived_ms: float
     attempts_by_tier: list[int]
-    rejections_by_tier: list[int]  # rejections by the nodes of each tier
+    rejections_by_tier: list[int]  # by the nodes of each tier
     ended_ms: float = math.nan
     result: CallResult | None = None
 
@@ -343,13 +343,14 @@
     def __init__(self, shape: Shape, seed: int) -> None:
         self.shape, self.clock = shape, Clock()
         self.client_calls: list[ClientCall] = []
+        # The text of the seed decides the arrivals: changing it would change every seeded run.
         self._random = Random(f"users-{seed}")
         self._tiers = [self._servers(tier, seed) for tier in range(shape.depth)]
         nodes = [self._nodes(tier, seed) for tier in range(shape.depth)]
         self._front = nodes[0]
-        for servers, next_tier_call in zip(self._tiers[:-1], nodes[1:], strict=True):
+        for servers, next_nodes in zip(self._tiers[:-1], nodes[1:], strict=True):
             for at, server in enumerate(servers):
-                server.next_tier = next_tier_call[at % len(next_tier_call)]
+                server.next_tier = next_nodes[at % len(next_nodes)]
 
     def _servers(self, tier: int, seed: int) -> list[Server]:
         shape = self.shape
--- a/bench/scale/chains.py
+++ b/bench/scale/chains.py
@@ -30,29 +30,31 @@
     """Results of one run: means for one client's call unless stated otherwise."""
 
     calls: int
-    attempts_per_call: float  # attempts at all tiers
+    attempts_per_call: float  # at all tiers together
     attempts_p99: float
-    max_attempts_per_call: int  # maximum for one call
-    by_tier: list[float]  # attempts at each tier
+    max_attempts_per_call: int
+    mean_attempts_by_tier: list[float]
     admitted: float  # fraction of calls that the front tier attempted at least once
-    rejections_behind_front: float  # rejections by nodes behind the front tier
+    rejections_behind_front: float  # by nodes of the tiers behind the front
     within_objective: float  # fraction with a successful response within the latency objective
     rejected: float  # fraction
     failed: float  # fraction
     without_result: int  # number of calls
 
     @property
-    def last_tier(self) -> float:
-        return self.by_tier[-1]
+    def last_tier_attempts(self) -> float:
+        """Attempts at the last tier."""
+        return self.mean_attempts_by_tier[-1]
 
     @property
     def worst_tier(self) -> int:
-        return max(range(len(self.by_tier)), key=self.by_tier.__getitem__)
+        """Index of the tier with the most attempts."""
+        return max(range(len(self.mean_attempts_by_tier)), key=self.mean_attempts_by_tier.__getitem__)
 
     @property
     def retry_multiplication(self) -> float:
         """Attempts at the tier with the most of them, for a call that the front tier admitted."""
-        return self.by_tier[self.worst_tier] / self.admitted if self.admitted else 0.0
+        return self.mean_attempts_by_tier[self.worst_tier] / self.admitted if self.admitted else 0.0
 
 
 def outcome(client_calls: Sequence[ClientCall], latency_objective_ms: float) -> Outcome:
@@ -70,7 +72,7 @@
         attempts_per_call=float(totals.mean()),
         attempts_p99=float(np.percentile(totals, 99)),
         max_attempts_per_call=int(totals.max()),
-        by_tier=[float(mean) for mean in attempts_by_tier.mean(axis=0)],
+        mean_attempts_by_tier=[float(mean) for mean in attempts_by_tier.mean(axis=0)],
         admitted=float((attempts_by_tier[:, 0] > 0).mean()),
         rejections_behind_front=sum(sum(client_call.rejections_by_tier[1:]) for client_call in client_calls)
         / calls,
@@ -103,9 +105,9 @@
     yield "sends_per_call", found.attempts_per_call, ""
     yield "sends_per_call_p99", found.attempts_p99, ""
     yield "most_sends_for_a_call", found.max_attempts_per_call, ""
-    yield "last_tier_sends_per_call", found.last_tier, ""
+    yield "last_tier_sends_per_call", found.last_tier_attempts, ""
     yield "worst_tier", found.worst_tier + 1, ""
-    yield "worst_tier_sends_per_call", found.by_tier[found.worst_tier], ""
+    yield "worst_tier_sends_per_call", found.mean_attempts_by_tier[found.worst_tier], ""
     yield "worst_tier_sends_per_call_let_in", found.retry_multiplication, ""
     yield "let_in_share", found.admitted, ""
     yield "goodput_per_s", found.within_objective * found.calls / span_s, "1/s"
@@ -173,9 +175,9 @@
 
 
 def _line(fault: Fault, depth: int, found: Outcome) -> str:
-    worst = f"{found.by_tier[found.worst_tier]:.2f} at tier {found.worst_tier + 1}"
+    worst = f"{found.mean_attempts_by_tier[found.worst_tier]:.2f} at tier {found.worst_tier + 1}"
     return (
         f"depth {depth:>2} {fault.value:<9} attempts {found.attempts_per_call:6.2f} "
-        f"(max {found.max_attempts_per_call}), {worst}, {found.last_tier:.2f} at the last; "
+        f"(max {found.max_attempts_per_call}), {worst}, {found.last_tier_attempts:.2f} at the last; "
         f"within objective {found.within_objective:.3f}, rejected {found.rejected:.3f}"
     )
--- a/bench/scale/events.py
+++ b/bench/scale/events.py
@@ -83,7 +83,7 @@
         )
         return state
 
-    # -------------------------------------------------------------------- ordinary
+    # -------------------------------------------------------------- ordinary churn
 
     async def steady(self) -> None:
         """Run accelerated ordinary churn: restarts and failures of nodes at even intervals."""
@@ -204,8 +204,8 @@
         measured = await self.recorder.record_phase("list_changes")
         agents = (await world.children.state()).with_list
         seen: dict[str, int] = {}
-        for measured_process in measured:
-            for uid, count in measured_process.changes_seen.items():
+        for process in measured:
+            for uid, count in process.changes_seen.items():
                 seen[uid] = seen.get(uid, 0) + count
         everywhere = sum(count >= agents for count in seen.values())
         run.add("platform", "changes", changes, "count", "list_changes")
--- a/bench/scale/world.py
+++ b/bench/scale/world.py
@@ -88,7 +88,7 @@
         self.instances: Instances
         self.children: Children
 
-    # ------------------------------------------------------------------- beginning
+    # -------------------------------------------------------------- start and stop
 
     def check_limits(self) -> None:
         options = self.options
@@ -195,7 +195,7 @@
         if hasattr(self, "instances"):
             await asyncio.to_thread(self.instances.stop)
 
-    # ----------------------------------------------------------------- what it is
+    # ------------------------------------------------------------ groups and roles
 
     def group_of(self, place: NodePlace) -> str:
         return self.platform.services[place.service].name if self.scoped else "all"
--- a/tests/scale/test_scale_chains.py
+++ b/tests/scale/test_scale_chains.py
@@ -54,14 +54,14 @@
 
 def test_errors_of_last_tier_are_retried_only_there() -> None:
     found = outcome(client_calls(Fault.FAILING), Shape(DEPTH).latency_objective_ms)
-    assert found.last_tier == pytest.approx(1 + 0.3 + 0.3**2, rel=0.1)
-    assert found.by_tier[0] == pytest.approx(1.0, abs=0.01)
+    assert found.last_tier_attempts == pytest.approx(1 + 0.3 + 0.3**2, rel=0.1)
+    assert found.mean_attempts_by_tier[0] == pytest.approx(1.0, abs=0.01)
 
 
 def test_saturated_last_tier_gets_attempts_near_its_capacity() -> None:
     shape = Shape(DEPTH)
     found = outcome(client_calls(Fault.SATURATED), shape.latency_objective_ms)
-    assert found.last_tier <= 1.2 / shape.overload
+    assert found.last_tier_attempts <= 1.2 / shape.overload
     assert found.within_objective > 0.4
     assert found.rejected > 0.1
 
