--- a/bench/fleet_detection.py
+++ b/bench/fleet_detection.py
@@ -220,9 +220,9 @@
     outside = [at for at in range(world.plan.nodes) if at not in inside]
     time.sleep(0.5 + wait_s)
     cut = time.monotonic()
-    world.net.cut(inside, outside)
+    world.net.partition(inside, outside)
     for at in inside:
-        world.agent_links[at].cut()
+        world.agent_proxies[at].partition()
     until(
         lambda: min(status["share"] for status in world.statuses(outside)) > 1.0 / len(outside) - 1e-6,
         LIMIT_S,
@@ -232,7 +232,7 @@
     healed = time.monotonic()
     world.net.heal()
     for at in inside:
-        world.agent_links[at].heal()
+        world.agent_proxies[at].heal()
     world.wait_until_quotas_equal(siblings_present=False)
     end = time.monotonic()
     moments = [cut + STEP_S * step for step in range(int((end - cut) / STEP_S))]
--- a/bench/fleet_routes.py
+++ b/bench/fleet_routes.py
@@ -173,8 +173,8 @@
         world = self._world
         assert world.net is not None
         world.net.heal()
-        for link in world.agent_links:
-            link.heal()
+        for proxy in world.agent_proxies:
+            proxy.heal()
         for index, instance in enumerate(world.registry.processes):
             if instance is None:
                 world.registry.start(index)
@@ -202,13 +202,13 @@
         node.send(signal.SIGCONT)
 
     def _cut_from_service(self) -> None:
-        self._world.agent_links[self._draw_running_node()].cut()
+        self._world.agent_proxies[self._draw_running_node()].partition()
 
     def _partition_nodes(self) -> None:
         indexes = range(self._world.plan.nodes)
         side = self._rng.sample(indexes, self._rng.randrange(1, len(indexes)))
         assert self._world.net is not None
-        self._world.net.cut(side, [at for at in indexes if at not in side])
+        self._world.net.partition(side, [at for at in indexes if at not in side])
 
     def _kill_leader(self) -> None:
         registry = self._world.registry
--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -18,7 +18,7 @@
 
 from bench.figures import quantile
 from loadbalancer.node.http.service_http import send_request
-from tests.support.faults import LoopThread, Net, Post
+from tests.support.faults import AgentProxy, LoopThread, RelayNetwork
 from tests.support.invariant_sampler import Sample
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
@@ -136,8 +136,8 @@
             model = plan.models[at % len(plan.models)]
             self.registry.put(f"s{at}", self.pool.port(at), az="a", model=model)
         self._member_ports = [free_port() for _ in range(plan.nodes)]
-        self.net: Net | None = None
-        self.agent_links: list[Post] = []
+        self.net: RelayNetwork | None = None
+        self.agent_proxies: list[AgentProxy] = []
         if plan.relayed:
             self._start_relays()
         self.nodes = [self.make_node(at) for at in range(plan.nodes)]
@@ -145,7 +145,7 @@
         self.launch(self.nodes)
 
     def _start_relays(self) -> None:
-        self.net = Net([("127.0.0.1", port) for port in self._member_ports], seed=self.plan.seed)
+        self.net = RelayNetwork([("127.0.0.1", port) for port in self._member_ports], seed=self.plan.seed)
         self._closing.append(self.net.close)
         loops = LoopThread()
         self._closing.append(loops.close)
@@ -157,8 +157,8 @@
             }
             agent = ("127.0.0.1", self.agent(at).port)
             # The agent's responses name siblings by address; the node gets the relays' addresses instead.
-            self.agent_links.append(
-                Post(agent, lambda address, relays=relay_addresses: relays.get(address, address), loops)  # type: ignore[misc]
+            self.agent_proxies.append(
+                AgentProxy(agent, lambda address, relays=relay_addresses: relays.get(address, address), loops)  # type: ignore[misc]
             )
 
     def agent(self, at: int) -> Any:
@@ -184,7 +184,7 @@
                 "routes": str(self.folder / f"routes-{at}"),
                 "clock_offset_ms": plan.clock_offsets_ms[at % len(plan.clock_offsets_ms)],
             } | plan.member_settings
-        discovery = self.agent_links[at].port if self.agent_links else self.agent(at).port
+        discovery = self.agent_proxies[at].port if self.agent_proxies else self.agent(at).port
         return Node(self.folder, [], discovery, **row)
 
     def launch(self, nodes: Sequence[Node]) -> None:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -183,10 +183,10 @@
             self._add(until, "heal links", self._fleet.net.heal)
 
     def _partition(self, at: float) -> None:
-        self._add_link_fault(at, "partition", self._fleet.net.cut)
+        self._add_link_fault(at, "partition", self._fleet.net.partition)
 
     def _partition_one_way(self, at: float) -> None:
-        self._add_link_fault(at, "partition one way", self._fleet.net.cut_one_way)
+        self._add_link_fault(at, "partition one way", self._fleet.net.partition_one_way)
 
     def _delay(self, at: float) -> None:
         ms = self._rng.uniform(5.0, 400.0)
@@ -202,30 +202,35 @@
         node, until = self._draw_node(), at + self._rng.uniform(0.2, max_duration_s)
         if self._reserve(f"p{node}", at, until):
             self._add(at, f"{name} n{node} agent", partial(act, node))
-            self._add(until, f"heal n{node} agent", self._fleet.agent_links[node].heal)
+            self._add(until, f"heal n{node} agent", self._fleet.agent_proxies[node].heal)
 
     def _cut_service(self, at: float) -> None:
-        self._add_agent_link_fault(at, "partition", 12.0, lambda node: self._fleet.agent_links[node].cut())
+        self._add_agent_link_fault(
+            at, "partition", 12.0, lambda node: self._fleet.agent_proxies[node].partition()
+        )
 
     def _delay_service(self, at: float) -> None:
         to_agent, to_node = self._rng.uniform(0.0, 1_500.0), self._rng.uniform(0.0, 1_500.0)
         name = f"delay {to_agent:.0f} and {to_node:.0f} ms"
         self._add_agent_link_fault(
-            at, name, 10.0, lambda node: self._fleet.agent_links[node].delay(to_agent, to_node)
+            at, name, 10.0, lambda node: self._fleet.agent_proxies[node].delay(to_agent, to_node)
         )
 
     def _block_responses(self, at: float) -> None:
-        act = lambda node: self._fleet.agent_links[node].hold("renew", answers=True)  # noqa: E731
+        act = lambda node: self._fleet.agent_proxies[node].hold("renew", responses=True)  # noqa: E731
         self._add_agent_link_fault(at, "block responses", 6.0, act)
 
     def _duplicate_renewals(self, at: float) -> None:
         self._add_agent_link_fault(
-            at, "duplicate renewals", 10.0, lambda node: self._fleet.agent_links[node].repeat(3)
+            at, "duplicate renewals", 10.0, lambda node: self._fleet.agent_proxies[node].duplicate_renewals(3)
         )
 
     def _give_older_responses(self, at: float) -> None:
         self._add_agent_link_fault(
-            at, "older responses", 15.0, lambda node: self._fleet.agent_links[node].give_older(2)
+            at,
+            "older responses",
+            15.0,
+            lambda node: self._fleet.agent_proxies[node].replay_older_responses(2),
         )
 
     # ------------------------------------------------------------------ actions
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -108,7 +108,7 @@
 ) -> None:
     """The nodes in `cut_off` can't reach the list service either; `quotas` has the final one per half."""
     with fleet.under_load() as sampler:
-        fleet.net.cut(*HALVES)
+        fleet.net.partition(*HALVES)
         fleet.cut_service(*cut_off)
 
         def expired(status: Status) -> bool:
@@ -133,7 +133,7 @@
     """The service receives the renewals and extends the leases, but at the nodes the leases expire."""
     with fleet.under_load() as sampler:
         start = time.monotonic()
-        held = [fleet.agent_links[index].hold("/fleet/renew", answers=True) for index in (3, 4)]
+        held = [fleet.agent_proxies[index].hold("/fleet/renew", responses=True) for index in (3, 4)]
         fleet.wait_until_all("quotas yielded", lambda status: status["share"] == 0.0, 3, 4)
         wait_ms(fleet, TTL_MS)
         assert {
@@ -171,8 +171,8 @@
     estimate of service time remains correct."""
     with fleet.under_load() as sampler:
         start = time.monotonic()
-        fleet.net.cut(0, 1)
-        fleet.net.cut_one_way(2, 3)
+        fleet.net.partition(0, 1)
+        fleet.net.partition_one_way(2, 3)
         for index, other in ((0, 1), (1, 0), (2, 3), (3, 2)):
             fleet.wait_until_all(
                 f"verdict parted of n{index} on n{other}",
@@ -184,7 +184,7 @@
         fleet.net.lose(range(5), range(5), 0.02)
         fleet.net.delay(0, (1, 2, 3, 4), 5.0)
         fleet.net.delay((1, 2, 3, 4), 0, 80.0)
-        fleet.agent_links[0].delay(5.0, 80.0)
+        fleet.agent_proxies[0].delay(5.0, 80.0)
         asymmetric_since = time.monotonic()
         wait_ms(fleet, 2 * TTL_MS)
         samples = sampler.since(start)
--- a/tests/fleet/test_fleet_routes.py
+++ b/tests/fleet/test_fleet_routes.py
@@ -46,7 +46,7 @@
 
 def block_vote(fleet: Fleet, index: int) -> Hold:
     """Block the node's next votes on their way to the list service."""
-    return fleet.agent_links[index].hold("/routes/vote")
+    return fleet.agent_proxies[index].hold("/routes/vote")
 
 
 def until_blocked(hold: Hold) -> None:
@@ -115,7 +115,7 @@
         number = fleet.propose()
         until_blocked(blocked)
         until_voted(fleet, number, 4)
-        fleet.net.cut((0, 1, 2), (3, 4))
+        fleet.net.partition((0, 1, 2), (3, 4))
         fleet.cut_service(4)
         blocked.release()
         switch_ms = until_decided(fleet, number)
@@ -123,7 +123,7 @@
         notified = fleet.status(3)["routes"]["at"] == switch_ms
         fleet.cut_service(3)  # if it knows T it switches by itself, as its lease expires only after T
         wait_until(fleet, switch_ms + healed_ms)
-        fleet.agent_links[4].heal()
+        fleet.agent_proxies[4].heal()
         fleet.net.heal()
         until_followed(fleet, number, 0, 1, 2, 4)
         fleet.wait_until_all("expired lease of n3", lambda status: status["routes"]["stand"] == "detached", 3)
--- a/tests/registry/test_registry_node.py
+++ b/tests/registry/test_registry_node.py
@@ -47,13 +47,13 @@
             lambda: backends.request_counts["s2"] > 5, what="a change committed after the leader was killed"
         )
 
-        relay.set_silent(True)  # a watch without any response
+        relay.set_blocked(True)  # a watch without any response
         before = backends.request_counts["s2"]
         until(
             lambda: backends.request_counts["s2"] > before + 20,
             what="requests served while discovery is silent",
         )
-        relay.set_silent(False)
+        relay.set_blocked(False)
         relay.reset()
         dropped = backends.request_counts["s0"]
         registry.put("s0", backends.port(0), az="a")
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.faults import LoopThread, Net, Post
+from tests.support.faults import AgentProxy, LoopThread, RelayNetwork
 from tests.support.invariant_sampler import Status, StatusSampler, quota_violations, version_conflicts
 from tests.support.load import Load, Outcome
 from tests.support.node_processes import Node
@@ -69,22 +69,22 @@
         for index, model in enumerate(MODELS):
             self.registry.put(f"s{index}", self.pool.port(index), az="a", model=model)
         self._member_ports = [free_port() for _ in range(size)]
-        self.net = Net([("127.0.0.1", port) for port in self._member_ports], seed=folder.name)
+        self.net = RelayNetwork([("127.0.0.1", port) for port in self._member_ports], seed=folder.name)
         self._loops = LoopThread()
-        self.agent_links = [self._agent_link(index) for index in range(size)]
+        self.agent_proxies = [self._agent_proxy(index) for index in range(size)]
         self.nodes = [self._node(folder, index) for index in range(size)]
         self._outages: dict[int, list[Outage]] = {index: [] for index in range(size)}
         for node in self.nodes:
             node.launch()
 
-    def _agent_link(self, index: int) -> Post:
+    def _agent_proxy(self, index: int) -> AgentProxy:
         """Return the relay to the agent; it replaces siblings' addresses by those of the relays to them."""
         relayed = {
             f"127.0.0.1:{port}": "{}:{}".format(*self.net.address(index, other))
             for other, port in enumerate(self._member_ports)
             if other != index
         }
-        return Post(
+        return AgentProxy(
             ("127.0.0.1", self.agent.port), lambda address: relayed.get(address, address), self._loops
         )
 
@@ -98,7 +98,7 @@
         }
         settings = {"registryMode": "push"}
         return Node(
-            folder, [], self.agent_links[index].port, name=f"n{index}", settings=settings, members=members
+            folder, [], self.agent_proxies[index].port, name=f"n{index}", settings=settings, members=members
         )
 
     def _instance(self, index: int) -> dict[str, int | str]:
@@ -174,8 +174,8 @@
     def wait_until_stable(self) -> None:
         """Heal all links and start what does not run; then wait until members are present, quotas equal and
         routes settled."""
-        for link in self.agent_links:
-            link.heal()
+        for proxy in self.agent_proxies:
+            proxy.heal()
         self.net.heal()
         for index in range(3):
             if self.registry.processes[index] is None:
@@ -231,7 +231,7 @@
     def cut_service(self, *chosen: int) -> None:
         """Partition the chosen nodes from the list service."""
         for index in chosen:
-            self.agent_links[index].cut()
+            self.agent_proxies[index].partition()
 
     # ------------------------------------------------------------------ routes
 
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -148,7 +148,7 @@
         """Silence an instance's links, as with a cut cable; heal the partition if not `silent`."""
         for pair, link in self.links.items():
             if index in pair:
-                link.set_silent(silent)
+                link.set_blocked(silent)
 
     def start(self, index: int) -> None:
         arguments = ["-m", "loadbalancer.registry", "serve", "--config", str(self.config(index))]
