--- a/bench/scale/events.py
+++ b/bench/scale/events.py
@@ -171,7 +171,7 @@
         """Partition hollow nodes and instances of the two regions for longer than any lease, then heal."""
         world = self.world
         await world.stop_real_nodes()
-        await asyncio.to_thread(world.instances.cut, WEST_INSTANCE)
+        await asyncio.to_thread(world.instances.partition, WEST_INSTANCE)
         await world.children.partition(True)
         await asyncio.sleep(self.durations.partitioned)
         state = await world.children.state()
@@ -180,7 +180,7 @@
         run.add("platform", "taking", state.with_quota, "nodes", "parted", state.running)
         await self.recorder.record_phase("parted")
         started = time.monotonic()
-        await asyncio.to_thread(world.instances.cut, WEST_INSTANCE, False)
+        await asyncio.to_thread(world.instances.partition, WEST_INSTANCE, False)
         await world.children.partition(False)
         state = await self._wait_for(self._settled, SETTLE_LIMIT_S, "joined")
         seconds = round(time.monotonic() - started, 2) if self._settled(state) else None
