--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,7 +1,7 @@
-"""The node's program: `python -m loadbalancer`, configured by the JSON file that PROXY_CONFIG names.
+"""Command line of a node: `python -m loadbalancer`, configured by the JSON file that PROXY_CONFIG names.
 
 `python -m loadbalancer state show FILE [--node NAME]` prints a state file's verdict and contents as JSON.
-It exits with 0 where the file is accepted, 1 where a rule rejects it, 2 on a wrong command line.
+It exits with 0 if the file is accepted, 1 if a rule rejects it, and 2 on a wrong command line.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from loadbalancer.node.state.inspection import describe_state
 
 CONFIG_VARIABLE = "PROXY_CONFIG"
-MAX_ERROR_CHARS = 400  # an error quotes the value that is wrong, which may be of any length
+MAX_ERROR_CHARS = 400  # an error quotes the invalid value, which may have any length
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_BAD_CONFIGURATION = 2
 
 
 def read_config() -> NodeConfig:
-    """Return the configuration; raise OSError if its file can't be read and ValueError if it is wrong."""
+    """Return the configuration; raise OSError if its file can't be read, ValueError if it is invalid."""
     path = os.environ.get(CONFIG_VARIABLE)
     if not path:
         raise ConfigPathError(CONFIG_VARIABLE)
@@ -37,14 +37,14 @@
 
 
 def reload(node: Node) -> None:
-    """Read the configuration again on SIGHUP, and follow discovery at the address in it.
+    """Handle SIGHUP: read the configuration again and follow discovery at the address in it.
 
-    With a file that can't be read or is wrong, the node keeps its present configuration.
+    If the file can't be read or is invalid, the node keeps its current configuration.
     """
     try:
         config = read_config()
     except (OSError, ValueError) as error:
-        logging.error("configuration not reloaded, the present one stays in use: %s", one_line(error))
+        logging.error("configuration not reloaded, the current one stays in use: %s", one_line(error))
         node.metrics.reloads["failure"] += 1
         return
     node.metrics.reloads["success"] += 1
@@ -61,7 +61,7 @@
     node = Node(config)
     loop.add_signal_handler(signal.SIGHUP, reload, node)
     await node.start()
-    # What exists now lives as long as the process, so the garbage collector need not look at it again.
+    # Objects created so far live as long as the process; frozen, the garbage collector doesn't scan them.
     gc.collect()
     gc.freeze()
     logging.info("%s serves on %s:%d", config.name, *node.listener.address)
@@ -75,7 +75,7 @@
     parser = argparse.ArgumentParser(prog="python -m loadbalancer state", description="Inspect a state file.")
     parser.add_argument("verb", choices=["show"])
     parser.add_argument("file", type=Path)
-    parser.add_argument("--node", help="check it against this node's name, as a start would")
+    parser.add_argument("--node", help="also check that the file belongs to this node, as a starting node does")
     options = parser.parse_args(arguments)
     description = describe_state(options.file, options.node)
     print(description.text)
--- a/loadbalancer/node/__init__.py
+++ b/loadbalancer/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real node: the decision module on sockets."""
+"""The node process: runs the balancer over sockets and forwards requests."""
--- a/loadbalancer/node/address.py
+++ b/loadbalancer/node/address.py
@@ -1,4 +1,4 @@
-"""Network addresses, as the node's components exchange them."""
+"""Network addresses as (host, port) pairs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def parse_address(text: object) -> Address:
-    """Return the address that `host:port` names; raise AddressError on a text of another form."""
+    """Return the address in the text `host:port`; raise AddressError if the text has another form."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise AddressError(text)
--- a/loadbalancer/node/balancer_driver.py
+++ b/loadbalancer/node/balancer_driver.py
@@ -1,4 +1,4 @@
-"""Drives the balancer: gives it one event at a time and carries out the actions that it returns."""
+"""Event loop side of the balancer: passes it one event at a time and executes the actions it returns."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 log = logging.getLogger("loadbalancer")
 
-TIMER_RETRY_DELAY_S = 0.5  # before a timer is fired again whose event the balancer failed to handle
+TIMER_RETRY_DELAY_S = 0.5  # until a timer whose event the balancer failed to handle fires again
 
 
 class BalancerDriver:
-    """Owns the balancer, the events that are queued for it and the timers that it has set."""
+    """Owns the balancer, the queue of its events, and its timers."""
 
     def __init__(
         self,
@@ -40,13 +40,13 @@
         self._attempts = attempts
         self._watcher = watcher
         self._counts = counts
-        self.before_event: list[Callable[[], None]] = []  # called before an event that is not nested
+        self.before_event: list[Callable[[], None]] = []  # called before each event, except events caused by actions
         self._events: deque[Event] = deque()
         self._is_handling = False
         self._timers: dict[str, asyncio.TimerHandle] = {}
 
     def handle_event(self, event: Event) -> None:
-        """Give the balancer an event and carry out its actions; events that these cause are queued."""
+        """Pass an event to the balancer and execute its actions; events caused by the actions are queued."""
         if not self._is_handling:
             for hook in self.before_event:
                 hook()
@@ -58,7 +58,7 @@
             while self._events:
                 event = self._events.popleft()
                 for action in self._decide(event):
-                    self._carry_out(action)
+                    self._execute(action)
         finally:
             self._is_handling = False
 
@@ -68,8 +68,10 @@
             timer.cancel()
 
     def _decide(self, event: Event) -> list[Action]:
-        """Return the balancer's actions; a fault of it neither leaves a client without a response nor stops
-        its timers."""
+        """Return the balancer's actions for an event, or none if the balancer raises.
+
+        After an exception, the client still gets a response and the balancer's timers keep running.
+        """
         try:
             return self.balancer.handle(self._clock.unix_ms(), event)
         except Exception:
@@ -79,7 +81,7 @@
             return []
 
     def _recover_from(self, event: Event) -> None:
-        """Do what is due for an event that the balancer has failed to handle."""
+        """Respond to the request, or set the timer again, of an event that the balancer failed to handle."""
         if isinstance(event, Request | AttemptOutcome):
             active = self._requests.get(event.id)
             if active is not None and not active.answered and not active.attempts_in_flight:
@@ -88,7 +90,7 @@
         elif isinstance(event, TimerFired):
             self._set_timer(TIMER_RETRY_DELAY_S, event.name)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Send():
                 self._attempts.send(action)
--- a/loadbalancer/node/component.py
+++ b/loadbalancer/node/component.py
@@ -1,4 +1,4 @@
-"""Components that run beside a node's service to callers."""
+"""Interface of a node's optional components."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class Component(Protocol):
-    """Starts, stops and reports metrics with the node."""
+    """A part of the node that starts, stops and reports metrics together with it."""
 
     async def start(self) -> None:
-        """Start; the node serves callers already."""
+        """Start; the node already serves clients."""
 
     async def stop(self) -> None:
-        """Shut down gracefully: every request has been answered, and `close` follows."""
+        """Shut down gracefully; called after the last request has its response and before `close`."""
 
     def close(self) -> None:
-        """Release timers, sockets and files at once, whether or not `stop` or even `start` has run."""
+        """Release timers, sockets and files immediately, even if `stop` or `start` has not run."""
 
     def metrics(self) -> str:
-        """The component's lines of GET /status/metrics, each `proxy.NAME=VALUE` and a line end."""
+        """Return this component's lines of GET /status/metrics, each `proxy.NAME=VALUE` plus a newline."""
         ...
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -1,4 +1,4 @@
-"""The node's configuration, from the JSON of its configuration file and from the environment."""
+"""The node's configuration, read from its JSON file and from environment variables."""
 
 from __future__ import annotations
 
@@ -27,49 +27,50 @@
     from loadbalancer.node.membership_settings import MembershipSettings
 
 REQUIRED_KEYS = ("listen", "discovery", "known", "settings")
-MIN_POSITIVE_NUMBER = 0.001  # of a number that has to be above 0
+MIN_POSITIVE_NUMBER = 0.001  # lower bound of numbers that must be above 0
 MAX_MEMBERSHIP_DESCRIPTORS = 256
-MEMBERSHIP_DESCRIPTORS_DIVISOR = 4  # siblings' connections take at most this part of all descriptors
+MEMBERSHIP_DESCRIPTORS_DIVISOR = 4  # siblings' connections get at most 1/this of all descriptors
 HEX_BASE = 16
 
 
 @dataclass(slots=True, frozen=True)
 class NodeConfig:
-    """What a node is configured to be; an optional part that is None is off."""
+    """Configuration of a node; None turns an optional feature off."""
 
     name: str
-    listen: Address  # for callers
+    listen: Address  # for clients
     discovery: Address
     seed: int  # of random draws
     initial_list: DiscoveryResponse
     settings: Settings
     admin_address: Address | None = None
-    accept_fd: str | None = None  # descriptor of the callers' listening socket, where the platform holds it
-    ejections_folder: Path | None = None  # shared by two processes of a node, as is the next
+    accept_fd: str | None = None  # descriptor of an inherited listening socket for clients
+    # Both processes of a node share these two folders during an upgrade.
+    ejections_folder: Path | None = None
     handover_folder: Path | None = None
-    state_path: Path | None = None  # the state file
+    state_path: Path | None = None  # of the state file
     state_write_interval_ms: float = 1000.0
     membership: MembershipSettings | None = None
     memory_mb: float = 2048.0
     max_descriptors: int = 1024
     max_open_requests: int = 20_000
-    connection_idle_ms: float = 15_000.0  # after which an endpoint closes an idle connection
+    connection_idle_ms: float = 15_000.0  # idle timeout at the servers, which then close the connection
     connect_timeout_ms: float = 250.0
-    poll_deadline_ms: float = 10_000.0  # within which discovery has to be polled again
+    poll_deadline_ms: float = 10_000.0  # maximum time between two polls of discovery
 
     @property
     def membership_descriptors(self) -> int:
-        """The part of `max_descriptors` for siblings' kept connections: one to each, and one from each."""
+        """Return the part of `max_descriptors` for persistent connections: one to and one from each sibling."""
         if self.membership is None:
             return 0
         return min(MAX_MEMBERSHIP_DESCRIPTORS, self.max_descriptors // MEMBERSHIP_DESCRIPTORS_DIVISOR)
 
 
 class _NumberSetting(NamedTuple):
-    """A number in the configuration file, for which the default of NodeConfig holds where it is absent."""
+    """A number in the configuration file; if absent, the default in NodeConfig applies."""
 
-    field: str  # of NodeConfig
-    label: str  # in error messages
+    field: str  # name in NodeConfig
+    label: str  # name in error messages
     section: str
     key: str
 
@@ -86,36 +87,36 @@
 
 
 def parse_config(data: bytes, environment: Mapping[str, str] | None = None) -> NodeConfig:
-    """Return the configuration; raise ValueError that says in one line what is wrong with it.
+    """Return the configuration; raise ValueError with a one-line reason if it is invalid.
 
-    The environment takes precedence, as the second process of an upgrade may share the file with the first.
+    Environment variables take precedence over the file, because the two processes of an upgrade may share it.
     """
     variables = environment or {}
-    row = orjson.loads(data)
-    if not isinstance(row, dict):
+    document = orjson.loads(data)
+    if not isinstance(document, dict):
         raise ConfigFormError
     for key in REQUIRED_KEYS:
-        if row.get(key) is None:
+        if document.get(key) is None:
             raise MissingSettingError(key)
-    settings = section(row, "settings")
-    admin_address = variables.get("PROXY_OPERATOR") or row.get("operator")
-    state = variables.get("PROXY_STATE") or row.get("state")
+    settings = section(document, "settings")
+    admin_address = variables.get("PROXY_OPERATOR") or document.get("operator")
+    state = variables.get("PROXY_STATE") or document.get("state")
     if state is not None and not (isinstance(state, str) and state):
         raise InvalidSettingError(setting="state", value=state, expected="a path")
     return NodeConfig(
-        name=text_of(row, "name"),
-        listen=_address("listen", row["listen"]),
-        discovery=_address("discovery", row["discovery"]),
-        seed=_seed(row),
-        initial_list=_initial_list(row),
+        name=text_of(document, "name"),
+        listen=_address("listen", document["listen"]),
+        discovery=_address("discovery", document["discovery"]),
+        seed=_seed(document),
+        initial_list=_initial_list(document),
         settings=parse_settings(settings),
         admin_address=_address("operator", admin_address) if admin_address else None,
         ejections_folder=_shared_folder(variables, ejections.FOLDER_NAME),
         handover_folder=_shared_folder(variables, handover.FOLDER_NAME),
         accept_fd=variables.get("PROXY_ACCEPT_FD") or None,
         state_path=Path(state) if state else None,
-        membership=_membership(row.get("members")),
-        **_numbers(row, settings),
+        membership=_membership(document.get("members")),
+        **_numbers(document, settings),
     )
 
 
@@ -125,7 +126,7 @@
 
 
 def _address(key: str, value: object) -> Address:
-    """An address whose host a listener or a connection takes, if only to fail with OSError."""
+    """Return an address with a host that socket functions accept or reject with OSError, not ValueError."""
     try:
         host, port = parse_address(value)
         if not host.isprintable():
@@ -136,25 +137,25 @@
     return host, port
 
 
-def _seed(row: JsonObject) -> int:
-    value = text_of(row, "seed")
+def _seed(document: JsonObject) -> int:
+    value = text_of(document, "seed")
     if not set(value) <= set(hexdigits):
         raise InvalidSettingError(setting="seed", value=value, expected="hexadecimal")
     return int(value, HEX_BASE)
 
 
-def _initial_list(row: JsonObject) -> DiscoveryResponse:
+def _initial_list(document: JsonObject) -> DiscoveryResponse:
     try:
-        return decode_response(row["known"])
+        return decode_response(document["known"])
     except ValueError as error:
         raise MalformedSettingError(setting="known", reason=error) from error
 
 
-def _numbers(row: JsonObject, settings: JsonObject) -> JsonObject:
-    """The numbers that are given, by their fields of NodeConfig."""
+def _numbers(document: JsonObject, settings: JsonObject) -> JsonObject:
+    """Return the numbers present in the configuration, by field of NodeConfig."""
     sections = {
-        "": row,
-        "limits": section(row, "limits"),
+        "": document,
+        "limits": section(document, "limits"),
         "bounds": section(settings, "bounds"),
         "invariants": section(settings, "invariants"),
     }
@@ -167,10 +168,10 @@
     return given
 
 
-def _membership(row: JsonObject | None) -> MembershipSettings | None:
-    if row is None:
+def _membership(members: JsonObject | None) -> MembershipSettings | None:
+    if members is None:
         return None
-    # Imported only where it is needed, for the memory and start time of its libraries.
+    # Imported only if needed: its libraries cost memory and startup time.
     from loadbalancer.node.membership_settings import parse_membership_settings
 
-    return parse_membership_settings(row)
+    return parse_membership_settings(members)
--- a/loadbalancer/node/errors.py
+++ b/loadbalancer/node/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the node's configuration and of addresses."""
+"""Errors in the node's configuration and in addresses."""
 
 from __future__ import annotations
 
 
 class AddressError(ValueError):
-    """A text does not name a host and a port."""
+    """The text is not of the form `host:port`."""
 
     def __init__(self, text: object) -> None:
         super().__init__(f"{text!r} is not an address and a port")
@@ -12,11 +12,11 @@
 
 
 class ConfigError(ValueError):
-    """The node can't run with its configuration."""
+    """The node's configuration is unusable."""
 
 
 class ConfigPathError(ConfigError):
-    """No environment variable names the configuration file."""
+    """The environment variable with the path of the configuration file is not set."""
 
     def __init__(self, variable: str) -> None:
         super().__init__(f"{variable} is not set")
@@ -24,14 +24,14 @@
 
 
 class ConfigFormError(ConfigError):
-    """The configuration is JSON, but no object."""
+    """The configuration is valid JSON but not an object."""
 
     def __init__(self) -> None:
         super().__init__("the configuration is not an object")
 
 
 class MissingSettingError(ConfigError):
-    """A setting that has to be there is missing."""
+    """A required setting is missing."""
 
     def __init__(self, setting: str) -> None:
         super().__init__(f"{setting}: missing")
@@ -39,7 +39,7 @@
 
 
 class InvalidSettingError(ConfigError):
-    """A setting holds a value of another kind."""
+    """The value of a setting is of the wrong kind or out of range."""
 
     def __init__(self, setting: str, value: object, expected: str) -> None:
         super().__init__(f"{setting}: {value!r} is not {expected}")
@@ -49,7 +49,7 @@
 
 
 class MalformedSettingError(ConfigError):
-    """A setting can't be decoded; `reason` says why."""
+    """A setting can't be decoded; `reason` is the decoder's error."""
 
     def __init__(self, setting: str, reason: ValueError) -> None:
         super().__init__(f"{setting}: {reason}")
--- a/loadbalancer/node/membership_settings.py
+++ b/loadbalancer/node/membership_settings.py
@@ -1,4 +1,4 @@
-"""The section `members` of a node's configuration: settings of its membership in a fleet."""
+"""Section `members` of a node's configuration: its membership in a group."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 MAX_INTERVAL_MS: Final = 60_000.0
 MAX_SERVICE_NAME_CHARS: Final = 100
 
-# Keys of the configuration whose names in code differ.
+# Field names of MembershipSettings and their keys in the configuration, where they differ.
 _CONFIGURATION_KEYS: Final = {
     "routes_folder": "routes",
     "probe_period_ms": "ask_every_ms",
@@ -34,32 +34,32 @@
 
 
 class MembershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=_CONFIGURATION_KEYS):
-    """`"members": {...}` of the configuration; times in ms."""
+    """The object `"members"` of the configuration; times in ms."""
 
-    listen: str  # host:port where siblings call this node; its address in the list service
+    listen: str  # host:port for siblings' calls, and this node's address in the list service
     zone: str = ""
-    service: Annotated[str, Meta(max_length=MAX_SERVICE_NAME_CHARS)] = ""  # its nodes form one group
-    routes_folder: str = ""  # of the route versions prepared here; empty: this node prepares none
-    probe_period_ms: float = 1000.0  # one sibling is probed each period
-    urgent_probe_period_ms: float = 100.0  # while detached from the list service, or with a suspected sibling
+    service: Annotated[str, Meta(max_length=MAX_SERVICE_NAME_CHARS)] = ""  # nodes of the same service form one group
+    routes_folder: str = ""  # where this node stores route versions; empty: it takes no part in their activation
+    probe_period_ms: float = 1000.0  # one sibling is probed per period
+    urgent_probe_period_ms: float = 100.0  # while detached from the list service, or while a sibling is suspected
     probe_timeout_ms: float = 500.0
-    confidence_period_ms: float = 250.0  # between two updates of the confidence levels, at most
-    max_clock_uncertainty_ms: float = 250.0  # a node that knows service time less closely votes no
+    confidence_period_ms: float = 250.0  # maximum time between updates of the confidence levels
+    max_clock_uncertainty_ms: float = 250.0  # a node whose service time is less certain rejects route versions
     clock_offset_ms: float = 0.0  # added to this node's clock in tests
 
     @property
     def address(self) -> Address:
-        """Where this node accepts siblings' calls; ValueError for a malformed `listen`."""
+        """Return the address for siblings' calls; raise ValueError if `listen` is malformed."""
         return parse_address(self.listen)
 
     @property
     def routes_path(self) -> Path | None:
-        """The folder of prepared route versions; None: this node prepares none."""
+        """Return the folder of stored route versions, or None if this node stores none."""
         return Path(self.routes_folder) if self.routes_folder else None
 
 
 def parse_membership_settings(section: object) -> MembershipSettings:
-    """The settings in the section `members`; ConfigError says in one line which key is wrong."""
+    """Return the settings in section `members`; raise ConfigError that names the invalid key in one line."""
     try:
         settings = msgspec.convert(section, MembershipSettings)
         _, port = settings.address
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -1,4 +1,4 @@
-"""The node: the assembly of its components, and how it comes into service, drains and leaves service."""
+"""The node: assembles its components, starts them, drains, and shuts down."""
 
 from __future__ import annotations
 
@@ -38,19 +38,20 @@
 if TYPE_CHECKING:
     from loadbalancer.node.control import ControlPlane
 
-RESERVED_DESCRIPTORS = 32  # for the listener, discovery, standard streams and the event loop
+RESERVED_DESCRIPTORS = 32  # for the listening sockets, discovery, standard streams and the event loop
 MIN_CONNECTION_DESCRIPTORS = 16
-# Of the descriptors for connections; what is left takes in a burst until idle connections have been closed.
+# Fractions of the descriptors for connections. The rest absorbs a burst of new connections until idle ones
+# have been closed.
 INBOUND_FRACTION = 0.45
 UPSTREAM_FRACTION = 0.35
-POLL_WAIT_FRACTION = 0.5  # of the time within which discovery has to be polled; the rest is for its transfer
+POLL_WAIT_FRACTION = 0.5  # of the poll deadline; the rest is for the transfer of the response
 
 
 class Node:
     """One process of a node.
 
-    A further component is listed in `components`, its admin requests are merged in where `admin_server` is
-    made, and it hears of outcomes by `attempts.outcome_listeners`.
+    To add a component: list it in `components`, add its admin requests to the routes of `admin_server`, and
+    register for attempt outcomes in `attempts.outcome_listeners`.
     """
 
     def __init__(self, config: NodeConfig) -> None:
@@ -58,7 +59,7 @@
         self.clock = Clock(self.loop)
         self.config = config
         self.stopping = False
-        self.event_counts: Counter[str] = Counter()  # since the last line of statistics in the log
+        self.event_counts: Counter[str] = Counter()  # since the last statistics line in the log
         self.metrics = NodeMetrics(service_class.name for service_class in config.settings.classes)
         self._build_data_path()
         self._build_endpoint_list()
@@ -67,14 +68,14 @@
         self._build_admin()
 
     def _build_data_path(self) -> None:
-        """From callers' connections to endpoints' connections."""
+        """Build the path of a request: listener, request registry, attempt dispatcher, connection pool."""
         config = self.config
         usable = max(
             MIN_CONNECTION_DESCRIPTORS,
             config.max_descriptors - RESERVED_DESCRIPTORS - config.membership_descriptors,
         )
         self.listener = Listener(
-            int(usable * INBOUND_FRACTION), lambda call: self.request_registry.receive(call)
+            int(usable * INBOUND_FRACTION), lambda request: self.request_registry.receive(request)
         )
         self.pool = ConnectionPool(
             int(usable * UPSTREAM_FRACTION),
@@ -160,7 +161,7 @@
     def _control_plane(self) -> ControlPlane | None:
         if self.config.membership is None:
             return None
-        # Imported only where it is needed, for the memory and start time of its libraries.
+        # Imported only if needed: its libraries cost memory and startup time.
         from loadbalancer.node.control import ControlPlane
 
         control_plane = ControlPlane(self.config, self.clock, self.endpoint_list, self.watcher, self.driver)
@@ -169,18 +170,18 @@
 
     def _tick_tasks(self) -> list[Callable[[], None]]:
         tasks: list[Callable[[], None]] = []
-        if self.config.admin_address is not None:  # then the node's other process may change ejections
+        if self.config.admin_address is not None:  # the sibling process may have stored changes of ejections
             tasks.append(self.ejections.sync)
         if self.sibling_process is not None:
             tasks.append(self.sibling_process.exchange)
         return tasks
 
     def handle_event(self, event: Event) -> None:
-        """Give the balancer an event and carry out its actions."""
+        """Pass an event to the balancer and execute its actions."""
         self.driver.handle_event(event)
 
     def render_metrics(self) -> bytes:
-        """Return the text of GET /status/metrics: the node's own lines, then those of each component."""
+        """Return the response body of GET /status/metrics: the node's lines, then those of each component."""
         node_lines = self.metrics.render(
             self.request_registry.in_progress,
             len(self.endpoint_list.endpoints),
@@ -189,10 +190,10 @@
         return node_lines + "".join(component.metrics() for component in self.components).encode()
 
     async def start(self) -> None:
-        """Give the balancer all that is known, and begin to serve; raise OSError if an address is in use.
+        """Restore the balancer's state and begin to serve; raise OSError if an address is in use.
 
-        Ejections come first, so that an ejected endpoint gets no request. What the node's other process
-        reports comes after the state file, as it is newer.
+        Ejections are loaded first, so that an ejected endpoint gets no request. The sibling process's state
+        is loaded after the state file because it is newer.
         """
         self.ejections.sync()
         self.endpoint_list.apply_update(EndpointListKind.CACHED, self.config.initial_list)
@@ -209,7 +210,7 @@
             await component.start()
 
     async def stop(self) -> None:
-        """Leave service: serve what still comes, finish what is in flight, and end in time."""
+        """Shut down gracefully: serve new and in-flight requests until the drain ends, then close."""
         self.stopping = True
         if self.control_plane is not None:
             self.control_plane.begin_drain()
@@ -217,7 +218,7 @@
         self.close()
 
     def standby(self) -> bool:
-        """Drain for an operator: requests in flight are finished, callers go elsewhere, the node runs on."""
+        """Drain on an operator's request: finish requests in flight, close client connections, keep running."""
         if not self.stopping:
             self.listener.drain()
             if self.state_writer is not None:
@@ -225,13 +226,13 @@
         return True
 
     def active(self) -> bool:
-        """End an operator's drain; return false once the process leaves service."""
+        """End the drain that `standby` began; return False if the node is shutting down."""
         if not self.stopping:
             self.listener.resume()
         return not self.stopping
 
     def close(self) -> None:
-        """Release everything at once."""
+        """Release all resources immediately."""
         self.admin_server.close()
         if self.sibling_process is not None:
             self.sibling_process.close()
@@ -246,7 +247,7 @@
 
 def _watcher(config: NodeConfig, endpoint_list: EndpointList) -> EndpointListWatcher:
     max_wait_s = config.poll_deadline_ms * POLL_WAIT_FRACTION / 1000.0
-    # An agent that pushes runs on this machine for this node alone: no backoff has to spare it.
+    # A push agent runs on this machine for this node alone, so it needs no protection by a long backoff.
     max_backoff_s = max_wait_s if config.settings.poll_discovery else INITIAL_BACKOFF_S
     policy = PollPolicy(max_wait_s, max_backoff_s, Random(config.seed))
     return EndpointListWatcher(
--- a/loadbalancer/node/operator_ejections.py
+++ b/loadbalancer/node/operator_ejections.py
@@ -1,4 +1,4 @@
-"""Ejections by operators: their admin requests, and what they change in the endpoint list."""
+"""Ejection of endpoints by operators: admin requests, and changes to the endpoint list."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class EjectionResult(Enum):
-    """What became of an operator's request; the value is the HTTP status of its answer."""
+    """Result of an operator's request; the value is the HTTP status of the response."""
 
     DONE = HTTPStatus.OK
     UNKNOWN_ENDPOINT = HTTPStatus.NOT_FOUND  # neither listed nor ejected
-    NOT_STORED = HTTPStatus.SERVICE_UNAVAILABLE  # the other process of the node would not know of it
+    NOT_STORED = HTTPStatus.SERVICE_UNAVAILABLE  # the sibling process would not learn of the change
 
 
 class OperatorEjections:
-    """Ejects endpoints and restores them, and follows the ejections that another process has stored."""
+    """Ejects and restores endpoints, and applies the changes that the sibling process has stored."""
 
     def __init__(self, store: EjectionStore, endpoint_list: EndpointList, clock: Clock) -> None:
         self._store = store
@@ -30,15 +30,15 @@
         self._clock = clock
 
     def admin_routes(self) -> AdminRoutes:
-        """Return the admin requests that eject an endpoint and restore it."""
+        """Return the handlers of the admin requests that eject and restore an endpoint."""
         return {
-            (b"PUT", b"/maintenance/enter"): lambda body: _answer(body, self.eject),
-            (b"PUT", b"/maintenance/exit"): lambda body: _answer(body, self.restore),
+            (b"PUT", b"/maintenance/enter"): lambda body: _respond(body, self.eject),
+            (b"PUT", b"/maintenance/exit"): lambda body: _respond(body, self.restore),
         }
 
     def eject(self, name: str) -> EjectionResult:
-        """Eject an endpoint. It is ejected in this process even if that can't be stored."""
-        self.sync()  # another process may have written a change a moment ago
+        """Eject an endpoint; if storing the ejection fails, it still applies to this process."""
+        self.sync()  # the sibling process may have just stored a change
         if not self._is_known(name):
             return EjectionResult.UNKNOWN_ENDPOINT
         is_new = not self._store.is_ejected(name)
@@ -48,7 +48,7 @@
         return EjectionResult.DONE if stored else EjectionResult.NOT_STORED
 
     def restore(self, name: str) -> EjectionResult:
-        """Let an endpoint serve again. It stays ejected if that can't be stored."""
+        """Restore an ejected endpoint; if storing the change fails, it stays ejected."""
         self.sync()
         if not self._is_known(name):
             return EjectionResult.UNKNOWN_ENDPOINT
@@ -59,14 +59,14 @@
         return EjectionResult.DONE if stored else EjectionResult.NOT_STORED
 
     def sync(self) -> None:
-        """Take over what another process of this node has stored."""
+        """Apply the changes that the sibling process has stored."""
         for name in self._store.read_changes(self._clock.unix_ms()):
             self._apply(name)
 
     def restore_from_state(self, ejected_since_ms: dict[str, float]) -> None:
-        """Take over ejections from the state file: Unix ms by name.
+        """Apply the ejections in the state file: time of ejection in Unix ms by endpoint name.
 
-        Where the shared directory has an ejection of an endpoint, in force or ended, that one is newer.
+        An ejection of the same endpoint in the shared folder, in force or ended, is newer and wins.
         """
         for name, since_ms in ejected_since_ms.items():
             if self._store.get(name) is None:
@@ -74,7 +74,7 @@
                 self._apply(name)
 
     def ejected_since_ms(self) -> dict[str, float]:
-        """Return the listed endpoints that are ejected, and since when in Unix ms."""
+        """Return the time of ejection in Unix ms of each listed endpoint that is ejected, by endpoint name."""
         ejections = ((name, self._store.get(name)) for name in self._endpoint_list.endpoints)
         return {
             name: ejection.ejected_ms
@@ -96,7 +96,7 @@
             )
 
 
-def _answer(body: bytes, change: Callable[[str], EjectionResult]) -> AdminResponse:
+def _respond(body: bytes, change: Callable[[str], EjectionResult]) -> AdminResponse:
     try:
         name = body.decode().strip()
     except UnicodeDecodeError:
--- a/loadbalancer/node/periodic_tasks.py
+++ b/loadbalancer/node/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""The node's periodic work: short tasks several times a second, and a line of statistics in the log."""
+"""The node's periodic work: short tasks every tick, and a statistics line in the log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PeriodicTasks:
-    """Calls `tasks` every tick, and logs `event_counts` and levels once per statistics interval."""
+    """Calls `tasks` every tick, and logs `event_counts` and gauges once per statistics interval."""
 
     def __init__(
         self,
@@ -34,28 +34,28 @@
         self._loop = asyncio.get_running_loop()
         self._name = name
         self._tasks = tasks
-        self._event_counts = event_counts  # since the last line of statistics
+        self._event_counts = event_counts  # since the last statistics line
         self._request_registry = request_registry
         self._listener = listener
         self._pool = pool
         self._driver = driver
-        self._max_lag_s = 0.0  # the longest delay of a tick since the last line of statistics
+        self._max_lag_s = 0.0  # longest delay of a tick since the last statistics line
         self._tick_timer: asyncio.TimerHandle | None = None
         self._statistics_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Tick and log now, and periodically from now on."""
+        """Run the first tick and log the first statistics line; both repeat from now on."""
         self.tick(self._loop.time())
         self._log_statistics()
 
     def close(self) -> None:
-        """End the ticks and the lines."""
+        """Cancel both timers."""
         for timer in (self._tick_timer, self._statistics_timer):
             if timer is not None:
                 timer.cancel()
 
     def tick(self, due: float) -> None:
-        """Run the tasks of a tick that was due at this time of the event loop (s)."""
+        """Run the tasks of the tick that was due at `due` (s, event loop time), and schedule the next tick."""
         now = self._loop.time()
         self._max_lag_s = max(self._max_lag_s, now - due)
         for task in self._tasks:
@@ -81,7 +81,7 @@
         self._statistics_timer = self._loop.call_later(STATISTICS_INTERVAL_S, self._log_statistics)
 
     def _collect_counts(self) -> None:
-        """Move the counts that the listener and the pool keep into `event_counts`; one of 0 gets no entry."""
+        """Move the counts of the listener and the pool into `event_counts`; a count of 0 gets no entry."""
         if self._listener.expired:
             self._event_counts["request timeouts"] += self._listener.expired
             self._listener.expired = 0
--- a/loadbalancer/node/shutdown.py
+++ b/loadbalancer/node/shutdown.py
@@ -1,4 +1,4 @@
-"""The orderly end of a node's service, in the time between SIGTERM and SIGKILL (PROTOCOL, "Figures")."""
+"""Graceful shutdown of a node between SIGTERM and SIGKILL (see PROTOCOL, "Figures")."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 log = logging.getLogger("loadbalancer")
 
-MIN_DRAIN_S = 0.6  # new connections keep coming for up to 0.4 s after SIGTERM
-DRAIN_SLACK_S = 0.6  # past the longest deadline; SIGKILL comes 0.7 s past it at the soonest
-MAX_DEADLINE_S = 3.0  # longer deadlines count as this
+MIN_DRAIN_S = 0.6  # clients open new connections for up to 0.4 s after SIGTERM
+DRAIN_SLACK_S = 0.6  # after the longest deadline; SIGKILL follows that deadline by 0.7 s at the earliest
+MAX_DEADLINE_S = 3.0  # upper bound for the longest deadline
 CHECK_INTERVAL_S = 0.01
-SHARED_SOCKET_DRAIN_S = 1.5  # idle connections stay open so long where a new process takes the new ones
-REJECTION_TIMEOUT_S = 5.0  # for callers to receive the rejections of what is unanswered at the end
+SHARED_SOCKET_DRAIN_S = 1.5  # idle connections stay open this long if a new process accepts on the socket
+REJECTION_TIMEOUT_S = 5.0  # for clients to receive the responses to requests that are rejected at the end
 COMPONENT_STOP_TIMEOUT_S = 1.0  # for all components together
 
 
 class GracefulShutdown:
-    """Drains the listener, rejects what is left at the deadline, and stops the node's components."""
+    """Drains the listener, rejects the requests that remain at the deadline, and stops the components."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         components: Sequence[Component],
         longest_timeout_ms: float,
     ) -> None:
-        """`longest_timeout_ms` is the longest client timeout of the classes."""
+        """`longest_timeout_ms` is the longest client timeout of all service classes."""
         self._loop = asyncio.get_running_loop()
         self._listener = listener
         self._pool = pool
@@ -44,7 +44,7 @@
         self._longest_timeout_s = longest_timeout_ms / 1000.0
 
     async def run(self) -> None:
-        """Serve what still comes and what is in flight; return when all is answered or the time is over."""
+        """Serve new and in-flight requests until no client remains or the deadline passes, then stop."""
         began = self._loop.time()
         self._begin_drain()
         deadline = began + min(self._longest_timeout_s, MAX_DEADLINE_S) + DRAIN_SLACK_S
@@ -56,7 +56,7 @@
         await self._stop_components()
 
     def _begin_drain(self) -> None:
-        self._listener.resume()  # a drain for standby has other times
+        self._listener.resume()  # ends a drain for standby, which has other timeouts
         if self._listener.shares_socket:
             self._listener.stop_accepting()
             self._pool.keep_no_idle()
@@ -65,16 +65,17 @@
             self._listener.drain()
 
     def _is_drained(self, earliest: float) -> bool:
-        """Whether no caller is connected nor will come, as none does from `earliest` (loop time) on."""
+        """Return whether no client is connected and none can come: new ones stop at `earliest` (loop time, s)."""
         if self._loop.time() < earliest or not self._listener.has_no_clients:
             return False
-        self._listener.stop_accepting()  # takes in what the kernel has accepted
+        self._listener.stop_accepting()  # accepts the connections that wait in the kernel's queue
         return self._listener.has_no_clients
 
     async def _reject_remaining(self) -> None:
-        """Fail requests in flight and reject new ones until callers have their answers, or time runs out.
+        """Fail requests in flight and reject new ones until all clients have their responses or time runs out.
 
-        What SIGKILL finds unanswered is lost, just as what the process leaves unanswered when it ends.
+        A request without a response is lost whether SIGKILL ends the process or it exits by itself, so
+        waiting for the responses loses nothing.
         """
         self._listener.on_request = _reject
         self._listener.resume()
@@ -87,18 +88,18 @@
             self._listener.stop_accepting()
 
     async def _stop_components(self) -> None:
-        """Stop all components at once, so that one that hangs or fails does not keep the others from it."""
+        """Stop all components concurrently, so that one that hangs or fails does not block the others."""
         stops = asyncio.gather(*(component.stop() for component in self._components), return_exceptions=True)
         results: Sequence[BaseException | None]
         try:
             async with asyncio.timeout(COMPONENT_STOP_TIMEOUT_S):
                 results = await stops
-        except TimeoutError as error:
-            results = [error]
-        for fault in results:
-            if fault is not None:
-                log.error("a component failed to stop", exc_info=fault)
+        except TimeoutError as timeout:
+            results = [timeout]
+        for error in results:
+            if error is not None:
+                log.error("a component failed to stop", exc_info=error)
 
 
-def _reject(call: InboundRequest) -> None:
-    call.respond(HTTPStatus.SERVICE_UNAVAILABLE)
+def _reject(request: InboundRequest) -> None:
+    request.respond(HTTPStatus.SERVICE_UNAVAILABLE)
--- a/loadbalancer/node/sibling_process.py
+++ b/loadbalancer/node/sibling_process.py
@@ -1,4 +1,4 @@
-"""The exchange between two processes of one node during an upgrade, for the balancer of this one."""
+"""Exchange of balancer state between the two processes of a node during an upgrade."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class SiblingProcess:
-    """Reports this process's state to the node's other process, and that one's state to the balancer."""
+    """Writes this process's state for the sibling process, and passes the sibling's state to the balancer."""
 
     def __init__(self, handover: HandoverFiles, clock: Clock, driver: BalancerDriver) -> None:
         self.handover = handover
         self._clock = clock
         self._driver = driver
-        self._has_load = False  # whether the other process had requests in flight when last read
+        self._has_load = False  # whether the sibling had requests in flight at the last read
 
     def exchange(self, at_start: bool = False) -> None:
-        """Read the other process's files, then write this one's.
+        """Read the sibling's file, then write this process's file.
 
-        The balancer starts from what the other process has learned only `at_start`; it gets that one's load
-        every time, and once more, empty, when there is none left.
+        The balancer takes over the sibling's learned state only `at_start`. It gets the sibling's load every
+        time, and an empty load once after that load has ended.
         """
         sibling = self.handover.read_siblings(self._clock.unix_ms())
         if at_start and sibling.learned is not None:
