--- a/bench/fleet_routes.py
+++ b/bench/fleet_routes.py
@@ -203,7 +203,7 @@
             for name, one in outcomes.items()
             if one.status == 0
             and not any(
-                start < one.sent_s + one.took_s and one.sent_s < end for start, end in self.down[one.port]
+                start < one.sent_s + one.duration_s and one.sent_s < end for start, end in self.down[one.port]
             )
         ]
         mixed, repeated, checked = self._mixed(samples, outcomes)
@@ -238,7 +238,7 @@
                 continue
             repeated += len(servers) > 1
             of = samples[at_of[one.port]]
-            if not _followed(of, one.sent_s, one.sent_s + one.took_s):
+            if not _followed(of, one.sent_s, one.sent_s + one.duration_s):
                 continue
             checked += 1
             if len({model[server] for server in servers}) > 1:
--- a/bench/fleet_traffic.py
+++ b/bench/fleet_traffic.py
@@ -130,7 +130,7 @@
         if first in killed:  # of two halves the one with the first incarnation goes on
             killed = set(world.of_zone(0))
     for node in world.nodes:
-        until(lambda node=node: node.listed() == plan.servers, LIMIT_S, "the list")
+        until(lambda node=node: node.endpoint_count() == plan.servers, LIMIT_S, "the list")
     load = Poisson([node.port for node in world.nodes], rate, seed)
     try:
         time.sleep(6.0 + seconds)
@@ -189,7 +189,7 @@
         self._loops.call(lambda: self._begin(nodes))
 
     def _begin(self, nodes: Sequence[Node]) -> None:
-        self._tasks = [asyncio.create_task(self._read(at, node.door)) for at, node in enumerate(nodes)]
+        self._tasks = [asyncio.create_task(self._read(at, node.admin_port)) for at, node in enumerate(nodes)]
 
     async def _read(self, at: int, door: int) -> None:
         while True:
@@ -297,7 +297,7 @@
                 LIMIT_S,
                 "the version in force",
             )
-            until(lambda: off.listed() == 4, LIMIT_S, "the list")
+            until(lambda: off.endpoint_count() == 4, LIMIT_S, "the list")
             yield _compare({"on": world.nodes[0], "off": off}, rng, rounds, calls)
         finally:
             off.kill()
--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -185,7 +185,7 @@
     # ------------------------------------------------------------------ what it says
 
     def status(self, at: int) -> dict[str, Any]:
-        status, found = self.nodes[at].call_door("/status/members")
+        status, found = self.nodes[at].call_admin("/status/members")
         if status != 200:
             raise OSError(f"the door of n{at} answered {status}")
         return found  # type: ignore[no-any-return]
@@ -235,7 +235,7 @@
             )
 
     def _sees_all(self, node: Node) -> bool:
-        edges = node.call_door("/status/routes")[1]["edges"]
+        edges = node.call_admin("/status/routes")[1]["edges"]
         marks = [row["mark"] for row in edges if row["kind"] == "server"]
         return len(marks) == self.plan.servers and "blind" not in marks
 
@@ -271,7 +271,7 @@
 
 
 def _up(node: Node) -> bool:
-    return node.call_door("/status/metrics")[0] == 200
+    return node.call_admin("/status/metrics")[0] == 200
 
 
 def _end(node: Node) -> None:
@@ -289,7 +289,7 @@
         self._loops.call(lambda: self._begin(nodes))
 
     def _begin(self, nodes: Sequence[Node]) -> None:
-        self._tasks = [asyncio.create_task(self._read(at, node.door)) for at, node in enumerate(nodes)]
+        self._tasks = [asyncio.create_task(self._read(at, node.admin_port)) for at, node in enumerate(nodes)]
 
     async def _read(self, at: int, door: int) -> None:
         while True:
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -275,11 +275,11 @@
         until(lambda: len(agent.page()["targets"]) == servers, within_s=60, what="a full agent")
         began = time.monotonic()
         node.launch()
-        until(lambda: node.listed() == servers, within_s=60, what="the node's whole list")
+        until(lambda: node.endpoint_count() == servers, within_s=60, what="the node's whole list")
         whole_ms = (time.monotonic() - began) * 1000
         at = time.monotonic()
         assert await put(leader, "n-new", "127.0.0.1:9") == 200
-        until(lambda: node.listed() == servers + 1, within_s=30, what="one change at the node")
+        until(lambda: node.endpoint_count() == servers + 1, within_s=30, what="one change at the node")
         return {
             "bench": "node",
             "servers": servers,
--- a/bench/scale/datapath.py
+++ b/bench/scale/datapath.py
@@ -95,7 +95,7 @@
             world.launch([nodes[OFF]])
         try:
             for node in nodes.values():
-                until(lambda node=node: node.listed() == servers, LIMIT_S, "the list")  # type: ignore[misc]
+                until(lambda node=node: node.endpoint_count() == servers, LIMIT_S, "the list")  # type: ignore[misc]
             if members:
                 world.until_shared()
             assert isinstance(world.pool, StubPool)
--- a/bench/scale/hollow.py
+++ b/bench/scale/hollow.py
@@ -31,7 +31,7 @@
 from loadbalancer.node.http import service_http as web
 from loadbalancer.registry.agent import RegistryFollower, SourceList
 from loadbalancer.registry.settings import AgentSettings
-from tests.support.loopback import config_row
+from tests.support.loopback import config_document
 
 ALL = "all"  # the group where shares are not by service
 LATE = 0.25  # of the term: a renewal that took longer counts as late
@@ -300,7 +300,7 @@
     if setup.scoped:
         members["service"] = spec.service
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 8 * kept}
-    row = config_row("127.0.0.1:9", name=spec.name, members=members, limits=limits)
+    row = config_document("127.0.0.1:9", name=spec.name, members=members, limits=limits)
     return parse_config(orjson.dumps(row))
 
 
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -128,7 +128,7 @@
         if members is not None:
             row["members"] = members
         self._node = Node(program.folder, [], agent.port, **row)
-        self._ports = {"door": self._node.door, "agent": agent.port}
+        self._ports = {"door": self._node.admin_port, "agent": agent.port}
         if members is not None:
             self._ports["members"] = int(str(members["listen"]).rpartition(":")[2])
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -31,7 +31,7 @@
 from pathlib import Path
 from random import Random
 
-from tests.support.keeping_load import KeepingLoad
+from tests.support.keep_alive_load import KeepAliveLoad
 from tests.support.load import Outcome
 from tests.support.node_fleet import TTL_MS, Fleet, Outage
 
@@ -220,7 +220,7 @@
 
     def _door(self, node: int, target: str) -> None:
         with contextlib.suppress(OSError):
-            self._fleet.nodes[node].call_door(target, "PUT")
+            self._fleet.nodes[node].call_admin(target, "PUT")
 
     def _terminate(self, node: int) -> None:
         self._fleet._outages[node].append(Outage(time.monotonic(), drained=True))
@@ -263,7 +263,7 @@
 def soak(seed: int, seconds: float, folder: Path) -> dict[str, object]:
     """Play a run and return its figures; AssertionError where a rule was broken."""
     rng = Random(seed)
-    fleet = Fleet(folder, len(SERVICES), SERVICES, load=KeepingLoad)
+    fleet = Fleet(folder, len(SERVICES), SERVICES, load=KeepAliveLoad)
     run = Soak(fleet, rng)
     size = CROWD_PER_NODE if rng.random() < CROWD_PART else 0
     run.plan(seconds)
--- a/loadbalancer/node/failure_log.py
+++ b/loadbalancer/node/failure_log.py
@@ -8,7 +8,7 @@
 
 
 def one_line(error: BaseException) -> str:
-    """Return the error's text with each run of white space replaced by one space, so that it fits one log line."""
+    """Return the error's text on one line: each run of white space becomes one space."""
     return " ".join(str(error).split())
 
 
--- a/loadbalancer/node/membership_settings.py
+++ b/loadbalancer/node/membership_settings.py
@@ -38,13 +38,17 @@
 
     listen: str  # host:port for siblings' calls, and this node's address in the list service
     zone: str = ""
-    service: Annotated[str, Meta(max_length=MAX_SERVICE_NAME_CHARS)] = ""  # nodes of the same service form one group
-    routes_folder: str = ""  # where this node stores route versions; empty: it takes no part in their activation
+    service: Annotated[str, Meta(max_length=MAX_SERVICE_NAME_CHARS)] = ""  # its nodes form a group
+    routes_folder: str = ""  # of the route versions that this node prepares; empty: it prepares none
     probe_period_ms: float = 1000.0  # one sibling is probed per period
-    urgent_probe_period_ms: float = 100.0  # while detached from the list service, or while a sibling is suspected
+    urgent_probe_period_ms: float = (
+        100.0  # while detached from the list service, or while a sibling is suspected
+    )
     probe_timeout_ms: float = 500.0
     confidence_period_ms: float = 250.0  # maximum time between updates of the confidence levels
-    max_clock_uncertainty_ms: float = 250.0  # a node whose service time is less certain rejects route versions
+    max_clock_uncertainty_ms: float = (
+        250.0  # a node whose service time is less certain rejects route versions
+    )
     clock_offset_ms: float = 0.0  # added to this node's clock in tests
 
     @property
@@ -54,7 +58,7 @@
 
     @property
     def routes_path(self) -> Path | None:
-        """Return the folder of stored route versions, or None if this node stores none."""
+        """Return the folder of the route versions that this node prepares, or None if it prepares none."""
         return Path(self.routes_folder) if self.routes_folder else None
 
 
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -218,7 +218,7 @@
         self.close()
 
     def standby(self) -> bool:
-        """Drain on an operator's request: finish requests in flight, close client connections, keep running."""
+        """Drain for an operator: finish requests in flight, close client connections, keep running."""
         if not self.stopping:
             self.listener.drain()
             if self.state_writer is not None:
--- a/loadbalancer/node/operator_ejections.py
+++ b/loadbalancer/node/operator_ejections.py
@@ -74,7 +74,7 @@
                 self._apply(name)
 
     def ejected_since_ms(self) -> dict[str, float]:
-        """Return the time of ejection in Unix ms of each listed endpoint that is ejected, by endpoint name."""
+        """Return the listed endpoints that are ejected: time of ejection in Unix ms by name."""
         ejections = ((name, self._store.get(name)) for name in self._endpoint_list.endpoints)
         return {
             name: ejection.ejected_ms
--- a/loadbalancer/node/periodic_tasks.py
+++ b/loadbalancer/node/periodic_tasks.py
@@ -55,7 +55,7 @@
                 timer.cancel()
 
     def tick(self, due: float) -> None:
-        """Run the tasks of the tick that was due at `due` (s, event loop time), and schedule the next tick."""
+        """Run the tasks of the tick that was due at `due` (loop time, s), and schedule the next tick."""
         now = self._loop.time()
         self._max_lag_s = max(self._max_lag_s, now - due)
         for task in self._tasks:
--- a/loadbalancer/node/shutdown.py
+++ b/loadbalancer/node/shutdown.py
@@ -65,14 +65,14 @@
             self._listener.drain()
 
     def _is_drained(self, earliest: float) -> bool:
-        """Return whether no client is connected and none can come: new ones stop at `earliest` (loop time, s)."""
+        """Return whether no client is connected and none will come, as from `earliest` (loop time, s) on."""
         if self._loop.time() < earliest or not self._listener.has_no_clients:
             return False
         self._listener.stop_accepting()  # accepts the connections that wait in the kernel's queue
         return self._listener.has_no_clients
 
     async def _reject_remaining(self) -> None:
-        """Fail requests in flight and reject new ones until all clients have their responses or time runs out.
+        """Fail requests in flight and reject new ones until clients have their responses or time runs out.
 
         A request without a response is lost whether SIGKILL ends the process or it exits by itself, so
         waiting for the responses loses nothing.
@@ -88,7 +88,7 @@
             self._listener.stop_accepting()
 
     async def _stop_components(self) -> None:
-        """Stop all components concurrently, so that one that hangs or fails does not block the others."""
+        """Stop all components concurrently, so that one that hangs or fails doesn't block the others."""
         stops = asyncio.gather(*(component.stop() for component in self._components), return_exceptions=True)
         results: Sequence[BaseException | None]
         try:
--- a/tests/data/golden/generate_node.py
+++ b/tests/data/golden/generate_node.py
@@ -1,4 +1,4 @@
-"""Records `node.json` with a node of commit bf594b0 (package `orchidledge`).
+"""Records `node.json` with a node of commit bf594b0 (package `orchidledge`). Usage:
 
 PYTHONPATH=<this worktree> python generate_node.py <worktree of bf594b0> <output folder>
 """
@@ -46,61 +46,69 @@
 }
 
 
-def at(port: str, method: str, target: str, **more: Any) -> dict[str, Any]:
+def step(port: str, method: str, target: str, **more: Any) -> dict[str, Any]:
     return {"port": port, "method": method, "target": target} | more
 
 
-def ask(method: str, target: str, name: str, body: str = "", **headers: str) -> dict[str, Any]:
-    """A caller's request."""
+def client_request(method: str, target: str, name: str, body: str = "", **headers: str) -> dict[str, Any]:
+    """A client's request."""
     more = {"body": body} if body else {}
-    return at("listen", method, target, headers={"Req-Id": name} | headers, **more)
+    return step("listen", method, target, headers={"Req-Id": name} | headers, **more)
 
 
-def order(method: str, target: str, body: str = "", **more: Any) -> dict[str, Any]:
-    """An operators' call."""
-    return at("door", method, target, **({"body": body} if body else {}), **more)
+def admin_request(method: str, target: str, body: str = "", **more: Any) -> dict[str, Any]:
+    """An operator's request; "door" is the admin port's name in the recorded data."""
+    return step("door", method, target, **({"body": body} if body else {}), **more)
 
 
-CALLERS = [
-    ask("GET", "/read/7f3a?x=1", "q1", **{"X-Other": "kept", "Connection": "close"}),
-    ask("POST", "/post/1", "q2", body="a body"),
-    ask("GET", "/unheard/1", "q3"),
-    ask("POST", "/read/1", "q4"),
-    ask("GET", "/read/1", "q5", **{"Req-Deadline-Ms": "x"}),
-    at("listen", "GET", "/read/1"),
-    at("listen", "GET", "/up"),
+CLIENT_STEPS = [
+    client_request("GET", "/read/7f3a?x=1", "q1", **{"X-Other": "kept", "Connection": "close"}),
+    client_request("POST", "/post/1", "q2", body="a body"),
+    client_request("GET", "/unheard/1", "q3"),
+    client_request("POST", "/read/1", "q4"),
+    client_request("GET", "/read/1", "q5", **{"Req-Deadline-Ms": "x"}),
+    step("listen", "GET", "/read/1"),
+    step("listen", "GET", "/up"),
 ]
-OPERATORS = [
-    order("GET", "/status"),
-    order("GET", "/status/metrics"),
-    order("PUT", "/maintenance/enter", "t1"),
-    ask("GET", "/read/2", "q6"),
-    order("PUT", "/maintenance/exit", "t1"),
-    order("PUT", "/maintenance/enter", "unknown"),
-    order("PUT", "/standby"),
-    order("GET", "/status"),
-    order("PUT", "/active"),
-    order("GET", "/status"),
-    order("GET", "/nothing"),
-    order("POST", "/standby"),
+OPERATOR_STEPS = [
+    admin_request("GET", "/status"),
+    admin_request("GET", "/status/metrics"),
+    admin_request("PUT", "/maintenance/enter", "t1"),
+    client_request("GET", "/read/2", "q6"),
+    admin_request("PUT", "/maintenance/exit", "t1"),
+    admin_request("PUT", "/maintenance/enter", "unknown"),
+    admin_request("PUT", "/standby"),
+    admin_request("GET", "/status"),
+    admin_request("PUT", "/active"),
+    admin_request("GET", "/status"),
+    admin_request("GET", "/nothing"),
+    admin_request("POST", "/standby"),
 ]
-GROUPED = [
-    order("GET", "/status/members", until='"hearing":"heard"'),
-    order("GET", "/status/routes"),
-    order("PUT", "/routes/halt", "1"),
-    order("PUT", "/routes/halt"),
-    order("PUT", "/routes/halt", "x"),
-    order("PUT", "/routes/rollback", "0"),
+GROUP_STEPS = [
+    admin_request("GET", "/status/members", until='"hearing":"heard"'),
+    admin_request("GET", "/status/routes"),
+    admin_request("PUT", "/routes/halt", "1"),
+    admin_request("PUT", "/routes/halt"),
+    admin_request("PUT", "/routes/halt", "x"),
+    admin_request("PUT", "/routes/rollback", "0"),
 ]
-ALONE = [order("GET", "/status/members")]
+NO_GROUP_STEPS = [admin_request("GET", "/status/members")]
 
 
 def main() -> None:
     release = Release(Path(sys.argv[1]), "orchidledge.registry", "orchidledge", "orchidledge.simhost")
-    alone = {key: value for key, value in CONFIG.items() if key not in ("members", "state")}
+    no_group = {key: value for key, value in CONFIG.items() if key not in ("members", "state")}
     cases = {
-        "in a group": {"config": CONFIG, "target": TARGET, "steps": CALLERS + OPERATORS + GROUPED},
-        "on its own": {"config": alone, "target": TARGET, "steps": CALLERS + OPERATORS + ALONE},
+        "in a group": {
+            "config": CONFIG,
+            "target": TARGET,
+            "steps": CLIENT_STEPS + OPERATOR_STEPS + GROUP_STEPS,
+        },
+        "on its own": {
+            "config": no_group,
+            "target": TARGET,
+            "steps": CLIENT_STEPS + OPERATOR_STEPS + NO_GROUP_STEPS,
+        },
     }
     recorded = {}
     for name, case in cases.items():
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -289,4 +289,4 @@
 
 
 def said(fleet: Fleet) -> int:
-    return len(fleet.nodes[0].lines("members: call rejected"))
+    return len(fleet.nodes[0].log_lines("members: call rejected"))
--- a/tests/fleet/test_fleet_routes.py
+++ b/tests/fleet/test_fleet_routes.py
@@ -173,7 +173,7 @@
             if held is not None:
                 wait_for(held)
             time.sleep(pause_s or 0.0)
-            status, said = fleet.nodes[2].call_door("/routes/halt", "PUT", str(number).encode())
+            status, said = fleet.nodes[2].call_admin("/routes/halt", "PUT", str(number).encode())
             assert status == 200
             if held is not None:
                 assert said["phase"] == "aborted"
@@ -187,9 +187,9 @@
                 until_followed(fleet, number)
         late = fleet.propose()
         until_decided(fleet, late)
-        assert fleet.nodes[2].call_door("/routes/halt", "PUT")[1]["phase"] == "decided"
+        assert fleet.nodes[2].call_admin("/routes/halt", "PUT")[1]["phase"] == "decided"
         until_followed(fleet, late)
-        status, said = fleet.nodes[3].call_door("/routes/rollback", "PUT", str(first).encode())
+        status, said = fleet.nodes[3].call_admin("/routes/rollback", "PUT", str(first).encode())
         assert (status, said["number"]) == (200, late + 1)
         until_followed(fleet, late + 1)
         until_reads_reach(fleet, "s1")
--- a/tests/node/admin/test_admin_server.py
+++ b/tests/node/admin/test_admin_server.py
@@ -15,15 +15,15 @@
 from loadbalancer.node.node import Node
 from tests.support.callers import LEAVING, Leave
 from tests.support.loopback import (
-    Caller,
-    Held,
+    BlockedServer,
+    Client,
     Message,
-    Peer,
-    config_row,
+    StubServer,
+    config_document,
     read_message,
     request,
-    running,
-    until,
+    running_node,
+    wait_until,
 )
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -49,9 +49,9 @@
 
 def test_status_is_yes_once_there_is_a_server_to_send_to():
     async def main():
-        async with running(**ADMIN_SETTINGS) as node:
+        async with running_node(**ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 503
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 200
 
     asyncio.run(main())
@@ -59,7 +59,7 @@
 
 def test_without_an_operators_address_there_is_no_door():
     async def main():
-        async with running(Peer()) as node:
+        async with running_node(StubServer()) as node:
             with pytest.raises(AssertionError):
                 _ = node.admin_server.address
 
@@ -80,7 +80,7 @@
 )
 def test_calls_get_a_yes_or_a_no(data, expected):
     async def main():
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
             assert (await send_request(node, data)).status == expected
 
     asyncio.run(main())
@@ -118,7 +118,7 @@
         await server.open(("127.0.0.1", 0))
         caller.connect(server.address)
         caller.sendall(call("GET", "/left"))
-        await until(lambda: gone and not server._connections)
+        await wait_until(lambda: gone and not server._connections)
         server.close()
         caller.close()
 
@@ -128,7 +128,7 @@
 
 def test_callers_that_finish_no_call_keep_nobody_out_and_are_closed(monkeypatch):
     async def main():
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
             held = [
                 await asyncio.open_connection(*node.admin_server.address) for _ in range(MAX_CONNECTIONS + 4)
             ]
@@ -147,7 +147,7 @@
     async def main():
         other = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         with pytest.raises(OSError, match="address already in use"):
-            async with running(Peer(), operator=f"127.0.0.1:{other.sockets[0].getsockname()[1]}"):
+            async with running_node(StubServer(), operator=f"127.0.0.1:{other.sockets[0].getsockname()[1]}"):
                 pass
         other.close()
 
@@ -155,7 +155,7 @@
 
 
 def test_the_environments_address_comes_before_the_files_and_a_bad_one_is_said():
-    row = orjson.dumps(config_row("127.0.0.1:1", operator="127.0.0.1:7"))
+    row = orjson.dumps(config_document("127.0.0.1:1", operator="127.0.0.1:7"))
     assert parse_config(row).admin_address == ("127.0.0.1", 7)
     assert parse_config(row, {"PROXY_OPERATOR": "127.0.0.1:8"}).admin_address == ("127.0.0.1", 8)
     with pytest.raises(ValueError, match="'nowhere' is not an address"):
@@ -164,54 +164,54 @@
 
 def test_standby_says_no_lets_idle_callers_go_and_finishes_what_is_held():
     async def main():
-        server = Held()
-        async with running(server, **ADMIN_SETTINGS) as node:
-            idle, busy = await Caller.to(node), await Caller.to(node)
-            assert (await idle.ask(UP)).status == 200
+        server = BlockedServer()
+        async with running_node(server, **ADMIN_SETTINGS) as node:
+            idle, busy = await Client.connect(node), await Client.connect(node)
+            assert (await idle.exchange(UP)).status == 200
             busy.writer.write(request())
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             assert await status(node, "PUT", "/standby") == 200
             assert await status(node, "PUT", "/standby") == 200  # said twice is said once
             assert await status(node, "GET", "/status") == 503
             assert await idle.reader.read() == b""
-            late = await Caller.to(node)
-            answer = await late.ask(UP)
+            late = await Client.connect(node)
+            answer = await late.exchange(UP)
             assert (answer.status, answer.headers["connection"]) == (503, "close")
             server.release.set()
-            answer = await busy.answer()
+            answer = await busy.read_response()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
 
     asyncio.run(main())
 
 
 def test_active_ends_the_drain_and_connections_are_kept_again():
     async def main():
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
             await status(node, "PUT", "/standby")
             assert await status(node, "PUT", "/active") == 200
             assert await status(node, "GET", "/status") == 200
-            caller = await Caller.to(node)
-            assert (await caller.ask(UP)).status == 200
+            caller = await Client.connect(node)
+            assert (await caller.exchange(UP)).status == 200
             assert node.listener._drain_timer is None  # which would have closed it
-            assert (await caller.ask(request())).status == 200
+            assert (await caller.exchange(request())).status == 200
 
     asyncio.run(main())
 
 
 def test_a_node_that_leaves_service_does_not_become_active_again():
     async def main():
-        server = Held()
-        async with running(server, **ADMIN_SETTINGS) as node:
-            caller = await Caller.to(node)
+        server = BlockedServer()
+        async with running_node(server, **ADMIN_SETTINGS) as node:
+            caller = await Client.connect(node)
             caller.writer.write(request())
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             stopping = asyncio.create_task(node.stop())
-            await until(lambda: node.stopping)
+            await wait_until(lambda: node.stopping)
             assert await status(node, "PUT", "/active") == 503
             assert await status(node, "GET", "/status") == 503
             server.release.set()
-            assert (await caller.answer()).status == 200
+            assert (await caller.read_response()).status == 200
             await stopping
 
     asyncio.run(main())
--- a/tests/node/admin/test_metrics.py
+++ b/tests/node/admin/test_metrics.py
@@ -13,16 +13,16 @@
 from loadbalancer.node.node import Node
 from tests.node.admin.test_admin_server import ADMIN_SETTINGS, call, send_request, status
 from tests.support.loopback import (
-    Caller,
-    Held,
-    Peer,
-    Scripted,
-    ask,
-    config_row,
-    reply,
+    BlockedServer,
+    Client,
+    ScriptedBalancer,
+    StubServer,
+    config_document,
+    exchange,
+    http_response,
     request,
-    running,
-    until,
+    running_node,
+    wait_until,
 )
 
 
@@ -57,12 +57,12 @@
 
 def test_reloads_are_counted_good_and_failed(tmp_path, monkeypatch):
     async def main():
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
             path = tmp_path / "config.json"
             monkeypatch.setenv("PROXY_CONFIG", str(path))
             path.write_text("{")
             reload(node)
-            path.write_bytes(orjson.dumps(config_row("127.0.0.1:1")))
+            path.write_bytes(orjson.dumps(config_document("127.0.0.1:1")))
             reload(node)
             reload(node)
             found = await figures(node)
@@ -74,13 +74,13 @@
 def test_answers_are_counted_by_class_and_kind_whoever_worded_them():
     async def main():
         async def script(message):
-            return reply(200 if message.headers["req-id"].startswith("q") else 500)
+            return http_response(200 if message.headers["req-id"].startswith("q") else 500)
 
-        async with running(Peer(script), settings={"tier": 1}, **ADMIN_SETTINGS) as node:
+        async with running_node(StubServer(script), settings={"tier": 1}, **ADMIN_SETTINGS) as node:
             for at in range(3):
-                assert (await ask(node, request(name=f"q{at}"))).status == 200
-            assert (await ask(node, request("post", name="x"))).status == 502
-            assert (await ask(node, b"GET /nothing HTTP/1.1\r\nReq-Id: z\r\n\r\n")).status == 404
+                assert (await exchange(node, request(name=f"q{at}"))).status == 200
+            assert (await exchange(node, request("post", name="x"))).status == 502
+            assert (await exchange(node, b"GET /nothing HTTP/1.1\r\nReq-Id: z\r\n\r\n")).status == 404
             found = await figures(node)
             assert found["replies.read.success"] == 3
             assert found["replies.post.error"] == 1
@@ -92,19 +92,19 @@
 
 def test_refusals_of_the_module_and_over_the_limit_are_overload():
     async def main():
-        server = Held()
-        async with running(server, bounds={"maxOpen": 1}, **ADMIN_SETTINGS) as node:
-            caller = await Caller.to(node)
+        server = BlockedServer()
+        async with running_node(server, bounds={"maxOpen": 1}, **ADMIN_SETTINGS) as node:
+            caller = await Client.connect(node)
             caller.writer.write(request(name="held"))
-            await until(lambda: server.seen)
-            assert (await ask(node, request("post", name="more"))).status == 503
+            await wait_until(lambda: server.seen)
+            assert (await exchange(node, request("post", name="more"))).status == 503
             assert (await figures(node))["replies.post.overload"] == 1
             server.release.set()
-            await caller.answer()
-            node.driver.balancer = Scripted(
+            await caller.read_response()
+            node.driver.balancer = ScriptedBalancer(
                 lambda event: [Reject("no")] if isinstance(event, Request) else []
             )
-            assert (await ask(node, request(name="no"))).status == 503
+            assert (await exchange(node, request(name="no"))).status == 503
             assert (await figures(node))["replies.read.overload"] == 1
 
     asyncio.run(main())
@@ -112,18 +112,18 @@
 
 def test_concurrent_and_targets_are_those_of_the_moment():
     async def main():
-        server = Held()
-        async with running(server, Peer(), **ADMIN_SETTINGS) as node:
+        server = BlockedServer()
+        async with running_node(server, StubServer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", "/maintenance/enter", b"s1") == 200
-            callers = [await Caller.to(node) for _ in range(3)]
+            callers = [await Client.connect(node) for _ in range(3)]
             for at, caller in enumerate(callers):
                 caller.writer.write(request(name=f"q{at}"))
-            await until(lambda: len(server.seen) == 3)
+            await wait_until(lambda: len(server.seen) == 3)
             found = await figures(node)
             assert (found["concurrent"], found["targets"], found["targets_disabled"]) == (3, 2, 1)
             server.release.set()
             for caller in callers:
-                await caller.answer()
+                await caller.read_response()
             assert await status(node, "PUT", "/maintenance/exit", b"s1") == 200
             found = await figures(node)
             assert (found["concurrent"], found["targets"], found["targets_disabled"]) == (0, 2, 0)
@@ -133,11 +133,11 @@
 
 def test_an_attempt_that_never_connects_is_no_dispatch():
     async def main():
-        gone = Peer()
-        async with running(gone, **ADMIN_SETTINGS) as node:
+        gone = StubServer()
+        async with running_node(gone, **ADMIN_SETTINGS) as node:
             gone._server.close()
             await gone._server.wait_closed()
-            assert (await ask(node, request(name="q"))).status == 503
+            assert (await exchange(node, request(name="q"))).status == 503
             assert (await figures(node))["dispatches"] == 0
 
     asyncio.run(main())
--- a/tests/node/discovery/test_discovery_process.py
+++ b/tests/node/discovery/test_discovery_process.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from tests.support.loopback import Discovery, config_row, listing, until
+from tests.support.loopback import Discovery, config_document, list_response, wait_until
 from tests.support.ports import free_port
 from tests.test_main import next_line, start
 
@@ -19,18 +19,18 @@
     """
 
     async def main():
-        old = await Discovery(listing(5, True, s0=("127.0.0.1:1", "Ready"))).start()
-        new = await Discovery(listing(7, True, s0=("127.0.0.1:1", "Ready"))).start()
-        config = config_row(old.endpoint, settings={"registryMode": "push"})
+        old = await Discovery(list_response(5, True, s0=("127.0.0.1:1", "Ready"))).start()
+        new = await Discovery(list_response(7, True, s0=("127.0.0.1:1", "Ready"))).start()
+        config = config_document(old.endpoint, settings={"registryMode": "push"})
         config["listen"] = f"127.0.0.1:{free_port()}"
         path = tmp_path / "config.json"
         path.write_bytes(orjson.dumps(config))
         program = start(path)
         try:
-            await until(lambda: len(old.seen) > 1)  # the first response has been read
+            await wait_until(lambda: len(old.seen) > 1)  # the first response has been read
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
-            assert "the present one stays in use" in await asyncio.to_thread(
+            assert "the current one stays in use" in await asyncio.to_thread(
                 next_line, program, "not reloaded"
             )
             program.send_signal(signal.SIGSTOP)
@@ -39,8 +39,8 @@
             program.send_signal(signal.SIGHUP)
             program.send_signal(signal.SIGHUP)
             program.send_signal(signal.SIGCONT)
-            await until(lambda: len(new.seen) > 1)
-            assert "since=7" in new.seen[1].first[1]
+            await wait_until(lambda: len(new.seen) > 1)
+            assert "since=7" in new.seen[1].start_line[1]
             program.send_signal(signal.SIGSTOP)
             path.write_bytes(orjson.dumps(config))
             program.send_signal(signal.SIGTERM)
--- a/tests/node/http/test_service_http.py
+++ b/tests/node/http/test_service_http.py
@@ -7,14 +7,14 @@
 import pytest
 
 from loadbalancer.node.http.service_http import HttpClient
-from tests.support.loopback import Message, Peer, reply, until
+from tests.support.loopback import Message, StubServer, http_response, wait_until
 
 
 async def _echo(message: Message) -> bytes:
-    return reply(200, message.first[1].encode())
+    return http_response(200, message.start_line[1].encode())
 
 
-async def _ask(client: HttpClient, peer: Peer, target: str, timeout_s: float = 5.0) -> str:
+async def _ask(client: HttpClient, peer: StubServer, target: str, timeout_s: float = 5.0) -> str:
     return (await client.send(("127.0.0.1", peer.port), "GET", target, timeout_s=timeout_s)).body.decode()
 
 
@@ -25,17 +25,17 @@
         async def script(message: Message) -> bytes | None:
             return None if closing else await _echo(message)
 
-        peer, client = await Peer(script).start(), HttpClient()
+        peer, client = await StubServer(script).start(), HttpClient()
         assert [await _ask(client, peer, f"/{at}") for at in range(3)] == ["/0", "/1", "/2"]
         assert peer.connections == 1
         closing = True  # the kept one ends unanswered, so the call is said on a new one, which ends as well
         with pytest.raises(ConnectionError):
             await _ask(client, peer, "/3")
-        assert [message.first[1] for message in peer.seen[3:]] == ["/3", "/3"]
+        assert [message.start_line[1] for message in peer.seen[3:]] == ["/3", "/3"]
         closing = False
         assert await _ask(client, peer, "/4") == "/4"
         peer.stop()
-        await until(lambda: not client._idle)  # closed by the other side while idle: not held on to
+        await wait_until(lambda: not client._idle)  # closed by the other side while idle: not held on to
         with pytest.raises(ConnectionRefusedError):
             await _ask(client, peer, "/5")
 
@@ -47,11 +47,11 @@
         late = asyncio.Event()
 
         async def script(message: Message) -> bytes:
-            if message.first[1] == "/slow":
+            if message.start_line[1] == "/slow":
                 await late.wait()
             return await _echo(message)
 
-        peer, client = await Peer(script).start(), HttpClient()
+        peer, client = await StubServer(script).start(), HttpClient()
         assert await _ask(client, peer, "/0") == "/0"
         with pytest.raises(TimeoutError):
             await _ask(client, peer, "/slow", timeout_s=0.05)
@@ -65,7 +65,7 @@
 
 def test_idle_connections_are_bounded_in_number_and_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
-        peer, client = await Peer(_echo).start(), HttpClient(max_idle=2)
+        peer, client = await StubServer(_echo).start(), HttpClient(max_idle=2)
         await asyncio.gather(*(_ask(client, peer, f"/{at}") for at in range(5)))
         assert peer.connections == 5
         assert len(client._idle) == 2
--- a/tests/node/listener/test_connection_closes.py
+++ b/tests/node/listener/test_connection_closes.py
@@ -25,16 +25,26 @@
     slow_reader,
     turns,
 )
-from tests.support.loopback import Caller, Held, Peer, ask, request, running, until
+from tests.support.loopback import (
+    BlockedServer,
+    Client,
+    StubServer,
+    exchange,
+    request,
+    running_node,
+    wait_until,
+)
 
 # ------------------------------------------------------------- last answers, idle closes
 
 
-async def last_answer_due(node: Node, server: Held, end: str, sent: bytes, **headers: str) -> socket.socket:
+async def last_answer_due(
+    node: Node, server: BlockedServer, end: str, sent: bytes, **headers: str
+) -> socket.socket:
     """A caller whose answer is to be the connection's last, with so much read behind its request."""
     caller = connect(node)
     caller.sendall(request(name="q1", **headers) + sent)
-    await until(lambda: server.seen)
+    await wait_until(lambda: server.seen)
     if end == "drain":
         node.listener.drain()
     return caller
@@ -43,12 +53,12 @@
 @pytest.mark.parametrize("half", [b"G", request(name="q2")[:-1], request("post", "q2", b"body")[:-1]])
 def test_half_a_request_read_behind_the_last_answer_is_waited_for_and_served(half: bytes):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller = await last_answer_due(node, server, "drain", half)
             server.release.set()
             caller.setblocking(False)
-            stream = Caller(*await asyncio.open_connection(sock=caller))
+            stream = Client(*await asyncio.open_connection(sock=caller))
             first = await stream.answer()
             assert (first.status, first.headers.get("connection")) == (200, None)
             whole = request("post", "q2", b"body") if half.startswith(b"P") else request(name="q2")
@@ -65,8 +75,8 @@
 @pytest.mark.parametrize("count", [1, 3])
 def test_requests_read_behind_the_last_answer_are_all_served_and_the_last_of_them_says_close(count: int):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             behind = b"".join(request(name=f"q{2 + at}") for at in range(count))
             caller = await last_answer_due(node, server, "drain", behind)
             server.release.set()
@@ -84,8 +94,8 @@
     end: str, late: bytes
 ):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             headers = {"Connection": "close"} if end == "said close" else {}
             caller = await last_answer_due(node, server, end, b"", **headers)
             (job,) = node.request_registry.active.values()
@@ -99,8 +109,8 @@
 
 def test_what_is_read_behind_a_request_that_says_close_is_not_served():
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller = await last_answer_due(node, server, "said close", request(name="q2"), Connection="close")
             server.release.set()
             answers = await read_to_the_end(caller)
@@ -112,11 +122,11 @@
 
 def test_a_long_answer_to_the_close_that_breaks_off_ends_in_a_reset():
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller = connect(node)
             caller.sendall(request(name="q1").replace(b"HTTP/1.1", b"HTTP/1.0"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (job,) = node.request_registry.active.values()
             body = Body(Ends())
             node.request_registry.begin_stream(job, None, body)
@@ -131,8 +141,8 @@
 
 def test_a_long_body_behind_another_request_is_held_back_while_nobody_takes_it():
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             opening, loop = asyncio.Event(), asyncio.get_running_loop()
 
             async def never(_endpoint: object) -> None:
@@ -141,13 +151,13 @@
 
             caller = connect(node)
             caller.sendall(request(name="q1"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             node.pool.acquire_idle = lambda *_: None  # the connection that q1 has left is not used
             node.pool.open_connection = never
             (connection,) = node.listener.connections
             caller.setblocking(False)
             sending = loop.create_task(loop.sock_sendall(caller, request("post", "q2", bytes(16 * MIB))))
-            await until(lambda: not connection._transport.is_reading())
+            await wait_until(lambda: not connection._transport.is_reading())
             body = connection._parser.request.body
             server.release.set()
             await opening.wait()
@@ -163,8 +173,8 @@
 @pytest.mark.parametrize("at_once", [True, False])
 def test_answers_that_a_caller_does_not_read_hold_its_further_requests_back(at_once: bool):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             caller, connection = await slow_reader(node, server)
             node.listener.on_request = lambda call: call.respond(200, ANSWER)  # with no wait for a server
             further = [request(name=f"q{2 + at}") for at in range(40)]
@@ -176,7 +186,7 @@
             node.listener.expire(node.loop.time() + 60.0)  # what is held back is not overdue
             assert node.listener.expired == 0
             assert (await read_to_the_end(caller, answers=41)).count(b"HTTP/1.1 200 ") == 41
-            await until(lambda: connection.idle)
+            await wait_until(lambda: connection.idle)
 
     asyncio.run(main())
 
@@ -204,17 +214,17 @@
 async def resting(node: Node, asked: bool) -> socket.socket:
     """A caller between requests, or one that has sent none yet."""
     caller = connect(node)
-    await until(lambda: node.listener.connections)
+    await wait_until(lambda: node.listener.connections)
     if asked:
         caller.sendall(request(name="q1"))
-        await until(lambda: node.event_counts["responses 200"])
+        await wait_until(lambda: node.event_counts["responses 200"])
         caller.recv(65_536)
     return caller
 
 
 async def asked_anew(node: Node) -> int:
     """The status that a caller gets on a new connection."""
-    return (await ask(node, request(name="q2"))).status
+    return (await exchange(node, request(name="q2"))).status
 
 
 @pytest.mark.parametrize("asked", [True, False])
@@ -222,28 +232,28 @@
 @pytest.mark.parametrize("close", CLOSES)
 def test_what_came_just_before_an_idle_close_is_served(close: str, put: str, asked: bool):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             caller = await resting(node, asked)
             (connection,) = node.listener.connections
             RESTING[put](caller)  # lies in the kernel: the loop has no turn before the close
             CLOSES[close](node)
             if "request" in put:
                 if put == "half a request":
-                    await until(lambda: connection._parser.request)
+                    await wait_until(lambda: connection._parser.request)
                     CLOSES["drain"](node)
                     caller.sendall(request(name="q2")[9:])
-                await until(lambda: node.event_counts["responses 200"] == 1 + asked)
+                await wait_until(lambda: node.event_counts["responses 200"] == 1 + asked)
                 assert caller.recv(12) == b"HTTP/1.1 200"
             elif put != "a reset":
                 if asked and close == "overdue" and put != "an end":
                     assert connection.idle  # a caller between requests is never overdue
                     caller.close()
-                await until(lambda: CLOSES["drain"](node) or not node.listener.connections)
+                await wait_until(lambda: CLOSES["drain"](node) or not node.listener.connections)
                 if caller.fileno() >= 0:
                     assert caller.recv(12) == b""
             caller.close()
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             assert node.event_counts["requests"] == asked + ("request" in put)
 
     asyncio.run(main())
@@ -256,8 +266,8 @@
     close: str, put: str, asked: bool, monkeypatch: pytest.MonkeyPatch
 ):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             caller = await resting(node, asked)
 
             def look(transport: asyncio.BaseTransport) -> bool:
@@ -271,7 +281,7 @@
             if asked and close == "overdue":
                 assert node.listener.connections  # not even looked at
                 caller.close()
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             if caller.fileno() >= 0:
                 with contextlib.suppress(ConnectionResetError):
                     assert caller.recv(12) == b""  # so it asks again
@@ -291,8 +301,8 @@
     """All in the one piece whose first bytes are the last of a long request."""
 
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             served = []
             node.listener.on_request = served.append
             long = request("post", "q1", bytes(2 * HIGH_WATER_BYTES))
@@ -300,11 +310,11 @@
             caller.setblocking(False)
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(caller, long[:-1])
-            await until(lambda: served)
+            await wait_until(lambda: served)
             (call,) = served
             call.body.attach(Taken())
             connection = call.connection
-            await until(lambda: call.body.size == 2 * HIGH_WATER_BYTES - 1)
+            await wait_until(lambda: call.body.size == 2 * HIGH_WATER_BYTES - 1)
             left = ends == "its caller has left"
             call.on_received = connection.close_if_disconnected if left else lambda: call.respond(503)
             node.listener.draining = True
--- a/tests/node/listener/test_connection_pieces.py
+++ b/tests/node/listener/test_connection_pieces.py
@@ -12,7 +12,16 @@
 from loadbalancer.node.node import Node
 from tests.support.callers import connect
 from tests.support.clocks import run
-from tests.support.loopback import Held, Message, Peer, reply, request, running, targets, until
+from tests.support.loopback import (
+    BlockedServer,
+    Message,
+    StubServer,
+    http_response,
+    request,
+    running_node,
+    targets,
+    wait_until,
+)
 
 DEADLINE_S = 1.0
 LATE_S = 0.5  # past its time by so much a request is lost, by the operators' terms
@@ -29,14 +38,14 @@
 
         async def hang_after_the_first(message: Message) -> bytes:
             await (first_is_due if message.headers["req-id"] == "q0" else asyncio.Event()).wait()
-            return reply()
+            return http_response()
 
-        server = Peer(hang_after_the_first)
-        async with running(server) as node:
+        server = StubServer(hang_after_the_first)
+        async with running_node(server) as node:
             caller, loop = connect(node), asyncio.get_running_loop()
             caller.setblocking(False)
             await loop.sock_sendall(caller, DATA[:CUT])
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (connection,) = node.listener.connections
             assert not connection._transport.is_reading()
             await loop.sock_sendall(caller, DATA[CUT:])
@@ -58,19 +67,19 @@
 
 def test_a_request_that_comes_after_the_reading_goes_on_has_its_whole_time():
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller, loop = connect(node), asyncio.get_running_loop()
             caller.setblocking(False)
             await loop.sock_sendall(caller, DATA[:CUT])
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             await asyncio.sleep(0.8 * DEADLINE_S)
             server.release.set()  # nothing has come meanwhile: the reading goes on, and then comes the rest
-            await until(lambda: node.event_counts["responses 200"])
+            await wait_until(lambda: node.event_counts["responses 200"])
             (connection,) = node.listener.connections
-            await until(connection._transport.is_reading)
+            await wait_until(connection._transport.is_reading)
             await loop.sock_sendall(caller, DATA[CUT:])
-            await until(lambda: len(server.seen) == 4)
+            await wait_until(lambda: len(server.seen) == 4)
             assert int(server.seen[1].headers["req-deadline-ms"]) > 950
             caller.close()
 
@@ -89,7 +98,7 @@
     loop = asyncio.get_running_loop()
     caller.setblocking(False)
     await loop.sock_sendall(caller, LONG[:PART])
-    await until(lambda: node.request_registry.active)
+    await wait_until(lambda: node.request_registry.active)
     await loop.sock_sendall(caller, LONG[PART:])
 
 
@@ -102,8 +111,8 @@
     """Guard: it ran from when the last byte was read, and the answer came 0.8 s after the caller's time."""
 
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             opened = node.pool.open_connection
 
             async def late(endpoint):
@@ -138,7 +147,7 @@
         with contextlib.suppress(TimeoutError):  # until no more comes
             while await asyncio.wait_for(reader.read(1024), 0.05):
                 pass
-        writer.write(reply())
+        writer.write(http_response())
 
     @contextlib.asynccontextmanager
     async def before(self) -> AsyncIterator[Node]:
@@ -148,7 +157,7 @@
         sock.bind(("127.0.0.1", 0))
         server = await asyncio.start_server(self._serve, sock=sock, limit=1024)
         endpoint = f"127.0.0.1:{sock.getsockname()[1]}"
-        async with running(known=targets(s0=(endpoint, "Ready"))) as node:
+        async with running_node(known=targets(s0=(endpoint, "Ready"))) as node:
             opened = node.pool.open_connection
 
             async def small(endpoint):
--- a/tests/node/listener/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -18,7 +18,7 @@
     read_to_the_end,
     slow_reader,
 )
-from tests.support.loopback import Held, Peer, request, running, until
+from tests.support.loopback import BlockedServer, StubServer, request, running_node, wait_until
 
 # ----------------------------------------------------------------------- leaving
 
@@ -27,18 +27,18 @@
 @pytest.mark.parametrize("waits", ["nothing", "a second request", "a long body"])
 def test_a_leaving_can_be_asked_for_before_the_loop_has_seen_it(leave: Leave, waits: str):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller = connect(node)
             if waits == "a long body":  # of which the server reads none
                 caller.sendall(request("post", "q1", bytes(4 * HIGH_WATER_BYTES))[: -2 * HIGH_WATER_BYTES])
             else:
                 caller.sendall(request(name="q1"))
-            await until(lambda: node.request_registry.active)
+            await wait_until(lambda: node.request_registry.active)
             (job,) = node.request_registry.active.values()
             if waits == "a second request":
                 caller.sendall(request(name="q2") + b"GET /half")
-                await until(lambda: not job.inbound.connection._transport.is_reading())
+                await wait_until(lambda: not job.inbound.connection._transport.is_reading())
                 caller.sendall(b"unread")
             assert not job.inbound.connection.disconnected
             leave(caller)
@@ -51,17 +51,17 @@
 @pytest.mark.parametrize("leave", LEAVING)
 def test_a_leaving_is_seen_while_nothing_is_read(leave: Leave):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller = connect(node)
             caller.sendall(request(name="q1") + request(name="q2"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (job,) = node.request_registry.active.values()
             assert not job.inbound.connection._transport.is_reading()
             caller.sendall(request(name="q3"))
             leave(caller)
             job.inbound.connection.sweep(node.loop.time())
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             assert (
                 node.event_counts["client disconnects"],
                 node.request_registry.unanswered,
@@ -79,19 +79,21 @@
 @pytest.mark.parametrize("leave", LEAVING)
 def test_callers_that_leave_as_the_last_answers_go_out_keep_no_other_from_its_answer(leave: Leave):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             callers = [connect(node) for _ in range(5)]
             for at, caller in enumerate(callers):
                 caller.sendall(request(name=f"q{at}"))
-            await until(lambda: len(server.seen) == len(callers))
+            await wait_until(lambda: len(server.seen) == len(callers))
             node.listener.drain()
             for caller in callers[:-1]:
                 leave(caller)  # and the loop has no turn before the answers
             node.request_registry.fail_all()
             assert callers[-1].recv(12) == b"HTTP/1.1 504"
             assert node.request_registry.unanswered == 0
-            await until(lambda: len(node.listener.connections) == 1)  # the last one's, until that has read
+            await wait_until(
+                lambda: len(node.listener.connections) == 1
+            )  # the last one's, until that has read
             for caller in callers:
                 caller.close()
 
@@ -101,11 +103,11 @@
 @pytest.mark.parametrize("leave", LEAVING)
 def test_a_caller_that_leaves_as_its_last_answer_goes_out_leaves_nothing_behind(leave: Leave):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller = connect(node)
             caller.sendall(request(name="q1"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (job,) = node.request_registry.active.values()
             node.listener.drain()
             on_result, left = job.attempts[0]._on_result, []
@@ -118,7 +120,7 @@
 
             job.attempts[0]._on_result = result
             server.release.set()
-            await until(lambda: left)
+            await wait_until(lambda: left)
             assert not node.request_registry.active
             assert node.driver.balancer.endpoints["s0"].in_flight == 0.0
             assert node.pool.connection_count == 1
@@ -131,11 +133,11 @@
 @pytest.mark.parametrize("leave", LEAVING)
 def test_what_waits_its_turn_is_not_begun_for_a_caller_that_has_left(leave: Leave, first: str):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller = connect(node)
             caller.sendall(b"".join(request(name=f"q{at}") for at in range(50)))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (job,) = node.request_registry.active.values()
             body = Body(Ends())
             if first == "passed on":
@@ -147,7 +149,7 @@
                 body.end()
             else:
                 node.request_registry.respond(job, 200, b"done")
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             assert node.event_counts["requests"] == 1
             if leave is half_close:
                 assert (await read_to_the_end(caller)).count(b"HTTP/1.1 400 ") == 1
@@ -160,15 +162,15 @@
 @pytest.mark.parametrize("leave", LEAVING)
 def test_nothing_is_begun_for_a_caller_that_sends_and_leaves_in_one_turn(leave: Leave, count: int):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             caller = connect(node)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             caller.sendall(b"".join(request(name=f"q{at}") for at in range(count)))
             leave(caller)
             if leave is half_close:
                 assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
-            await until(lambda: not node.listener.connections and not node.request_registry.active)
+            await wait_until(lambda: not node.listener.connections and not node.request_registry.active)
             assert node.metrics.attempts_sent == server.connections == 0
             assert node.event_counts["requests"] <= 1
 
@@ -177,7 +179,7 @@
 
 def test_a_health_check_that_half_closes_is_told_yes():
     async def main():
-        async with running(Peer()) as node:
+        async with running_node(StubServer()) as node:
             caller = connect(node)
             caller.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             half_close(caller)
@@ -189,7 +191,7 @@
 @pytest.mark.parametrize("sent", [request("post", "q1", b"body")[:-1], request(name="q1")[:-1], b"G"])
 def test_a_half_close_within_a_request_is_answered_and_begins_nothing(sent: bytes):
     async def main():
-        async with running(Peer()) as node:
+        async with running_node(StubServer()) as node:
             caller = connect(node)
             caller.sendall(sent)
             half_close(caller)
@@ -201,32 +203,32 @@
 
 def test_a_half_close_after_a_request_ends_it_in_the_same_turn_with_a_final_answer():
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller = connect(node)
             caller.sendall(request(name="q1"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (job,) = node.request_registry.active.values()
             half_close(caller)
             job.inbound.connection.eof_received()  # as the loop will: what else comes then finds it over
             assert (job.answered, node.event_counts["client disconnects"]) == (True, 1)
             assert (await read_to_the_end(caller)).startswith(b"HTTP/1.1 400 ")
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
 
     asyncio.run(main())
 
 
 def test_a_half_close_ends_what_is_asked_while_the_answer_before_has_yet_to_leave():
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             caller, _ = await slow_reader(node, server)
-            held = Held()
+            held = BlockedServer()
             server.script = held.script
             caller.sendall(request(name="q2"))
-            await until(lambda: len(server.seen) == 2)
+            await wait_until(lambda: len(server.seen) == 2)
             half_close(caller)
-            await until(lambda: node.event_counts["client disconnects"])
+            await wait_until(lambda: node.event_counts["client disconnects"])
             assert b"HTTP/1.1 400 " in (await read_to_the_end(caller)).partition(ANSWER)[2]
 
     asyncio.run(main())
@@ -234,11 +236,11 @@
 
 def test_a_half_close_during_an_answer_that_is_passed_on_does_not_cut_it_short():
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with running_node(server) as node:
             caller = connect(node)
             caller.sendall(request(name="q1"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (job,) = node.request_registry.active.values()
             body = Body(Ends())
             node.request_registry.begin_stream(job, len(ANSWER), body)
@@ -246,11 +248,11 @@
             ended, eof_received = [], job.inbound.connection.eof_received
             job.inbound.connection.eof_received = lambda: ended.append(True) or eof_received()
             half_close(caller)
-            await until(lambda: ended)
+            await wait_until(lambda: ended)
             body.feed(ANSWER[1000:])
             body.end()
             assert (await read_to_the_end(caller)).endswith(ANSWER)
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             assert not node.request_registry.streaming
 
     asyncio.run(main())
@@ -261,8 +263,8 @@
 
 def test_a_connection_is_not_idle_before_its_answer_has_left():
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             caller, connection = await slow_reader(node, server)
             assert not connection.idle
             assert not connection.close_if_idle()
@@ -274,15 +276,15 @@
 
 def test_the_last_answer_is_not_thrown_away_while_its_caller_reads():
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             caller, connection = await slow_reader(node, server, Connection="close")
             connection.sweep(node.loop.time() + MAX_LINGER_S)  # enough for one whose answer had left
             answer = await read_to_the_end(caller, close=False)
             assert answer.endswith(ANSWER)
             assert node.listener.connections  # read on for a moment
             connection.sweep(node.loop.time() + LINGER_S)
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             caller.close()
 
     asyncio.run(main())
@@ -291,8 +293,8 @@
 @pytest.mark.parametrize("headers", [{}, {"Connection": "close"}])
 def test_a_caller_that_takes_nothing_of_its_answer_is_given_up_and_one_that_reads_is_not(headers):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             caller, connection = await slow_reader(node, server, **headers)
             now = node.loop.time() + 1.0
             connection.sweep(now)
@@ -305,7 +307,7 @@
             await asyncio.sleep(0)
             assert node.listener.connections
             connection.sweep(now + 2 * WRITE_STALL_TIMEOUT_S)
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             caller.close()
 
     asyncio.run(main())
--- a/tests/node/listener/test_descriptors.py
+++ b/tests/node/listener/test_descriptors.py
@@ -17,7 +17,7 @@
 
 from tests.node.test_restarts import UP, connect, frozen, status
 from tests.support.faults import LoopThread
-from tests.support.loopback import Caller, Discovery, Peer, listing, request, running
+from tests.support.loopback import Client, Discovery, StubServer, list_response, request, running_node
 from tests.support.node_processes import Node
 from tests.support.registry_processes import ROOT, until
 from tests.support.stand_in_servers import ServerPool
@@ -72,7 +72,7 @@
             with connect(node) as caller:
                 caller.sendall(UP)
                 assert status(caller) == 200
-            discovery.news = [listing(2, True, s0=(f"127.0.0.1:{servers.port()}", "Ready"))]
+            discovery.responses = [list_response(2, True, s0=(f"127.0.0.1:{servers.port()}", "Ready"))]
             loops.run(discovery.start(port))
             until(lambda: len(discovery.seen) > 1, what="the list read and asked for again")
             with connect(node) as caller:
@@ -80,7 +80,7 @@
                 assert status(caller) == 200
         assert node.process is not None
         assert node.process.poll() is None
-        assert not node.lines("Too many open files")
+        assert not node.log_lines("Too many open files")
     finally:
         node.kill()
         loops.call(discovery.stop)
@@ -92,9 +92,9 @@
     """Where the platform's limit is lower than the configuration says."""
 
     async def main() -> None:
-        async with asyncio.timeout(20), running(Peer()) as node:
-            idle = await Caller.to(node)
-            assert (await idle.ask(UP)).status == 200
+        async with asyncio.timeout(20), running_node(StubServer()) as node:
+            idle = await Client.connect(node)
+            assert (await idle.exchange(UP)).status == 200
             real = node.listener._socket
             assert real is not None
             refusals = [OSError(errno.EMFILE, "Too many open files") for _ in range(3)]
@@ -111,8 +111,8 @@
 
             node.listener._socket = Refused()  # type: ignore[assignment]
             began = node.loop.time()
-            caller = await Caller.to(node)
-            assert (await caller.ask(UP)).status == 200
+            caller = await Client.connect(node)
+            assert (await caller.exchange(UP)).status == 200
             assert node.loop.time() - began < 1.0  # for so long asyncio's own listener would rest
             assert await idle.reader.read() == b""
 
--- a/tests/node/listener/test_new_connections_in_drain.py
+++ b/tests/node/listener/test_new_connections_in_drain.py
@@ -16,7 +16,7 @@
 from loadbalancer.node.node import Node
 from tests.support import clocks
 from tests.support.callers import connect
-from tests.support.loopback import Peer, request, running, until
+from tests.support.loopback import StubServer, request, running_node, wait_until
 
 STEP_S = 0.01  # between two looks at idle connections
 DRAINS: dict[str, Callable[[Node], Awaitable[object]]] = {
@@ -61,11 +61,11 @@
     drain: str, opened_s: float, silent_s: float
 ) -> None:
     async def main() -> None:
-        async with running(Peer()) as node:
+        async with running_node(StubServer()) as node:
             ending = await begin(drain, node)
             await asyncio.sleep(opened_s)
             caller = connect(node)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             await served_after(silent_s, caller, ending)
 
     clocks.run(main())
@@ -79,7 +79,7 @@
     """The kernel has accepted it in time; the node comes to it after the looks have begun."""
 
     async def main() -> None:
-        async with running(Peer()) as node:
+        async with running_node(StubServer()) as node:
             listening = node.listener._socket
             assert listening is not None
             ending = await begin(drain, node)
@@ -87,7 +87,7 @@
             caller = connect(node)
             await asyncio.sleep(0.55)
             node.loop.add_reader(listening, node.listener._accept)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             await served_after(silent_s, caller, ending)
 
     clocks.run(main())
@@ -96,11 +96,11 @@
 @pytest.mark.parametrize("drain", DRAINS)
 def test_a_new_connection_on_which_nothing_comes_is_closed_after_its_grace(drain: str) -> None:
     async def main() -> None:
-        async with running(Peer()) as node:
+        async with running_node(StubServer()) as node:
             ending = await begin(drain, node)
             await asyncio.sleep(0.3)
             caller = connect(node)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             opened = node.loop.time()
             assert await answered(caller) == b""
             waited_s = node.loop.time() - opened
@@ -114,12 +114,12 @@
 
 def test_a_node_that_is_active_again_closes_no_idle_connection() -> None:
     async def main() -> None:
-        async with running(Peer()) as node:
+        async with running_node(StubServer()) as node:
             node.standby()
             await asyncio.sleep(2.0)
             assert node.active()
             caller = connect(node)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             await asyncio.sleep(2.0)
             caller.sendall(request(name="q1"))
             assert await answered(caller) == b"HTTP/1.1 200 OK"
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -17,7 +17,17 @@
 from loadbalancer.node.state.ejections import FILE_PREFIX, FOLDER_NAME, RETENTION_MS, Ejection, EjectionStore
 from tests.node.admin.test_admin_server import ADMIN_SETTINGS, status
 from tests.support.builders import BalancerEnvironment, make_endpoints, sent
-from tests.support.loopback import Caller, Discovery, Held, Peer, ask, listing, request, running, until
+from tests.support.loopback import (
+    BlockedServer,
+    Client,
+    Discovery,
+    StubServer,
+    exchange,
+    list_response,
+    request,
+    running_node,
+    wait_until,
+)
 
 ENTER, EXIT = "/maintenance/enter", "/maintenance/exit"
 
@@ -94,23 +104,23 @@
 
 def test_ejected_endpoint_gets_no_new_requests_and_finishes_its_own():
     async def main():
-        first, second = Held(), Held()
-        async with running(first, second, **ADMIN_SETTINGS) as node:
-            callers = [await Caller.to(node) for _ in range(2)]
+        first, second = BlockedServer(), BlockedServer()
+        async with running_node(first, second, **ADMIN_SETTINGS) as node:
+            callers = [await Client.connect(node) for _ in range(2)]
             for at, caller in enumerate(callers):
                 caller.writer.write(request(name=f"q{at}"))
-            await until(lambda: first.seen and second.seen)
+            await wait_until(lambda: first.seen and second.seen)
             assert await status(node, "PUT", ENTER, b"s0\n") == 200
             assert await status(node, "PUT", ENTER, b"s0") == 200
             first.release.set()
             second.release.set()
-            assert [(await caller.answer()).status for caller in callers] == [200, 200]
+            assert [(await caller.read_response()).status for caller in callers] == [200, 200]
             for at in range(20):
-                assert (await ask(node, request(name=f"r{at}"))).status == 200
+                assert (await exchange(node, request(name=f"r{at}"))).status == 200
             assert len(first.seen) == 1
             assert await status(node, "PUT", EXIT, b"s0") == 200
             for at in range(20):
-                await ask(node, request(name=f"t{at}"))
+                await exchange(node, request(name=f"t{at}"))
             assert len(first.seen) > 1
 
     asyncio.run(main())
@@ -121,19 +131,19 @@
         # The listener's backlog is full, so connections to it are never established.
         with socket.create_server(("127.0.0.1", 0), backlog=0) as silent, socket.socket() as filler:
             filler.connect(silent.getsockname())
-            server = Peer()
-            async with running(server, bounds={"connectTimeoutMs": 10_000.0}, **ADMIN_SETTINGS) as node:
+            server = StubServer()
+            async with running_node(server, bounds={"connectTimeoutMs": 10_000.0}, **ADMIN_SETTINGS) as node:
                 known = node.endpoint_list.endpoints["s0"][0]
                 silent_server = Endpoint("quiet", zone=known.zone)
                 node.endpoint_list.endpoints["quiet"] = silent_server, silent.getsockname()[:2]
                 assert await status(node, "PUT", ENTER, b"s0") == 200
                 node.endpoint_list.apply_change(EndpointListUpdate(EndpointListKind.DELTA, (silent_server,)))
-                caller = await Caller.to(node)
+                caller = await Client.connect(node)
                 caller.writer.write(request())
-                await until(lambda: node.pool.connection_count)
+                await wait_until(lambda: node.pool.connection_count)
                 assert await status(node, "PUT", EXIT, b"s0") == 200
                 assert await status(node, "PUT", ENTER, b"quiet") == 200
-                assert (await caller.answer()).status == 200
+                assert (await caller.read_response()).status == 200
 
     asyncio.run(main())
 
@@ -142,7 +152,7 @@
 @pytest.mark.parametrize(("body", "expected"), [(b"s9", 404), (b"", 404), (b"\xff\xfe", 400)])
 def test_invalid_endpoint_name_is_rejected(path, body, expected):
     async def main():
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", path, body) == expected
 
     asyncio.run(main())
@@ -150,17 +160,17 @@
 
 def test_ejection_holds_after_list_update():
     async def main():
-        server, other = Peer(), Peer()
+        server, other = StubServer(), StubServer()
         await server.start()
         await other.start()
-        news = listing(2, True, s0=(server.endpoint, "Ready"), s1=(other.endpoint, "Ready"))
+        news = list_response(2, True, s0=(server.endpoint, "Ready"), s1=(other.endpoint, "Ready"))
         discovery = Discovery()
-        async with running(server, discovery=discovery, **ADMIN_SETTINGS) as node:
+        async with running_node(server, discovery=discovery, **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", ENTER, b"s0") == 200
-            discovery.news.append(news)  # for the next poll: the first gets no response and times out
-            await until(lambda: "s1" in node.endpoint_list.endpoints)
+            discovery.responses.append(news)  # for the next poll: the first gets no response and times out
+            await wait_until(lambda: "s1" in node.endpoint_list.endpoints)
             for at in range(10):
-                assert (await ask(node, request(name=f"q{at}"))).status == 200
+                assert (await exchange(node, request(name=f"q{at}"))).status == 200
             assert not server.seen
         other.stop()
 
@@ -169,19 +179,19 @@
 
 def test_ejection_applies_to_sibling_process_and_one_started_later(tmp_path):
     async def main():
-        server = Peer()
-        async with running(server, tmpdir=str(tmp_path), **ADMIN_SETTINGS) as old:
+        server = StubServer()
+        async with running_node(server, tmpdir=str(tmp_path), **ADMIN_SETTINGS) as old:
             new = Node(old.config)
             new.listener.listen = _skip_listen  # type: ignore[method-assign]
             await new.start()
             assert await status(old, "PUT", ENTER, b"s0") == 200
-            await until(lambda: not new.endpoint_list.available)  # when it reads the folder
+            await wait_until(lambda: not new.endpoint_list.available)  # when it reads the folder
             later = Node(old.config)
             later.listener.listen = _skip_listen  # type: ignore[method-assign]
             await later.start()
             assert not later.endpoint_list.available
             assert await status(later, "PUT", EXIT, b"s0") == 200
-            await until(lambda: old.endpoint_list.available and new.endpoint_list.available)
+            await wait_until(lambda: old.endpoint_list.available and new.endpoint_list.available)
             new.close()
             later.close()
 
@@ -194,7 +204,7 @@
 
 def test_restore_right_after_ejection_in_other_process_takes_effect(tmp_path):
     async def main():
-        async with running(Peer(), tmpdir=str(tmp_path), **ADMIN_SETTINGS) as node:
+        async with running_node(StubServer(), tmpdir=str(tmp_path), **ADMIN_SETTINGS) as node:
             EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
             assert node.ejections.restore("s0") is EjectionResult.DONE
             assert not EjectionStore(tmp_path / FOLDER_NAME).is_ejected("s0")
@@ -205,7 +215,7 @@
 
 def test_folder_is_not_read_again_without_admin_server(tmp_path):
     async def main():
-        async with running(Peer(), tmpdir=str(tmp_path)) as node:
+        async with running_node(StubServer(), tmpdir=str(tmp_path)) as node:
             EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
             node.periodic_tasks.tick(node.loop.time())
             assert node.endpoint_list.available == {"s0"}
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -21,7 +21,7 @@
 )
 from tests.node.test_upgrade import listening
 from tests.support.builders import BalancerEnvironment, sent
-from tests.support.loopback import Caller, Held, request, running, until
+from tests.support.loopback import BlockedServer, Client, request, running_node, wait_until
 
 
 def learned(**changes: object) -> LearnedState:
@@ -168,12 +168,12 @@
 
 def test_processes_in_upgrade_count_each_others_requests_until_one_ends(tmp_path):
     async def main():
-        raw, server = listening(), Held()
+        raw, server = listening(), BlockedServer()
         shared = {"accept_fd": str(os.dup(raw.fileno())), "tmpdir": str(tmp_path)}
-        async with running(server, **shared) as old:
-            caller = await Caller.to(old)
+        async with running_node(server, **shared) as old:
+            caller = await Client.connect(old)
             caller.writer.write(request(name="q1"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             new = Node(old.config)
             assert new.sibling_process is not None
             # Both nodes run in the test's process, so the new one needs another process number.
@@ -184,7 +184,7 @@
             assert new.driver.balancer.endpoints["s0"].sibling_in_flight == 1.0
             assert old.driver.balancer.endpoints["s0"].sibling_in_flight == 0.0
             server.release.set()
-            await caller.answer()
+            await caller.read_response()
             old.sibling_process.exchange()
             new.sibling_process.exchange()
             assert new.driver.balancer.endpoints["s0"].sibling_in_flight == 0.0
@@ -198,7 +198,7 @@
 
 def test_node_with_own_listening_socket_writes_no_handover_file(tmp_path):
     async def main():
-        async with running(Held(), tmpdir=str(tmp_path)) as node:
+        async with running_node(BlockedServer(), tmpdir=str(tmp_path)) as node:
             node.periodic_tasks.tick(node.loop.time())
             assert node.sibling_process is None
 
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -26,7 +26,7 @@
 from loadbalancer.node.state import frame, snapshot
 from tests.support.builders import make_endpoints, settings
 from tests.support.load import Load
-from tests.support.loopback import Discovery, listing, targets
+from tests.support.loopback import Discovery, list_response, targets
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
 from tests.support.registry_processes import ROOT, until
@@ -115,11 +115,11 @@
         assert upstream.most() <= 1, "a request reached its server twice"
         if state.exists():  # the rename leaves the old file or the new one, never a mix
             frame.decode_frame(state.read_bytes())
-        assert len(node.lines("state ")) >= kill + 1, "a start did not log what it restored from the file"
+        assert len(node.log_lines("state ")) >= kill + 1, "a start did not log what it restored from the file"
     node.start()
     wait_until_served(node.port)
     node.stop()
-    starts = node.lines(f"state {state}:")
+    starts = node.log_lines(f"state {state}:")
     verdicts = Counter(line.split(f"{state}: ")[1].split(",")[0].split(";")[0] for line in starts)
     # "list behind", since the configured list is as new as the stored one.
     assert set(verdicts) <= {"missing", "list behind"}, verdicts
@@ -160,7 +160,7 @@
     node.start()
     try:
         wait_until_served(node.port)
-        [line] = node.lines(f"state {state}:")
+        [line] = node.log_lines(f"state {state}:")
         assert f": {rule}, " in line
         if rule not in ("future", "list old"):
             assert "learned state no" in line
@@ -179,7 +179,7 @@
     finally:
         outcomes = client.finish()
         node.stop()
-    assert len(node.lines("not written, service goes on")) == 1
+    assert len(node.log_lines("not written, service goes on")) == 1
     assert outcomes[200] == sum(outcomes.values()), outcomes
     assert not state.exists()
 
@@ -192,18 +192,18 @@
     until(lambda: first.metric("proxy.state_writes") > 0, what="a write of the first process")
     second.start()
     try:
-        until(lambda: second.lines("another process writes it"), what="the second process not writing")
+        until(lambda: second.log_lines("another process writes it"), what="the second process not writing")
         assert second.metric("proxy.state_writes") == 0
         first.kill()
         until(lambda: second.metric("proxy.state_writes") > 0, what="a write of the second process")
-        assert second.lines("this process writes it from now on")
+        assert second.log_lines("this process writes it from now on")
         frame.decode_frame(state.read_bytes())
     finally:
         second.stop()
 
 
 def test_restart_during_discovery_outage_serves_restored_list(tmp_path: Path, upstream: ServerPool) -> None:
-    discovery = Served(Discovery(listing(5, True, s1=(f"127.0.0.1:{upstream.port()}", "Ready"))))
+    discovery = Served(Discovery(list_response(5, True, s1=(f"127.0.0.1:{upstream.port()}", "Ready"))))
     state = tmp_path / "n0.state"
     # The list in the node's configuration is outdated: its server has been removed.
     outdated = targets(s0=(f"127.0.0.1:{free_port()}", "Ready"))
@@ -220,7 +220,7 @@
     node.start()
     try:
         wait_until_served(node.port)
-        [line] = [line for line in node.lines(f"state {state}:")][-1:]
+        [line] = [line for line in node.log_lines(f"state {state}:")][-1:]
         assert "verified" in line
         assert "1 listed" in line
     finally:
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -17,7 +17,17 @@
 from loadbalancer.node.node import Node
 from loadbalancer.node.upstream import attempt as upstream_module
 from tests.support.builders import BalancerEnvironment, sent
-from tests.support.loopback import Caller, Peer, Scripted, ask, reply, request, running, targets, until
+from tests.support.loopback import (
+    Client,
+    ScriptedBalancer,
+    StubServer,
+    exchange,
+    http_response,
+    request,
+    running_node,
+    targets,
+    wait_until,
+)
 
 MIB = 1024 * 1024
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -118,7 +128,7 @@
 
     server = await asyncio.start_server(guarded, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    async with running(known=targets(s0=(f"127.0.0.1:{port}", "Ready")), **more) as node:
+    async with running_node(known=targets(s0=(f"127.0.0.1:{port}", "Ready")), **more) as node:
         yield node
     server.close()
 
@@ -169,11 +179,11 @@
 
     async def main():
         async with behind(serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             for at in range(2):
                 caller.writer.write(request(name=f"q{at}"))
                 assert await body_of(caller.reader) == LONG
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
             assert node.pool.connection_count == 1
             assert not node.request_registry.active
             caller.writer.close()
@@ -189,7 +199,7 @@
             await writer.drain()
 
         async with behind(serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request())
             assert await body_of(caller.reader) == LONG
             caller.writer.close()
@@ -210,14 +220,14 @@
             await reader.read()
 
         async with behind(serve) as node:
-            node.driver.balancer = scripted = Scripted(
+            node.driver.balancer = scripted = ScriptedBalancer(
                 lambda event: [Send(event.id, "s0")] if isinstance(event, Request) else []
             )
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request(Req_Deadline_Ms="20000"))
             await caller.reader.readuntil(b"\r\n\r\n")
             assert await caller.reader.readexactly(1000) == LONG[:1000]
-            (outcome,) = scripted.of(AttemptOutcome)
+            (outcome,) = scripted.events_of(AttemptOutcome)
             assert (outcome.result, outcome.request_ended) == (AttemptResult.OK, True)
             assert (
                 node.metrics.render(
@@ -227,7 +237,7 @@
             )
             more.set()
             assert await caller.reader.readexactly(len(LONG) - 1000) == LONG[1000:]
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
             assert b"proxy.replies.read.success=1" in node.render_metrics()
             caller.writer.close()
 
@@ -249,17 +259,17 @@
                 await writer.drain()
 
         async with behind(serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request())
             await caller.reader.readuntil(b"\r\n\r\n")
             (connection,) = node.listener.connections
-            await until(lambda: connection._stream is not None and connection._stream.body.paused)
+            await wait_until(lambda: connection._stream is not None and connection._stream.body.paused)
             assert connection._transport.get_write_buffer_size() < MIB
             assert written < total
             left = total
             while left:
                 left -= len(await caller.reader.read(MIB))
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
             caller.writer.close()
 
     asyncio.run(main())
@@ -274,13 +284,13 @@
             await writer.drain()
 
         async with behind(serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 answer = await caller.reader.read()
                 assert not answer.endswith(b"0\r\n\r\n")
                 assert len(answer) < len(LONG)
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
             assert b"proxy.replies.read.error=1" in node.render_metrics()
 
     asyncio.run(main())
@@ -298,13 +308,13 @@
             left.set()
 
         async with behind(serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request())
             await caller.reader.readexactly(1000)
             caller.writer.transport.abort()
             async with asyncio.timeout(20):
                 await left.wait()
-            await until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
+            await wait_until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
 
     asyncio.run(main())
 
@@ -319,11 +329,11 @@
             await reader.read()
 
         async with behind(serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 assert len(await caller.reader.read()) < len(LONG)
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
 
     asyncio.run(main())
 
@@ -331,7 +341,7 @@
 def test_a_caller_of_http_1_0_gets_a_long_answer_of_no_length_to_the_close():
     async def main():
         async with behind(answering(CHUNKED, b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
             head, _, body = (await caller.reader.read()).partition(b"\r\n\r\n")
             assert b"Transfer-Encoding" not in head
@@ -353,7 +363,7 @@
 
         async with behind(serve) as node:
             sends = iter(["s0", "s0"])
-            node.driver.balancer = Scripted(
+            node.driver.balancer = ScriptedBalancer(
                 lambda event: (
                     [Send(event.id, next(sends))]
                     if isinstance(event, Request)
@@ -361,7 +371,7 @@
                     else []
                 )
             )
-            assert (await ask(node, request())).body == b"done"  # of a second attempt
+            assert (await exchange(node, request())).body == b"done"  # of a second attempt
             assert node.pool.malformed_responses == 1
 
     asyncio.run(main())
@@ -371,11 +381,11 @@
     async def main():
         monkeypatch.setattr(http_module, "MAX_BODY_BYTES", MIB)
         async with behind(answering(CHUNKED, b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 assert len(await caller.reader.read()) < len(LONG)
-            await until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
+            await wait_until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
             assert node.pool.malformed_responses == 1
 
     asyncio.run(main())
@@ -391,8 +401,8 @@
             await reader.read()
 
         async with behind(serve, settings={"tier": 1}) as node:
-            caller = await Caller.to(node)
-            assert (await caller.ask(request("post"))).status == 502
+            caller = await Client.connect(node)
+            assert (await caller.exchange(request("post"))).status == 502
             assert node.event_counts["error"] == 1
             caller.writer.close()
 
@@ -434,7 +444,7 @@
                 self.lost += 1
                 raise
             self.bodies.append(body)
-            writer.write(reply())
+            writer.write(http_response())
 
 
 @pytest.mark.parametrize("data", [request("post", "q1", LONG), chunked(LONG)])
@@ -444,10 +454,10 @@
     async def main():
         server = Taking()
         async with behind(server.serve) as node:
-            caller = await Caller.to(node)
-            assert (await caller.ask(data)).status == 200
+            caller = await Client.connect(node)
+            assert (await caller.exchange(data)).status == 200
             assert server.bodies == [LONG]
-            assert (await caller.ask(request("post", "q2", b"short"))).status == 200
+            assert (await caller.exchange(request("post", "q2", b"short"))).status == 200
             assert server.bodies[1:] == [b"short"]
             assert (
                 node.pool.connection_count,
@@ -464,23 +474,23 @@
     async def main():
         server = Taking()
         async with behind(server.serve) as node:
-            node.driver.balancer = scripted = Scripted(
+            node.driver.balancer = scripted = ScriptedBalancer(
                 lambda event: [Send(event.id, "s0")] if isinstance(event, Request) else []
             )
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             data = request("post", "q1", LONG, Req_Deadline_Ms="5000")
             caller.writer.write(data[:MIB])
-            await until(lambda: scripted.of(Request) and server.heads)
-            (early,) = scripted.of(Request)
+            await wait_until(lambda: scripted.events_of(Request) and server.heads)
+            (early,) = scripted.events_of(Request)
             assert early.receiving
             (job,) = node.request_registry.active.values()
             assert job.backstop_timer is None
             assert node.metrics.attempts_sent == 0
             caller.writer.write(data[MIB:])
-            assert (await caller.answer()).status == 200
-            (arrived,) = scripted.of(RequestReceived)
+            assert (await caller.read_response()).status == 200
+            (arrived,) = scripted.events_of(RequestReceived)
             assert arrived.deadline_ms > early.deadline_ms
-            (outcome,) = scripted.of(AttemptOutcome)
+            (outcome,) = scripted.events_of(AttemptOutcome)
             assert outcome.latency_ms <= (node.loop.time() - job.received_at) * 1000.0
             assert node.metrics.attempts_sent == 1
             caller.writer.close()
@@ -502,18 +512,18 @@
                 return await opened(endpoint)
 
             node.pool.open_connection = slowly
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             end = len(data) - 5  # handed on with the last byte of its body due, or the last chunk
             caller.writer.write(data[:end])
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             (connection,) = node.listener.connections
             coming = connection._parser
-            await until(lambda: coming.request and coming.request.body.size >= HIGH_WATER_BYTES - 5)
+            await wait_until(lambda: coming.request and coming.request.body.size >= HIGH_WATER_BYTES - 5)
             connection._transport.resume_reading()
             caller.writer.write(data[end:])
-            await until(lambda: coming.request is None)
+            await wait_until(lambda: coming.request is None)
             up.set()
-            assert (await caller.answer()).status == 200
+            assert (await caller.read_response()).status == 200
             assert server.bodies == [LONG[:HIGH_WATER_BYTES]]
             assert node.pool.connection_count == 1
             caller.writer.close()
@@ -529,14 +539,14 @@
             await reader.readuntil(b"\r\n\r\n")
             await go_on.wait()
             assert len(await reader.readexactly(16 * MIB)) == 16 * MIB
-            writer.write(reply())
+            writer.write(http_response())
             await reader.read()
 
         async with behind(serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request("post", "q1", bytes(16 * MIB)))
             # not only its first bytes held back, as they are while the attempt still connects
-            await until(
+            await wait_until(
                 lambda: [
                     c
                     for c in node.listener.connections
@@ -548,7 +558,7 @@
             node.listener.expire(node.loop.time() + 60.0)  # not the caller's fault
             assert node.listener.expired == 0
             go_on.set()
-            assert (await caller.answer()).status == 200
+            assert (await caller.read_response()).status == 200
             caller.writer.close()
 
     asyncio.run(main())
@@ -559,20 +569,20 @@
     async def main():
         server = Taking()
         async with behind(server.serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             data = chunked(LONG)
             caller.writer.write(data[:MIB])
-            await until(lambda: server.heads)
+            await wait_until(lambda: server.heads)
             if how == "leaves":
                 caller.writer.transport.abort()
             elif how == "stalls":
-                await until(lambda: not node.listener.connections or node.request_registry.receiving)
+                await wait_until(lambda: not node.listener.connections or node.request_registry.receiving)
                 node.listener.expire(node.loop.time() + 60.0)
-                assert (await caller.answer()).status == 408
+                assert (await caller.read_response()).status == 408
             else:
                 caller.writer.write(b"\r\nnonsense\r\n" * 100_000)
-                assert (await caller.answer()).status == 400
-            await until(lambda: server.lost and not node.request_registry.active)
+                assert (await caller.read_response()).status == 400
+            await wait_until(lambda: server.lost and not node.request_registry.active)
             assert not server.bodies
             assert len(server.heads) == 1
             assert (
@@ -590,7 +600,7 @@
 
 def test_a_long_request_that_cannot_connect_goes_to_another_server_from_its_start():
     async def main():
-        server, gone = Taking(), Peer()
+        server, gone = Taking(), StubServer()
         await gone.start()
         gone._server.close()
         await gone._server.wait_closed()
@@ -603,9 +613,9 @@
                 never = isinstance(event, AttemptOutcome) and event.result is AttemptResult.CONNECT_FAILED
                 return [Send(event.id, "s0")] if never else []
 
-            node.driver.balancer = Scripted(act)
-            caller = await Caller.to(node)
-            assert (await caller.ask(request("post", "q1", LONG))).status == 200
+            node.driver.balancer = ScriptedBalancer(act)
+            caller = await Client.connect(node)
+            assert (await caller.exchange(request("post", "q1", LONG))).status == 200
             assert server.bodies == [LONG]
             caller.writer.close()
 
@@ -617,11 +627,11 @@
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(len(LONG))
-            writer.write(reply(503, Srv_Declined="1"))
+            writer.write(http_response(503, Srv_Declined="1"))
             await reader.read()
 
         async with behind(serve) as node:
-            answer = await ask(node, request("post", "q1", LONG))
+            answer = await exchange(node, request("post", "q1", LONG))
             assert answer.status == 503
             assert not node.request_registry.active
 
@@ -632,13 +642,13 @@
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(reply(503, Srv_Declined="1"))
+            writer.write(http_response(503, Srv_Declined="1"))
             await reader.read()
 
         async with behind(serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(request("post", "q1", LONG)[:MIB])
-            answer = await caller.answer()
+            answer = await caller.read_response()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
             assert (node.request_registry.unanswered, node.request_registry.receiving) == (0, 0)
             caller.writer.close()
@@ -651,14 +661,14 @@
         server = Taking()
         async with behind(server.serve, limits={"memory_mb": 1, "sockets": 1024}) as node:
             assert node.request_registry.max_receiving == 1
-            first = await Caller.to(node)
+            first = await Client.connect(node)
             first.writer.write(request("post", "q1", LONG)[:MIB])
-            await until(lambda: node.request_registry.receiving)
-            second = await Caller.to(node)
+            await wait_until(lambda: node.request_registry.receiving)
+            second = await Client.connect(node)
             second.writer.write(request("post", "q2", LONG)[:MIB])
-            assert (await second.answer()).status == 503
+            assert (await second.read_response()).status == 503
             first.writer.write(request("post", "q1", LONG)[MIB:])
-            assert (await first.answer()).status == 200
+            assert (await first.read_response()).status == 200
             first.writer.close()
             second.writer.close()
 
@@ -670,10 +680,10 @@
         monkeypatch.setattr(request_parser_module, "MAX_BODY_BYTES", MIB)
         server = Taking()
         async with behind(server.serve) as node:
-            caller = await Caller.to(node)
+            caller = await Client.connect(node)
             caller.writer.write(chunked(LONG))
-            assert (await caller.answer()).status == 413
-            await until(lambda: not node.request_registry.active)
+            assert (await caller.read_response()).status == 413
+            await wait_until(lambda: not node.request_registry.active)
             assert not server.bodies
 
     asyncio.run(main())
--- a/tests/node/test_long_answers.py
+++ b/tests/node/test_long_answers.py
@@ -13,7 +13,7 @@
 from loadbalancer.node.upstream.attempt import STREAM_IDLE_TIMEOUT_S
 from tests.support.callers import connect
 from tests.support.clocks import run
-from tests.support.loopback import SETTINGS, request, running, targets, until
+from tests.support.loopback import SETTINGS, request, running_node, targets, wait_until
 
 DEADLINE_S = 1.0
 LATE_S = 0.5  # past its time by so much a request is lost, by the operators' terms
@@ -50,7 +50,7 @@
     async def before(self, **more: Any) -> AsyncIterator[Node]:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         endpoint = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with running(known=targets(s0=(endpoint, "Ready")), **more) as node:
+        async with running_node(known=targets(s0=(endpoint, "Ready")), **more) as node:
             yield node
         server.close()
 
@@ -81,7 +81,7 @@
             assert DEADLINE_S < took_s < DEADLINE_S + LATE_S
             assert b" 200 " in read
             assert not read.endswith(b"0\r\n\r\n")  # no end of its own
-            await until(lambda: server.left and not node.pool.connection_count)
+            await wait_until(lambda: server.left and not node.pool.connection_count)
             assert node.request_registry.streaming == 0
             assert node.event_counts["aborted streams"] == 1
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,4 +1,4 @@
-"""The node over loopback: requests, answers, the decision module's events, and the server list."""
+"""The node over loopback sockets: requests, responses, balancer events, and the endpoint list."""
 
 from __future__ import annotations
 
@@ -35,47 +35,47 @@
     ReceiveState,
 )
 from tests.support.loopback import (
-    Caller,
+    BlockedServer,
+    Client,
     Discovery,
-    Held,
-    Peer,
-    Scripted,
-    ask,
+    ScriptedBalancer,
+    StubServer,
     config,
-    listing,
-    reply,
+    exchange,
+    http_response,
+    list_response,
     request,
-    running,
-    until,
+    running_node,
+    wait_until,
 )
 
 
 def send_to(*names):
-    """Acts for a scripted module: each request goes to the first name, and on each failure to the next."""
-    tries = {}
+    """Return an `act` that sends each request to the first server, and after each failure to the next."""
+    sent = {}
 
     def act(event):
         if isinstance(event, Request) or (isinstance(event, AttemptOutcome) and not event.request_ended):
-            at = tries[event.id] = tries.get(event.id, -1) + 1
-            return [Send(event.id, names[at])] if at < len(names) else [Fail(event.id)]
+            attempt = sent[event.id] = sent.get(event.id, -1) + 1
+            return [Send(event.id, names[attempt])] if attempt < len(names) else [Fail(event.id)]
         return []
 
     return act
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back():
+def test_request_is_forwarded_and_response_returned():
     async def main():
         async def script(message):
-            return reply(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61")
+            return http_response(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61")
 
-        server = Peer(script)
-        async with running(server) as node:
-            answer = await ask(
+        server = StubServer(script)
+        async with running_node(server) as node:
+            response = await exchange(
                 node, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
             )
-            assert (answer.status, answer.body) == (200, b"posted")
+            assert (response.status, response.body) == (200, b"posted")
             seen = server.seen[0]
-            assert seen.first == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
+            assert seen.start_line == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
             assert seen.body == b'{"a":1}'
             assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
             assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
@@ -85,44 +85,44 @@
     asyncio.run(main())
 
 
-def test_the_module_hears_what_the_request_says():
+def test_request_headers_reach_balancer():
     async def main():
-        async with running(Peer()) as node:
-            node.driver.balancer = scripted = Scripted(lambda event: [Reject(event.id, 250.0)])
+        async with running_node(StubServer()) as node:
+            node.driver.balancer = scripted = ScriptedBalancer(lambda event: [Reject(event.id, 250.0)])
             before = node.clock.unix_ms()
-            answer = await ask(
+            response = await exchange(
                 node,
                 request(Req_Owner="acme", Req_Retry="1", Req_Cost="1500", Req_Deadline_Ms="5000"),
             )
-            assert (answer.status, answer.headers["retry-after"]) == (503, "0.250")
-            heard = scripted.of(Request)[0]
-            assert (heard.service, heard.tenant, heard.is_retry, heard.cost_hint_ms) == (
+            assert (response.status, response.headers["retry-after"]) == (503, "0.250")
+            event = scripted.events_of(Request)[0]
+            assert (event.service, event.tenant, event.is_retry, event.cost_hint_ms) == (
                 "read",
                 "acme",
                 True,
                 1.5,
             )
-            assert heard.deadline_ms < node.clock.unix_ms() + 5000  # the way there and back comes off
-            assert heard.deadline_ms > before + 4900
+            assert event.deadline_ms < node.clock.unix_ms() + 5000  # the travel time is deducted
+            assert event.deadline_ms > before + 4900
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("kind", ["post", "read"])
-def test_nothing_is_sent_again_but_by_the_module(kind, monkeypatch):
+def test_node_does_not_resend_on_its_own_after_connection_reset(kind, monkeypatch):
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
         async def script(message):
-            return None if len(server.seen) == 2 else reply()
+            return None if len(server.seen) == 2 else http_response()
 
-        server = Peer(script)
-        async with running(server) as node:
-            node.driver.balancer = scripted = Scripted(send_to("s0"))
-            assert (await ask(node, request(kind, "q1"))).status == 200
-            assert (await ask(node, request(kind, "q2"))).status == 502  # on the connection kept from before
+        server = StubServer(script)
+        async with running_node(server) as node:
+            node.driver.balancer = scripted = ScriptedBalancer(send_to("s0"))
+            assert (await exchange(node, request(kind, "q1"))).status == 200
+            assert (await exchange(node, request(kind, "q2"))).status == 502  # on the reused connection
             assert (server.connections, len(server.seen)) == (1, 2)
-            assert [event.result for event in scripted.of(AttemptOutcome)] == [
+            assert [event.result for event in scripted.events_of(AttemptOutcome)] == [
                 AttemptResult.OK,
                 AttemptResult.RESET,
             ]
@@ -130,44 +130,48 @@
     asyncio.run(main())
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_a_declined_one_is_tried_elsewhere():
+def test_single_shot_request_is_retried_only_if_server_declined_it():
     async def main():
         async def script(message):
-            return reply(503, Srv_Declined="1") if message.headers["req-id"] == "q1" else reply(500)
+            return (
+                http_response(503, Srv_Declined="1")
+                if message.headers["req-id"] == "q1"
+                else http_response(500)
+            )
 
-        first, second = Peer(script), Peer(script)
-        async with running(first, second) as node:
-            assert (await ask(node, request("post", "q1"))).status == 503
+        first, second = StubServer(script), StubServer(script)
+        async with running_node(first, second) as node:
+            assert (await exchange(node, request("post", "q1"))).status == 503
             assert len(first.seen) == len(second.seen) == 1
-            assert (await ask(node, request("post", "q2"))).status == 502
+            assert (await exchange(node, request("post", "q2"))).status == 502
             assert len(first.seen) + len(second.seen) == 3
 
     asyncio.run(main())
 
 
-def test_a_send_past_the_attempts_allowed_or_for_an_ended_request_is_moot():
+def test_send_beyond_max_attempts_or_after_request_end_is_abandoned():
     async def main():
         async def script(message):
-            return reply(500)
+            return http_response(500)
 
-        server = Peer(script)
-        async with running(server) as node:
+        server = StubServer(script)
+        async with running_node(server) as node:
 
             def act(event):
-                moot = isinstance(event, AttemptOutcome) and event.result is AttemptResult.ABANDONED
+                abandoned = isinstance(event, AttemptOutcome) and event.result is AttemptResult.ABANDONED
                 if isinstance(event, Request | AttemptOutcome):
-                    return [Fail(event.id)] if moot else [Send(event.id, "s0")]
+                    return [Fail(event.id)] if abandoned else [Send(event.id, "s0")]
                 return []
 
-            node.driver.balancer = scripted = Scripted(act)
-            assert (await ask(node, request())).status == 502
+            node.driver.balancer = scripted = ScriptedBalancer(act)
+            assert (await exchange(node, request())).status == 502
             assert len(server.seen) == 3
-            outcomes = scripted.of(AttemptOutcome)
+            outcomes = scripted.events_of(AttemptOutcome)
             assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
             assert outcomes[-1].result is AttemptResult.ABANDONED
-            node.driver.balancer = scripted = Scripted()
-            node.driver._carry_out(Send("q1", "s0"))
-            assert [(event.result, event.request_ended) for event in scripted.of(AttemptOutcome)] == [
+            node.driver.balancer = scripted = ScriptedBalancer()
+            node.driver._execute(Send("q1", "s0"))
+            assert [(event.result, event.request_ended) for event in scripted.events_of(AttemptOutcome)] == [
                 (AttemptResult.ABANDONED, True)
             ]
             assert len(server.seen) == 3
@@ -175,104 +179,104 @@
     asyncio.run(main())
 
 
-def test_a_caller_that_closes_has_lapsed_and_its_attempt_still_gets_its_outcome():
+def test_client_disconnect_cancels_request_and_ends_its_attempt():
     async def main():
-        server = Held()
-        async with running(server) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request())
-            await until(lambda: server.seen)
+        server = BlockedServer()
+        async with running_node(server) as node:
+            client = await Client.connect(node)
+            client.writer.write(request())
+            await wait_until(lambda: server.seen)
             assert node.driver.balancer.endpoints["s0"].in_flight == 1.0
-            caller.writer.close()
-            await until(lambda: not node.request_registry.active)
+            client.writer.close()
+            await wait_until(lambda: not node.request_registry.active)
             assert node.driver.balancer.endpoints["s0"].in_flight == 0.0
             assert node.request_registry.unanswered == 0
 
     asyncio.run(main())
 
 
-def test_a_second_copys_loser_gets_its_outcome_after_the_request_is_over():
+def test_losing_hedged_attempt_reports_outcome_after_request_end():
     async def main():
-        server = Held()
-        async with running(server, Peer()) as node:
+        server = BlockedServer()
+        async with running_node(server, StubServer()) as node:
 
             def act(event):
                 if isinstance(event, Request):
                     return [Send(event.id, "s0"), Send(event.id, "s1")]
                 return []
 
-            node.driver.balancer = scripted = Scripted(act)
-            assert (await ask(node, request())).body == b"done"
+            node.driver.balancer = scripted = ScriptedBalancer(act)
+            assert (await exchange(node, request())).body == b"done"
             server.release.set()
-            await until(lambda: not node.request_registry.active)
-            outcomes = scripted.of(AttemptOutcome)
+            await wait_until(lambda: not node.request_registry.active)
+            outcomes = scripted.events_of(AttemptOutcome)
             assert [(event.attempt, event.request_ended) for event in outcomes] == [(1, True), (0, True)]
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("kind", [Request, AttemptOutcome])
-def test_a_fault_of_the_module_leaves_no_request_unanswered(kind):
+def test_balancer_exception_still_yields_response(kind):
     async def main():
-        async with running(Peer(lambda message: asyncio.sleep(0, reply(500)))) as node:
+        async with running_node(StubServer(lambda message: asyncio.sleep(0, http_response(500)))) as node:
 
             def act(event):
                 if isinstance(event, kind):
                     raise RuntimeError("broken")
                 return [Send(event.id, "s0")] if isinstance(event, Request) else []
 
-            node.driver.balancer = scripted = Scripted(act)
-            assert (await ask(node, request())).status == 500
-            assert scripted.of(RequestCancelled)
+            node.driver.balancer = scripted = ScriptedBalancer(act)
+            assert (await exchange(node, request())).status == 500
+            assert scripted.events_of(RequestCancelled)
             assert not node.request_registry.active
             assert node.listener.ready
 
     asyncio.run(main())
 
 
-def test_a_fault_on_an_alarm_does_not_stop_the_modules_clockwork(monkeypatch):
+def test_balancer_exception_on_timer_event_fires_timer_again(monkeypatch):
     async def main():
         monkeypatch.setattr(driver_module, "TIMER_RETRY_DELAY_S", 0.01)
 
         def act(event):
-            if isinstance(event, TimerFired) and len(scripted.of(TimerFired)) == 1:
+            if isinstance(event, TimerFired) and len(scripted.events_of(TimerFired)) == 1:
                 raise RuntimeError("broken")
             return []
 
-        async with running(Peer()) as node:
-            node.driver.balancer = scripted = Scripted(act)
-            node.driver._carry_out(SetTimer(1.0, "tick"))
-            await until(
-                lambda: len([event for event in scripted.of(TimerFired) if event.name == "tick"]) == 2
+        async with running_node(StubServer()) as node:
+            node.driver.balancer = scripted = ScriptedBalancer(act)
+            node.driver._execute(SetTimer(1.0, "tick"))
+            await wait_until(
+                lambda: len([event for event in scripted.events_of(TimerFired) if event.name == "tick"]) == 2
             )
 
     asyncio.run(main())
 
 
-def test_a_request_that_the_module_forgets_is_answered_at_its_deadline():
+def test_request_ignored_by_balancer_gets_504_at_deadline():
     async def main():
-        async with running(Peer()) as node:
-            node.driver.balancer = scripted = Scripted()
-            assert (await ask(node, request(Req_Deadline_Ms="200"))).status == 504
-            assert [event.id for event in scripted.of(RequestCancelled)] == ["q1"]
+        async with running_node(StubServer()) as node:
+            node.driver.balancer = scripted = ScriptedBalancer()
+            assert (await exchange(node, request(Req_Deadline_Ms="200"))).status == 504
+            assert [event.id for event in scripted.events_of(RequestCancelled)] == ["q1"]
 
     asyncio.run(main())
 
 
-def test_an_attempt_ends_before_the_deadline_whatever_time_out_it_was_given():
+def test_attempt_timeout_is_capped_by_request_deadline():
     async def main():
-        async with running(Held()) as node:
+        async with running_node(BlockedServer()) as node:
 
             def act(event):
                 if isinstance(event, Request):
                     return [Send(event.id, "s0", 60_000.0)]
                 return [Fail(event.id)] if isinstance(event, AttemptOutcome) else []
 
-            node.driver.balancer = scripted = Scripted(act)
-            assert (await ask(node, request(Req_Deadline_Ms="300"))).status == 504
-            # The module's answer to its time-out came first, not the node's own.
-            assert [event.result for event in scripted.of(AttemptOutcome)] == [AttemptResult.TIMEOUT]
-            assert not scripted.of(RequestCancelled)
+            node.driver.balancer = scripted = ScriptedBalancer(act)
+            assert (await exchange(node, request(Req_Deadline_Ms="300"))).status == 504
+            # The balancer's timeout of the attempt came first, not the node's timeout of the request.
+            assert [event.result for event in scripted.events_of(AttemptOutcome)] == [AttemptResult.TIMEOUT]
+            assert not scripted.events_of(RequestCancelled)
 
     asyncio.run(main())
 
@@ -290,31 +294,31 @@
         (request(Req_Deadline_Ms="-5"), 400),
         (request(X_Long="y" * 20_000), 400),
         (b"GET /read/1 HTTP/1.1\r\nX-Endless: " + b"y" * 200_000, 400),
-        (request("move"), 400),  # no key
+        (request("move"), 400),  # no idempotency key
         (request("other"), 404),
         (b"GET / HTTP/1.1\r\nReq-Id: q\r\n\r\n", 404),
         (request().replace(b"GET", b"POST"), 405),
         (b"POST /post/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: %d\r\n\r\n" % TOO_LONG, 413),
     ],
 )
-def test_bad_callers_are_answered_and_never_reach_the_module(data, status):
+def test_invalid_request_is_rejected_before_balancer(data, status):
     async def main():
-        async with running(Peer()) as node:
-            node.driver.balancer = scripted = Scripted()
-            assert (await ask(node, data)).status == status
-            assert not scripted.of(Request)
+        async with running_node(StubServer()) as node:
+            node.driver.balancer = scripted = ScriptedBalancer()
+            assert (await exchange(node, data)).status == status
+            assert not scripted.events_of(Request)
             assert not node.request_registry.active
 
     asyncio.run(main())
 
 
-def test_a_body_of_64_kib_passes_in_both_forms():
+def test_plain_64_kib_body_and_chunked_body_are_forwarded():
     async def main():
-        server = Peer()
-        async with running(server) as node:
-            assert (await ask(node, request("post", "q1", b"x" * 65536))).status == 200
+        server = StubServer()
+        async with running_node(server) as node:
+            assert (await exchange(node, request("post", "q1", b"x" * 65536))).status == 200
             chunked = b"POST /post/1 HTTP/1.1\r\nReq-Id: q2\r\nTransfer-Encoding: chunked\r\n\r\n"
-            assert (await ask(node, chunked + b"3\r\nabc\r\n0\r\n\r\n")).status == 200
+            assert (await exchange(node, chunked + b"3\r\nabc\r\n0\r\n\r\n")).status == 200
             assert [len(message.body) for message in server.seen] == [65536, 3]
 
     asyncio.run(main())
@@ -330,26 +334,26 @@
         (b"http://service.internal?x=1", None),
     ],
 )
-def test_a_target_may_be_absolute_and_a_server_sees_its_path_and_query(target, expected):
+def test_absolute_target_is_forwarded_as_path_and_query(target, expected):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             data = b"POST " + target + b" HTTP/1.1\r\nHost: x\r\nReq-Id: q1\r\nContent-Length: 0\r\n\r\n"
-            answer = await ask(node, data)
-            assert answer.status == (200 if expected else 404)
-            assert [message.first[1] for message in server.seen] == ([expected] if expected else [])
-            assert (await ask(node, b"GET http://x/up HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200
+            response = await exchange(node, data)
+            assert response.status == (200 if expected else 404)
+            assert [message.start_line[1] for message in server.seen] == ([expected] if expected else [])
+            assert (await exchange(node, b"GET http://x/up HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200
 
     asyncio.run(main())
 
 
-def test_trailers_and_chunk_extensions_change_nothing():
+def test_trailers_and_chunk_extensions_are_ignored():
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             head = b"POST /post/1 HTTP/1.1\r\nReq-Id: q1\r\nTransfer-Encoding: chunked\r\n\r\n"
             body = b"7530;note=1\r\n" + b"x" * 30_000 + b"\r\n0\r\nReq-Id: other\r\nX-Sum: 1\r\n\r\n"
-            assert (await ask(node, head + body)).status == 200
+            assert (await exchange(node, head + body)).status == 200
             (seen,) = server.seen
             assert seen.headers["req-id"] == "q1"
             assert len(seen.body) == 30_000
@@ -357,12 +361,12 @@
     asyncio.run(main())
 
 
-def test_headers_named_by_connection_stay_on_this_side_but_for_those_a_server_needs():
+def test_headers_listed_in_connection_are_dropped_except_request_id():
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             more = {"Connection": "keep-alive, X-Hop, req-id", "X-Hop": "1", "X-End": "2"}
-            assert (await ask(node, request("post", "q1", **more))).status == 200
+            assert (await exchange(node, request("post", "q1", **more))).status == 200
             (seen,) = server.seen
             assert "x-hop" not in seen.headers
             assert (seen.headers["x-end"], seen.headers["req-id"]) == ("2", "q1")
@@ -370,13 +374,13 @@
     asyncio.run(main())
 
 
-def test_the_same_id_twice_at_once_is_not_sent_twice():
+def test_duplicate_id_in_flight_is_rejected():
     async def main():
-        server = Held()
-        async with running(server) as node:
-            first = asyncio.create_task(ask(node, request("post", "q1")))
-            await until(lambda: server.seen)
-            assert (await ask(node, request("post", "q1"))).status == 400
+        server = BlockedServer()
+        async with running_node(server) as node:
+            first = asyncio.create_task(exchange(node, request("post", "q1")))
+            await wait_until(lambda: server.seen)
+            assert (await exchange(node, request("post", "q1"))).status == 400
             server.release.set()
             assert (await first).status == 200
             assert len(server.seen) == 1
@@ -384,39 +388,41 @@
     asyncio.run(main())
 
 
-def test_requests_that_come_at_once_are_answered_in_turn():
+def test_pipelined_requests_get_responses_in_order():
     async def main():
-        async with running(Peer(lambda message: asyncio.sleep(0, reply(200, message.body)))) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(b"".join(request("post", f"q{at}", b"%d" % at) for at in range(5)))
-            assert [(await caller.answer()).body for _ in range(5)] == [b"0", b"1", b"2", b"3", b"4"]
-            assert (await caller.ask(request("post", "q9", b"9"))).body == b"9"
-            caller.writer.close()
+        async with running_node(
+            StubServer(lambda message: asyncio.sleep(0, http_response(200, message.body)))
+        ) as node:
+            client = await Client.connect(node)
+            client.writer.write(b"".join(request("post", f"q{at}", b"%d" % at) for at in range(5)))
+            assert [(await client.read_response()).body for _ in range(5)] == [b"0", b"1", b"2", b"3", b"4"]
+            assert (await client.exchange(request("post", "q9", b"9"))).body == b"9"
+            client.writer.close()
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("said", [b"", b"\r\n", b"GET /read/1 HTT", request("post", "q1", b"whole")[:-1]])
-def test_a_peer_that_sends_no_whole_request_is_answered_or_closed_within_3_s(said):
+@pytest.mark.parametrize("data", [b"", b"\r\n", b"GET /read/1 HTT", request("post", "q1", b"whole")[:-1]])
+def test_incomplete_request_gets_408_or_close_within_3_s(data):
     async def main():
-        async with running(Peer()) as node:
-            begun = node.loop.time()
-            caller = await Caller.to(node)
-            await until(lambda: node.listener.connections)
+        async with running_node(StubServer()) as node:
+            start = node.loop.time()
+            client = await Client.connect(node)
+            await wait_until(lambda: node.listener.connections)
             connection = next(iter(node.listener.connections))
             opened = connection.last_activity_at
-            caller.writer.write(said)
-            await until(
-                lambda: not said or connection.last_activity_at > opened
-            )  # what was sent has been read
-            node.listener.expire(begun + HEAD_TIMEOUT_S)  # not due yet
+            client.writer.write(data)
+            await wait_until(
+                lambda: not data or connection.last_activity_at > opened
+            )  # the node has read the data
+            node.listener.expire(start + HEAD_TIMEOUT_S)  # not due yet
             assert node.listener.expired == 0
             assert HEAD_TIMEOUT_S + BODY_GRACE_S + SWEEP_INTERVAL_S < 3.0
             node.listener.expire(node.loop.time() + HEAD_TIMEOUT_S)
-            answer = await caller.reader.read()
-            assert answer == b"" or answer.startswith(b"HTTP/1.1 408 ")
+            response = await client.reader.read()
+            assert response == b"" or response.startswith(b"HTTP/1.1 408 ")
             assert node.listener.expired == 1
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
@@ -425,22 +431,22 @@
     ("head_s", "size", "after_s", "cut_off"),
     [
         (2.0, 0, 0.2, False),  # a slow head
-        (2.0, 60_000, 0.9, False),  # and then a slow body: 64 kB a second
+        (2.0, 60_000, 0.9, False),  # then a slow body: 64 kB per second
         (2.0, 10_000, 0.9, True),
-        (0.0, 100, 2.0, False),  # before a head need be whole nothing is overdue
+        (0.0, 100, 2.0, False),  # within HEAD_TIMEOUT_S no minimum rate applies
         (0.0, 100, 2.4, True),
         (0.0, 65_000, 1.9, False),
     ],
 )
-def test_a_slow_head_and_a_slow_body_are_each_given_their_time(head_s, size, after_s, cut_off):
+def test_slow_head_and_slow_body_have_separate_timeouts(head_s, size, after_s, cut_off):
     async def main():
-        async with running(Peer()) as node:
-            caller = await Caller.to(node)
-            await until(lambda: node.listener.connections)
+        async with running_node(StubServer()) as node:
+            client = await Client.connect(node)
+            await wait_until(lambda: node.listener.connections)
             (connection,) = node.listener.connections
             data = request("post", "q1", b"x" * 65_536)
-            caller.writer.write(data[: len(data) - 65_536 + size])
-            await until(
+            client.writer.write(data[: len(data) - 65_536 + size])
+            await wait_until(
                 lambda: connection._parser.state is ReceiveState.BODY and connection._parser.size == size
             )
             connection._parser.head_received_at = connection._parser.started_at + head_s
@@ -448,36 +454,36 @@
             node.listener.expire(now)
             assert node.listener.expired == cut_off
             assert size / after_s < MIN_BODY_BYTES_PER_S or not cut_off
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_a_caller_between_requests_or_waiting_for_its_answer_is_not_closed_for_want_of_one():
+def test_idle_or_waiting_client_connection_does_not_expire():
     async def main():
-        server = Held()
-        async with running(server) as node:
-            caller = await Caller.to(node)
-            caller.writer.write(request(name="q1"))
-            await until(lambda: server.seen)
+        server = BlockedServer()
+        async with running_node(server) as node:
+            client = await Client.connect(node)
+            client.writer.write(request(name="q1"))
+            await wait_until(lambda: server.seen)
             node.listener.expire(node.loop.time() + 60.0)
             server.release.set()
-            assert (await caller.answer()).status == 200
+            assert (await client.read_response()).status == 200
             node.listener.expire(node.loop.time() + 60.0)
-            assert (await caller.ask(request(name="q2"))).status == 200
+            assert (await client.exchange(request(name="q2"))).status == 200
             assert node.listener.expired == 0
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_more_open_requests_than_allowed_are_refused_at_once():
+def test_request_over_max_open_is_rejected():
     async def main():
-        server = Held()
-        async with running(server, bounds={"maxOpen": 1}) as node:
-            first = asyncio.create_task(ask(node, request(name="q1")))
-            await until(lambda: server.seen)
-            assert (await ask(node, request(name="q2"))).status == 503
+        server = BlockedServer()
+        async with running_node(server, bounds={"maxOpen": 1}) as node:
+            first = asyncio.create_task(exchange(node, request(name="q1")))
+            await wait_until(lambda: server.seen)
+            assert (await exchange(node, request(name="q2"))).status == 503
             server.release.set()
             assert (await first).status == 200
             assert len(server.seen) == 1
@@ -485,24 +491,27 @@
     asyncio.run(main())
 
 
-def test_a_flood_of_connections_stays_within_its_share_and_all_are_taken():
+def test_many_connections_stay_within_limit_and_all_are_accepted():
     async def main():
-        async with running(Peer(), limits={"sockets": 132}) as node:
-            callers = [await Caller.to(node) for _ in range(200)]
-            await until(lambda: len(node.listener.connections) <= node.listener.request_limit)
+        async with running_node(StubServer(), limits={"sockets": 132}) as node:
+            clients = [await Client.connect(node) for _ in range(200)]
+            await wait_until(lambda: len(node.listener.connections) <= node.listener.request_limit)
             assert node.listener.request_limit == 45
-            assert (await callers[-1].ask(request())).status == 200
-            for caller in callers:
-                caller.writer.close()
+            assert (await clients[-1].exchange(request())).status == 200
+            for client in clients:
+                client.writer.close()
 
     asyncio.run(main())
 
 
-def test_a_burst_of_connections_stays_within_the_descriptors_while_it_is_taken_in():
+def test_burst_of_connections_stays_within_descriptor_limit():
     async def main():
-        async with running(Peer(), limits={"sockets": 132}) as node, contextlib.AsyncExitStack() as stack:
+        async with (
+            running_node(StubServer(), limits={"sockets": 132}) as node,
+            contextlib.AsyncExitStack() as stack,
+        ):
             before = len(os.listdir("/proc/self/fd"))
-            # All are in the kernel's queue before the node has a turn.
+            # All wait in the kernel's accept queue before the node's event loop runs.
             burst = [stack.enter_context(socket.create_connection(node.listener.address)) for _ in range(200)]
             burst[-1].sendall(request())
             peak = 0
@@ -516,43 +525,43 @@
     asyncio.run(main())
 
 
-def test_busy_connections_over_the_limit_are_refused_at_once_and_closed():
+def test_connection_over_limit_of_busy_ones_gets_503_and_close():
     async def main():
-        async with running(Peer(), limits={"sockets": 132}) as node:
-            node.driver.balancer = scripted = Scripted()  # holds every request
-            callers = [await Caller.to(node) for _ in range(node.listener.request_limit)]
-            for at, caller in enumerate(callers):
-                caller.writer.write(request(name=f"q{at}"))
-            await until(lambda: node.request_registry.unanswered == len(callers))
-            late = await ask(node, request(name="late"))
+        async with running_node(StubServer(), limits={"sockets": 132}) as node:
+            node.driver.balancer = scripted = ScriptedBalancer()  # leaves every request in flight
+            clients = [await Client.connect(node) for _ in range(node.listener.request_limit)]
+            for at, client in enumerate(clients):
+                client.writer.write(request(name=f"q{at}"))
+            await wait_until(lambda: node.request_registry.unanswered == len(clients))
+            late = await exchange(node, request(name="late"))
             assert (late.status, late.headers["connection"]) == (503, "close")
-            assert len(scripted.of(Request)) == len(callers)
-            await until(lambda: len(node.listener.connections) == len(callers))
-            for at, caller in enumerate(callers):
-                node.driver._carry_out(Reject(f"q{at}"))
-                assert (await caller.answer()).status == 503
-                caller.writer.close()
+            assert len(scripted.events_of(Request)) == len(clients)
+            await wait_until(lambda: len(node.listener.connections) == len(clients))
+            for at, client in enumerate(clients):
+                node.driver._execute(Reject(f"q{at}"))
+                assert (await client.read_response()).status == 503
+                client.writer.close()
 
     asyncio.run(main())
 
 
-def test_the_list_reaches_the_module_as_cached_full_delta_and_failed():
+def test_list_updates_reach_balancer_as_full_delta_and_failed():
     async def main():
-        server = Peer()
+        server = StubServer()
         await server.start()
         discovery = Discovery(
-            listing(5, True, s1=(server.endpoint, "Ready")),
-            listing(6, False, s1=(server.endpoint, "Terminating"), s2=(server.endpoint, "Ready")),
-            reply(503),
+            list_response(5, True, s1=(server.endpoint, "Ready")),
+            list_response(6, False, s1=(server.endpoint, "Terminating"), s2=(server.endpoint, "Ready")),
+            http_response(503),
         )
-        async with running(Peer(), discovery=discovery) as node:
-            node.driver.balancer = scripted = Scripted()
-            # The module's first act, on the known list, was to ask for a watch.
-            await until(lambda: len(scripted.of(EndpointListUpdate)) == 3)
-            forms = [event.kind for event in scripted.of(EndpointListUpdate)]
-            assert forms == [EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED]
+        async with running_node(StubServer(), discovery=discovery) as node:
+            node.driver.balancer = scripted = ScriptedBalancer()
+            # On the initial list, the balancer has already requested a watch.
+            await wait_until(lambda: len(scripted.events_of(EndpointListUpdate)) == 3)
+            kinds = [event.kind for event in scripted.events_of(EndpointListUpdate)]
+            assert kinds == [EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED]
             assert set(node.pool._endpoints) == {"s2"}
-            queries = [message.first[1] for message in discovery.seen]
+            queries = [message.start_line[1] for message in discovery.seen]
             assert [query.split("?")[1].split("&")[0] for query in queries] == [
                 "since=1",
                 "since=5",
@@ -564,88 +573,98 @@
     asyncio.run(main())
 
 
-def test_the_known_list_comes_first_and_as_cached():
+def test_initial_list_reaches_balancer_first_and_as_cached():
     async def main():
-        async with running(Peer()) as node:
-            node.driver.balancer = scripted = Scripted()
+        async with running_node(StubServer()) as node:
+            node.driver.balancer = scripted = ScriptedBalancer()
             await node.start()
-            assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.CACHED]
-            assert scripted.events[0].endpoints[0].launched_ms is None  # 0 means long ago
+            assert [event.kind for event in scripted.events_of(EndpointListUpdate)] == [
+                EndpointListKind.CACHED
+            ]
+            assert scripted.events[0].endpoints[0].launched_ms is None  # boot_ms 0 means launched long ago
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize(
-    "news",
+    "response",
     [
-        reply(500),
-        reply(200, b"{"),
-        reply(200, b"[]"),
-        reply(200, b'{"rev":2,"all":true,"targets":[{"uid":"x"}]}'),
-        reply(200, b'{"rev":2,"all":true,"targets":[{"uid":"x","endpoint":"nowhere","state":"Ready"}]}'),
-        reply(200, b'{"rev":2,"all":true,"targets":[{"uid":"x","endpoint":"127.0.0.1:1","state":"Odd"}]}'),
+        http_response(500),
+        http_response(200, b"{"),
+        http_response(200, b"[]"),
+        http_response(200, b'{"rev":2,"all":true,"targets":[{"uid":"x"}]}'),
+        http_response(
+            200, b'{"rev":2,"all":true,"targets":[{"uid":"x","endpoint":"nowhere","state":"Ready"}]}'
+        ),
+        http_response(
+            200, b'{"rev":2,"all":true,"targets":[{"uid":"x","endpoint":"127.0.0.1:1","state":"Odd"}]}'
+        ),
         None,
     ],
 )
-def test_any_bad_discovery_call_is_a_failure_and_keeps_the_list(news, caplog):
-    async def main():
-        discovery = Discovery(news)
-        async with running(Peer(), discovery=discovery) as node:
-            node.driver.balancer = scripted = Scripted()  # asks for no watch
-            await until(lambda: scripted.of(EndpointListUpdate))
-            assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.FAILED]
+def test_failed_or_malformed_discovery_response_keeps_last_list(response, caplog):
+    async def main():
+        discovery = Discovery(response)
+        async with running_node(StubServer(), discovery=discovery) as node:
+            node.driver.balancer = scripted = ScriptedBalancer()  # requests no watch
+            await wait_until(lambda: scripted.events_of(EndpointListUpdate))
+            assert [event.kind for event in scripted.events_of(EndpointListUpdate)] == [
+                EndpointListKind.FAILED
+            ]
             assert (set(node.pool._endpoints), node.listener.ready) == ({"s0"}, True)
             assert "the last list stays in use" in caplog.text
-            await until(lambda: len(discovery.seen) == 2)  # whatever the module does
+            await wait_until(lambda: len(discovery.seen) == 2)  # regardless of the balancer
 
     asyncio.run(main())
 
 
-def test_a_list_larger_than_any_may_be_is_a_failure_and_keeps_the_list(monkeypatch, caplog):
+def test_oversized_list_is_a_failure_and_keeps_last_list(monkeypatch, caplog):
     async def main():
         monkeypatch.setattr("loadbalancer.node.discovery.client.MAX_LIST_BYTES", 400)
-        huge = listing(2, True, **{f"s{n}": (f"127.0.0.1:{1000 + n}", "Ready") for n in range(20)})
-        async with running(Peer(), discovery=Discovery(huge)) as node:
-            node.driver.balancer = scripted = Scripted()
-            await until(lambda: scripted.of(EndpointListUpdate))
-            assert [event.kind for event in scripted.of(EndpointListUpdate)] == [EndpointListKind.FAILED]
+        huge = list_response(2, True, **{f"s{n}": (f"127.0.0.1:{1000 + n}", "Ready") for n in range(20)})
+        async with running_node(StubServer(), discovery=Discovery(huge)) as node:
+            node.driver.balancer = scripted = ScriptedBalancer()
+            await wait_until(lambda: scripted.events_of(EndpointListUpdate))
+            assert [event.kind for event in scripted.events_of(EndpointListUpdate)] == [
+                EndpointListKind.FAILED
+            ]
             assert set(node.pool._endpoints) == {"s0"}
             assert "the last list stays in use" in caplog.text
 
     asyncio.run(main())
 
 
-def test_a_hung_discovery_call_fails_and_the_module_asks_again(monkeypatch):
+def test_discovery_poll_times_out_and_is_repeated(monkeypatch):
     async def main():
         monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.RESPONSE_TIMEOUT_S", 0.05)
         discovery = Discovery()
-        async with running(
-            Peer(), discovery=discovery, settings={"invariants": {"askWithinMs": 100.0}}
+        async with running_node(
+            StubServer(), discovery=discovery, settings={"invariants": {"askWithinMs": 100.0}}
         ) as node:
-            await until(lambda: len(discovery.seen) >= 2)
-            assert discovery.seen[0].first[1].endswith("&timeout_ms=50")
+            await wait_until(lambda: len(discovery.seen) >= 2)
+            assert discovery.seen[0].start_line[1].endswith("&timeout_ms=50")
             assert node.event_counts["list failed"] >= 1
 
     asyncio.run(main())
 
 
-def test_a_pushed_list_is_followed_unasked_and_through_failures(monkeypatch):
+def test_pushed_list_is_applied_after_failed_poll(monkeypatch):
     async def main():
         monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
-        discovery = Discovery(reply(503), listing(5, True, s9=("127.0.0.1:9", "Ready")))
-        async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: set(node.pool._endpoints) == {"s9"})
+        discovery = Discovery(http_response(503), list_response(5, True, s9=("127.0.0.1:9", "Ready")))
+        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+            await wait_until(lambda: set(node.pool._endpoints) == {"s9"})
             assert set(node.driver.balancer.endpoints) == {"s9"}
 
     asyncio.run(main())
 
 
-def waits(discovery):
-    return [int(message.first[1].rpartition("=")[2]) for message in discovery.seen]
+def requested_waits_ms(discovery):
+    return [int(message.start_line[1].rpartition("=")[2]) for message in discovery.seen]
 
 
-class Deaf(Discovery):
-    """Stays silent on its first call."""
+class SilentAtFirst(Discovery):
+    """A stub of discovery that never responds to its first poll."""
 
     async def _next(self, message):
         if len(self.seen) == 1:
@@ -653,70 +672,70 @@
         return await super()._next(message)
 
 
-def test_a_pushed_list_that_is_silent_from_the_start_is_asked_again_at_once(monkeypatch):
-    """Guard: what an agent has counts as told from a process's first moment; its silence showed after 6 s."""
+def test_first_poll_without_response_is_repeated_quickly(monkeypatch):
+    """Guards against a long first poll: an agent that didn't respond to it was noticed only after 6 s."""
     monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.RESPONSE_TIMEOUT_S", 0.05)
     monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
 
     async def main():
-        discovery = Deaf(listing(5, True, s9=("127.0.0.1:9", "Ready")), reply(503))
-        async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: set(node.pool._endpoints) == {"s9"})
-            await until(lambda: len(discovery.seen) == 4)
-            assert waits(discovery) == [50, 50, 2750, 50]  # long only while discovery is heard
+        discovery = SilentAtFirst(list_response(5, True, s9=("127.0.0.1:9", "Ready")), http_response(503))
+        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+            await wait_until(lambda: set(node.pool._endpoints) == {"s9"})
+            await wait_until(lambda: len(discovery.seen) == 4)
+            assert requested_waits_ms(discovery) == [50, 50, 2750, 50]  # a long poll only after a response
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
-def test_a_discovery_moved_to_is_asked_at_once_whatever_became_of_the_old_one(mode):
-    """Guard: its news counts as told 4 s after SIGHUP, and a call could be 4 s off or silent for 6 s."""
+def test_new_discovery_address_is_polled_at_once_after_failures_of_old_one(mode):
+    """Guards against a late list: it must arrive 4 s after SIGHUP; a backoff took 4 s, a silent poll 6 s."""
 
     async def main():
-        elsewhere, gone = Discovery(listing(6, True, s6=("127.0.0.1:6", "Ready"))), Discovery(None)
-        await elsewhere.start()
-        async with running(Peer(), discovery=gone, settings={"registryMode": mode}) as node:
-            await until(lambda: node.event_counts["list failed"])
-            node.balancer = Scripted()  # asks for no watch of its own
-            node.watcher.change_address(parse_address(elsewhere.endpoint))
-            await until(lambda: "s6" in node.pool._endpoints and len(elsewhere.seen) == 2)
-            assert waits(elsewhere) == [50, 2750]
-        elsewhere.stop()
+        new, old = Discovery(list_response(6, True, s6=("127.0.0.1:6", "Ready"))), Discovery(None)
+        await new.start()
+        async with running_node(StubServer(), discovery=old, settings={"registryMode": mode}) as node:
+            await wait_until(lambda: node.event_counts["list failed"])
+            node.balancer = ScriptedBalancer()  # requests no watch itself
+            node.watcher.change_address(parse_address(new.endpoint))
+            await wait_until(lambda: "s6" in node.pool._endpoints and len(new.seen) == 2)
+            assert requested_waits_ms(new) == [50, 2750]
+        new.stop()
 
     asyncio.run(main())
 
 
-def test_a_stale_list_is_a_failure_and_the_newer_one_holds(monkeypatch, caplog):
+def test_stale_list_is_a_failure_and_newer_list_stays(monkeypatch, caplog):
     async def main():
         monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
         discovery = Discovery(
-            listing(5, True, s5=("127.0.0.1:5", "Ready")),
-            listing(3, True, s3=("127.0.0.1:3", "Ready")),
-            listing(4, False, s5=("127.0.0.1:5", "Gone")),
-            listing(6, False, s6=("127.0.0.1:6", "Ready")),
+            list_response(5, True, s5=("127.0.0.1:5", "Ready")),
+            list_response(3, True, s3=("127.0.0.1:3", "Ready")),
+            list_response(4, False, s5=("127.0.0.1:5", "Gone")),
+            list_response(6, False, s6=("127.0.0.1:6", "Ready")),
         )
-        async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: "s6" in node.pool._endpoints)
+        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+            await wait_until(lambda: "s6" in node.pool._endpoints)
             assert set(node.pool._endpoints) == set(node.driver.balancer.endpoints) == {"s5", "s6"}
             assert node.event_counts["list failed"] == 2
             assert caplog.text.count("stale list, revision 3 after 5") == 1
-            assert caplog.text.count("the last list stays in use") == 1  # once for the stretch
+            assert caplog.text.count("the last list stays in use") == 1  # once per series of failures
 
     asyncio.run(main())
 
 
-def test_a_rebuilt_discovery_counting_again_is_taken_once_it_has_said_so_long_enough(monkeypatch, caplog):
+def test_restarted_revisions_are_accepted_after_hold_time(monkeypatch, caplog):
     async def main():
         monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
         monkeypatch.setattr("loadbalancer.node.discovery.revision_guard.REBUILD_HOLD_S", 0.0)
         discovery = Discovery(
-            listing(50, True, s5=("127.0.0.1:5", "Ready")),
-            listing(2, True, s2=("127.0.0.1:2", "Ready")),
-            listing(3, True, s2=("127.0.0.1:2", "Ready"), s3=("127.0.0.1:3", "Ready")),
-            listing(4, False, s4=("127.0.0.1:4", "Ready")),
+            list_response(50, True, s5=("127.0.0.1:5", "Ready")),
+            list_response(2, True, s2=("127.0.0.1:2", "Ready")),
+            list_response(3, True, s2=("127.0.0.1:2", "Ready"), s3=("127.0.0.1:3", "Ready")),
+            list_response(4, False, s4=("127.0.0.1:4", "Ready")),
         )
-        async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: "s4" in node.pool._endpoints)
+        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+            await wait_until(lambda: "s4" in node.pool._endpoints)
             assert set(node.pool._endpoints) == {"s2", "s3", "s4"}
             assert node.event_counts["list failed"] == 1
             assert caplog.text.count("restarted its revisions (3 after 50)") == 1
@@ -724,69 +743,69 @@
     asyncio.run(main())
 
 
-def test_a_discovery_moved_to_may_count_its_versions_from_elsewhere():
+def test_lower_revisions_are_accepted_from_new_discovery_address():
     async def main():
-        elsewhere = Discovery(listing(1, True, s1=("127.0.0.1:1", "Ready")))
-        await elsewhere.start()
-        discovery = Discovery(listing(5, True, s5=("127.0.0.1:5", "Ready")))
-        async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
-            await until(lambda: "s5" in node.pool._endpoints)
-            node.watcher.change_address(parse_address(elsewhere.endpoint))
-            await until(lambda: set(node.pool._endpoints) == {"s1"})
-        elsewhere.stop()
+        new = Discovery(list_response(1, True, s1=("127.0.0.1:1", "Ready")))
+        await new.start()
+        discovery = Discovery(list_response(5, True, s5=("127.0.0.1:5", "Ready")))
+        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+            await wait_until(lambda: "s5" in node.pool._endpoints)
+            node.watcher.change_address(parse_address(new.endpoint))
+            await wait_until(lambda: set(node.pool._endpoints) == {"s1"})
+        new.stop()
 
     asyncio.run(main())
 
 
-def test_nodes_whose_discovery_failed_in_the_same_moment_ask_again_spread_out():
-    """Guard: the first watches of a whole fleet fell silent, and all of it asked again within some 10 ms."""
-    pauses = sorted(PollPolicy(5.0, 5.0, Random(seed)).record_failure() for seed in range(40))
-    assert 0.25 <= pauses[0] < 0.3
-    assert 0.45 < pauses[-1] <= 0.5
-    assert max(later - earlier for earlier, later in itertools.pairwise(pauses)) < 0.05
+def test_backoffs_after_simultaneous_poll_failures_are_spread_out():
+    """Guards against synchronized polls: after their first watches failed, all nodes polled within 10 ms."""
+    backoffs = sorted(PollPolicy(5.0, 5.0, Random(seed)).record_failure() for seed in range(40))
+    assert 0.25 <= backoffs[0] < 0.3
+    assert 0.45 < backoffs[-1] <= 0.5
+    assert max(later - earlier for earlier, later in itertools.pairwise(backoffs)) < 0.05
 
 
-def test_a_drain_moves_what_waits_to_connect_to_another_server():
+def test_draining_server_fails_attempts_that_wait_for_connection():
     async def main():
-        server = Peer()
-        async with running(server) as node:
-            node.driver.balancer = scripted = Scripted(send_to("s0", "s0"))
-            caller = await Caller.to(node)
+        server = StubServer()
+        async with running_node(server) as node:
+            node.driver.balancer = scripted = ScriptedBalancer(send_to("s0", "s0"))
+            client = await Client.connect(node)
             hold = asyncio.Event()
 
-            async def never(endpoint):
+            async def hang(endpoint):
                 await hold.wait()
 
-            node.pool.open_connection = never  # a connection that does not come up
-            caller.writer.write(request())
-            await until(lambda: node.pool.connection_count)
-            row = DiscoveryResponse(
+            node.pool.open_connection = hang  # no connection is ever established
+            client.writer.write(request())
+            await wait_until(lambda: node.pool.connection_count)
+            update = DiscoveryResponse(
                 9, False, (Endpoint("s0", state=EndpointStatus.DRAINING),), {"s0": ("", 1)}
             )
-            node.endpoint_list.apply_update(EndpointListKind.DELTA, row)
-            assert [event.result for event in scripted.of(AttemptOutcome)] == [
+            node.endpoint_list.apply_update(EndpointListKind.DELTA, update)
+            assert [event.result for event in scripted.events_of(AttemptOutcome)] == [
                 AttemptResult.CONNECT_FAILED
             ] * 2
-            assert (await caller.answer()).status == 502
+            assert (await client.read_response()).status == 502
             assert server.seen == []
-            caller.writer.close()
+            client.writer.close()
 
     asyncio.run(main())
 
 
-def test_ready_only_with_a_server_to_send_to():
+def test_node_is_ready_only_with_a_ready_server():
     async def main():
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-        discovery = Discovery(listing(5, True, s9=("127.0.0.1:9", "Ready")))
-        async with running(discovery=discovery) as node:
-            assert (await ask(node, up)).status == 503
-            await until(lambda: node.listener.ready)
-            assert (await ask(node, up)).status == 200
+        discovery = Discovery(list_response(5, True, s9=("127.0.0.1:9", "Ready")))
+        async with running_node(discovery=discovery) as node:
+            assert (await exchange(node, up)).status == 503
+            await wait_until(lambda: node.listener.ready)
+            assert (await exchange(node, up)).status == 200
 
     asyncio.run(main())
 
 
-def test_the_clock_is_unix_time_once_and_never_goes_back(monkeypatch):
+def test_clock_starts_at_unix_time_and_is_monotonic(monkeypatch):
     class Loop:
         def __init__(self):
             self.times = itertools.count(100.0, 0.5)
@@ -802,41 +821,41 @@
     assert first < second
 
 
-def test_the_seed_is_hex_text():
+def test_seed_is_parsed_as_hexadecimal():
     assert config("127.0.0.1:1").seed == 0x8C1F30D27A5BE964
 
 
-def test_a_send_whose_time_is_over_is_moot_and_touches_no_socket():
+def test_send_after_deadline_is_abandoned_without_connection():
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
 
             def act(event):
                 if isinstance(event, Request):
                     return [Send(event.id, "s0"), Send(event.id, "s0")]
                 return [Reject(event.id)] if isinstance(event, AttemptOutcome) else []
 
-            node.driver.balancer = scripted = Scripted(act)
-            assert (await ask(node, request(Req_Deadline_Ms="0"))).status == 503
-            outcomes = [(event.result, event.attempt) for event in scripted.of(AttemptOutcome)]
+            node.driver.balancer = scripted = ScriptedBalancer(act)
+            assert (await exchange(node, request(Req_Deadline_Ms="0"))).status == 503
+            outcomes = [(event.result, event.attempt) for event in scripted.events_of(AttemptOutcome)]
             assert outcomes == [(AttemptResult.ABANDONED, 0), (AttemptResult.ABANDONED, 1)]
             assert server.connections == 0
 
     asyncio.run(main())
 
 
-def test_connections_from_before_a_servers_restart_are_not_used(monkeypatch):
+def test_connections_from_before_server_restart_are_not_reused(monkeypatch):
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        server = Peer()
-        async with running(server) as node:
-            assert (await ask(node, request(name="q1"))).status == 200
+        server = StubServer()
+        async with running_node(server) as node:
+            assert (await exchange(node, request(name="q1"))).status == 200
             endpoints = {"s0": ("127.0.0.1", server.port)}
             for launched in (5.0, 5.0):
-                row = DiscoveryResponse(9, False, (Endpoint("s0", launched_ms=launched),), endpoints)
-                node.endpoint_list.apply_update(EndpointListKind.DELTA, row)
-                assert (await ask(node, request(name="q2"))).status == 200
+                update = DiscoveryResponse(9, False, (Endpoint("s0", launched_ms=launched),), endpoints)
+                node.endpoint_list.apply_update(EndpointListKind.DELTA, update)
+                assert (await exchange(node, request(name="q2"))).status == 200
             assert server.connections == 2
 
     asyncio.run(main())
--- a/tests/node/test_nodes.py
+++ b/tests/node/test_nodes.py
@@ -1,4 +1,4 @@
-"""Node processes together under faults, and the stand-in servers their tests rely on."""
+"""Several node processes under faults, and the stub servers that these tests use."""
 
 from __future__ import annotations
 
@@ -14,44 +14,46 @@
 from tests.support.stand_in_servers import Conduct, ServerPool
 
 
-def test_a_node_killed_and_one_frozen_cost_only_their_own_requests_and_repeat_none(tmp_path: Path) -> None:
+def test_killed_and_paused_nodes_lose_only_their_own_requests(tmp_path: Path) -> None:
     pool, registry = ServerPool(3, latency_ms=2.0), Registry(tmp_path, ttl_ms=60_000)
-    nodes = Nodes(tmp_path, registry, 3, known=[], row=lambda at: {"state": str(tmp_path / f"n{at}.state")})
+    nodes = Nodes(
+        tmp_path, registry, 3, known=[], row=lambda index: {"state": str(tmp_path / f"n{index}.state")}
+    )
     load = None
     try:
-        for at in range(3):
-            registry.put(f"s{at}", pool.port(at), az="a")
+        for index in range(3):
+            registry.put(f"s{index}", pool.port(index), az="a")
         nodes.start()
         for node in nodes:
-            until(lambda node=node: node.listed() == 3, what="a node's whole list")
-        assert nodes.door(0, "/status/metrics")[0] == 200
+            until(lambda node=node: node.endpoint_count() == 3, what="a node's complete list")
+        assert nodes.call_admin(0, "/status/metrics")[0] == 200
         load = Load(nodes.ports, kind="post", workers=6)
 
-        def more_from(at: int, count: int, status: int = 200) -> None:
+        def wait_for_more(index: int, count: int, status: int = 200) -> None:
             def seen() -> int:
                 return Counter((o.port, o.status) for o in list(load.outcomes.values()))[
-                    nodes[at].port, status
+                    nodes[index].port, status
                 ]
 
-            enough = seen() + count
-            until(lambda: seen() >= enough, what=f"{count} more {status} from node {at}")
+            target = seen() + count
+            until(lambda: seen() >= target, what=f"{count} more {status} from node {index}")
 
-        for at in range(3):
-            more_from(at, 20)
+        for index in range(3):
+            wait_for_more(index, 20)
         nodes.kill(2)
-        more_from(2, 1, status=0)
-        nodes.freeze(1)
-        more_from(0, 1)
+        wait_for_more(2, 1, status=0)
+        nodes.pause(1)
+        wait_for_more(0, 1)
         nodes.start(2)
-        nodes.thaw(1)
-        for at in range(3):
-            more_from(at, 20)
-        assert len(nodes[2].lines("n2.state:")) == 2  # one a start: the row's own keys reach the node
+        nodes.resume(1)
+        for index in range(3):
+            wait_for_more(index, 20)
+        assert len(nodes[2].log_lines("n2.state:")) == 2  # one per start: keys of `row` reach the node
         load.finish()
         lost = {o.port for o in load.outcomes.values() if o.status == 0}
         assert lost <= {nodes[1].port, nodes[2].port}
-        answered = {name for name, outcome in load.outcomes.items() if outcome.status == 200}
-        assert answered <= pool.reached.keys()
+        succeeded = {name for name, outcome in load.outcomes.items() if outcome.status == 200}
+        assert succeeded <= pool.reached.keys()
         assert pool.most() == 1, "a single-shot request reached servers twice"
     finally:
         if load is not None:
@@ -62,17 +64,17 @@
 
 
 @pytest.mark.parametrize(("conduct", "status"), [("answer", 200), ("fail", 500), ("drop", 0), ("hang", 0)])
-def test_a_stand_in_server_does_as_told_and_notes_the_call(conduct: Conduct, status: int) -> None:
+def test_stub_server_follows_its_conduct_and_records_the_request(conduct: Conduct, status: int) -> None:
     pool = ServerPool(2)
     connection = http.client.HTTPConnection("127.0.0.1", pool.port(1), timeout=0.2)
     try:
         pool.set(1, conduct)
         connection.request("GET", "/read/1", headers={"Req-Id": "a"})
         try:
-            found = connection.getresponse().status
+            received = connection.getresponse().status
         except (OSError, http.client.HTTPException):
-            found = 0
-        assert found == status
+            received = 0
+        assert received == status
         assert pool.reached == {"a": ["s1"]}
         assert pool.hits == {"s1": 1}
     finally:
--- a/tests/node/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -1,7 +1,7 @@
-"""Planned restarts, on the real program: what crosses SIGTERM, the drain and the process's end.
+"""Planned restarts of the real program: races of requests and disconnects with SIGTERM, drain and exit.
 
-Crossings are forced: the process is stopped, bytes, ends and signals are put in place, and it goes on, so
-that it finds all of them in one turn of its loop.
+Races are forced: SIGSTOP pauses the process, the test sends bytes, closes connections and sends signals, and
+SIGCONT resumes the process, which finds all of them in one iteration of its event loop.
 """
 
 from __future__ import annotations
@@ -23,27 +23,29 @@
 import pytest
 
 from tests.support.faults import LoopThread
-from tests.support.loopback import Message, Peer, reply, request, running, targets
-from tests.support.loopback import until as reached
+from tests.support.loopback import Message, StubServer, http_response, request, running_node, targets
+from tests.support.loopback import wait_until as wait_until_async
 from tests.support.node_processes import Node
 from tests.support.registry_processes import ROOT, until
 from tests.support.stand_in_servers import ServerPool
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-LONGEST_S = 0.3  # deadline of the short-lived class
-SHORT = [{"name": "read", "aimMs": 200.0, "giveUpMs": LONGEST_S * 1000.0, "credit": 1.0, "effect": "free"}]
+CLIENT_TIMEOUT_S = 0.3  # of the class with short deadlines
+SHORT = [
+    {"name": "read", "aimMs": 200.0, "giveUpMs": CLIENT_TIMEOUT_S * 1000.0, "credit": 1.0, "effect": "free"}
+]
 LONG = [{"name": "read", "aimMs": 5000.0, "giveUpMs": 9000.0, "credit": 1.0, "effect": "free"}]
 
 
 def connect(node: Node) -> socket.socket:
-    found = socket.create_connection(("127.0.0.1", node.port), timeout=20)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return found
+    connection = socket.create_connection(("127.0.0.1", node.port), timeout=20)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return connection
 
 
-def status(caller: socket.socket) -> int:
-    """Of the next answer on this connection; 0 where the node ended it with no whole one."""
-    with caller.makefile("rb") as reader, contextlib.suppress(ConnectionError):
+def read_status(client: socket.socket) -> int:
+    """Return the status of the next response; 0 if the node closes the connection before its end."""
+    with client.makefile("rb") as reader, contextlib.suppress(ConnectionError):
         words, length = reader.readline().split(), -1
         while line := reader.readline().strip():
             if line.startswith(b"Content-Length: "):
@@ -54,12 +56,12 @@
 
 
 @contextlib.contextmanager
-def frozen(node: Node) -> Iterator[None]:
-    """The process sees nothing of this until its end, and then all of it at once."""
+def paused(node: Node) -> Iterator[None]:
+    """Pause the process during the block, so that it sees all its effects at once afterwards."""
     assert node.process is not None
     node.send(signal.SIGSTOP)
     stat = Path(f"/proc/{node.process.pid}/stat")
-    until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T", what="the process stopped")
+    until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T", what="the paused process")
     try:
         yield
     finally:
@@ -67,8 +69,8 @@
 
 
 @contextlib.contextmanager
-def serving(folder: Path, pool: ServerPool, **row: Any) -> Iterator[Node]:
-    """A node that is ready."""
+def running_process(folder: Path, pool: ServerPool, **row: Any) -> Iterator[Node]:
+    """Run a node that serves."""
     node = Node(folder, pool.known(), **row)
     node.start()
     try:
@@ -87,94 +89,94 @@
 
 
 def draining(node: Node) -> bool:
-    """Whether a new connection is told that it is not welcome."""
-    with connect(node) as caller:
-        caller.sendall(UP)
-        return caller.recv(12) == b"HTTP/1.1 503"
+    """Return whether the node rejects a new connection with 503."""
+    with connect(node) as client:
+        client.sendall(UP)
+        return client.recv(12) == b"HTTP/1.1 503"
 
 
-def ended(node: Node) -> int:
+def exit_code(node: Node) -> int:
     assert node.process is not None
     return node.process.wait(20)
 
 
-def wait_for(moment: float) -> None:
-    """Stay until this time of the clock: what is timed is the program's end, so its clock has to go on."""
-    time.sleep(max(0.0, moment - time.monotonic()))
+def sleep_until(moment_s: float) -> None:
+    """Sleep until this monotonic time: the process under test runs on real time."""
+    time.sleep(max(0.0, moment_s - time.monotonic()))
 
 
-@pytest.mark.parametrize("count", [1, 150])  # of these, more than the loop takes in at one turn
-@pytest.mark.parametrize("after_s", [0.7, 1.2])  # past the least time, and past the last moment
-def test_what_waits_in_the_accept_queue_as_the_process_ends_is_answered(tmp_path, pool, count, after_s):
-    with serving(tmp_path, pool, settings={"categories": SHORT}) as node:
-        told = time.monotonic()
+@pytest.mark.parametrize("count", [1, 150])  # 150 is more than the event loop accepts in one iteration
+@pytest.mark.parametrize("after_s", [0.7, 1.2])  # after MIN_DRAIN_S, and after the drain's deadline
+def test_requests_in_accept_queue_at_exit_get_responses(tmp_path, pool, count, after_s):
+    with running_process(tmp_path, pool, settings={"categories": SHORT}) as node:
+        sigterm_at = time.monotonic()
         node.send(signal.SIGTERM)
         until(lambda: draining(node))
-        with contextlib.ExitStack() as stack, frozen(node):
-            callers = [stack.enter_context(connect(node)) for _ in range(count)]
-            for at, caller in enumerate(callers):
-                caller.sendall(request(name=f"q{at}"))
-            wait_for(told + after_s)
+        with contextlib.ExitStack() as stack, paused(node):
+            clients = [stack.enter_context(connect(node)) for _ in range(count)]
+            for at, client in enumerate(clients):
+                client.sendall(request(name=f"q{at}"))
+            sleep_until(sigterm_at + after_s)
             node.send(signal.SIGCONT)
-            assert [status(caller) in (200, 503, 504) for caller in callers].count(False) == 0
-        assert ended(node) == 0
-        assert not node.lines("Traceback")
+            assert [read_status(client) in (200, 503, 504) for client in clients].count(False) == 0
+        assert exit_code(node) == 0
+        assert not node.log_lines("Traceback")
 
 
-def test_a_request_that_comes_as_the_process_ends_is_answered_on_a_connection_still_open(tmp_path):
-    """Half of it lies in the node as the time ends, the rest comes then; the other is whole and unread."""
+def test_request_received_at_drain_deadline_gets_response(tmp_path):
+    """At the deadline two requests wait for a hung server, and the rest of a third, half-read one arrives."""
     servers = ServerPool(1)
     servers.set(0, "hang")
     try:
-        with serving(tmp_path, servers, settings={"categories": SHORT}) as node:
+        with running_process(tmp_path, servers, settings={"categories": SHORT}) as node:
             half, busy = connect(node), connect(node)
-            busy.sendall(request(name="held"))
+            busy.sendall(request(name="busy"))
             until(lambda: servers.hits["s0"] == 1)
-            told = time.monotonic()
+            sigterm_at = time.monotonic()
             node.send(signal.SIGTERM)
             until(lambda: draining(node))
             half.sendall(request(name="half")[:20])
             with connect(node) as late:
                 late.sendall(request(name="late"))
-                until(lambda: servers.hits["s0"] == 2)  # which have been read by then
-                with frozen(node):
-                    wait_for(told + 1.1)
+                until(lambda: servers.hits["s0"] == 2)  # both have been read by now
+                with paused(node):
+                    sleep_until(sigterm_at + 1.1)
                     half.sendall(request(name="half")[20:])
                     node.send(signal.SIGCONT)
-                    for caller in (busy, late, half):  # each has its answer, as refused or as failed
-                        assert status(caller) in (408, 503, 504)
-            assert ended(node) == 0
+                    for client in (busy, late, half):  # each is rejected or fails, with a response
+                        assert read_status(client) in (408, 503, 504)
+            assert exit_code(node) == 0
             half.close()
             busy.close()
     finally:
         servers.close()
 
 
-# ------------------------------------------------------------------------- hand-over
+# ------------------------------------------------------------------------- handover
 
 
 def start_on(node: Node, raw: socket.socket, folder: Path) -> None:
-    """Start this process on the platform's listening socket."""
+    """Start this process on the inherited listening socket `raw`, which two processes share in an upgrade."""
 
     def run(arguments: list[str], log: Path, env: dict[str, str]) -> subprocess.Popen[bytes]:
-        told = {"PROXY_ACCEPT_FD": str(raw.fileno()), "TMPDIR": str(folder), "PYTHONPATH": str(ROOT)}
+        variables = {"PROXY_ACCEPT_FD": str(raw.fileno()), "TMPDIR": str(folder), "PYTHONPATH": str(ROOT)}
         with log.open("ab") as out:
             return subprocess.Popen(
                 [sys.executable, *arguments],
                 stdout=out,
                 stderr=out,
                 cwd=folder,
-                env=dict(os.environ) | env | told,
+                env=dict(os.environ) | env | variables,
                 pass_fds=[raw.fileno()],
             )
 
     node.port = raw.getsockname()[1]
     node.row["listen"] = f"127.0.0.1:{node.port}"
     node.launch(run)
-    until(lambda: node.lines("serves on"), what=f"{node.log.name} accepting")
+    until(lambda: node.log_lines("serves on"), what=f"{node.log.name} accepting connections")
 
 
-def test_a_burst_and_sigterm_in_one_turn_of_a_hand_over_lose_no_request(tmp_path):
+def test_handover_loses_no_request_of_burst_that_races_sigterm(tmp_path):
     servers = ServerPool(1)
     raw = socket.create_server(("127.0.0.1", 0))
     old, new = (Node(tmp_path, servers.known(), settings={"categories": LONG}) for _ in range(2))
@@ -182,20 +184,20 @@
         start_on(old, raw, tmp_path)
         servers.set(0, "hang")
         with contextlib.ExitStack() as stack:
-            held = stack.enter_context(connect(old))
-            held.sendall(request(name="held"))
+            in_flight = stack.enter_context(connect(old))
+            in_flight.sendall(request(name="in-flight"))
             until(lambda: servers.hits["s0"] == 1)
-            with frozen(old):
-                callers = [stack.enter_context(connect(old)) for _ in range(150)]
-                for at, caller in enumerate(callers):
-                    caller.sendall(request(name=f"q{at}"))
+            with paused(old):
+                clients = [stack.enter_context(connect(old)) for _ in range(150)]
+                for at, client in enumerate(clients):
+                    client.sendall(request(name=f"q{at}"))
                 old.send(signal.SIGTERM)
             start_on(new, raw, tmp_path)
             servers.set(0, "answer")
-            assert status(held) == 200
-            assert [status(caller) in (200, 503) for caller in callers].count(False) == 0
-        assert ended(old) == 0
-        assert not old.lines("Traceback") + new.lines("Traceback")
+            assert read_status(in_flight) == 200
+            assert [read_status(client) in (200, 503) for client in clients].count(False) == 0
+        assert exit_code(old) == 0
+        assert not old.log_lines("Traceback") + new.log_lines("Traceback")
     finally:
         for node in (old, new):
             if node.process is not None and node.process.poll() is None:
@@ -208,63 +210,61 @@
 
 
 @pytest.mark.parametrize("twice", [False, True])
-@pytest.mark.parametrize("clients", [0, 1])
-def test_an_end_with_or_without_a_resting_client_is_orderly_however_often_it_is_asked_for(
-    tmp_path, pool, twice, clients
-):
-    with serving(tmp_path, pool) as node, contextlib.ExitStack() as stack:
-        callers = [stack.enter_context(connect(node)) for _ in range(clients)]
-        for caller in callers:
-            caller.sendall(UP)
-            assert status(caller) == 200
-        with frozen(node):
+@pytest.mark.parametrize("client_count", [0, 1])
+def test_shutdown_is_clean_with_repeated_signals_and_idle_client(tmp_path, pool, twice, client_count):
+    with running_process(tmp_path, pool) as node, contextlib.ExitStack() as stack:
+        clients = [stack.enter_context(connect(node)) for _ in range(client_count)]
+        for client in clients:
+            client.sendall(UP)
+            assert read_status(client) == 200
+        with paused(node):
             node.send(signal.SIGTERM)
-            node.send(signal.SIGHUP)  # as a new configuration may cross it
+            node.send(signal.SIGHUP)  # a reload may race SIGTERM
         if twice:
-            until(lambda: node.lines("stops"))
+            until(lambda: node.log_lines("stops"))
             node.send(signal.SIGTERM)
             node.send(signal.SIGINT)
-        assert [caller.recv(1) for caller in callers] == [b""] * clients  # an end, not a reset
-        assert ended(node) == 0
-        assert not node.lines("Traceback") + node.lines("ERROR")
+        assert [client.recv(1) for client in clients] == [b""] * client_count  # closed, not reset
+        assert exit_code(node) == 0
+        assert not node.log_lines("Traceback") + node.log_lines("ERROR")
 
 
-def test_sigterm_in_the_instant_of_the_start_is_no_crash_and_loses_nothing(tmp_path, pool):
-    """The process is stopped as soon as it listens, which is before it serves."""
+def test_sigterm_during_start_neither_crashes_nor_loses_requests(tmp_path, pool):
+    """The process is paused as soon as it listens, which is before it serves."""
     node = Node(tmp_path, pool.known(), settings={"registryMode": "push"})
     try:
         node.launch()
-        until(lambda: connected(node), what="listening")
-        with frozen(node):
-            callers = [connect(node) for _ in range(10)]
-            for at, caller in enumerate(callers):
-                caller.sendall(request(name=f"early{at}"))
+        until(lambda: can_connect(node), what="listening")
+        with paused(node):
+            clients = [connect(node) for _ in range(10)]
+            for at, client in enumerate(clients):
+                client.sendall(request(name=f"early{at}"))
             node.send(signal.SIGTERM)
-        assert [status(caller) for caller in callers] == [200] * 10
-        assert ended(node) == 0
-        assert not node.lines("Traceback")
+        assert [read_status(client) for client in clients] == [200] * 10
+        assert exit_code(node) == 0
+        assert not node.log_lines("Traceback")
     finally:
         node.kill()
 
 
-def connected(node: Node) -> bool:
+def can_connect(node: Node) -> bool:
     connect(node).close()
     return True
 
 
-def test_clients_that_send_on_every_open_connection_until_its_end_lose_nothing(tmp_path, pool):
-    """Through the drain and past it, each on its one connection, the next request with the last answer."""
-    with serving(tmp_path, pool) as node:
+def test_busy_persistent_connections_lose_no_request_in_drain(tmp_path, pool):
+    """Each client sends the next request after each response, until the node closes its connection."""
+    with running_process(tmp_path, pool) as node:
 
-        def client(at: int) -> list[int]:
+        def send_until_closed(index: int) -> list[int]:
             statuses = []
-            with connect(node) as caller, caller.makefile("rb") as reader:
+            with connect(node) as client, client.makefile("rb") as reader:
                 for number in range(100_000):
                     try:
-                        caller.sendall(request(name=f"c{at}-{number}"))
+                        client.sendall(request(name=f"c{index}-{number}"))
                         line = reader.readline()
                     except ConnectionError:
-                        return statuses  # it crossed the close between two requests
+                        return statuses  # it raced the close between two requests
                     if not line:
                         return statuses
                     statuses.append(int(line.split()[1]))
@@ -276,124 +276,127 @@
             return statuses
 
         with ThreadPoolExecutor(8) as threads:
-            clients = [threads.submit(client, at) for at in range(8)]
+            clients = [threads.submit(send_until_closed, index) for index in range(8)]
             until(lambda: sum(pool.hits.values()) > 50)
             node.send(signal.SIGTERM)
-            assert {code for done in clients for code in done.result(20)} <= {200, 503}
-        assert ended(node) == 0
-        assert not node.lines("Traceback")
+            assert {code for client in clients for code in client.result(20)} <= {200, 503}
+        assert exit_code(node) == 0
+        assert not node.log_lines("Traceback")
 
 
 # ----------------------------------------------------------------------- slow readers
 
 
-def test_an_answer_that_a_slow_caller_has_yet_to_read_is_out_before_the_process_ends(tmp_path):
-    """It is longer than the sockets between them hold, and its request's time is over meanwhile."""
+def test_slow_client_receives_complete_response_before_exit(tmp_path):
+    """The response exceeds the socket buffers, and the client reads it only after the request's deadline."""
     body = os.urandom(16 * 1024 * 1024)
     loops = LoopThread()
 
     async def script(_message: Message) -> bytes:
-        return reply(200, body)
+        return http_response(200, body)
 
-    server = Peer(script)
+    server = StubServer(script)
     port = loops.run(server.start()).port
     node = Node(tmp_path, targets(s0=(f"127.0.0.1:{port}", "Ready")), settings={"categories": SHORT})
     try:
         node.start()
-        with socket.socket() as caller:
-            caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            caller.settimeout(20)
-            caller.connect(("127.0.0.1", node.port))
-            caller.sendall(request())
-            assert caller.recv(12, socket.MSG_PEEK | socket.MSG_WAITALL) == b"HTTP/1.1 200"
-            told = time.monotonic()
+        with socket.socket() as client:
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            client.settimeout(20)
+            client.connect(("127.0.0.1", node.port))
+            client.sendall(request())
+            assert client.recv(12, socket.MSG_PEEK | socket.MSG_WAITALL) == b"HTTP/1.1 200"
+            sigterm_at = time.monotonic()
             node.send(signal.SIGTERM)
-            wait_for(told + 1.5)  # past the last moment
-            with caller.makefile("rb") as reader:
+            sleep_until(sigterm_at + 1.5)  # after the drain's deadline
+            with client.makefile("rb") as reader:
                 while reader.readline().strip():
                     pass
                 assert reader.read(len(body)) == body
-        assert ended(node) == 0
+        assert exit_code(node) == 0
     finally:
         node.kill()
         loops.call(server.stop)
         loops.close()
 
 
-# -------------------------------------------- what comes on a resting connection meanwhile
+# -------------------------------------------- idle connections in a drain
 
 
 def standby(node: Node) -> None:
-    """Asked for without waiting for the answer."""
-    with socket.create_connection(("127.0.0.1", node.door)) as door:
-        door.sendall(b"PUT /standby HTTP/1.1\r\nHost: x\r\n\r\n")
-        door.shutdown(socket.SHUT_WR)
+    """Send the request without waiting for the response."""
+    with socket.create_connection(("127.0.0.1", node.admin_port)) as connection:
+        connection.sendall(b"PUT /standby HTTP/1.1\r\nHost: x\r\n\r\n")
+        connection.shutdown(socket.SHUT_WR)
 
 
 def sigterm(node: Node) -> None:
     node.send(signal.SIGTERM)
 
 
-@pytest.mark.parametrize("leave", [standby, sigterm])
-@pytest.mark.parametrize("past_s", [0.0, 0.7])  # the instant itself, or that of the first closes after it
-def test_what_crosses_a_drain_on_resting_connections_is_answered(tmp_path, pool, leave, past_s):
-    with serving(tmp_path, pool, settings={"categories": LONG}) as node, contextlib.ExitStack() as stack:
-        whole, half, end, reset, rest = callers = [stack.enter_context(connect(node)) for _ in range(5)]
-        for caller in callers:
-            caller.sendall(UP)
-            assert status(caller) == 200
-        if past_s:
-            leave(node)
+@pytest.mark.parametrize("begin_drain", [standby, sigterm])
+@pytest.mark.parametrize("delay_s", [0.0, 0.7])  # as the drain begins, or as it closes the first connections
+def test_requests_on_idle_connections_that_race_a_drain_get_responses(tmp_path, pool, begin_drain, delay_s):
+    with (
+        running_process(tmp_path, pool, settings={"categories": LONG}) as node,
+        contextlib.ExitStack() as stack,
+    ):
+        complete, half, closed, reset, idle = clients = [stack.enter_context(connect(node)) for _ in range(5)]
+        for client in clients:
+            client.sendall(UP)
+            assert read_status(client) == 200
+        if delay_s:
+            begin_drain(node)
             until(lambda: draining(node))
-        began = time.monotonic()
-        with frozen(node):
-            if not past_s:
-                leave(node)
-            whole.sendall(request(name="whole"))
+        drain_at = time.monotonic()
+        with paused(node):
+            if not delay_s:
+                begin_drain(node)
+            complete.sendall(request(name="complete"))
             half.sendall(request(name="half")[:30])
-            end.shutdown(socket.SHUT_WR)
+            closed.shutdown(socket.SHUT_WR)
             reset.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             reset.close()
-            wait_for(began + past_s)
-        assert status(whole) == 200
+            sleep_until(drain_at + delay_s)
+        assert read_status(complete) == 200
         half.sendall(request(name="half")[30:])
-        assert status(half) == 200
-        for caller in (whole, half, end, rest):
-            assert caller.recv(1) == b""  # closed in the end, by no reset
-        if leave is sigterm:
-            assert ended(node) == 0
+        assert read_status(half) == 200
+        for client in (complete, half, closed, idle):
+            assert client.recv(1) == b""  # closed, not reset
+        if begin_drain is sigterm:
+            assert exit_code(node) == 0
         else:
-            assert node.call_door("/active", "PUT")[0] == 200
+            assert node.call_admin("/active", "PUT")[0] == 200
             until(lambda: not draining(node))
-        assert not node.lines("Traceback")
+        assert not node.log_lines("Traceback")
 
 
-def test_half_a_request_at_the_last_moment_is_refused_before_its_rest_can_be_lost(tmp_path, pool):
-    with serving(tmp_path, pool, settings={"categories": SHORT}) as node, connect(node) as caller:
-        with frozen(node):
-            caller.sendall(request(name="half")[:30])
+def test_partial_request_at_last_moment_is_rejected(tmp_path, pool):
+    with running_process(tmp_path, pool, settings={"categories": SHORT}) as node, connect(node) as client:
+        with paused(node):
+            client.sendall(request(name="half")[:30])
             node.send(signal.SIGTERM)
-        assert status(caller) == 503
-        caller.sendall(request(name="half")[30:])  # which crosses the answer
-        assert caller.recv(1) == b""
-        caller.close()
-        assert ended(node) == 0
+        assert read_status(client) == 503
+        client.sendall(request(name="half")[30:])  # races the response
+        assert client.recv(1) == b""
+        client.close()
+        assert exit_code(node) == 0
 
 
-def test_a_drain_begun_again_closes_by_one_timer():
-    """As standby, active and SIGTERM may follow each other."""
+def test_repeated_drain_runs_a_single_timer():
+    """A drain begins again if standby, active and SIGTERM follow each other."""
 
     async def main() -> None:
-        async with running(Peer()) as node:
-            looks: list[float] = []
-            due = node.listener._close_idle
-            node.listener._close_idle = lambda young_s: (looks.append(young_s), due(young_s))[1]  # type: ignore
+        async with running_node(StubServer()) as node:
+            checks: list[float] = []
+            close_idle = node.listener._close_idle
+            node.listener._close_idle = lambda young_s: (checks.append(young_s), close_idle(young_s))[1]  # type: ignore
             for young_s in (1.0, 2.0, 3.0):
                 node.listener.resume()
                 node.listener.drain(young_s, open_s=0.0)
-                seen = len(looks)
-                await reached(lambda seen=seen: len(looks) > seen + 3)  # type: ignore[misc]
-                assert set(looks[seen:]) == {young_s}
+                seen = len(checks)
+                await wait_until_async(lambda seen=seen: len(checks) > seen + 3)  # type: ignore[misc]
+                assert set(checks[seen:]) == {young_s}
             node.listener.resume()
             assert node.listener._drain_timer is None
 
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades: two processes that accept from one listening socket, which the platform holds."""
+"""Upgrades: two processes of a node accept on one listening socket, which they inherit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,15 @@
 from loadbalancer.node.config import NodeConfig
 from loadbalancer.node.listener.listener import inherited_socket
 from loadbalancer.node.node import Node
-from tests.support.loopback import Caller, Held, Peer, ask, request, running, until
+from tests.support.loopback import (
+    BlockedServer,
+    Client,
+    StubServer,
+    exchange,
+    request,
+    running_node,
+    wait_until,
+)
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -21,19 +29,19 @@
     return socket.create_server(("127.0.0.1", 0))
 
 
-def beside(node: Node, raw: socket.socket) -> NodeConfig:
-    """The configuration of a second process on the same socket."""
+def second_config(node: Node, raw: socket.socket) -> NodeConfig:
+    """Return the configuration of a second process on the same socket."""
     fields = {name: getattr(node.config, name) for name in NodeConfig.__dataclass_fields__}
     return NodeConfig(**fields | {"accept_fd": str(os.dup(raw.fileno()))})
 
 
-def test_callers_are_accepted_from_the_inherited_socket():
+def test_node_accepts_clients_on_inherited_socket():
     async def main():
         raw = listening()
-        async with running(Peer(), accept_fd=str(os.dup(raw.fileno()))) as node:
+        async with running_node(StubServer(), accept_fd=str(os.dup(raw.fileno()))) as node:
             assert node.listener.address == raw.getsockname()
-            assert (await ask(node, request())).status == 200
-        # The platform's own copy still listens once the node has gone.
+            assert (await exchange(node, request())).status == 200
+        # The test's own descriptor still listens after the node has closed.
         _, writer = await asyncio.open_connection(*raw.getsockname())
         writer.close()
         raw.close()
@@ -41,11 +49,11 @@
     asyncio.run(main())
 
 
-def test_what_is_no_listening_socket_is_a_failed_start_and_left_alone(tmp_path):
+def test_descriptor_that_is_no_listening_socket_is_rejected_and_stays_open(tmp_path):
     plain = (tmp_path / "file").open("w")
     unbound = socket.socket()
     datagrams = socket.socket(type=socket.SOCK_DGRAM)
-    wrong = [
+    invalid = [
         "5x",
         "-1",
         "99999",
@@ -54,38 +62,38 @@
         str(unbound.fileno()),
         str(datagrams.fileno()),
     ]
-    for text in wrong:
+    for text in invalid:
         with pytest.raises(OSError, match="descriptor"):
             inherited_socket(text)
-    for what in (plain, unbound, datagrams):
-        os.fstat(what.fileno())  # it has not been closed
-        what.close()
+    for resource in (plain, unbound, datagrams):
+        os.fstat(resource.fileno())  # it has not been closed
+        resource.close()
 
 
-def test_the_new_process_takes_what_comes_while_the_old_one_finishes_what_it_holds():
+def test_new_process_serves_while_old_one_finishes_requests_in_flight():
     async def main():
-        raw, server = listening(), Held()
-        async with running(server, accept_fd=str(os.dup(raw.fileno()))) as old:
-            busy, idle = await Caller.to(old), await Caller.to(old)
-            busy.writer.write(request(name="held"))
-            assert (await idle.ask(UP)).status == 200
-            await until(lambda: server.seen)
-            new = Node(beside(old, raw))
+        raw, server = listening(), BlockedServer()
+        async with running_node(server, accept_fd=str(os.dup(raw.fileno()))) as old:
+            busy, idle = await Client.connect(old), await Client.connect(old)
+            busy.writer.write(request(name="in-flight"))
+            assert (await idle.exchange(UP)).status == 200
+            await wait_until(lambda: server.seen)
+            new = Node(second_config(old, raw))
             await new.start()
             stopping = asyncio.create_task(old.stop())
-            await until(lambda: old.stopping)
-            for _ in range(20):  # the old process would say no
-                answer = await ask(new, UP)
-                assert answer.status == 200
+            await wait_until(lambda: old.stopping)
+            for _ in range(20):  # the old process would respond with 503
+                response = await exchange(new, UP)
+                assert response.status == 200
             assert not stopping.done()
-            # A kept connection may bring one more request.
-            answer = await idle.ask(UP)
-            assert answer.headers["connection"] == "close"
+            # An idle connection may carry one more request.
+            response = await idle.exchange(UP)
+            assert response.headers["connection"] == "close"
             server.release.set()
-            answer = await busy.answer()
-            assert (answer.status, answer.headers["connection"]) == (200, "close")
+            response = await busy.read_response()
+            assert (response.status, response.headers["connection"]) == (200, "close")
             await stopping
-            assert (await ask(new, request(name="after"))).status == 200
+            assert (await exchange(new, request(name="after"))).status == 200
             new.close()
         raw.close()
 
@@ -93,11 +101,11 @@
 
 
 @pytest.mark.parametrize("shared", [True, False])
-def test_idle_callers_are_let_go_later_where_a_new_process_stands_by(monkeypatch, shared):
+def test_idle_connections_stay_open_longer_if_socket_is_shared(monkeypatch, shared):
     async def main():
         raw = listening()
         more = {"accept_fd": str(os.dup(raw.fileno()))} if shared else {}
-        async with running(Peer(), **more) as node:
+        async with running_node(StubServer(), **more) as node:
             waits: list[float] = []
             monkeypatch.setattr(
                 node.listener, "drain", lambda young_s=0.0, open_s=0.0: waits.append(open_s) or None
