--- a/tests/node/upstream/test_pooled.py
+++ b/tests/node/upstream/test_pooled.py
@@ -11,7 +11,7 @@
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.http.client_connection import ClientConnection
-from tests.support.loopback import reply, until
+from tests.support.loopback import http_response, wait_until
 from tests.support.pooled import ACTS, BIG, DATA, Coming, Full, act, bed, close, heard
 
 
@@ -28,14 +28,14 @@
             assert sink.size
             sink.body.resume()  # the reader has taken that
             peer.sendall(b"x")
-            await until(lambda: sink.said == ["end"])
+            await wait_until(lambda: sink.said == ["end"])
             assert sink.size == HIGH_WATER_BYTES + 1
             (connection,) = here.idle
             assert connection._transport.is_reading()
             connection.idle_since -= 1.0
             here.send()
             assert await heard(peer) == DATA
-            peer.sendall(reply())
+            peer.sendall(http_response())
             assert await here.end(2) == [AttemptResult.OK, AttemptResult.OK]
 
     asyncio.run(main())
@@ -52,16 +52,16 @@
             peer, connection = await here.rested()
             act(peer, how, connection)
             if seen:
-                await until(lambda: not here.pool.connection_count)
+                await wait_until(lambda: not here.pool.connection_count)
             here.send()
             second = await here.accept()
             assert await heard(second) == DATA
-            second.sendall(reply())
+            second.sendall(http_response())
             assert await here.end() == [AttemptResult.OK]
             assert here.answers[0].body == b"done"
             if how in ("half", "second"):  # of the request nothing was sent here
                 assert await heard(peer) == b""
-            await until(lambda: here.pool.connection_count == 1)
+            await wait_until(lambda: here.pool.connection_count == 1)
 
     asyncio.run(main())
 
@@ -83,9 +83,9 @@
 
             here.pool.start_attempt("s", data, 20.0, lambda result, _: here.ends.append(result))
             if how == "half":
-                peer.sendall(reply())
+                peer.sendall(http_response())
             assert await here.end() == [expected]
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -100,7 +100,7 @@
             if how == "half":
                 close(peer, reset=True)
             assert await here.end() == [AttemptResult.RESET]
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -122,7 +122,7 @@
             monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
             here.send()
             assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
             if how in ("half", "second"):
                 assert await heard(here.peers[0]) == b""
 
@@ -146,7 +146,7 @@
             assert await here.end() == [
                 AttemptResult.CONNECT_FAILED if how == "remove" else AttemptResult.CANCELLED
             ]
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
             assert await heard(peer) == b""
 
     asyncio.run(main())
@@ -168,7 +168,7 @@
                 size += len(data)
             assert size < BIG
             assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -178,13 +178,13 @@
         async with bed() as here:
             here.send(data=bytes(BIG), body=Body(source := Coming()))
             peer = await here.accept()
-            await until(lambda: source.said)
+            await wait_until(lambda: source.said)
             assert source.said == ["pause"]
             size = 0
             while size < BIG and (data := await heard(peer, 1_000_000)):
                 size += len(data)
             assert size == BIG
-            await until(lambda: source.said[-1] == "resume")
+            await wait_until(lambda: source.said[-1] == "resume")
 
     asyncio.run(main())
 
@@ -198,16 +198,16 @@
             peer, connection = await here.rested()
             here.send(body=(body := Body(Coming())))
             assert await heard(peer) == DATA
-            answer = reply(200, b"stray")
+            answer = http_response(200, b"stray")
             peer.sendall(answer[:-1] if ends == "before" else answer)
-            await until(lambda: connection.last_data_at > connection.upload_progress_at or here.ends)
+            await wait_until(lambda: connection.last_data_at > connection.upload_progress_at or here.ends)
             body.feed(b"x")
             body.end()
             if ends == "before":
                 with contextlib.suppress(OSError):
                     peer.sendall(answer[-1:])
             assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -218,13 +218,13 @@
             here.send(body=(body := Body(source := Coming())))
             peer = await here.accept()
             assert await heard(peer) == DATA
-            peer.sendall(reply(503, Srv_Declined="1"))
+            peer.sendall(http_response(503, Srv_Declined="1"))
             assert await here.end() == [AttemptResult.REJECTED]
             body.feed(b"x")
             body.end()
             assert await heard(peer) == b""
             assert "abandoned" not in source.said  # another server may take it from its start
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -254,11 +254,11 @@
             peer = await here.accept()
             assert await heard(peer) == DATA
             (connection,) = here.pool._connections
-            peer.sendall(reply(500))
+            peer.sendall(http_response(500))
             act(peer, "reset", connection)
             body.feed(b"x")  # fails, and what was there to read goes with it
             body.end()
             assert await here.end() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
--- a/tests/node/upstream/test_pooled_answers.py
+++ b/tests/node/upstream/test_pooled_answers.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER_BYTES
-from tests.support.loopback import reply, until
+from tests.support.loopback import http_response, wait_until
 from tests.support.pooled import DATA, HALF, Full, act, bed, heard
 
 LENGTH = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
@@ -29,8 +29,8 @@
         (LENGTH + b"done", AttemptResult.OK, AttemptResult.OK),
         (CHUNKED + b"4\r\ndone\r\n0\r\n\r\n", AttemptResult.OK, AttemptResult.OK),
         (LENGTH + b"done" + HALF, AttemptResult.OK, AttemptResult.OK),
-        (LENGTH + b"done" + reply(500), AttemptResult.OK, AttemptResult.OK),
-        (reply(503, b"x" * 5, Srv_Declined="1"), AttemptResult.REJECTED, AttemptResult.REJECTED),
+        (LENGTH + b"done" + http_response(500), AttemptResult.OK, AttemptResult.OK),
+        (http_response(503, b"x" * 5, Srv_Declined="1"), AttemptResult.REJECTED, AttemptResult.REJECTED),
         (b"HTTP/1.1 100 Continue\r\n\r\n" + HINT * 3 + LENGTH + b"done", AttemptResult.OK, AttemptResult.OK),
         (b"HTTP/1.1 204 None\r\nContent-Length: 4\r\n\r\n", AttemptResult.ERROR, AttemptResult.ERROR),
         (b"HTTP/1.1 304 Same\r\nContent-Length: 4\r\n\r\n", AttemptResult.ERROR, AttemptResult.ERROR),
@@ -67,7 +67,7 @@
             peer.sendall(answer)
             act(peer, "reset" if reset else "end", connection)
             assert await here.end() == [at_reset if reset else at_end]
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
             assert not here.idle
 
     asyncio.run(main())
@@ -91,11 +91,11 @@
             act(peer, "reset", connection)
             assert sink.said == []
             sink.body.resume()
-            await until(lambda: sink.size == HIGH_WATER_BYTES + 2)  # what had come before the reset
+            await wait_until(lambda: sink.size == HIGH_WATER_BYTES + 2)  # what had come before the reset
             sink.body.resume()
-            await until(lambda: sink.said == ["broken"])
+            await wait_until(lambda: sink.said == ["broken"])
             assert here.ends == [AttemptResult.OK]
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -110,7 +110,7 @@
             assert await heard(peer) == DATA
             size = HIGH_WATER_BYTES + 1
             peer.sendall(CHUNKED + b"%x\r\n" % size + bytes(size - 10))
-            await until(lambda: connection._body_size == size - 10)
+            await wait_until(lambda: connection._body_size == size - 10)
             peer.sendall(bytes(10) + b"\r\nno length\r\n")
             assert await here.end() == [AttemptResult.RESET]
             assert here.pool.malformed_responses == 1
@@ -163,7 +163,7 @@
                 assert sent < 2_000_000
             else:
                 assert loop.time() - began >= 0.5
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
 
@@ -180,6 +180,6 @@
             peer.sendall(part)
             assert await here.end() == [AttemptResult.TIMEOUT]
             assert await heard(peer) == b""
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
 
     asyncio.run(main())
--- a/tests/node/upstream/test_pooled_frozen.py
+++ b/tests/node/upstream/test_pooled_frozen.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.node.test_restarts import connect, frozen
-from tests.support.loopback import reply, request
+from tests.support.loopback import http_response, request
 from tests.support.node_processes import Node
 from tests.support.pooled import ACTS, HALF, close
 from tests.support.registry_processes import until
@@ -47,7 +47,7 @@
         caller.sendall(request("post", "q1", b"one"))
         first = stack.enter_context(accept(listener))
         assert b"req-id: q1" in first.recv(1000)
-        first.sendall(reply(200, b"one!"))
+        first.sendall(http_response(200, b"one!"))
         assert answer_to(caller).endswith(b"one!")
         rested = time.monotonic() + 0.1  # longer than a connection settles
         until(lambda: time.monotonic() >= rested)
@@ -57,12 +57,12 @@
             if how in ("end", "reset"):
                 close(first, how == "reset")
             else:
-                first.sendall(HALF if how == "half" else reply(200, b"stray!"))
+                first.sendall(HALF if how == "half" else http_response(200, b"stray!"))
             if seen_first:
                 caller.sendall(request("post", "q2", b"two"))
         second = stack.enter_context(accept(listener))
         assert b"req-id: q2" in second.recv(1000)
-        second.sendall(reply(200, b"two!"))
+        second.sendall(http_response(200, b"two!"))
         got = answer_to(caller)
         assert got.startswith(b"HTTP/1.1 200 ")
         assert got.endswith(b"two!")
--- a/tests/node/upstream/test_pooled_limit.py
+++ b/tests/node/upstream/test_pooled_limit.py
@@ -14,7 +14,15 @@
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER_BYTES
 from loadbalancer.node.http.client_connection import Response
-from tests.support.loopback import Caller, Peer, never_up, reply, request, running, until
+from tests.support.loopback import (
+    Client,
+    StubServer,
+    http_response,
+    request,
+    running_node,
+    stalled_listener,
+    wait_until,
+)
 from tests.support.pooled import DATA, act, bed, heard
 
 
@@ -26,7 +34,7 @@
             here.pool.set_endpoint("other", here.listener.getsockname())
             peer, connection = await here.rested()
             act(peer, "end", connection)
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
             for name in ("other", "other"):
                 here.pool.start_attempt(
                     name, lambda wait: DATA, 20.0, lambda result, _: here.ends.append(result)
@@ -54,7 +62,7 @@
             for _ in range(2):
                 peer = await here.accept()
                 assert await heard(peer) == DATA
-                peer.sendall(reply())
+                peer.sendall(http_response())
             assert await here.end(2) == [AttemptResult.OK, AttemptResult.OK]
             assert sizes == [1, 2]
 
@@ -89,9 +97,9 @@
 
 
 GIVEN_UP = {
-    "answered": reply(200, Connection="close"),
+    "answered": http_response(200, Connection="close"),
     "unreadable": b"no answer\r\n\r\n",
-    "cut short": reply()[:-1],
+    "cut short": http_response()[:-1],
     "silent": b"",
 }
 
@@ -110,7 +118,11 @@
 
             here.pool.connect_timeout_s = 0.1 if how == "connecting" else 20.0
             timeout_s = 0.5 if how == "silent" else 20.0
-            with never_up() if how == "connecting" else contextlib.nullcontext(here.listener) as listener:
+            with (
+                stalled_listener()
+                if how == "connecting"
+                else contextlib.nullcontext(here.listener) as listener
+            ):
                 here.pool.set_endpoint("first", listener.getsockname())
                 here.pool.start_attempt("first", lambda wait: DATA, timeout_s, on_result)
                 if how != "connecting":
@@ -119,11 +131,11 @@
                     peer.sendall(GIVEN_UP[how])
                     if how == "cut short":
                         peer.close()
-                await until(lambda: ends)
+                await wait_until(lambda: ends)
             here.pool.connect_timeout_s = 20.0
             peer = await here.accept()
             assert await heard(peer) == DATA
-            peer.sendall(reply())
+            peer.sendall(http_response())
             assert await here.end() == [AttemptResult.OK]
             assert here.pool.connection_count == 1
 
@@ -139,7 +151,7 @@
     """The kernel tries again after a second, when the server's queue has room."""
 
     async def main():
-        with never_up() as listener:
+        with stalled_listener() as listener:
             listener.setblocking(False)
             async with bed() as here:
                 here.pool.set_endpoint("late", listener.getsockname())
@@ -147,12 +159,12 @@
                 attempt = here.pool.start_attempt(
                     "late", lambda wait: DATA, 20.0, lambda end, _: here.ends.append(end)
                 )
-                await until(lambda: descriptors() > before)
+                await wait_until(lambda: descriptors() > before)
                 assert here.pool.connection_count == 1
                 if not wanted:
                     attempt.cancel()
                     assert here.pool.connection_count == 0
-                    await until(lambda: descriptors() == before)
+                    await wait_until(lambda: descriptors() == before)
                     assert here.ends == [AttemptResult.CANCELLED]
                     assert not here.pool._opening
                     return
@@ -164,15 +176,15 @@
 
                 accepting = asyncio.create_task(serve())
                 with contextlib.ExitStack() as stack:
-                    await until(lambda: here.pool._connections)
+                    await wait_until(lambda: here.pool._connections)
                     local = [c._transport.get_extra_info("sockname") for c in here.pool._connections]
-                    await until(lambda: [p for p in peers if p.getpeername() in local])
+                    await wait_until(lambda: [p for p in peers if p.getpeername() in local])
                     for peer in peers:
                         stack.enter_context(peer)
                     (ours,) = [p for p in peers if p.getpeername() in local]
                     ours.setblocking(False)
                     assert await loop.sock_recv(ours, 1000) == DATA
-                    await loop.sock_sendall(ours, reply())
+                    await loop.sock_sendall(ours, http_response())
                     assert await here.end() == [AttemptResult.OK]
                     assert here.pool.connection_count == 1
                     accepting.cancel()
@@ -187,10 +199,10 @@
     """A small write that waits for an acknowledgement would go with a close over unread bytes."""
 
     async def main():
-        server = Peer()
-        async with running(server) as node:
-            caller = await Caller.to(node)
-            assert (await caller.ask(request())).status == 200
+        server = StubServer()
+        async with running_node(server) as node:
+            caller = await Client.connect(node)
+            assert (await caller.exchange(request())).status == 200
             connections = [*node.listener.connections, *node.pool._connections]
             assert len(connections) == 2
             for connection in connections:
@@ -217,7 +229,7 @@
 LONG_START = b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + bytes(HIGH_WATER_BYTES + 1)
 
 
-@pytest.mark.parametrize("answer", [reply(), LONG_START, b"no answer\r\n\r\n"])
+@pytest.mark.parametrize("answer", [http_response(), LONG_START, b"no answer\r\n\r\n"])
 def test_an_error_in_whoever_hears_an_outcome_costs_no_more_than_its_connection(answer):
     async def main():
         async with bed() as here:
@@ -231,7 +243,7 @@
             peer = await here.accept()
             assert await heard(peer) == DATA
             peer.sendall(answer)
-            await until(lambda: not here.pool.connection_count)
+            await wait_until(lambda: not here.pool.connection_count)
             assert [type(error["exception"]) for error in errors] == [RuntimeError]
             await here.rested()
 
@@ -253,7 +265,7 @@
             peer = await here.accept()
             for _ in range(3):
                 assert await heard(peer) == DATA
-                peer.sendall(reply())
+                peer.sendall(http_response())
             assert await here.end(3) == [AttemptResult.OK] * 3
             assert here.pool.connection_count == 1
 
--- a/tests/node/upstream/test_upstream.py
+++ b/tests/node/upstream/test_upstream.py
@@ -13,7 +13,14 @@
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 from loadbalancer.node.http.socket_buffer import readable
 from loadbalancer.node.upstream.pool import ConnectionPool
-from tests.support.loopback import Held, Message, Peer, never_up, reply, until
+from tests.support.loopback import (
+    BlockedServer,
+    Message,
+    StubServer,
+    http_response,
+    stalled_listener,
+    wait_until,
+)
 from tests.support.ports import free_port
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
@@ -31,25 +38,25 @@
     return await done
 
 
-def against(answer: bytes | None) -> Peer:
+def against(answer: bytes | None) -> StubServer:
     async def script(message: Message) -> bytes | None:
         return answer
 
-    return Peer(script)
+    return StubServer(script)
 
 
 @pytest.mark.parametrize(
     ("answer", "expected"),
     [
-        (reply(200), AttemptResult.OK),
-        (reply(500), AttemptResult.ERROR),
-        (reply(503, Srv_Declined="1"), AttemptResult.REJECTED),
-        (reply(504, Srv_Declined="1"), AttemptResult.REJECTED),
-        (reply(503), AttemptResult.ERROR),
-        (reply(504), AttemptResult.ERROR),
-        (reply(418), AttemptResult.ERROR),
-        (reply(200, Srv_Declined="1"), AttemptResult.OK),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200), AttemptResult.OK),
+        (http_response(200), AttemptResult.OK),
+        (http_response(500), AttemptResult.ERROR),
+        (http_response(503, Srv_Declined="1"), AttemptResult.REJECTED),
+        (http_response(504, Srv_Declined="1"), AttemptResult.REJECTED),
+        (http_response(503), AttemptResult.ERROR),
+        (http_response(504), AttemptResult.ERROR),
+        (http_response(418), AttemptResult.ERROR),
+        (http_response(200, Srv_Declined="1"), AttemptResult.OK),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + http_response(200), AttemptResult.OK),
         (None, AttemptResult.RESET),
         (b"not http at all\r\n\r\n", AttemptResult.RESET),
     ],
@@ -131,7 +138,7 @@
         servers = pool()
         servers.set_endpoint("s", server.sockets[0].getsockname())
         assert await result(servers) is expected
-        await until(lambda: not servers.connection_count)
+        await wait_until(lambda: not servers.connection_count)
         server.close()
 
     asyncio.run(main())
@@ -159,7 +166,7 @@
         servers = pool()
         servers.set_endpoint("s", address)
         assert await result(servers) is AttemptResult.CONNECT_FAILED
-        await until(lambda: not servers.connection_count)
+        await wait_until(lambda: not servers.connection_count)
 
     asyncio.run(main())
 
@@ -250,7 +257,9 @@
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("answer", [reply(200, Connection="close"), reply(200) + b"more", reply(200) * 2])
+@pytest.mark.parametrize(
+    "answer", [http_response(200, Connection="close"), http_response(200) + b"more", http_response(200) * 2]
+)
 def test_a_connection_that_closes_or_has_bytes_left_over_is_not_used_again(answer):
     async def main():
         server, servers = await against(answer).start(), pool()
@@ -268,12 +277,12 @@
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 20.0)
 
     async def main():
-        server, servers = await Peer().start(), pool(server_idle_s=100.0)
+        server, servers = await StubServer().start(), pool(server_idle_s=100.0)
         servers.set_endpoint("s", ("127.0.0.1", server.port))
         assert [await result(servers) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
         assert (server.connections, servers.connection_count) == (2, 2)
-        server._writers[0].write(reply())  # the second answer
-        await until(lambda: servers.connection_count == 1)
+        server._writers[0].write(http_response())  # the second answer
+        await wait_until(lambda: servers.connection_count == 1)
         for connection in servers._endpoints["s"].idle:
             connection.idle_since -= 20.0
         assert await result(servers) is AttemptResult.OK
@@ -288,7 +297,7 @@
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        server, servers = await Peer().start(), pool()
+        server, servers = await StubServer().start(), pool()
         servers.set_endpoint("s", ("127.0.0.1", server.port))
         await asyncio.gather(result(servers), result(servers))
         assert server.connections == 2
@@ -310,10 +319,10 @@
 
 def test_idle_connections_are_closed_by_themselves_in_time():
     async def main():
-        server, servers = await Peer().start(), pool(server_idle_s=0.1)
+        server, servers = await StubServer().start(), pool(server_idle_s=0.1)
         servers.set_endpoint("s", ("127.0.0.1", server.port))
         await result(servers)
-        await until(lambda: not servers.connection_count)
+        await wait_until(lambda: not servers.connection_count)
         servers.close()
         server.stop()
 
@@ -322,7 +331,7 @@
 
 def test_a_connection_that_never_comes_up_could_not_connect():
     async def main():
-        with never_up() as listener:
+        with stalled_listener() as listener:
             servers = pool(connect_timeout_s=0.1)
             servers.set_endpoint("s", listener.getsockname())
             assert await result(servers) is AttemptResult.CONNECT_FAILED
@@ -335,14 +344,14 @@
 
 def test_a_pool_that_retires_closes_what_is_idle_and_keeps_nothing_more():
     async def main():
-        server, servers = await Peer().start(), pool()
+        server, servers = await StubServer().start(), pool()
         servers.set_endpoint("s", ("127.0.0.1", server.port))
         assert await result(servers) is AttemptResult.OK
         assert servers.connection_count == 1
         servers.keep_no_idle()
-        await until(lambda: not servers.connection_count)
+        await wait_until(lambda: not servers.connection_count)
         assert await result(servers) is AttemptResult.OK  # what is still held may be sent on
-        await until(lambda: not servers.connection_count)
+        await wait_until(lambda: not servers.connection_count)
         server.stop()
         servers.close()
 
@@ -351,14 +360,14 @@
 
 def test_a_drain_gives_up_what_waits_to_connect_and_closes_idle_connections():
     async def main():
-        with never_up() as listener:
+        with stalled_listener() as listener:
             servers = pool()
             servers.set_endpoint("s", listener.getsockname())
             outcome = asyncio.create_task(result(servers))
-            await until(lambda: servers.connection_count)
+            await wait_until(lambda: servers.connection_count)
             servers.remove_endpoint("s")
             assert await outcome is AttemptResult.CONNECT_FAILED
-            await until(lambda: not servers.connection_count)
+            await wait_until(lambda: not servers.connection_count)
             assert servers.start_attempt("s", lambda wait: DATA, 1.0, lambda *_: None) is None
 
     asyncio.run(main())
@@ -366,11 +375,11 @@
 
 def test_what_is_out_when_its_server_drains_is_still_answered():
     async def main():
-        server, servers = Held(), pool()
+        server, servers = BlockedServer(), pool()
         await server.start()
         servers.set_endpoint("s", ("127.0.0.1", server.port))
         outcome = asyncio.create_task(result(servers))
-        await until(lambda: server.seen)
+        await wait_until(lambda: server.seen)
         servers.remove_endpoint("s")
         server.release.set()
         assert await outcome is AttemptResult.OK
@@ -383,7 +392,7 @@
 
 def test_the_pool_keeps_to_its_limit_by_closing_idle_connections_first():
     async def main():
-        quiet, busy, servers = await Peer().start(), Held(), pool(limit=2)
+        quiet, busy, servers = await StubServer().start(), BlockedServer(), pool(limit=2)
         await busy.start()
         servers.set_endpoint("s", ("127.0.0.1", quiet.port))
         assert await result(servers) is AttemptResult.OK
@@ -392,10 +401,10 @@
         for _ in range(3):
             servers.start_attempt("s2", lambda wait: DATA, 20.0, lambda result, _: ends.append(result))
         assert servers._endpoints["s"].idle == []
-        await until(lambda: ends)
+        await wait_until(lambda: ends)
         assert ends == [AttemptResult.CONNECT_FAILED]  # the third: all are busy
         busy.release.set()
-        await until(lambda: len(ends) == 3)
+        await wait_until(lambda: len(ends) == 3)
         assert ends[1:] == [AttemptResult.OK, AttemptResult.OK]
         servers.close()
         quiet.stop()
@@ -421,7 +430,7 @@
                 await asyncio.sleep(0)
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.close()
-            await until(lambda: exchange.told)
+            await wait_until(lambda: exchange.told)
             assert exchange.told == [read]
 
     asyncio.run(main())
--- a/tests/node/upstream/test_writes.py
+++ b/tests/node/upstream/test_writes.py
@@ -20,7 +20,17 @@
 from loadbalancer.node.node import Node
 from loadbalancer.node.upstream.attempt import Attempt
 from loadbalancer.node.upstream.pool import ConnectionPool
-from tests.support.loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
+from tests.support.loopback import (
+    BlockedServer,
+    Client,
+    ScriptedBalancer,
+    StubServer,
+    exchange,
+    http_response,
+    request,
+    running_node,
+    wait_until,
+)
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 LEAVINGS = ("closes", "resets", "half-closes")
@@ -68,7 +78,7 @@
 
 async def is_over(node: Node) -> None:
     """Nothing of any request is left, and its caller's connection is closed."""
-    await until(lambda: not node.request_registry.active and not node.listener.connections)
+    await wait_until(lambda: not node.request_registry.active and not node.listener.connections)
     assert node.request_registry.unanswered == 0
     assert sum(peer.in_flight for peer in node.driver.balancer.endpoints.values()) == 0.0
 
@@ -95,11 +105,11 @@
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        async with running(Peer(), bounds=can(cancel)) as node:
-            assert (await ask(node, request(name="q0"))).status == 200  # its connection is kept
+        async with running_node(StubServer(), bounds=can(cancel)) as node:
+            assert (await exchange(node, request(name="q0"))).status == 200  # its connection is kept
             client = Leaver(node, request(), how)
             client.leave()  # request and end are there before the connection is accepted
-            await until(lambda: node.event_counts["client disconnects"])
+            await wait_until(lambda: node.event_counts["client disconnects"])
             await is_over(node)
             assert node.metrics.attempts_sent == 1
             client.close()
@@ -112,13 +122,13 @@
 @pytest.mark.parametrize("how", LEAVINGS)
 def test_a_client_that_left_while_its_attempt_connects_is_not_sent_on(how, seen, cancel):
     async def main():
-        async with running(Peer(), bounds=can(cancel)) as node:
+        async with running_node(StubServer(), bounds=can(cancel)) as node:
             client = Leaver(node, request(), how)
             late = LateConnections(node, (lambda: None) if seen else client.leave)
-            await until(lambda: late.ready)
+            await wait_until(lambda: late.ready)
             if seen:
                 client.leave()
-                await until(lambda: node.event_counts["client disconnects"])
+                await wait_until(lambda: node.event_counts["client disconnects"])
             late.up.set()
             await is_over(node)
             assert (
@@ -130,7 +140,7 @@
                 1,
                 1,
             )
-            assert (await ask(node, request(name="q2"))).status == 200
+            assert (await exchange(node, request(name="q2"))).status == 200
             client.close()
 
     asyncio.run(main())
@@ -141,9 +151,9 @@
 def test_a_client_that_left_between_two_attempts_is_not_sent_on(how, cancel):
     async def main():
         async def script(message):
-            return reply(503, Srv_Declined="1")
+            return http_response(503, Srv_Declined="1")
 
-        async with running(Peer(script), Peer(script), bounds=can(cancel)) as node:
+        async with running_node(StubServer(script), StubServer(script), bounds=can(cancel)) as node:
             balancer = node.driver.balancer
             client = Leaver(node, request(), how)
 
@@ -152,8 +162,8 @@
                     client.leave()  # in the turn in which the next attempt is chosen
                 return balancer.handle(node.clock.unix_ms(), event)
 
-            node.driver.balancer = Scripted(act)
-            await until(lambda: node.event_counts["client disconnects"])
+            node.driver.balancer = ScriptedBalancer(act)
+            await wait_until(lambda: node.event_counts["client disconnects"])
             node.driver.balancer = balancer
             await is_over(node)
             assert (node.metrics.attempts_sent, node.event_counts["full"], node.event_counts["error"]) == (
@@ -171,12 +181,12 @@
 @pytest.mark.parametrize("size", [HIGH_WATER_BYTES, HIGH_WATER_BYTES + 8192])
 def test_a_client_that_left_while_its_long_body_is_not_read_is_not_sent_on(size, how, cancel):
     async def main():
-        server = Peer()
-        async with running(server, bounds=can(cancel)) as node:
+        server = StubServer()
+        async with running_node(server, bounds=can(cancel)) as node:
             data = request("post", "q1", bytes(8 * HIGH_WATER_BYTES))
             late = LateConnections(node)
             client = Leaver(node, data[: len(data) - 8 * HIGH_WATER_BYTES + size], how)
-            await until(lambda: late.ready)
+            await wait_until(lambda: late.ready)
             (connection,) = node.listener.connections
             assert connection._read_control.body_paused  # so the loop will see no end
             client.leave()
@@ -200,7 +210,7 @@
 @CANCELS
 def test_a_burst_of_clients_that_left_leaves_nothing_to_write(cancel):
     async def main():
-        async with running(Peer(), Peer(), bounds=can(cancel)) as node:
+        async with running_node(StubServer(), StubServer(), bounds=can(cancel)) as node:
             clients = [Leaver(node, request(name=f"q{at}"), LEAVINGS[at % 3]) for at in range(24)]
 
             def all_leave():
@@ -208,9 +218,9 @@
                     clients.pop().leave()
 
             late = LateConnections(node, all_leave)
-            await until(lambda: late.ready + node.event_counts["responses 503"] == 24)
+            await wait_until(lambda: late.ready + node.event_counts["responses 503"] == 24)
             late.up.set()
-            await until(lambda: not node.request_registry.active)
+            await wait_until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 0
             assert late.ready > 1
 
@@ -219,14 +229,14 @@
 
 def test_of_two_copies_the_one_that_still_connects_is_not_written_after_the_answer():
     async def main():
-        async with running(Peer(), Peer(), bounds=can(False)) as node:
-            assert (await ask(node, request(name="q0"))).status == 200
+        async with running_node(StubServer(), StubServer(), bounds=can(False)) as node:
+            assert (await exchange(node, request(name="q0"))).status == 200
 
             def act(event):
                 both = [Send("q1", "s0"), Send("q1", "s1")]
                 return both if isinstance(event, Request) else []
 
-            node.driver.balancer = scripted = Scripted(act)
+            node.driver.balancer = scripted = ScriptedBalancer(act)
             opened, up = node.pool.open_connection, asyncio.Event()
             addresses = {server: address for server, (_, address) in node.endpoint_list.endpoints.items()}
 
@@ -236,11 +246,11 @@
                 return await opened(endpoint)
 
             node.pool.open_connection = late
-            assert (await ask(node, request())).status == 200
+            assert (await exchange(node, request())).status == 200
             up.set()
-            await until(lambda: not node.request_registry.active)
+            await wait_until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 2
-            results = {event.attempt: event.result for event in scripted.of(AttemptOutcome)}
+            results = {event.attempt: event.result for event in scripted.events_of(AttemptOutcome)}
             assert results == {0: AttemptResult.ABANDONED, 1: AttemptResult.OK}
 
     asyncio.run(main())
@@ -248,13 +258,13 @@
 
 def test_a_written_attempt_is_not_given_up_where_cancelling_is_not_allowed():
     async def main():
-        server = Held()
-        async with running(server, bounds=can(False)) as node:
-            caller = await Caller.to(node)
+        server = BlockedServer()
+        async with running_node(server, bounds=can(False)) as node:
+            caller = await Client.connect(node)
             caller.writer.write(request())
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             caller.writer.close()
-            await until(lambda: node.event_counts["client disconnects"])
+            await wait_until(lambda: node.event_counts["client disconnects"])
             assert node.request_registry.active
             server.release.set()
             await is_over(node)
@@ -273,20 +283,22 @@
 
         async def script(message):
             await release.wait()
-            return None if node.metrics.attempts_sent < 2 else reply()  # the first is lost, and may have run
+            return (
+                None if node.metrics.attempts_sent < 2 else http_response()
+            )  # the first is lost, and may have run
 
-        async with running(Peer(script), Peer(script)) as node:
-            caller = await Caller.to(node)
+        async with running_node(StubServer(script), StubServer(script)) as node:
+            caller = await Client.connect(node)
             caller.writer.write(request("move", "q1", Idempotency_Key="k"))
-            await until(lambda: node.metrics.attempts_sent)
+            await wait_until(lambda: node.metrics.attempts_sent)
             late = LateConnections(node, lambda: clock.forward(passes_s))
             release.set()
-            await until(lambda: late.ready)
+            await wait_until(lambda: late.ready)
             if comes_up:
                 late.up.set()
             else:
                 clock.forward(passes_s)
-            assert (await caller.answer()).status == status
+            assert (await caller.read_response()).status == status
             assert node.metrics.attempts_sent == written
             caller.writer.close()
 
@@ -301,7 +313,7 @@
 
     async def main():
         clock, loop, body = Jump(), asyncio.get_running_loop(), Body(Source())
-        server, pool = await Peer().start(), ConnectionPool(10, 10.0, 20.0)
+        server, pool = await StubServer().start(), ConnectionPool(10, 10.0, 20.0)
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
         body.feed(b"half of it")
@@ -310,13 +322,13 @@
             "s", lambda wait: head, 20.0, lambda result, _: results.put_nowait(result), body,
             written_by=loop.time() + 9.0,
         )  # fmt: skip
-        await until(lambda: server.connections)
+        await wait_until(lambda: server.connections)
         clock.forward(9.0)
-        await until(lambda: not results.empty())
+        await wait_until(lambda: not results.empty())
         assert results.get_nowait() is AttemptResult.CONNECT_FAILED
         body.feed(b"other half")
         body.end()
-        await until(lambda: not pool.connection_count)
+        await wait_until(lambda: not pool.connection_count)
         assert (server.seen, results.empty()) == ([], True)
         pool.close()
         server.stop()
@@ -341,7 +353,7 @@
 def test_what_happens_in_the_turn_in_which_a_connection_comes_up_keeps_it_unwritten(what, when, monkeypatch):
     async def main():
         clock, loop = Jump(), asyncio.get_running_loop()
-        server, pool = await Peer().start(), ConnectionPool(10, 10.0, 20.0)
+        server, pool = await StubServer().start(), ConnectionPool(10, 10.0, 20.0)
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
         attempt = pool.start_attempt(
@@ -371,12 +383,14 @@
         monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
         monkeypatch.setattr(pool, "open_connection", open_)
         expected = {"it is cancelled": {"cancelled"}, "its time is up": {"moot", "connect_failed"}}
-        await until(lambda: not results.empty())
+        await wait_until(lambda: not results.empty())
         assert results.get_nowait().value in expected.get(what, {"connect_failed"})
         pool.keep_no_idle()
-        await until(lambda: not pool.connection_count)
-        await until(lambda: server.connections)  # the kernel has it; the server's loop may accept it later
-        await until(lambda: not any(writer.transport.is_reading() for writer in server._writers))
+        await wait_until(lambda: not pool.connection_count)
+        await wait_until(
+            lambda: server.connections
+        )  # the kernel has it; the server's loop may accept it later
+        await wait_until(lambda: not any(writer.transport.is_reading() for writer in server._writers))
         assert (server.connections, crossed, server.seen) == (1, [what], [])
         assert results.empty()
         pool.close()
@@ -390,8 +404,8 @@
 )
 def test_whatever_a_connection_fails_with_its_attempt_has_not_run_and_says_so(fault):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with running_node(server) as node:
             opened = node.pool.open_connection
 
             async def failing(endpoint):
@@ -400,9 +414,9 @@
 
             node.pool.open_connection = failing
             async with asyncio.timeout(15):  # its own time is 30 s
-                assert (await ask(node, request("post", "q1"))).status == 503
+                assert (await exchange(node, request("post", "q1"))).status == 503
             assert node.event_counts["connect_failed"] == 1
-            assert (await ask(node, request("post", "q2"))).status == 200
+            assert (await exchange(node, request("post", "q2"))).status == 200
 
     asyncio.run(main())
 
@@ -425,9 +439,9 @@
 
             pool.open_connection = ended  # type: ignore[method-assign]
             pool.start_attempt("s", lambda wait: DATA, 5.0, lambda result, _: results.put_nowait(result))
-            await until(lambda: not results.empty())
+            await wait_until(lambda: not results.empty())
             assert results.get_nowait() is AttemptResult.CONNECT_FAILED
-            await until(lambda: not pool.connection_count)
+            await wait_until(lambda: not pool.connection_count)
             pool.close()
             accepted[0].close()
 
@@ -436,8 +450,8 @@
 
 def test_with_no_descriptor_left_a_request_is_refused_as_never_run_and_later_ones_are_served():
     async def main():
-        async with running(Peer(), Peer()) as node:
-            caller = await Caller.to(node)
+        async with running_node(StubServer(), StubServer()) as node:
+            caller = await Client.connect(node)
             before = resource.getrlimit(resource.RLIMIT_NOFILE)
             taken: list[int] = []
             resource.setrlimit(resource.RLIMIT_NOFILE, (256, before[1]))
@@ -445,13 +459,13 @@
                 with contextlib.suppress(OSError):
                     while True:
                         taken.append(os.dup(0))
-                assert (await caller.ask(request("post", "q1"))).status == 503
+                assert (await caller.exchange(request("post", "q1"))).status == 503
                 assert (node.metrics.attempts_sent, node.event_counts["connect_failed"]) == (0, 2)
             finally:
                 for descriptor in taken:
                     os.close(descriptor)
                 resource.setrlimit(resource.RLIMIT_NOFILE, before)
-            assert (await caller.ask(request("post", "q2"))).status == 200
+            assert (await caller.exchange(request("post", "q2"))).status == 200
             caller.writer.close()
 
     asyncio.run(main())
@@ -467,20 +481,20 @@
     """`statuses`: without cancelling, as its attempt is still out, and with it."""
 
     async def main():
-        server = Held()
-        async with running(server, bounds=can(cancel)) as node:
+        server = BlockedServer()
+        async with running_node(server, bounds=can(cancel)) as node:
             data = request(kind, "q1", Idempotency_Key="k")
             client = Leaver(node, data)
-            await until(lambda: server.seen)
-            again = await Caller.to(node)
+            await wait_until(lambda: server.seen)
+            again = await Client.connect(node)
             client.leave()
             if seen:
-                await until(lambda: node.event_counts["client disconnects"])
+                await wait_until(lambda: node.event_counts["client disconnects"])
             again.writer.write(data)
             server.script = None
-            assert (await again.answer()).status == statuses[cancel]
+            assert (await again.read_response()).status == statuses[cancel]
             server.release.set()
-            await until(lambda: not node.request_registry.active)
+            await wait_until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 1 + (statuses[cancel] == 200)
             again.writer.close()
 
@@ -489,14 +503,14 @@
 
 def test_an_id_that_comes_again_is_served_if_nothing_of_it_was_written_before():
     async def main():
-        async with running(Peer(), bounds=can(False)) as node:
+        async with running_node(StubServer(), bounds=can(False)) as node:
             client = Leaver(node, request("post", "q1"))
             late = LateConnections(node)
-            await until(lambda: late.ready)
+            await wait_until(lambda: late.ready)
             client.leave()
             late.up.set()
-            await until(lambda: node.event_counts["client disconnects"])
-            assert (await ask(node, request("post", "q1"))).status == 200
+            await wait_until(lambda: node.event_counts["client disconnects"])
+            assert (await exchange(node, request("post", "q1"))).status == 200
             assert node.metrics.attempts_sent == 1
 
     asyncio.run(main())
@@ -514,14 +528,14 @@
         async def script(message):
             if node.metrics.attempts_sent < 2:
                 await asyncio.Event().wait()
-            return reply()
+            return http_response()
 
-        async with running(Peer(script), Peer(script), bounds=can(False)) as node:
-            caller = await Caller.to(node)
+        async with running_node(StubServer(script), StubServer(script), bounds=can(False)) as node:
+            caller = await Client.connect(node)
             caller.writer.write(request(kind, "q1", Idempotency_Key="k"))
-            await until(lambda: node.metrics.attempts_sent)
+            await wait_until(lambda: node.metrics.attempts_sent)
             clock.forward(19.7)  # past the aim, after which it earns nothing, and the window for repeats
-            assert (await caller.answer()).status == status
+            assert (await caller.read_response()).status == status
             assert node.metrics.attempts_sent == written
             caller.writer.close()
 
--- a/tests/registry/test_registry_node.py
+++ b/tests/registry/test_registry_node.py
@@ -83,7 +83,7 @@
         for number in range(5):
             registry.put(f"s{number}", backends.port(number % 3), az="a")
         for node in nodes:
-            until(lambda node=node: node.listed() == 5, within_s=6, what="five servers at a node")
+            until(lambda node=node: node.endpoint_count() == 5, within_s=6, what="five servers at a node")
         registry.kill(registry.leader())
         relay.reset()
         registry.remove("s1")  # a removal after the leader died
@@ -92,7 +92,11 @@
         live = len(registry.listed(registry.live()[0]))
         assert live == 7
         for node in nodes:  # within PROTOCOL's 6 s of the last write
-            until(lambda node=node: node.listed() == live, within_s=6, what="a node's list after the faults")
+            until(
+                lambda node=node: node.endpoint_count() == live,
+                within_s=6,
+                what="a node's list after the faults",
+            )
     finally:
         for node in nodes:
             node.stop()
--- a/tests/scale/test_scale_datapath.py
+++ b/tests/scale/test_scale_datapath.py
@@ -12,12 +12,12 @@
 from bench.scale.core_waits import CoreWaits
 from bench.scale.datapath import groups_at, parse_rates
 from bench.scale.paired import DIRECT, NOISE, UNDISTURBED_NS, Paired, PairedRun, PathTimes
-from tests.support.loopback import Message, Peer, reply
+from tests.support.loopback import Message, StubServer, http_response
 
 SLOW_S = 0.02
 
 
-async def _paired(direct: Peer, node: Peer, groups: int) -> Paired:
+async def _paired(direct: StubServer, node: StubServer, groups: int) -> Paired:
     for peer in (direct, node):
         await peer.start()
     addresses = {DIRECT: direct.port, NOISE: direct.port, "off": node.port}
@@ -34,9 +34,9 @@
 def test_added_latency_is_taken_from_the_direct_call_of_the_same_group() -> None:
     async def slow(_message: Message) -> bytes:
         await asyncio.sleep(SLOW_S)
-        return reply()
+        return http_response()
 
-    found = asyncio.run(_paired(Peer(), Peer(slow), groups=50))
+    found = asyncio.run(_paired(StubServer(), StubServer(slow), groups=50))
 
     assert found.groups == 50
     assert found.failed == {}
@@ -66,9 +66,9 @@
 
 def test_a_group_with_a_failed_call_is_counted_and_not_measured() -> None:
     async def refuse(_message: Message) -> bytes:
-        return reply(503, b"")
+        return http_response(503, b"")
 
-    found = asyncio.run(_paired(Peer(), Peer(refuse), groups=5))
+    found = asyncio.run(_paired(StubServer(), StubServer(refuse), groups=5))
 
     assert found.groups == 0
     assert found.failed == {("off", "HTTP/1.1 503 Word"): 5}
@@ -80,7 +80,7 @@
         async def close(_message: Message) -> None:
             return None
 
-        peer = await Peer(close).start()
+        peer = await StubServer(close).start()
         caller = Caller([("127.0.0.1", peer.port)], seed=1)
         try:
             with pytest.raises(FailedCallError, match="closed"):
--- a/tests/stored/test_node_data.py
+++ b/tests/stored/test_node_data.py
@@ -20,7 +20,7 @@
 from loadbalancer.node.state.handover import HandoverFiles
 from loadbalancer.node.state.restore import read_state
 from loadbalancer.node.state.snapshot import encode_state
-from tests.support.loopback import config_row
+from tests.support.loopback import config_document
 from tests.support.registry_processes import ROOT
 
 DATA = Path(__file__).parents[1] / "data" / "release_bf594b0"
@@ -93,6 +93,6 @@
 
 
 def test_shared_folders_of_node_processes_keep_their_names(tmp_path: Path) -> None:
-    config = parse_config(orjson.dumps(config_row("127.0.0.1:1")), {"TMPDIR": str(tmp_path)})
+    config = parse_config(orjson.dumps(config_document("127.0.0.1:1")), {"TMPDIR": str(tmp_path)})
     assert config.ejections_folder == tmp_path / "orchidledge-maintenance"
     assert config.handover_folder == tmp_path / "orchidledge-handover"
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.node.listener.connection import ServerConnection
 from loadbalancer.node.node import Node
-from tests.support.loopback import Message, Peer, reply, request, until
+from tests.support.loopback import Message, StubServer, http_response, request, wait_until
 
 
 def connect(node: Node) -> socket.socket:
@@ -60,11 +60,13 @@
 Leave = Callable[[socket.socket], None]
 
 
-async def slow_reader(node: Node, server: Peer, **headers: str) -> tuple[socket.socket, ServerConnection]:
+async def slow_reader(
+    node: Node, server: StubServer, **headers: str
+) -> tuple[socket.socket, ServerConnection]:
     """A caller whose answer is written, and for the most part still in the node's write buffer."""
 
     async def answer(_message: Message) -> bytes:
-        return reply(body=ANSWER)
+        return http_response(body=ANSWER)
 
     server.script = answer
     caller = socket.socket()
@@ -72,11 +74,11 @@
     caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     caller.connect(node.listener.address)
-    await until(lambda: node.listener.connections)
+    await wait_until(lambda: node.listener.connections)
     (connection,) = node.listener.connections
     connection._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     caller.sendall(request(**headers))
-    await until(lambda: node.event_counts["responses 200"])
+    await wait_until(lambda: node.event_counts["responses 200"])
     assert connection._transport.get_write_buffer_size() > 20_000
     return caller, connection
 
--- a/tests/support/clocks.py
+++ b/tests/support/clocks.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock is the test's: real sockets, and no second spent in waiting."""
+"""Event loop with a simulated clock over real sockets, so that tests don't wait for timers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-QUIET_S = 0.02  # of real time with nothing on any socket, before the clock moves on
+QUIET_S = 0.02  # real time without socket activity before the clock advances
 
 
 class _Selector(selectors.DefaultSelector):
@@ -23,7 +23,7 @@
 
 
 def run(main: Coroutine[Any, Any, None], quiet_s: float = QUIET_S) -> None:
-    """As asyncio.run, on a clock that starts at 0 and jumps to the next thing due once the sockets rest."""
+    """Like asyncio.run, with a clock that starts at 0 and jumps to the next timer when sockets are quiet."""
     selector = _Selector(quiet_s)
     loop = asyncio.SelectorEventLoop(selector)
     loop.time = lambda: selector.now  # type: ignore[method-assign]
--- a/tests/support/discoveries.py
+++ b/tests/support/discoveries.py
@@ -16,7 +16,7 @@
 from loadbalancer.node.discovery.poll_policy import PollPolicy
 from loadbalancer.node.discovery.response import DiscoveryResponse
 from loadbalancer.node.discovery.watcher import EndpointListWatcher
-from tests.support.loopback import read_message, reply
+from tests.support.loopback import http_response, read_message
 
 # Deadlines from PROTOCOL, on purpose not taken from the program's constants.
 PROPAGATION_DEADLINE_S = 6.0
@@ -77,7 +77,7 @@
         self.connections += 1
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                target = (await read_message(reader)).first[1]
+                target = (await read_message(reader)).start_line[1]
                 self.polls.append(target)
                 await self._respond(target, writer)
 
@@ -94,7 +94,7 @@
                 await asyncio.wait_for(self.changed.wait(), int(wait) / 1000.0)
         behavior = self.faulty.get(writer, self.behavior)
         if behavior == "respond":
-            writer.write(reply(200, list_body(self.rev, not is_long_poll)))
+            writer.write(http_response(200, list_body(self.rev, not is_long_poll)))
         elif behavior == "silent":
             await asyncio.Event().wait()
         elif behavior == "drip":
@@ -103,7 +103,7 @@
                 writer.write(b" ")
                 await asyncio.sleep(0.1)
         elif behavior == "cut":
-            writer.write(reply(200, list_body(self.rev))[:-9])
+            writer.write(http_response(200, list_body(self.rev))[:-9])
             writer.close()
         elif behavior == "reset":
             writer.transport.abort()
@@ -111,9 +111,9 @@
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + list_body(self.rev))
             writer.close()
         elif behavior == "given body":
-            writer.write(reply(200, self.body))
+            writer.write(http_response(200, self.body))
         else:
-            writer.write(reply(int(behavior), Location="http://127.0.0.1:1/"))
+            writer.write(http_response(int(behavior), Location="http://127.0.0.1:1/"))
 
 
 def now() -> float:
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -1,8 +1,8 @@
-"""Messages of the programs, recorded and compared byte for byte but for figures that vary from run to run.
+"""Golden tests of the programs' messages: compared byte for byte, except values that vary between runs.
 
-A script is a list of steps, as it stands in tests/data/golden/: a request, and the whole answer with its
-varying figures masked. `play` sends the requests and returns the steps with the answers given now. Programs
-run as processes, so that a script says nothing of the names inside of them.
+A script in tests/data/golden/ is a list of steps, each a request and its complete response with the varying
+values masked. `play` sends the requests and returns the steps with the present responses. Programs run as
+processes, so that scripts don't depend on names in their code.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 from tests.support.registry_processes import ROOT, spawn, until
 
 Step = dict[str, Any]
-Names = Mapping[str, str]  # what varies, such as a port, and what stands for it
+Names = Mapping[str, str]  # placeholder by varying text, such as an address
 
 NO_HEADERS: Names = MappingProxyType({})
-ANSWER_S = 10.0
+RESPONSE_TIMEOUT_S = 10.0
 
 
-def _named_kind(metric: re.Match[str]) -> str:
+def _masked_metric(metric: re.Match[str]) -> str:
     return f"{metric[1]}={'<float>' if '.' in metric[2] else '<int>'}"
 
 
@@ -44,17 +44,17 @@
     (r'"change":"[0-9a-f]{12}"', r'"change":"<change>"'),
     (r'"start":"[0-9a-f]{16}"', r'"start":"<start>"'),
     (r'"(term|commit|applied|health)":\d+', r'"\1":<int>'),
-    (r'"rev":\d{16}\b', '"rev":<revision>'),  # an agent's: its start in microseconds
+    (r'"rev":\d{16}\b', '"rev":<revision>'),  # of an agent: its start time in microseconds
     (r"req-deadline-ms: \d+", "req-deadline-ms: <int>"),
     (r"sent -?\d+ ms ago", "sent <int> ms ago"),
 )
 LENGTH = (r"Content-Length: \d+", "Content-Length: <length>")
-METRIC = (r"(proxy\.[\w.]+)=(-?\d+\.\d+|-?\d+)", _named_kind)
+METRIC = (r"(proxy\.[\w.]+)=(-?\d+\.\d+|-?\d+)", _masked_metric)
 
 
 @dataclass(frozen=True)
 class Release:
-    """Where a release's package lies, and the modules of its programs."""
+    """A release: the root folder of its package, and the modules of its programs."""
 
     root: Path
     registry: str
@@ -69,22 +69,22 @@
 
 
 def masked(message: bytes, names: Names) -> str:
-    """The message as text, with a word in place of each figure that varies."""
-    text = whole = message.decode()
-    for varying, word in names.items():
-        text = text.replace(varying, word)
-    for pattern, word in MASKS:
-        text = re.sub(pattern, word, text)
-    return text if text == whole else re.sub(*LENGTH, text)
+    """Return the message as text with a placeholder for each varying value."""
+    text = original = message.decode()
+    for varying, placeholder in names.items():
+        text = text.replace(varying, placeholder)
+    for pattern, placeholder in MASKS:
+        text = re.sub(pattern, placeholder, text)
+    return text if text == original else re.sub(*LENGTH, text)
 
 
-def masked_metrics(answer: str) -> str:
-    """Metrics with the kind of each number in place of it: their names and order are what is compared."""
-    return re.sub(*LENGTH, re.sub(*METRIC, answer))
+def masked_metrics(response: str) -> str:
+    """Return metrics with each number replaced by its type, so that only names and order are compared."""
+    return re.sub(*LENGTH, re.sub(*METRIC, response))
 
 
 def masked_floats(value: Any) -> Any:
-    """Decoded MessagePack with a word for each float; of an entry within it only its number of fields."""
+    """Mask decoded MessagePack: a placeholder for each float, the field count for each nested entry."""
     if isinstance(value, float):
         return "<float>"
     if isinstance(value, bytes):
@@ -104,7 +104,7 @@
 
 
 def read_message(file: Any) -> bytes:
-    """One whole request or answer; empty where the connection has ended."""
+    """Read one complete request or response; return b"" at the end of the connection."""
     head = b""
     while not head.endswith(b"\r\n\r\n"):
         line = file.readline()
@@ -117,46 +117,46 @@
 
 
 def exchange(port: int, message: bytes) -> bytes:
-    """The raw answer to a raw request on a connection of its own."""
-    with socket.create_connection(("127.0.0.1", port), timeout=ANSWER_S) as connection:
+    """Send a raw request on a new connection; return the raw response."""
+    with socket.create_connection(("127.0.0.1", port), timeout=RESPONSE_TIMEOUT_S) as connection:
         connection.sendall(message)
         with connection.makefile("rb") as file:
             return read_message(file)
 
 
 def play(port: int, script: list[Step], names: Names) -> list[Step]:
-    """Send the requests in turn; one with `until` is said again until its answer has that text."""
-    return [step | {"answer": _answer(port, step, names)} for step in script]
+    """Send the requests in order; repeat one with an `until` text until its response contains that text."""
+    return [step | {"answer": _response(port, step, names)} for step in script]
 
 
-def _answer(port: int, step: Step, names: Names) -> str:
+def _response(port: int, step: Step, names: Names) -> str:
     body = step.get("body", "")
     data = body.encode() if isinstance(body, str) else orjson.dumps(body)
     message = request_bytes(step["method"], step["target"], data, step.get("headers", NO_HEADERS))
-    sought = step.get("until", "")
+    expected_text = step.get("until", "")
 
-    def answered() -> str:
-        answer = masked(exchange(port, message), names)
-        if sought not in answer:
-            raise ValueError(answer)
-        return answer
+    def response() -> str:
+        text = masked(exchange(port, message), names)
+        if expected_text not in text:
+            raise ValueError(text)
+        return text
 
-    return str(until(answered, what=f"{step['method']} {step['target']}"))
+    return str(until(response, what=f"{step['method']} {step['target']}"))
 
 
-class StandIn:
-    """An HTTP server that answers as told and keeps the first request to each method and path."""
+class RecordingServer:
+    """An HTTP server that records the first request of each method and path."""
 
-    def __init__(self, answer: Callable[[str, str], bytes]) -> None:
-        """`answer(path, body)` gives a body; it may wait."""
-        self._answer = answer
-        self.first: dict[str, bytes] = {}
+    def __init__(self, respond: Callable[[str, str], bytes]) -> None:
+        """`respond(path, body)` returns the response body; it may block."""
+        self._respond = respond
+        self.first_requests: dict[str, bytes] = {}
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.port: int = self._listener.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
 
     def saw(self, call: str) -> bool:
-        return call in self.first
+        return call in self.first_requests
 
     def close(self) -> None:
         self._listener.close()
@@ -173,16 +173,18 @@
                 head, _, body = message.partition(b"\r\n\r\n")
                 method, target, _ = head.split(b"\r\n")[0].decode().split(" ")
                 path = target.partition("?")[0]
-                self.first.setdefault(f"{method} {path}", message)
-                said = self._answer(path, body.decode("latin-1"))
-                connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(said) + said)
+                self.first_requests.setdefault(f"{method} {path}", message)
+                response = self._respond(path, body.decode("latin-1"))
+                connection.sendall(
+                    b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(response) + response
+                )
 
 
 # ------------------------------------------------------------------ programs
 
 
 @contextlib.contextmanager
-def ended(process: subprocess.Popen[bytes]) -> Iterator[None]:
+def killed_at_end(process: subprocess.Popen[bytes]) -> Iterator[None]:
     try:
         yield
     finally:
@@ -199,7 +201,7 @@
 def instance(
     release: Release, folder: Path, members: str = "", peers: int = 0
 ) -> Iterator[tuple[int, dict[str, str]]]:
-    """A list-service instance on its own, with peers that are not there: its HTTP port and what varies."""
+    """Run one list-service instance with `peers` unreachable peers; yield its HTTP port and varying texts."""
     http, raft = free_port(), free_port()
     others = ", ".join(f'"127.0.0.1:{free_port()}"' for _ in range(peers))
     config = folder / "instance.toml"
@@ -211,38 +213,38 @@
     process = release.start(
         ["-m", release.registry, "serve", "--config", str(config)], folder / "instance.log"
     )
-    with ended(process):
-        until(lambda: _accepts(http), what="an instance answering")
+    with killed_at_end(process):
+        until(lambda: _accepts(http), what="an instance accepting connections")
         yield http, {f"127.0.0.1:{raft}": "<raft>", f"127.0.0.1:{http}": "<http>"}
 
 
 @contextlib.contextmanager
 def agent(release: Release, folder: Path, registry: int) -> Iterator[tuple[int, dict[str, str]]]:
-    """An agent that follows the instance at this port."""
+    """Run an agent that follows the instance at port `registry`; yield its port and varying texts."""
     port, config = free_port(), folder / "agent.toml"
     config.write_text(f'[agent]\nlisten = "127.0.0.1:{port}"\nregistries = ["127.0.0.1:{registry}"]\n')
     process = release.start(["-m", release.registry, "agent", "--config", str(config)], folder / "agent.log")
-    with ended(process):
-        until(lambda: _accepts(port), what="an agent answering")
+    with killed_at_end(process):
+        until(lambda: _accepts(port), what="an agent accepting connections")
         yield port, {f"127.0.0.1:{registry}": "<registry>"}
 
 
 @contextlib.contextmanager
 def node(release: Release, folder: Path, config: str) -> Iterator[None]:
-    """A node with this configuration; it leaves service in order at the end."""
+    """Run a node with this configuration; at the end it shuts down gracefully."""
     path = folder / "node.json"
     path.write_text(config)
     process = release.start(
         ["-m", release.node], folder / "node.log", PROXY_CONFIG=str(path), TMPDIR=str(folder)
     )
-    with ended(process):
+    with killed_at_end(process):
         yield
         process.terminate()
         process.wait(10)
 
 
 def simulate(release: Release, transcript: bytes) -> bytes:
-    """What the simulator's adapter replies to batches."""
+    """Return the simulator adapter's output for a transcript of its input."""
     done = subprocess.run(
         [sys.executable, "-m", release.simulator],
         input=transcript,
--- a/tests/support/golden_node.py
+++ b/tests/support/golden_node.py
@@ -1,4 +1,4 @@
-"""Plays a node between stand-ins of all that it talks to, for tests/data/golden/node.json."""
+"""Runs a node against stub servers for everything it talks to; see tests/data/golden/node.json."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 from tests.support.golden import (
     LENGTH,
+    RecordingServer,
     Release,
-    StandIn,
     exchange,
     masked,
     masked_floats,
@@ -29,12 +29,12 @@
 
 Row = dict[str, Any]
 
-WATCH_S = 0.5  # that a watch without news is held
+WATCH_S = 0.5  # for which a watch without changes stays open
 TTL_MS = 5_000.0
 ROUTES = "[[class.read.group]]\nweight = 1.0\n"
 NEUTRAL_DIGEST = "2a3097ffe4eaeb06"
 PROBES = "POST /members/ask"
-ADDED = {  # to what the recorded release sent: fields that an instance of that release passes over
+ADDED_FIELDS = {  # not sent by the recorded release, whose list service ignores them
     "POST /fleet/enrol": b',"call":1}',
     "POST /fleet/renew": b',"call":2}',
 }
@@ -42,17 +42,17 @@
 
 
 class ListService:
-    """Answers a node as its agent would: one sibling, and route version 1 to prepare."""
+    """Responds to a node like its agent: one sibling, and route version 1 to prepare."""
 
-    def __init__(self, own: str, sibling: str, targets: list[Row]) -> None:
-        self._own, self._sibling, self._targets = own, sibling, targets
+    def __init__(self, node: str, sibling: str, targets: list[Row]) -> None:
+        self._node, self._sibling, self._targets = node, sibling, targets
 
-    def answer(self, path: str, body: str) -> bytes:
+    def respond(self, path: str, body: str) -> bytes:
         if path == "/fleet/routes/1":
             return ROUTES.encode()
-        return orjson.dumps(self._said(path, body))
+        return orjson.dumps(self._response(path, body))
 
-    def _said(self, path: str, body: str) -> Row:
+    def _response(self, path: str, body: str) -> Row:
         if path == "/discovery/hosts":
             time.sleep(WATCH_S)
             return {"rev": 2, "all": False, "targets": self._targets, "origin_rev": 9}
@@ -67,7 +67,7 @@
 
     def _lease(self) -> Row:
         now = now_ms()
-        members = [_member("n0", self._own, 1), _member("n1", self._sibling, 2)]
+        members = [_member("n0", self._node, 1), _member("n1", self._sibling, 2)]
         return {
             "incarnation": 1,
             "rev": 1,
@@ -105,44 +105,48 @@
 
 
 def sibling_message(sender: int) -> bytes:
-    """A probe or an ack of a member that has nothing to tell."""
+    """Return a probe or ack of a member without updates to report."""
     return bytes(msgpack.packb([sender, 0, now_ms(), 0, 0, [], [], b""]))
 
 
 def replay_node(release: Release, folder: Path, case: Row) -> Row:
-    """The case with all that a node of this release says to callers, servers, operators, siblings and the
-    list service."""
-    around = Surroundings(folder, case)
+    """Run a case; return it with all that a node of this release sends to clients, servers, operators,
+    siblings and the list service."""
+    environment = Environment(folder, case)
     grouped = "members" in case["config"]
-    with node(release, folder, around.config):
-        around.wait_at_work(grouped)
-        steps = [around.play(step) for step in case["steps"]]
-        between = around.between_members() if grouped else {}
-    said = around.without_additions(around.calls())
-    calls = {call: masked(message, around.names) for call, message in sorted(said.items())}
+    with node(release, folder, environment.config):
+        environment.wait_ready(grouped)
+        steps = [environment.play(step) for step in case["steps"]]
+        member_messages = environment.member_messages() if grouped else {}
+    requests = environment.without_added_fields(environment.first_requests())
+    calls = {call: masked(message, environment.names) for call, message in sorted(requests.items())}
     stored = sorted(str(path.relative_to(folder)) for path in folder.rglob("*.route"))
-    return case | {"steps": steps, "calls": calls, "stored": stored} | between
+    return case | {"steps": steps, "calls": calls, "stored": stored} | member_messages
 
 
-class Surroundings:
-    """Stand-ins of all that a node talks to, and the ports that it is given."""
+class Environment:
+    """Stub servers for everything a node talks to, and the ports in its configuration."""
 
     def __init__(self, folder: Path, case: Row) -> None:
+        # "door" is the admin port's name in the recorded data.
         self.ports = {name: free_port() for name in ("listen", "door", "members")}
-        self._server = StandIn(lambda path, body: b"done")
-        self._sibling = StandIn(lambda path, body: sibling_message(2))
+        self._server = RecordingServer(lambda path, body: b"done")
+        self._sibling = RecordingServer(lambda path, body: sibling_message(2))
         target = case["target"] | {"endpoint": f"127.0.0.1:{self._server.port}"}
-        own, other = f"127.0.0.1:{self.ports['members']}", f"127.0.0.1:{self._sibling.port}"
-        self._service = StandIn(ListService(own, other, [target]).answer)
+        node_address, sibling_address = (
+            f"127.0.0.1:{self.ports['members']}",
+            f"127.0.0.1:{self._sibling.port}",
+        )
+        self._service = RecordingServer(ListService(node_address, sibling_address, [target]).respond)
         self.ports |= {"server": self._server.port, "sibling": self._sibling.port}
         self.ports["discovery"] = self._service.port
         self.names = {f"127.0.0.1:{port}": f"<{name}>" for name, port in self.ports.items()}
         self.config = orjson.dumps(case["config"]).decode().replace("<folder>", str(folder))
-        for address, word in self.names.items():
-            self.config = self.config.replace(word, address)
+        for address, placeholder in self.names.items():
+            self.config = self.config.replace(placeholder, address)
 
-    def wait_at_work(self, grouped: bool) -> None:
-        """Until the node takes calls, and where it has siblings until it has said all that it begins with."""
+    def wait_ready(self, grouped: bool) -> None:
+        """Wait until the node serves and, in a group, has enrolled, voted and sent its first probe."""
         ready = request_bytes("GET", "/up")
         until(lambda: exchange(self.ports["listen"], ready).startswith(b"HTTP/1.1 200"), what="a node up")
         if grouped:
@@ -151,37 +155,37 @@
 
     def play(self, step: Row) -> Row:
         (played,) = play(self.ports[step["port"]], [step], self.names)
-        return _without_figures(played)
+        return _without_varying_values(played)
 
-    def between_members(self) -> Row:
-        """The node's first probe, and its ack to one."""
+    def member_messages(self) -> Row:
+        """Return the node's first probe, and its ack to a probe."""
         ack = exchange(self.ports["members"], request_bytes("POST", "/members/ask", sibling_message(2)))
-        return {"probe": self._payload(self._sibling.first[PROBES]), "ack": self._payload(ack)}
+        return {"probe": self._payload(self._sibling.first_requests[PROBES]), "ack": self._payload(ack)}
 
-    def calls(self) -> dict[str, bytes]:
-        """The first call of each kind to servers and to the list service; the stand-ins end with it."""
-        for stand_in in (self._server, self._sibling, self._service):
-            stand_in.close()
-        return self._service.first | self._server.first
+    def first_requests(self) -> dict[str, bytes]:
+        """Close the stub servers; return the first request of each kind to the server and list service."""
+        for server in (self._server, self._sibling, self._service):
+            server.close()
+        return self._service.first_requests | self._server.first_requests
 
     @staticmethod
-    def without_additions(calls: dict[str, bytes]) -> dict[str, bytes]:
-        """The calls as the recorded release sent them; each addition has to end its body."""
-        for call in ADDED.keys() & calls.keys():
-            assert calls[call].endswith(ADDED[call]), calls[call]
+    def without_added_fields(requests: dict[str, bytes]) -> dict[str, bytes]:
+        """Return the requests as the recorded release sent them, without ADDED_FIELDS at the end."""
+        for call in ADDED_FIELDS.keys() & requests.keys():
+            assert requests[call].endswith(ADDED_FIELDS[call]), requests[call]
         return {
-            call: message.removesuffix(ADDED[call]) + b"}" if call in ADDED else message
-            for call, message in calls.items()
+            call: message.removesuffix(ADDED_FIELDS[call]) + b"}" if call in ADDED_FIELDS else message
+            for call, message in requests.items()
         }
 
     def _payload(self, message: bytes) -> Row:
         head, _, body = message.partition(b"\r\n\r\n")
-        length_left_out = re.sub(*LENGTH, masked(head, self.names))  # it depends on what the view holds
-        return {"head": length_left_out, "says": masked_floats(msgpack.unpackb(body))}
+        masked_head = re.sub(*LENGTH, masked(head, self.names))  # the length depends on the member list
+        return {"head": masked_head, "says": masked_floats(msgpack.unpackb(body))}
 
 
-def _without_figures(step: Row) -> Row:
-    """An operators' answer without what depends on the moment of the call."""
+def _without_varying_values(step: Row) -> Row:
+    """Return the step with values that depend on the time of the request masked in its response."""
     if step["target"] == "/status/metrics":
         return step | {"answer": masked_metrics(step["answer"])}
     if step["target"] == "/status/routes":
--- a/tests/support/golden_registry.py
+++ b/tests/support/golden_registry.py
@@ -11,7 +11,16 @@
 import msgpack
 import orjson
 
-from tests.support.golden import Release, StandIn, agent, exchange, instance, masked, play, request_bytes
+from tests.support.golden import (
+    RecordingServer,
+    Release,
+    agent,
+    exchange,
+    instance,
+    masked,
+    play,
+    request_bytes,
+)
 from tests.support.journals import journal_commands
 from tests.support.registry_processes import until
 
@@ -92,15 +101,15 @@
     def answer(path: str, body: str) -> bytes:
         if path.startswith("/fleet/"):
             return b"{}"
-        lists.append(service.first.pop(f"GET {path}"))
+        lists.append(service.first_requests.pop(f"GET {path}"))
         time.sleep(WATCH_S if len(lists) > 1 else 0.0)
         return orjson.dumps(FOLLOWED if len(lists) > 1 else LIST)
 
-    service = StandIn(answer)
+    service = RecordingServer(answer)
     with agent(release, folder, service.port) as (port, names):
         until(lambda: len(lists) > 1, what="two calls of an agent")
         for method, target, body in PASSED_ON:
             exchange(port, request_bytes(method, target, body))
     service.close()
-    passed_on = [service.first[call] for call in sorted(service.first) if "/fleet/" in call]
+    passed_on = [service.first_requests[call] for call in sorted(service.first_requests) if "/fleet/" in call]
     return [masked(call, names) for call in [*lists[:2], *passed_on]]
--- a/tests/support/golden_relay.py
+++ b/tests/support/golden_relay.py
@@ -12,7 +12,7 @@
 import orjson
 import structlog
 
-from tests.support.golden import StandIn, masked
+from tests.support.golden import RecordingServer, masked
 
 RENEWALS = [
     {"incarnation": 1, "seq": 2, "acked": 3, "using": 0.5, "sent": 1000.5, "answered": 1, "delta": True},
@@ -38,11 +38,11 @@
 
 def play(functions: Functions) -> dict[str, Any]:
     """The calls that a leader gets, and the answers that come back through a follower."""
-    leader = StandIn(lambda path, body: orjson.dumps(ANSWERS) if "renew-many" in path else b"{}")
+    leader = RecordingServer(lambda path, body: orjson.dumps(ANSWERS) if "renew-many" in path else b"{}")
     names = {f"127.0.0.1:{leader.port}": "<leader>"}
     answers = asyncio.run(_said(functions, leader.port))
     leader.close()
-    calls = {call: masked(message, names) for call, message in sorted(leader.first.items())}
+    calls = {call: masked(message, names) for call, message in sorted(leader.first_requests.items())}
     batch = functions.answer_batch(answers)
     return {"calls": calls, "answers": [_plain(answer) for answer in answers], "batch": _plain(batch)}
 
--- a/tests/support/keeping_load.py
+++ b/tests/support/keep_alive_load.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, as the protocol's clients do."""
+"""Load from clients with persistent connections, like the protocol's clients."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 Connections = dict[int, http.client.HTTPConnection]  # by the node's port
 
 
-class KeepingLoad(Load):
-    """A load whose workers keep a connection to each node and use it for as long as it stays open.
+class KeepAliveLoad(Load):
+    """A load whose workers keep a persistent connection to each node for as long as it stays open.
 
-    A request that crosses the end of a connection on which another was answered before is sent once more, on
-    a new connection and with an id of its own. `crossed` has those: a node may not have read them.
+    If a reused connection ends without a response, the request is sent once more on a new connection under
+    a new id. `crossed` has the original ids: the node may have closed the connection before reading them.
     """
 
     def __init__(self, *arguments: Any, **more: Any) -> None:
         self.crossed: dict[str, Outcome] = {}
-        self._kept = threading.local()
+        self._thread_state = threading.local()
         super().__init__(*arguments, **more)
 
     def _send(self, port: int, name: str) -> int:
-        connections: Connections = self._kept.__dict__.setdefault("connections", {})
-        kept, sent_s = connections.pop(port, None), time.monotonic()
-        if kept is not None:
-            status = self._ask(kept, name)
+        connections: Connections = self._thread_state.__dict__.setdefault("connections", {})
+        reused, sent_s = connections.pop(port, None), time.monotonic()
+        if reused is not None:
+            status = self._exchange(reused, name)
             if status:
-                self._keep(connections, port, kept)
+                self._keep(connections, port, reused)
                 return status
             self.crossed[name] = Outcome(port, 0, sent_s, time.monotonic() - sent_s)
             name = f"{name}x"
         fresh = http.client.HTTPConnection("127.0.0.1", port, timeout=self.timeout_s)
-        status = self._ask(fresh, name)
+        status = self._exchange(fresh, name)
         self._keep(connections, port, fresh)
         return status
 
@@ -43,13 +43,13 @@
         if connection.sock is not None:  # neither side has closed it
             connections[port] = connection
 
-    def _ask(self, connection: http.client.HTTPConnection, name: str) -> int:
+    def _exchange(self, connection: http.client.HTTPConnection, name: str) -> int:
         try:
             method = "GET" if self.kind == "read" else "POST"
             connection.request(method, f"/{self.kind}/{name}", headers={"Req-Id": name})
-            answer = connection.getresponse()
-            answer.read()
+            response = connection.getresponse()
+            response.read()
         except (OSError, http.client.HTTPException):
             connection.close()
             return 0
-        return answer.status
+        return response.status
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -1,4 +1,4 @@
-"""Requests sent through nodes on threads, each with an id of its own, every outcome kept."""
+"""Load from client threads: requests with unique ids through nodes, and the outcome of each."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    port: int  # of the node it was sent through
-    status: int  # 0: no whole answer came
-    sent_s: float  # on the monotonic clock
-    took_s: float
+    port: int  # of the node
+    status: int  # 0: no complete response
+    sent_s: float  # monotonic time
+    duration_s: float
 
 
 class Load:
-    """Calls nodes from so many workers, one request after another each, until it is finished.
+    """Sends requests to nodes from `workers` threads until `finish`; each worker has one request in flight.
 
-    Ids are `{prefix}{number}` (with a worker's number before it from the second one on), and paths
-    `/{kind}/{id}`; prefixes that differ keep loads one after another from naming two requests alike.
-    Each request goes to a node drawn by the worker's seed.
+    A request's id is `{prefix}{number}` for the first worker and `{prefix}{worker}-{number}` for the others,
+    its path is `/{kind}/{id}`. Successive loads need different prefixes to keep their ids unique.
+    Each worker draws the node for each request with a random generator of its own, seeded by the prefix.
     """
 
     def __init__(
@@ -61,16 +61,16 @@
         try:
             method = "GET" if self.kind == "read" else "POST"
             connection.request(method, f"/{self.kind}/{name}", headers={"Req-Id": name})
-            answer = connection.getresponse()
-            answer.read()
-            return answer.status
+            response = connection.getresponse()
+            response.read()
+            return response.status
         except (OSError, http.client.HTTPException):
             return 0
         finally:
             connection.close()
 
     def finish(self) -> Counter[int]:
-        """End it once the requests under way have their outcome; how many came to each status."""
+        """Stop after the requests in flight have ended; return the number of outcomes by status."""
         self._stop.set()
         for thread in self._threads:
             thread.join(self.timeout_s + 5.0)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback stand-ins for what a node talks to, scripted by each test: a caller, servers and discovery."""
+"""Test doubles on loopback for everything a node talks to: clients, servers, discovery and the balancer."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         "retryAfter": True,
         "maxRetryAfterMs": 2000.0,
         "connIdleMs": 10000.0,
-        "connectTimeoutMs": 10_000.0,  # no stall of a busy machine is to count as a server that is away
+        "connectTimeoutMs": 10_000.0,  # so long that a busy machine doesn't cause a timeout
     },
     "categories": [
         {"name": "read", "aimMs": 20000.0, "giveUpMs": 30000.0, "credit": 12.0, "effect": "free"},
@@ -39,15 +39,15 @@
 
 @dataclass
 class Message:
-    """A parsed request or answer: its first line's words, headers by lower-case name, body."""
+    """A parsed request or response; headers by lower-case name."""
 
-    first: list[str]
+    start_line: list[str]  # its three words
     headers: dict[str, str]
     body: bytes
 
     @property
     def status(self) -> int:
-        return int(self.first[1])
+        return int(self.start_line[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
@@ -58,7 +58,7 @@
     )
 
 
-def reply(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
+def http_response(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} Word", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -67,8 +67,8 @@
 Script = Callable[[Message], Awaitable[bytes | None]]
 
 
-class Peer:
-    """Something that answers requests as its script says: None closes the connection unanswered."""
+class StubServer:
+    """An HTTP server whose `script` returns each response, or None to close the connection instead."""
 
     def __init__(self, script: Script | None = None) -> None:
         self.script = script
@@ -76,7 +76,7 @@
         self.connections = 0
         self._writers: list[asyncio.StreamWriter] = []
 
-    async def start(self, port: int = 0) -> Peer:
+    async def start(self, port: int = 0) -> StubServer:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port: int = self._server.sockets[0].getsockname()[1]
         return self
@@ -92,10 +92,10 @@
             while True:
                 message = await read_message(reader)
                 self.seen.append(message)
-                answer = reply() if self.script is None else await self.script(message)
-                if answer is None:
+                response = http_response() if self.script is None else await self.script(message)
+                if response is None:
                     break
-                writer.write(answer)
+                writer.write(response)
                 await writer.drain()
         writer.close()
 
@@ -105,8 +105,8 @@
             writer.close()
 
 
-class Held(Peer):
-    """A server that answers nothing until it is released."""
+class BlockedServer(StubServer):
+    """A stub server that responds only once `release` is set."""
 
     def __init__(self) -> None:
         super().__init__(self._wait)
@@ -114,20 +114,20 @@
 
     async def _wait(self, _message: Message) -> bytes:
         await self.release.wait()
-        return reply()
+        return http_response()
 
 
-class Discovery(Peer):
-    """Hands out `news`, one a call, and lets further calls wait."""
+class Discovery(StubServer):
+    """Stub of discovery: sends each of `responses` once, in order, then leaves polls without a response."""
 
-    def __init__(self, *news: bytes | None) -> None:
+    def __init__(self, *responses: bytes | None) -> None:
         super().__init__(self._next)
-        self.news = list(news)
+        self.responses = list(responses)
 
     async def _next(self, _message: Message) -> bytes | None:
-        if not self.news:
+        if not self.responses:
             await asyncio.Event().wait()
-        return self.news.pop(0)
+        return self.responses.pop(0)
 
 
 def targets(**states: tuple[str, str]) -> list[dict[str, Any]]:
@@ -137,11 +137,11 @@
     ]
 
 
-def listing(rev: int, whole: bool, **states: tuple[str, str]) -> bytes:
-    return reply(200, orjson.dumps({"rev": rev, "all": whole, "targets": targets(**states)}))
+def list_response(rev: int, complete: bool, **states: tuple[str, str]) -> bytes:
+    return http_response(200, orjson.dumps({"rev": rev, "all": complete, "targets": targets(**states)}))
 
 
-def config_row(discovery: str, **more: Any) -> dict[str, Any]:
+def config_document(discovery: str, **more: Any) -> dict[str, Any]:
     known = {"rev": 1, "all": True, "targets": more.pop("known", [])}
     bounds = SETTINGS["bounds"] | more.pop("bounds", {})
     settings = SETTINGS | {"bounds": bounds} | more.pop("settings", {})
@@ -157,32 +157,34 @@
 
 
 def config(discovery: str, **more: Any) -> NodeConfig:
-    told = {"accept_fd": "PROXY_ACCEPT_FD", "tmpdir": "TMPDIR"}
-    environment = {variable: more.pop(key) for key, variable in told.items() if key in more}
-    return parse_config(orjson.dumps(config_row(discovery, **more)), environment)
+    variables = {"accept_fd": "PROXY_ACCEPT_FD", "tmpdir": "TMPDIR"}
+    environment = {variable: more.pop(key) for key, variable in variables.items() if key in more}
+    return parse_config(orjson.dumps(config_document(discovery, **more)), environment)
 
 
 @contextlib.asynccontextmanager
-async def running(*servers: Peer, discovery: Peer | None = None, **more: Any) -> AsyncIterator[Node]:
-    """A node that knows these servers, as s0, s1 and so on."""
-    found = await (discovery or Discovery()).start()
+async def running_node(
+    *servers: StubServer, discovery: StubServer | None = None, **more: Any
+) -> AsyncIterator[Node]:
+    """Run a node whose initial endpoint list has these servers, named s0, s1 and so on."""
+    discovery_server = await (discovery or Discovery()).start()
     for server in servers:
         await server.start()
     known = more.pop("known", None) or targets(
-        **{f"s{at}": (server.endpoint, "Ready") for at, server in enumerate(servers)}
+        **{f"s{index}": (server.endpoint, "Ready") for index, server in enumerate(servers)}
     )
-    node = Node(config(found.endpoint, known=known, **more))
+    node = Node(config(discovery_server.endpoint, known=known, **more))
     await node.start()
     try:
         yield node
     finally:
         node.close()
-        for peer in (found, *servers):
-            peer.stop()
+        for server in (discovery_server, *servers):
+            server.stop()
 
 
-class Scripted:
-    """Stands in for the decision module: records events and acts as told."""
+class ScriptedBalancer:
+    """Replaces the balancer: records events, and returns the actions that `act` gives for each."""
 
     def __init__(self, act: Callable[[Event], list[Action]] = lambda event: []) -> None:
         self.act = act
@@ -197,7 +199,7 @@
     def summary(self) -> str:
         return "scripted"
 
-    def of(self, kind: type) -> list[Any]:
+    def events_of(self, kind: type) -> list[Any]:
         return [event for event in self.events if isinstance(event, kind)]
 
 
@@ -210,42 +212,42 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class Caller:
+class Client:
     """A client's connection to the node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def to(cls, node: Node) -> Caller:
+    async def connect(cls, node: Node) -> Client:
         return cls(*await asyncio.open_connection(*node.listener.address))
 
-    async def ask(self, data: bytes) -> Message:
+    async def exchange(self, data: bytes) -> Message:
         self.writer.write(data)
-        return await self.answer()
+        return await self.read_response()
 
-    async def answer(self) -> Message:
+    async def read_response(self) -> Message:
         return await read_message(self.reader)
 
 
-async def ask(node: Node, data: bytes) -> Message:
-    caller = await Caller.to(node)
+async def exchange(node: Node, data: bytes) -> Message:
+    client = await Client.connect(node)
     try:
-        return await caller.ask(data)
+        return await client.exchange(data)
     finally:
-        caller.writer.close()
+        client.writer.close()
 
 
-async def until(condition: Callable[[], object]) -> None:
-    """Wait for something that must come about; a test that waits in vain fails by this limit."""
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until the condition is true; raise TimeoutError after 20 s."""
     async with asyncio.timeout(20):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 @contextlib.contextmanager
-def never_up() -> Iterator[socket.socket]:
-    """An address where connections stay half made: its queue is full and nobody accepts."""
+def stalled_listener() -> Iterator[socket.socket]:
+    """A listening socket on which new connections hang: its accept queue is full and nothing accepts."""
     with socket.socket() as listener, contextlib.ExitStack() as stack:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -48,7 +48,7 @@
         A draining node answers all that it has accepted: of its requests only one that was sent, or about to
         be, after the node was signalled.
         """
-        since = outcome.sent_s + (SEND_MARGIN_S if self.drained else outcome.took_s)
+        since = outcome.sent_s + (SEND_MARGIN_S if self.drained else outcome.duration_s)
         return outcome.status == 0 and self.start_s < since and outcome.sent_s < self.end_s
 
 
@@ -115,7 +115,7 @@
 
     def status(self, at: int) -> Status:
         """A node's GET /status/members; OSError where it does not answer."""
-        status, found = self.nodes[at].call_door("/status/members")
+        status, found = self.nodes[at].call_admin("/status/members")
         if status != 200:
             raise OSError(f"the door of n{at} answered {status}")
         return found  # type: ignore[no-any-return]
@@ -285,7 +285,7 @@
         """Wait until every node has observed every server, without which it votes no."""
 
         def seen() -> bool:
-            pages = [node.call_door("/status/routes")[1]["edges"] for node in self.nodes]
+            pages = [node.call_admin("/status/routes")[1]["edges"] for node in self.nodes]
             marks = [edge["mark"] for page in pages for edge in page if edge["kind"] == "server"]
             return len(marks) == len(MODELS) * self.size and "blind" not in marks
 
--- a/tests/support/node_processes.py
+++ b/tests/support/node_processes.py
@@ -1,4 +1,4 @@
-"""Node processes (`python -m loadbalancer`) for tests: one on its own, or many beside the list service."""
+"""Node processes (`python -m loadbalancer`) for tests: a single one, or several with a list service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import orjson
 
-from tests.support.loopback import config_row
+from tests.support.loopback import config_document
 from tests.support.ports import free_port
 from tests.support.registry_processes import Agent, Registry, metric_at, running, spawn, until
 
@@ -20,20 +20,21 @@
 
 
 class Node:
-    """One node process; `start` again after a kill, under the same name, ports and files.
+    """One node process. After `kill`, `start` runs it again with the same name, ports and files.
 
-    `row` is what loopback's config_row takes: settings and bounds merged in, any other key added.
+    `row` has the arguments of loopback's config_document: `settings` and `bounds` are merged into the
+    defaults, any other key is added to the configuration.
     """
 
     def __init__(
         self, folder: Path, known: list[dict[str, Any]], discovery: int | None = None, **row: Any
     ) -> None:
-        self.port, self.door = free_port(), free_port()
-        # by its port: two processes of one name, as an upgrade has, may share the folder
+        self.port, self.admin_port = free_port(), free_port()
+        # Named by port, because the two processes of an upgrade have one name and may share the folder.
         self.config, self.log = folder / f"node-{self.port}.json", folder / f"node-{self.port}.log"
         address = f"127.0.0.1:{free_port() if discovery is None else discovery}"
-        ports = {"listen": f"127.0.0.1:{self.port}", "operator": f"127.0.0.1:{self.door}"}
-        self.row = config_row(address, known=known, **row) | ports
+        ports = {"listen": f"127.0.0.1:{self.port}", "operator": f"127.0.0.1:{self.admin_port}"}
+        self.row = config_document(address, known=known, **row) | ports
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self, run: Spawn = spawn) -> None:
@@ -41,12 +42,12 @@
         self.wait_up()
 
     def launch(self, run: Spawn = spawn) -> None:
-        """Start it without waiting, so that many come up at once."""
+        """Start the process without waiting, so that several can start concurrently."""
         self.config.write_bytes(orjson.dumps(self.row))
         self.process = run(["-m", "loadbalancer"], self.log, {"PROXY_CONFIG": str(self.config)})
 
     def wait_up(self) -> None:
-        """Until it takes connections; AssertionError with its log's end where it ended instead."""
+        """Wait until it accepts connections; raise AssertionError with the end of its log if it exits."""
 
         def up() -> bool:
             assert self.process is not None
@@ -66,44 +67,44 @@
         self.process.wait(10)
 
     def stop(self) -> None:
-        """SIGTERM, and its end awaited; nothing where it is not running."""
+        """Send SIGTERM and wait for the exit; do nothing if it isn't running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
             self.process.wait(10)
 
-    def lines(self, text: str) -> list[str]:
+    def log_lines(self, text: str) -> list[str]:
         return [line for line in self.log.read_text().splitlines() if text in line]
 
     def metric(self, name: str) -> float:
-        return metric_at(self.door, name)
+        return metric_at(self.admin_port, name)
 
-    def listed(self) -> int:
+    def endpoint_count(self) -> int:
         return int(self.metric("proxy.targets"))
 
-    def call_door(self, target: str, method: str = "GET", body: Any = None) -> tuple[int, Any]:
-        """The door's status and its answer: JSON read where it is JSON, text otherwise.
+    def call_admin(self, target: str, method: str = "GET", body: Any = None) -> tuple[int, Any]:
+        """Call the admin API; return the status and the body, decoded if it is JSON and as text otherwise.
 
-        bytes go as they are, any other body as JSON; OSError where it can't be had in 3 s.
+        A `body` of bytes is sent as it is, any other as JSON. Raise OSError without a response in 3 s.
         """
-        connection = http.client.HTTPConnection("127.0.0.1", self.door, timeout=3)
+        connection = http.client.HTTPConnection("127.0.0.1", self.admin_port, timeout=3)
         try:
             data = body if body is None or isinstance(body, bytes) else orjson.dumps(body)
             connection.request(method, target, body=data)
-            answer = connection.getresponse()
-            raw = answer.read()
+            response = connection.getresponse()
+            raw = response.read()
         finally:
             connection.close()
         try:
-            return answer.status, orjson.loads(raw)
+            return response.status, orjson.loads(raw)
         except orjson.JSONDecodeError:
-            return answer.status, raw.decode()
+            return response.status, raw.decode()
 
 
 class Nodes:
-    """So many nodes named n0, n1 and so on, following `registry` through an agent each, or a shared one.
+    """`count` nodes named n0, n1 and so on, which follow `registry` through an agent each or a shared agent.
 
-    `row` gives each node's part of its configuration by its index, as Node takes it; it is asked once, before
-    any is started, so a caller that needs all ports (addresses of peers) updates `node.row` before `start`.
+    `row(index)` gives a node's additional configuration, as Node takes it. It is called before any node
+    starts; a test that needs the ports of all nodes in a configuration updates `node.row` before `start`.
     """
 
     def __init__(
@@ -112,17 +113,17 @@
         registry: Registry,
         count: int,
         known: list[dict[str, Any]],
-        row: Callable[[int], dict[str, Any]] = lambda at: {},
+        row: Callable[[int], dict[str, Any]] = lambda index: {},
         shared_agent: bool = False,
     ) -> None:
         self.agents: list[Agent] = [registry.agent() for _ in range(1 if shared_agent else count)]
         self._nodes = [
-            Node(folder, known, self.agents[at % len(self.agents)].port, **_named(at, row(at)))
-            for at in range(count)
+            Node(folder, known, self.agents[index % len(self.agents)].port, **_named(index, row(index)))
+            for index in range(count)
         ]
 
-    def __getitem__(self, at: int) -> Node:
-        return self._nodes[at]
+    def __getitem__(self, index: int) -> Node:
+        return self._nodes[index]
 
     def __iter__(self) -> Iterator[Node]:
         return iter(self._nodes)
@@ -135,35 +136,35 @@
         return [node.port for node in self._nodes]
 
     def start(self, *chosen: int) -> None:
-        """These, or all, at once; returns when each takes connections."""
-        nodes = [self._nodes[at] for at in chosen] if chosen else self._nodes
+        """Start the chosen nodes, or all, concurrently; return when each accepts connections."""
+        nodes = [self._nodes[index] for index in chosen] if chosen else self._nodes
         for node in nodes:
             node.launch()
         for node in nodes:
             node.wait_up()
 
-    def stop(self, at: int) -> None:
-        self._nodes[at].stop()
+    def stop(self, index: int) -> None:
+        self._nodes[index].stop()
 
-    def kill(self, at: int) -> None:
-        self._nodes[at].kill()
+    def kill(self, index: int) -> None:
+        self._nodes[index].kill()
 
-    def freeze(self, at: int) -> None:
-        self._nodes[at].send(signal.SIGSTOP)
+    def pause(self, index: int) -> None:
+        self._nodes[index].send(signal.SIGSTOP)
 
-    def thaw(self, at: int) -> None:
-        self._nodes[at].send(signal.SIGCONT)
+    def resume(self, index: int) -> None:
+        self._nodes[index].send(signal.SIGCONT)
 
-    def restart(self, at: int) -> None:
-        """Stop it, where it runs, and start it on what its row says now."""
-        self._nodes[at].stop()
-        self._nodes[at].start()
+    def restart(self, index: int) -> None:
+        """Stop the node if it runs, and start it with the present contents of its `row`."""
+        self._nodes[index].stop()
+        self._nodes[index].start()
 
-    def door(self, at: int, target: str, method: str = "GET", body: Any = None) -> tuple[int, Any]:
-        return self._nodes[at].call_door(target, method, body)
+    def call_admin(self, index: int, target: str, method: str = "GET", body: Any = None) -> tuple[int, Any]:
+        return self._nodes[index].call_admin(target, method, body)
 
     def close(self) -> None:
-        """End all, frozen ones too, and the agents."""
+        """Kill all nodes, paused ones too, and stop the agents."""
         for node in self._nodes:
             if node.process is not None and node.process.poll() is None:
                 node.kill()
@@ -171,6 +172,6 @@
             agent.stop()
 
 
-def _named(at: int, row: dict[str, Any]) -> dict[str, Any]:
-    base = {"name": f"n{at}", "settings": {"registryMode": "push"} | row.get("settings", {})}
+def _named(index: int, row: dict[str, Any]) -> dict[str, Any]:
+    base = {"name": f"n{index}", "settings": {"registryMode": "push"} | row.get("settings", {})}
     return row | base
--- a/tests/support/pooled.py
+++ b/tests/support/pooled.py
@@ -13,7 +13,7 @@
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 from loadbalancer.node.http.socket_buffer import readable
 from loadbalancer.node.upstream.pool import ConnectionPool
-from tests.support.loopback import reply, until
+from tests.support.loopback import http_response, wait_until
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 BIG = 30_000_000  # more than the kernel's buffers take
@@ -58,8 +58,8 @@
     async def rested(self) -> tuple[socket.socket, ClientConnection]:
         """A connection in the pool that has settled after an answer."""
         peer = await self.asked()
-        peer.sendall(reply())
-        await until(lambda: self.ends)
+        peer.sendall(http_response())
+        await wait_until(lambda: self.ends)
         assert self.ends.pop() is AttemptResult.OK
         self.answers.clear()
         connection = self.idle[-1]
@@ -71,7 +71,7 @@
         return self.pool._endpoints["s"].idle
 
     async def end(self, count: int = 1) -> list[AttemptResult]:
-        await until(lambda: len(self.ends) >= count)
+        await wait_until(lambda: len(self.ends) >= count)
         return self.ends
 
 
@@ -120,7 +120,7 @@
     if how == "half":
         peer.sendall(HALF)
     elif how == "second":
-        peer.sendall(reply(200, b"stray"))
+        peer.sendall(http_response(200, b"stray"))
     else:
         close(peer, how == "reset")
     while not readable(connection._transport):
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,4 +1,4 @@
-"""The relay between two programs; its faults and the net of many are in tests/faults."""
+"""Re-exports `Relay`, a TCP relay between two programs that can inject faults, from tests/support/faults."""
 
 from tests.support.faults import Relay
 
--- a/tests/support/stand_in_servers.py
+++ b/tests/support/stand_in_servers.py
@@ -8,7 +8,7 @@
 from typing import Any, Literal
 
 from tests.support.faults import LoopThread
-from tests.support.loopback import Message, Peer, reply, targets
+from tests.support.loopback import Message, StubServer, http_response, targets
 
 Conduct = Literal["answer", "hang", "fail", "drop"]
 
@@ -16,7 +16,7 @@
 class Served:
     """One of loopback's peers, started on a thread of its own."""
 
-    def __init__(self, peer: Peer) -> None:
+    def __init__(self, peer: StubServer) -> None:
         self.peer = peer
         self._loops = LoopThread()
         self.port = self._loops.run(peer.start()).port
@@ -33,7 +33,7 @@
     uid: str
     latency_ms: float
     room: int | None
-    peer: Peer = field(default_factory=Peer)
+    peer: StubServer = field(default_factory=StubServer)
     conduct: Conduct = "answer"
     held: asyncio.Event = field(default_factory=asyncio.Event)
     under_way: int = 0
@@ -61,9 +61,9 @@
     async def _answer(self, server: _Server, message: Message) -> bytes | None:
         server.peer.seen.clear()  # noted here, by id: a long run keeps no bodies
         self._hits[server.uid] += 1
-        self._reached.setdefault(message.headers.get("req-id", message.first[1]), []).append(server.uid)
+        self._reached.setdefault(message.headers.get("req-id", message.start_line[1]), []).append(server.uid)
         if server.room is not None and server.under_way >= server.room:
-            return reply(503, b"")
+            return http_response(503, b"")
         server.under_way += 1
         try:
             await asyncio.sleep(server.latency_ms / 1000.0)
@@ -73,7 +73,7 @@
             server.under_way -= 1
         if server.conduct == "drop":
             return None
-        return reply(500, b"") if server.conduct == "fail" else reply()
+        return http_response(500, b"") if server.conduct == "fail" else http_response()
 
     def set(self, at: int, conduct: Conduct = "answer", latency_ms: float | None = None) -> None:
         """From now on, for calls under way too (whose latency stays)."""
--- a/tests/support/test_faults.py
+++ b/tests/support/test_faults.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.support.faults import LoopThread, Net, Relay
-from tests.support.loopback import Message, Peer, reply
+from tests.support.loopback import Message, StubServer, http_response
 
 ASK = b"GET /read/%d HTTP/1.1\r\n\r\n"
 SHORT_S = 0.15  # for what must not come: a wait that is too short can't fail a good relay
@@ -25,15 +25,15 @@
 
     def __init__(self, loops: LoopThread) -> None:
         async def answer(message: Message) -> bytes:
-            return reply(200, message.first[1].encode())
+            return http_response(200, message.start_line[1].encode())
 
-        self.peer = loops.run(Peer(answer).start())
+        self.peer = loops.run(StubServer(answer).start())
         self.address = ("127.0.0.1", self.peer.port)
         Echo.all_made.append(self)
 
     @property
     def paths(self) -> list[str]:
-        return [message.first[1] for message in self.peer.seen]
+        return [message.start_line[1] for message in self.peer.seen]
 
 
 @pytest.fixture
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -1,8 +1,8 @@
 """Cases for tests/test_threads.py, run one at a time as `frontrun python -m tests.support.thread_cases NAME`,
-which is how frontrun takes over locks and files. Each prints one line of JSON: how many interleavings were
-explored, whether its rule held in all of them, and frontrun's account of the first in which it did not.
+so that frontrun can replace locks and file operations. Each prints one line of JSON: how many interleavings
+were explored, whether the invariant held in all of them, and frontrun's explanation of the first violation.
 
-A name with `-wrong` runs the same threads over a class with a seeded mistake.
+A NAME that ends in `-faulty` runs the same threads with a seeded fault.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from loadbalancer.registry.service_clock import ServiceClock
 from loadbalancer.registry.target_list import ListPage
 
-MOST = 1_000  # interleavings of a case
+MAX_INTERLEAVINGS = 1_000  # of a case
 
 
 class Targets:
-    """Raft's thread changes the catalog of targets; the web reads it, and a watcher what has changed."""
+    """Raft's thread changes the target catalog; an HTTP request reads it, a watcher reads the changes."""
 
-    def __init__(self, wrong: bool) -> None:
-        self.told: list[int] = []
-        self.catalog = TargetCatalog(1, self.told.append)
+    def __init__(self, faulty: bool) -> None:
+        self.notified: list[int] = []
+        self.catalog = TargetCatalog(1, self.notified.append)
         self.put("a")
         self.seen: ListPage | None = None
-        self.news: ListPage | None = None
-        if wrong:
+        self.changes: ListPage | None = None
+        if faulty:
             self.catalog._lock = nullcontext()
 
     def put(self, uid: str) -> None:
@@ -48,36 +48,38 @@
         self.put("b")
         self.catalog.remove("a", 0, _doApply=True)
 
-    def web(self) -> None:
+    def http_read(self) -> None:
         self.seen = self.catalog.page(None)
 
     def watcher(self) -> None:
-        self.news = self.catalog.page(1)
+        self.changes = self.catalog.page(1)
 
     def holds(self) -> bool:
-        """A page shows what there was at its revision: nothing of a change half made, nothing left out."""
+        """Each page shows exactly the state at its revision: no partial change and none missing."""
         assert self.seen is not None
-        assert self.news is not None
-        whole = {1: ["a"], 2: ["a", "b"], 3: ["b"]}
+        assert self.changes is not None
+        targets = {1: ["a"], 2: ["a", "b"], 3: ["b"]}
         since = {1: [], 2: [("b", "Ready")], 3: [("b", "Ready"), ("a", "Gone")]}
-        news = [(row["uid"], row["state"]) for row in self.news.targets]
+        changes = [(row["uid"], row["state"]) for row in self.changes.targets]
         seen = sorted(row["uid"] for row in self.seen.targets)
         return (
-            seen == whole[self.seen.revision] and news == since[self.news.revision] and self.told == [1, 2, 3]
+            seen == targets[self.seen.revision]
+            and changes == since[self.changes.revision]
+            and self.notified == [1, 2, 3]
         )
 
 
 class Members:
-    """Raft's thread applies a renewal and an enrolment; the leader's loop takes renewals, the web reads."""
+    """Raft's thread applies a renewal and an enrolment; the leader takes renewals, an HTTP request reads."""
 
-    def __init__(self, wrong: bool) -> None:
+    def __init__(self, faulty: bool) -> None:
         self.fleet = FleetCatalog(ServiceClock(), lambda: 0.0, lambda groups: None)
         self.fleet.lead(0.0, 1, "", 0, 1000.0, 50.0, _doApply=True)
         self.fleet.start_answering(1)
         self.enrol("n0")
         self.taken: list[AppliedRenewal] = []
         self.seen: dict[str, Any] = {}
-        if wrong:
+        if faulty:
             self.fleet._lock = nullcontext()
 
     def enrol(self, name: str) -> None:
@@ -90,55 +92,58 @@
     def leader(self) -> None:
         self.taken += self.fleet.take_applied_renewals()
 
-    def web(self) -> None:
+    def http_read(self) -> None:
         self.seen = self.fleet.members()
 
     def holds(self) -> bool:
-        """Each renewal is taken once; what is read is the log's state at one command's end."""
-        taken = [(one.incarnation, one.seq) for one in (*self.taken, *self.fleet.take_applied_renewals())]
+        """Each renewal is taken once; a read shows the state between two commands of the log."""
+        taken = [
+            (renewal.incarnation, renewal.seq)
+            for renewal in (*self.taken, *self.fleet.take_applied_renewals())
+        ]
         rows = [(row["name"], row["seq"], row["share"]) for row in self.seen["members"]]
         before, renewed = [("n0", 0, 1.0)], [("n0", 1, 1.0)]
         states = [(1, 1.0, before), (1, 2.0, renewed), (2, 2.0, [*renewed, ("n1", 0, 0.0)])]
         return taken == [(1, 0), (1, 1), (2, 0)] and (self.seen["rev"], self.seen["log_ms"], rows) in states
 
 
-class Stopping:
-    """A write of the state file is under way in its thread while the node stops, and the next process, which
-    waits for the lock, writes a newer one."""
+class WriteDuringStop:
+    """A thread writes the state file while the node stops; the next process, which waits for the lock, then
+    writes a newer one."""
 
-    def __init__(self, wrong: bool) -> None:
+    def __init__(self, faulty: bool) -> None:
         path = Path(tempfile.mkdtemp()) / "state"
         self.old, self.next = StateFile(path), StateFile(path)
-        self.wrote = self.old.acquire_lock()
-        self.refused = False
-        if wrong:
+        self.locked = self.old.acquire_lock()
+        self.rejected = False
+        if faulty:
             self.old._write_lock = nullcontext()
 
     def write(self) -> None:
         try:
             self.old._encode_and_write(lambda: frame.encode_frame(b"old"))
         except OSError:
-            self.refused = True
+            self.rejected = True
 
     def stop(self) -> None:
         self.old.close()
-        self.wrote = self.next.acquire_lock()
-        if self.wrote:
+        self.locked = self.next.acquire_lock()
+        if self.locked:
             self.next._encode_and_write(lambda: frame.encode_frame(b"new"))
         self.next.close()
 
     def holds(self) -> bool:
-        return self.wrote and self.old.path.read_bytes() == frame.encode_frame(b"new")
+        return self.locked and self.old.path.read_bytes() == frame.encode_frame(b"new")
 
 
-class Twice:
-    """A write whose task was cancelled is still under way in its thread when the next one begins."""
+class ConcurrentWrites:
+    """The thread of a cancelled write task is still writing when the next write begins."""
 
-    def __init__(self, wrong: bool) -> None:
+    def __init__(self, faulty: bool) -> None:
         self.file = StateFile(Path(tempfile.mkdtemp()) / "state")
         self.failed: list[OSError] = []
-        self.wrote = self.file.acquire_lock()
-        if wrong:
+        self.locked = self.file.acquire_lock()
+        if faulty:
             self.file._write_lock = nullcontext()
 
     def first(self) -> None:
@@ -154,29 +159,29 @@
             self.failed.append(error)
 
     def holds(self) -> bool:
-        whole = [frame.encode_frame(body) for body in (b"first", b"second, longer")]
-        return self.wrote and not self.failed and self.file.path.read_bytes() in whole
+        complete = [frame.encode_frame(body) for body in (b"first", b"second, longer")]
+        return self.locked and not self.failed and self.file.path.read_bytes() in complete
 
 
-class Versions:
-    """The worker of a node's route versions stores one, forgets it as its activation was aborted, and
-    stores the one proposed next, while the next process of an upgrade reads the folder."""
+class RouteVersions:
+    """The worker of a node's route store stores a version, removes it because its activation was aborted, and
+    stores the next proposed version, while the second process of an upgrade reads the folder."""
 
-    def __init__(self, wrong: bool) -> None:
+    def __init__(self, faulty: bool) -> None:
         self.folder = Path(tempfile.mkdtemp())
-        self.store, self.wrong = RouteStore(self.folder), wrong
-        self.done: list[str] = []  # frontrun orders threads by what they share in memory, not in the folder
+        self.store, self.faulty = RouteStore(self.folder), faulty
+        self.done: list[str] = []  # frontrun orders threads by accesses to memory, not to the folder
         self.seen: list[tuple[int, str]] = []
 
     def worker(self) -> None:
         self._step("write", lambda: self.store._write(1, "aborted"))
-        if not self.wrong:
-            self._step("forget", lambda: self.store._remove(1))
+        if not self.faulty:
+            self._step("remove", lambda: self.store._remove(1))
         self._step("write", lambda: self.store._write(2, "proposed next"))
 
-    def beside(self) -> None:
-        if self.wrong:  # removals by a thread of their own, out of the order they were asked for in
-            self._step("forget", lambda: self.store._remove(1))
+    def second_worker(self) -> None:
+        if self.faulty:  # a second thread removes, out of the order of the requests
+            self._step("remove", lambda: self.store._remove(1))
 
     def reader(self) -> None:
         self._step("read", lambda: self.seen.extend(RouteStore(self.folder).load_all()))
@@ -186,33 +191,37 @@
         act()
 
     def holds(self) -> bool:
-        """What is read is whole and was there at one moment; what is left is what was asked for last."""
-        moments = ([], [(1, "aborted")], [(2, "proposed next")])
-        return self.seen in moments and RouteStore(self.folder).load_all() == [(2, "proposed next")]
+        """A read shows the complete contents at one point in time; the last stored version remains."""
+        states = ([], [(1, "aborted")], [(2, "proposed next")])
+        return self.seen in states and RouteStore(self.folder).load_all() == [(2, "proposed next")]
 
 
 CASES: dict[str, tuple[Callable[[bool], Any], list[Callable[[Any], None]]]] = {
-    "targets": (Targets, [Targets.raft, Targets.web, Targets.watcher]),
-    "members": (Members, [Members.raft, Members.leader, Members.web]),
-    "stopping": (Stopping, [Stopping.write, Stopping.stop]),
-    "versions": (Versions, [Versions.worker, Versions.beside, Versions.reader]),
-    "twice": (Twice, [Twice.first, Twice.second]),
+    "targets": (Targets, [Targets.raft, Targets.http_read, Targets.watcher]),
+    "members": (Members, [Members.raft, Members.leader, Members.http_read]),
+    "write-during-stop": (WriteDuringStop, [WriteDuringStop.write, WriteDuringStop.stop]),
+    "versions": (RouteVersions, [RouteVersions.worker, RouteVersions.second_worker, RouteVersions.reader]),
+    "concurrent-writes": (ConcurrentWrites, [ConcurrentWrites.first, ConcurrentWrites.second]),
 }
 
 
 def main(name: str) -> None:
-    case, threads = CASES[name.removesuffix("-wrong")]
-    found = frontrun.explore(
-        setup=lambda: case(name.endswith("-wrong")),
+    case, threads = CASES[name.removesuffix("-faulty")]
+    result = frontrun.explore(
+        setup=lambda: case(name.endswith("-faulty")),
         workers=threads,
         invariant=lambda state: state.holds(),
-        max_executions=MOST,
+        max_executions=MAX_INTERLEAVINGS,
         total_timeout=60.0,
         reproduce_on_failure=2,
         trace_packages=["loadbalancer.*"],
     )
-    said = {"explored": found.num_explored, "holds": found.property_holds, "why": found.explanation}
-    print(orjson.dumps(said | {"inconclusive": found.inconclusive_reason}).decode())
+    summary = {
+        "explored": result.num_explored,
+        "holds": result.property_holds,
+        "reason": result.explanation,
+    }
+    print(orjson.dumps(summary | {"inconclusive": result.inconclusive_reason}).decode())
 
 
 if __name__ == "__main__":
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The program: configuration, start, and leaving service on SIGTERM."""
+"""The program `python -m loadbalancer`: configuration, start, reload, and shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 import pytest
 
 from tests.support.loopback import (
-    Caller,
+    Client,
     Discovery,
     Message,
-    Peer,
-    config_row,
-    listing,
+    StubServer,
+    config_document,
+    http_response,
+    list_response,
     read_message,
-    reply,
     request,
     targets,
-    until,
+    wait_until,
 )
 from tests.support.ports import free_port
 
@@ -52,47 +52,47 @@
         lambda row: row.update(limits={"sockets": "many"}),
     ],
 )
-def test_a_bad_configuration_is_one_line_and_exit_code_2(tmp_path, change):
-    row = orjson.loads(orjson.dumps(config_row("127.0.0.1:1")))
+def test_invalid_configuration_exits_2_with_one_line(tmp_path, change):
+    row = orjson.loads(orjson.dumps(config_document("127.0.0.1:1")))
     change(row)
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(row))
     program = start(path)
-    _, said = program.communicate(timeout=60)
+    _, errors = program.communicate(timeout=60)
     assert program.returncode == 2
-    assert said.count("\n") == 1
+    assert errors.count("\n") == 1
 
 
-def test_a_missing_or_unreadable_configuration_too(tmp_path):
+def test_missing_or_unreadable_configuration_exits_2_with_one_line(tmp_path):
     (tmp_path / "bad.json").write_text("{")
     for path in (None, tmp_path / "none.json", tmp_path / "bad.json"):
         program = start(path)
-        _, said = program.communicate(timeout=60)
+        _, errors = program.communicate(timeout=60)
         assert program.returncode == 2
-        assert said.count("\n") == 1
+        assert errors.count("\n") == 1
 
 
-def test_sighup_moves_discovery_and_a_bad_file_leaves_it(tmp_path):
+def test_sighup_changes_discovery_address_unless_file_is_invalid(tmp_path):
     async def main():
         old = await Discovery().start()
-        new = await Discovery(listing(2, True, s0=("127.0.0.1:1", "Ready"))).start()
+        new = await Discovery(list_response(2, True, s0=("127.0.0.1:1", "Ready"))).start()
         address = ("127.0.0.1", free_port())
-        row = config_row(old.endpoint, settings={"registryMode": "push"})
+        row = config_document(old.endpoint, settings={"registryMode": "push"})
         row["listen"] = f"{address[0]}:{address[1]}"
         path = tmp_path / "config.json"
         path.write_bytes(orjson.dumps(row))
         program = start(path)
         try:
-            await until(lambda: old.seen)
+            await wait_until(lambda: old.seen)
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
-            said = await asyncio.to_thread(next_line, program, "not reloaded")
-            assert "the present one stays in use" in said
+            line = await asyncio.to_thread(next_line, program, "not reloaded")
+            assert "the current one stays in use" in line
             path.write_bytes(orjson.dumps(row | {"discovery": new.endpoint}))
             program.send_signal(signal.SIGHUP)
-            await until(lambda: len(new.seen) > 1)  # the next call, once the first has been read
-            caller = Caller(*await asyncio.open_connection(*address))
-            assert (await caller.ask(UP)).status == 200  # ready by what the new address told
+            await wait_until(lambda: len(new.seen) > 1)  # the second poll follows the first response
+            client = Client(*await asyncio.open_connection(*address))
+            assert (await client.exchange(UP)).status == 200  # ready due to the new address's list
             assert program.poll() is None
         finally:
             program.kill()
@@ -104,64 +104,64 @@
 
 
 def next_line(program: subprocess.Popen[str], text: str) -> str:
-    """The program's next line of log that holds this text; empty if it ends without one."""
+    """Return the next log line that contains `text`, or an empty text if the program exits first."""
     assert program.stderr is not None
     return next((line for line in program.stderr if text in line), "")
 
 
-def test_sigterm_serves_what_still_comes_finishes_what_is_held_and_exits_with_0(tmp_path):
+def test_sigterm_drains_finishes_requests_in_flight_and_exits_0(tmp_path):
     async def main():
-        hold = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(message):
-            if message.headers["req-id"] == "held":
-                await hold.wait()
-            return reply()
+            if message.headers["req-id"] == "in-flight":
+                await release.wait()
+            return http_response()
 
-        server, discovery = await Peer(script).start(), await Discovery().start()
+        server, discovery = await StubServer(script).start(), await Discovery().start()
         address = ("127.0.0.1", free_port())
         known = targets(s0=(server.endpoint, "Ready"))
-        row = config_row(discovery.endpoint, known=known) | {"listen": f"{address[0]}:{address[1]}"}
+        row = config_document(discovery.endpoint, known=known) | {"listen": f"{address[0]}:{address[1]}"}
         path = tmp_path / "config.json"
         path.write_bytes(orjson.dumps(row))
         program = start(path)
         try:
 
-            async def connect() -> Caller:
-                return Caller(*await asyncio.open_connection(*address))
+            async def connect() -> Client:
+                return Client(*await asyncio.open_connection(*address))
 
             async with asyncio.timeout(60):
                 while True:
                     try:
-                        caller = await connect()
+                        client = await connect()
                         break
                     except OSError:
                         await asyncio.sleep(0.05)
-                assert (await caller.ask(UP)).status == 200
+                assert (await client.exchange(UP)).status == 200
                 idle = await connect()
-                await idle.ask(UP)
-                caller.writer.write(request(name="held"))
-                await until(lambda: server.seen)
+                await idle.exchange(UP)
+                client.writer.write(request(name="in-flight"))
+                await wait_until(lambda: server.seen)
                 program.send_signal(signal.SIGTERM)
 
-                async def ask_anew(data: bytes) -> Message:
-                    """As a client does: once more on a new connection where the node closed one."""
+                async def exchange_again(data: bytes) -> Message:
+                    """Send on a new connection, and again if the node closes it, as a client does."""
                     while True:
                         try:
-                            return await (await connect()).ask(data)
+                            return await (await connect()).exchange(data)
                         except (ConnectionError, asyncio.IncompleteReadError):
                             continue
 
-                while (answer := await ask_anew(UP)).status == 200:
+                while (response := await exchange_again(UP)).status == 200:
                     pass
-                assert (answer.status, answer.headers["connection"]) == (503, "close")
-                answer = await ask_anew(request(name="new"))
-                assert (answer.status, answer.headers["connection"]) == (200, "close")
+                assert (response.status, response.headers["connection"]) == (503, "close")
+                response = await exchange_again(request(name="new"))
+                assert (response.status, response.headers["connection"]) == (200, "close")
                 assert await idle.reader.read() == b""  # closed between requests
                 assert program.poll() is None
-                hold.set()
-                answer = await read_message(caller.reader)
-                assert (answer.status, answer.headers["connection"]) == (200, "close")
+                release.set()
+                response = await read_message(client.reader)
+                assert (response.status, response.headers["connection"]) == (200, "close")
                 assert await asyncio.to_thread(program.wait) == 0
         finally:
             program.kill()
--- a/tests/test_settings_bad.py
+++ b/tests/test_settings_bad.py
@@ -19,7 +19,7 @@
 from loadbalancer.endpoints import AttemptResult, Endpoint, EndpointListKind
 from loadbalancer.node.config import NodeConfig, parse_config
 from loadbalancer.service_settings import DeduplicationScope
-from tests.support.loopback import config_row, targets
+from tests.support.loopback import config_document, targets
 
 ROOT = Path(__file__).parents[1]
 ABSENT = object()
@@ -45,7 +45,7 @@
 
 def full_row() -> dict[str, Any]:
     """Return a configuration with every key that a node reads."""
-    row = config_row(
+    row = config_document(
         "127.0.0.1:9",
         known=targets(s0=("127.0.0.1:8", "Ready")),
         settings={
@@ -188,7 +188,7 @@
     ],
 )
 def test_invalid_setting_is_named_with_its_value(settings, message):
-    row = config_row("127.0.0.1:9", settings=settings)
+    row = config_document("127.0.0.1:9", settings=settings)
     row["settings"] |= settings  # `bounds` are merged with others
     with pytest.raises(ValueError) as raised:  # noqa: PT011
         parse_config(orjson.dumps(row), {})
@@ -217,7 +217,7 @@
 )
 def test_invalid_configuration_key_is_named(change, message):
     with pytest.raises(ValueError) as raised:  # noqa: PT011
-        parse_config(orjson.dumps(config_row("127.0.0.1:9") | change), {})
+        parse_config(orjson.dumps(config_document("127.0.0.1:9") | change), {})
     assert str(raised.value).startswith(message)
 
 
@@ -254,7 +254,7 @@
         "categories": [CLASS | {"effect": "guarded", "memorySpanMs": None}],
         "bounds": {"maxAttempts": 9},
     }
-    config = parse_config(orjson.dumps(config_row("127.0.0.1:9", settings=settings)), {})
+    config = parse_config(orjson.dumps(config_document("127.0.0.1:9", settings=settings)), {})
     balancer = Balancer(config.settings, 1, 0.0)
     balancer.handle(0.0, EndpointListUpdate(EndpointListKind.CACHED, (Endpoint("s-1"), Endpoint("s-2"))))
     (send,) = [
@@ -304,7 +304,7 @@
 @pytest.mark.parametrize("listen", ["a\0b:80", "a" * 300 + ":80", "a..b:80", "x" * 9000])
 def test_program_exits_with_2_on_invalid_listen_address(tmp_path, listen):
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps(config_row("127.0.0.1:9") | {"listen": listen}))
+    path.write_bytes(orjson.dumps(config_document("127.0.0.1:9") | {"listen": listen}))
     assert "listen: " in error_line(run_node(path), 2)
 
 
@@ -312,5 +312,5 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         path = tmp_path / "config.json"
         listen = f"127.0.0.1:{listener.getsockname()[1]}"
-        path.write_bytes(orjson.dumps(config_row("127.0.0.1:9") | {"listen": listen}))
+        path.write_bytes(orjson.dumps(config_document("127.0.0.1:9") | {"listen": listen}))
         assert "in use" in error_line(run_node(path), 1)
--- a/tests/test_settings_kinds.py
+++ b/tests/test_settings_kinds.py
@@ -12,7 +12,18 @@
 
 from loadbalancer.balancing.events import TimerFired
 from loadbalancer.node.node import Node
-from tests.support.loopback import Caller, Held, Message, Peer, ask, reply, request, running, targets, until
+from tests.support.loopback import (
+    BlockedServer,
+    Client,
+    Message,
+    StubServer,
+    exchange,
+    http_response,
+    request,
+    running_node,
+    targets,
+    wait_until,
+)
 
 LONG_TIMEOUTS = {"aimMs": 20000.0, "giveUpMs": 30000.0}
 KEYED = {"effect": "guarded", "memorySpanMs": 9000.0}
@@ -94,22 +105,24 @@
             return None  # reset, possibly after execution
         rejected = message.headers["req-id"].startswith("full")
         return (
-            reply(503, Srv_Declined="1") if rejected else reply(200, Srv_Load="TEXT depth=1, load_share=0.2")
+            http_response(503, Srv_Declined="1")
+            if rejected
+            else http_response(200, Srv_Load="TEXT depth=1, load_share=0.2")
         )
 
     async def main():
-        first, second = Peer(script), Peer(script)
-        async with running(first, second, **CASES[case]) as node:
+        first, second = StubServer(script), StubServer(script)
+        async with running_node(first, second, **CASES[case]) as node:
             for round_number in range(3):
                 for name in class_names(node):
                     headers = {"Req_Owner": "north", "Req_Cost": "3000"}
-                    response = await ask(node, request_of(name, f"ok-{name}-{round_number}", **headers))
+                    response = await exchange(node, request_of(name, f"ok-{name}-{round_number}", **headers))
                     assert (response.status, response.body) == (200, b"done"), name
             for name in class_names(node):
                 effect = node.request_registry._classes[name].effect
-                response = await ask(node, request_of(name, f"full-{name}"))
+                response = await exchange(node, request_of(name, f"full-{name}"))
                 assert response.status == 503, name  # all servers rejected it
-                response = await ask(node, request_of(name, f"lost-{name}"))
+                response = await exchange(node, request_of(name, f"lost-{name}"))
                 assert response.status == (503 if effect.value == "safe" else 502), name
             ids = [message.headers["req-id"] for server in (first, second) for message in server.seen]
             max_attempts = node.config.settings.max_attempts
@@ -127,7 +140,7 @@
     """s0 resets the request; s1 has its zone and cell, s2 its cell number in another zone, s3 neither."""
 
     async def main():
-        resetting, others = Peer(), {f"s{index}": Peer() for index in (1, 2, 3)}
+        resetting, others = StubServer(), {f"s{index}": StubServer() for index in (1, 2, 3)}
 
         async def reset(_message: Message) -> None:
             return None
@@ -142,8 +155,8 @@
             known = targets(**{name: (address, "Ready") for name, address in addresses.items()})
             for target in known:
                 target["az"], target["pod_group"] = zones[target["uid"]]
-            async with running(known=known, settings=settings, seed=f"{round_number:x}") as node:
-                response = await ask(node, request_of("move", f"q{round_number}"))
+            async with running_node(known=known, settings=settings, seed=f"{round_number:x}") as node:
+                response = await exchange(node, request_of("move", f"q{round_number}"))
                 assert response.status == 200
                 check_no_faults(node)
         retried_ids = {message.headers["req-id"] for message in resetting.seen}
@@ -165,18 +178,18 @@
     """The balancer ignores `bounds.secondCopies`."""
 
     async def main():
-        servers = [Held() for _ in range(3)]
-        async with running(*servers, bounds={"secondCopies": True, "maxAttempts": 5}) as node:
-            caller = await Caller.to(node)
+        servers = [BlockedServer() for _ in range(3)]
+        async with running_node(*servers, bounds={"secondCopies": True, "maxAttempts": 5}) as node:
+            caller = await Client.connect(node)
             caller.writer.write(request("read", "q1"))
-            await until(lambda: any(server.seen for server in servers))
+            await wait_until(lambda: any(server.seen for server in servers))
             for _ in range(50):  # at the end of each period, another attempt might be sent
                 node.handle_event(TimerFired("period"))
             assert sum(len(server.seen) for server in servers) == 1
             assert node.request_registry.active["q1"].attempts_in_flight == 1
             for server in servers:
                 server.release.set()
-            assert (await caller.answer()).status == 200
+            assert (await caller.read_response()).status == 200
 
     asyncio.run(main())
 
@@ -189,9 +202,9 @@
     settings = {"categories": [short | {"name": name, "effect": effect} for name, effect in effects]}
 
     async def main():
-        async with running(Held(), settings=settings, bounds={"cancel": cancel}) as node:
+        async with running_node(BlockedServer(), settings=settings, bounds={"cancel": cancel}) as node:
             for name, effect in effects:
-                response = await ask(node, request_of(name, f"q-{name}"))
+                response = await exchange(node, request_of(name, f"q-{name}"))
                 assert response.status == (503 if effect == "free" else 504)
             check_no_faults(node)
 
@@ -205,11 +218,11 @@
         with full_listen_queue() as address:
             known = targets(s0=(address, "Ready"))
             bounds = {"connectTimeoutMs": 60000.0}
-            async with running(known=known, settings=settings, bounds=bounds) as node:
-                response = await ask(node, request_of("post", "q1"))
+            async with running_node(known=known, settings=settings, bounds=bounds) as node:
+                response = await exchange(node, request_of("post", "q1"))
                 assert response.status == 503  # never written, so it is rejected
                 check_no_faults(node)
-                await until(lambda: not node.pool.connection_count)
+                await wait_until(lambda: not node.pool.connection_count)
 
     asyncio.run(main())
 
@@ -222,7 +235,7 @@
             "categories": [READ | {"name": name} for name in ("tänk it", "a/b")],
             "accounts": [{"name": "nörd", "quotaPerS": 0.001}],
         }
-        async with running(Peer(), settings=settings) as node:
+        async with running_node(StubServer(), settings=settings) as node:
             bucket = node.driver.balancer.admission.buckets["nörd"]
             for path, owner, cost in (
                 ("/t%C3%A4nk%20it/1", "nörd".encode(), 1.0),
@@ -230,7 +243,7 @@
             ):
                 bucket.tokens = 1.0
                 head = f"GET {path} HTTP/1.1\r\nHost: x\r\nReq-Id: {path}\r\nReq-Owner: "
-                response = await ask(node, head.encode() + owner + b"\r\n\r\n")
+                response = await exchange(node, head.encode() + owner + b"\r\n\r\n")
                 assert response.status == 200
                 assert 1.0 - bucket.tokens == pytest.approx(cost, abs=0.01)
 
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -1,8 +1,9 @@
-"""Threads of the real classes in every order that matters, by frontrun (DPOR), at most two of them preempted.
+"""Races between threads: frontrun (DPOR) runs the real classes in all relevant interleavings with at most
+two preemptions.
 
-Each case of tests/support/thread_cases.py runs in a process of its own under `frontrun`, so the one test
-command stays `python -m pytest`. A lock taken out, or an order not kept, is the seeded mistake: it has to be
-found.
+Each case of tests/support/thread_cases.py runs in a process of its own under `frontrun`, so that the test
+command stays `python -m pytest`. Each case also runs with a seeded fault (a removed lock, or operations out
+of order), which the exploration must find.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 import orjson
 import pytest
 
-CASES = ("targets", "members", "stopping", "twice", "versions")
+CASES = ("targets", "members", "write-during-stop", "concurrent-writes", "versions")
 
 
-def explored(name: str, folder: Path) -> dict[str, Any]:
+def explore(name: str, folder: Path) -> dict[str, Any]:
     command = [sys.executable, "-m", "frontrun.cli", sys.executable, "-m", "tests.support.thread_cases", name]
-    done = subprocess.run(
+    process = subprocess.run(
         command,
         cwd=Path(__file__).parents[1],
         env={**os.environ, "TMPDIR": str(folder)},
@@ -29,19 +30,19 @@
         timeout=120,
         check=False,
     )
-    assert done.returncode == 0, done.stderr.decode()
-    found: dict[str, Any] = orjson.loads(done.stdout.splitlines()[-1])
-    print(f"\n{name}: {found['explored']} interleavings, holds: {found['holds']}\n{found['why'] or ''}")
-    return found
+    assert process.returncode == 0, process.stderr.decode()
+    result: dict[str, Any] = orjson.loads(process.stdout.splitlines()[-1])
+    print(f"\n{name}: {result['explored']} interleavings, holds: {result['holds']}\n{result['reason'] or ''}")
+    return result
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_threads_keep_the_rule_in_every_order(name: str, tmp_path: Path) -> None:
-    found = explored(name, tmp_path)
-    assert found["holds"] is True, found
-    assert 1 < found["explored"] < 1_000
+def test_invariant_holds_in_every_interleaving(name: str, tmp_path: Path) -> None:
+    result = explore(name, tmp_path)
+    assert result["holds"] is True, result
+    assert 1 < result["explored"] < 1_000
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_the_seeded_mistake_is_found(name: str, tmp_path: Path) -> None:
-    assert explored(f"{name}-wrong", tmp_path)["holds"] is False
+def test_seeded_fault_is_found(name: str, tmp_path: Path) -> None:
+    assert explore(f"{name}-faulty", tmp_path)["holds"] is False
--- a/tests/wire/test_golden_node.py
+++ b/tests/wire/test_golden_node.py
@@ -1,6 +1,7 @@
-"""A node says to callers, servers, operators, siblings and the list service what that of commit bf594b0 said.
+"""Golden test: a node sends the same messages as the node of commit bf594b0 to clients, servers, operators,
+siblings and the list service.
 
-tests/data/golden/README.md says how the messages were recorded.
+See tests/data/golden/README.md for how the messages were recorded.
 """
 
 from __future__ import annotations
@@ -19,5 +20,5 @@
 
 
 @pytest.mark.parametrize("case", NODES)
-def test_a_node_says_the_same_to_all_that_it_talks_to(tmp_path: Path, case: str) -> None:
+def test_node_messages_match_recording(tmp_path: Path, case: str) -> None:
     assert replay_node(PRESENT, tmp_path, NODES[case]) == NODES[case]
--- a/tests/wire/test_golden_simulator.py
+++ b/tests/wire/test_golden_simulator.py
@@ -1,6 +1,6 @@
-"""The simulator's adapter replies to a transcript with the bytes that commit bf594b0 replied with.
+"""Golden test: the simulator's adapter responds to a transcript with the same bytes as commit bf594b0.
 
-tests/data/golden/README.md says how the messages were recorded.
+See tests/data/golden/README.md for how the messages were recorded.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 EVENTS |= {"PEER", "STOP", "NONSENSE", "FRAME", "GO"}
 ACTIONS = {"ISSUE", "DECLINE", "FINISH_ERROR", "RETRACT", "SLEEP", "OBSERVE", "PANIC", "READY"}
 TRANSCRIPT = (DATA / "simulator-input.jsonl").read_bytes()
-REPLIES = (DATA / "simulator-output.jsonl").read_bytes()
+OUTPUT = (DATA / "simulator-output.jsonl").read_bytes()
 
 
 def kinds(lines: bytes) -> set[str]:
     return {orjson.loads(line)["kind"] for line in lines.splitlines()}
 
 
-def test_each_batch_has_its_reply() -> None:
-    assert simulate(PRESENT, TRANSCRIPT) == REPLIES
+def test_adapter_output_matches_recording() -> None:
+    assert simulate(PRESENT, TRANSCRIPT) == OUTPUT
 
 
-def test_the_transcript_holds_each_kind_of_event_and_of_action() -> None:
+def test_transcript_covers_every_event_and_action() -> None:
     assert kinds(TRANSCRIPT) == EVENTS
-    assert kinds(REPLIES) == ACTIONS
+    assert kinds(OUTPUT) == ACTIONS
