--- a/tests/node/listener/test_connection_closes.py
+++ b/tests/node/listener/test_connection_closes.py
@@ -59,11 +59,11 @@
             server.release.set()
             caller.setblocking(False)
             stream = Client(*await asyncio.open_connection(sock=caller))
-            first = await stream.answer()
+            first = await stream.read_response()
             assert (first.status, first.headers.get("connection")) == (200, None)
             whole = request("post", "q2", b"body") if half.startswith(b"P") else request(name="q2")
             stream.writer.write(whole[len(half) :])
-            second = await stream.answer()
+            second = await stream.read_response()
             assert (second.status, second.headers["connection"]) == (200, "close")
             assert await stream.reader.read() == b""
             assert [message.headers["req-id"] for message in server.seen] == ["q1", "q2"]
--- a/tests/node/listener/test_descriptors.py
+++ b/tests/node/listener/test_descriptors.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.node.test_restarts import UP, connect, frozen, status
+from tests.node.test_restarts import UP, connect, paused, read_status
 from tests.support.faults import LoopThread
 from tests.support.loopback import Client, Discovery, StubServer, list_response, request, running_node
 from tests.support.node_processes import Node
@@ -46,7 +46,7 @@
 def crowd(node: Node, count: int, data: bytes) -> Iterator[list[socket.socket]]:
     """So many callers at once, each of which has sent this much and then rests."""
     with contextlib.ExitStack() as stack:
-        with frozen(node):
+        with paused(node):
             callers = [stack.enter_context(connect(node)) for _ in range(count)]
             for caller in callers:
                 caller.sendall(data)
@@ -71,13 +71,13 @@
         with crowd(node, sockets + 40, data):
             with connect(node) as caller:
                 caller.sendall(UP)
-                assert status(caller) == 200
+                assert read_status(caller) == 200
             discovery.responses = [list_response(2, True, s0=(f"127.0.0.1:{servers.port()}", "Ready"))]
             loops.run(discovery.start(port))
             until(lambda: len(discovery.seen) > 1, what="the list read and asked for again")
             with connect(node) as caller:
                 caller.sendall(request(name="served"))
-                assert status(caller) == 200
+                assert read_status(caller) == 200
         assert node.process is not None
         assert node.process.poll() is None
         assert not node.log_lines("Too many open files")
--- a/tests/node/upstream/test_pooled_frozen.py
+++ b/tests/node/upstream/test_pooled_frozen.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.node.test_restarts import connect, frozen
+from tests.node.test_restarts import connect, paused
 from tests.support.loopback import http_response, request
 from tests.support.node_processes import Node
 from tests.support.pooled import ACTS, HALF, close
@@ -51,7 +51,7 @@
         assert answer_to(caller).endswith(b"one!")
         rested = time.monotonic() + 0.1  # longer than a connection settles
         until(lambda: time.monotonic() >= rested)
-        with frozen(node):
+        with paused(node):
             if not seen_first:  # the loop takes them in this order
                 caller.sendall(request("post", "q2", b"two"))
             if how in ("end", "reset"):
