--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -75,9 +75,7 @@
     parser = argparse.ArgumentParser(prog="python -m loadbalancer state", description="Inspect a state file.")
     parser.add_argument("verb", choices=["show"])
     parser.add_argument("file", type=Path)
-    parser.add_argument(
-        "--node", help="also check that the file belongs to this node, as a starting node does"
-    )
+    parser.add_argument("--node", help="also check that the file is of this node, as a starting node does")
     options = parser.parse_args(arguments)
     description = describe_state(options.file, options.node)
     print(description.text)
--- a/loadbalancer/node/balancer_driver.py
+++ b/loadbalancer/node/balancer_driver.py
@@ -40,9 +40,7 @@
         self._attempts = attempts
         self._watcher = watcher
         self._counts = counts
-        self.before_event: list[
-            Callable[[], None]
-        ] = []  # called before each event, except events caused by actions
+        self.before_event: list[Callable[[], None]] = []  # called before events that no action caused
         self._events: deque[Event] = deque()
         self._is_handling = False
         self._timers: dict[str, asyncio.TimerHandle] = {}
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -60,7 +60,7 @@
 
     @property
     def membership_descriptors(self) -> int:
-        """Return the part of `max_descriptors` for persistent connections, one to and one from a sibling."""
+        """Return the part of `max_descriptors` for sibling connections: one to and one from each sibling."""
         if self.membership is None:
             return 0
         return min(MAX_MEMBERSHIP_DESCRIPTORS, self.max_descriptors // MEMBERSHIP_DESCRIPTORS_DIVISOR)
--- a/loadbalancer/node/membership_settings.py
+++ b/loadbalancer/node/membership_settings.py
@@ -41,14 +41,10 @@
     service: Annotated[str, Meta(max_length=MAX_SERVICE_NAME_CHARS)] = ""  # its nodes form a group
     routes_folder: str = ""  # of the route versions that this node prepares; empty: it prepares none
     probe_period_ms: float = 1000.0  # one sibling is probed per period
-    urgent_probe_period_ms: float = (
-        100.0  # while detached from the list service, or while a sibling is suspected
-    )
+    urgent_probe_period_ms: float = 100.0  # while detached from the list service or suspecting a sibling
     probe_timeout_ms: float = 500.0
     confidence_period_ms: float = 250.0  # maximum time between updates of the confidence levels
-    max_clock_uncertainty_ms: float = (
-        250.0  # a node whose service time is less certain rejects route versions
-    )
+    max_clock_uncertainty_ms: float = 250.0  # above it, the node rejects new route versions
     clock_offset_ms: float = 0.0  # added to this node's clock in tests
 
     @property
--- a/loadbalancer/node/shutdown.py
+++ b/loadbalancer/node/shutdown.py
@@ -65,7 +65,7 @@
             self._listener.drain()
 
     def _is_drained(self, earliest: float) -> bool:
-        """Return whether no client is connected and none will come, as from `earliest` (loop time, s) on."""
+        """Return whether no client is connected and, from `earliest` (loop time, s) on, none will connect."""
         if self._loop.time() < earliest or not self._listener.has_no_clients:
             return False
         self._listener.stop_accepting()  # accepts the connections that wait in the kernel's queue
--- a/tests/support/node_processes.py
+++ b/tests/support/node_processes.py
@@ -55,7 +55,7 @@
             socket.create_connection(("127.0.0.1", self.port), timeout=0.5).close()
             return True
 
-        until(up, what=f"{self.log.name} taking connections")
+        until(up, what=f"{self.log.name} accepting connections")
 
     def send(self, number: int) -> None:
         assert self.process is not None
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -43,20 +43,20 @@
 @pytest.mark.parametrize(
     "change",
     [
-        lambda row: row.pop("listen"),
-        lambda row: row.update(listen="nowhere"),
-        lambda row: row.update(seed="not hex"),
-        lambda row: row.update(known=[]),
-        lambda row: row.update(settings=None),
-        lambda row: row["settings"].update(categories=[]),
-        lambda row: row.update(limits={"sockets": "many"}),
+        lambda document: document.pop("listen"),
+        lambda document: document.update(listen="nowhere"),
+        lambda document: document.update(seed="not hex"),
+        lambda document: document.update(known=[]),
+        lambda document: document.update(settings=None),
+        lambda document: document["settings"].update(categories=[]),
+        lambda document: document.update(limits={"sockets": "many"}),
     ],
 )
 def test_invalid_configuration_exits_2_with_one_line(tmp_path, change):
-    row = orjson.loads(orjson.dumps(config_document("127.0.0.1:1")))
-    change(row)
+    document = orjson.loads(orjson.dumps(config_document("127.0.0.1:1")))
+    change(document)
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps(row))
+    path.write_bytes(orjson.dumps(document))
     program = start(path)
     _, errors = program.communicate(timeout=60)
     assert program.returncode == 2
@@ -77,10 +77,10 @@
         old = await Discovery().start()
         new = await Discovery(list_response(2, True, s0=("127.0.0.1:1", "Ready"))).start()
         address = ("127.0.0.1", free_port())
-        row = config_document(old.endpoint, settings={"registryMode": "push"})
-        row["listen"] = f"{address[0]}:{address[1]}"
+        document = config_document(old.endpoint, settings={"registryMode": "push"})
+        document["listen"] = f"{address[0]}:{address[1]}"
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps(row))
+        path.write_bytes(orjson.dumps(document))
         program = start(path)
         try:
             await wait_until(lambda: old.seen)
@@ -88,7 +88,7 @@
             program.send_signal(signal.SIGHUP)
             line = await asyncio.to_thread(next_line, program, "not reloaded")
             assert "the current one stays in use" in line
-            path.write_bytes(orjson.dumps(row | {"discovery": new.endpoint}))
+            path.write_bytes(orjson.dumps(document | {"discovery": new.endpoint}))
             program.send_signal(signal.SIGHUP)
             await wait_until(lambda: len(new.seen) > 1)  # the second poll follows the first response
             client = Client(*await asyncio.open_connection(*address))
@@ -121,9 +121,9 @@
         server, discovery = await StubServer(script).start(), await Discovery().start()
         address = ("127.0.0.1", free_port())
         known = targets(s0=(server.endpoint, "Ready"))
-        row = config_document(discovery.endpoint, known=known) | {"listen": f"{address[0]}:{address[1]}"}
+        document = config_document(discovery.endpoint, known=known) | {"listen": f"{address[0]}:{address[1]}"}
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps(row))
+        path.write_bytes(orjson.dumps(document))
         program = start(path)
         try:
 
