--- a/tests/node/admin/test_admin_server.py
+++ b/tests/node/admin/test_admin_server.py
@@ -13,18 +13,18 @@
 from loadbalancer.node.admin.server import MAX_CONNECTIONS, AdminServer
 from loadbalancer.node.config import parse_config
 from loadbalancer.node.node import Node
-from tests.support.callers import LEAVING, Leave
 from tests.support.loopback import (
     BlockedServer,
     Client,
     Message,
     StubServer,
     config_document,
+    loopback_node,
     read_message,
     request,
-    running_node,
     wait_until,
 )
+from tests.support.raw_clients import DISCONNECTS, Disconnect
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 ADMIN_SETTINGS = {"operator": "127.0.0.1:0"}
@@ -49,9 +49,9 @@
 
 def test_status_is_yes_once_there_is_a_server_to_send_to():
     async def main():
-        async with running_node(**ADMIN_SETTINGS) as node:
+        async with loopback_node(**ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 503
-        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 200
 
     asyncio.run(main())
@@ -59,7 +59,7 @@
 
 def test_without_an_operators_address_there_is_no_door():
     async def main():
-        async with running_node(StubServer()) as node:
+        async with loopback_node(StubServer()) as node:
             with pytest.raises(AssertionError):
                 _ = node.admin_server.address
 
@@ -80,7 +80,7 @@
 )
 def test_calls_get_a_yes_or_a_no(data, expected):
     async def main():
-        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             assert (await send_request(node, data)).status == expected
 
     asyncio.run(main())
@@ -101,9 +101,9 @@
     assert "failed" in caplog.text
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", DISCONNECTS)
 @pytest.mark.parametrize("later", [False, True])
-def test_an_operator_that_leaves_as_its_answer_goes_out_is_no_fault(leave: Leave, later: bool, caplog):
+def test_an_operator_that_leaves_as_its_answer_goes_out_is_no_fault(leave: Disconnect, later: bool, caplog):
     async def main():
         caller, gone = socket.socket(), []
 
@@ -128,7 +128,7 @@
 
 def test_callers_that_finish_no_call_keep_nobody_out_and_are_closed(monkeypatch):
     async def main():
-        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             held = [
                 await asyncio.open_connection(*node.admin_server.address) for _ in range(MAX_CONNECTIONS + 4)
             ]
@@ -147,7 +147,7 @@
     async def main():
         other = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         with pytest.raises(OSError, match="address already in use"):
-            async with running_node(StubServer(), operator=f"127.0.0.1:{other.sockets[0].getsockname()[1]}"):
+            async with loopback_node(StubServer(), operator=f"127.0.0.1:{other.sockets[0].getsockname()[1]}"):
                 pass
         other.close()
 
@@ -165,7 +165,7 @@
 def test_standby_says_no_lets_idle_callers_go_and_finishes_what_is_held():
     async def main():
         server = BlockedServer()
-        async with running_node(server, **ADMIN_SETTINGS) as node:
+        async with loopback_node(server, **ADMIN_SETTINGS) as node:
             idle, busy = await Client.connect(node), await Client.connect(node)
             assert (await idle.exchange(UP)).status == 200
             busy.writer.write(request())
@@ -187,7 +187,7 @@
 
 def test_active_ends_the_drain_and_connections_are_kept_again():
     async def main():
-        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             await status(node, "PUT", "/standby")
             assert await status(node, "PUT", "/active") == 200
             assert await status(node, "GET", "/status") == 200
@@ -202,7 +202,7 @@
 def test_a_node_that_leaves_service_does_not_become_active_again():
     async def main():
         server = BlockedServer()
-        async with running_node(server, **ADMIN_SETTINGS) as node:
+        async with loopback_node(server, **ADMIN_SETTINGS) as node:
             caller = await Client.connect(node)
             caller.writer.write(request())
             await wait_until(lambda: server.seen)
--- a/tests/node/admin/test_metrics.py
+++ b/tests/node/admin/test_metrics.py
@@ -20,8 +20,8 @@
     config_document,
     exchange,
     http_response,
+    loopback_node,
     request,
-    running_node,
     wait_until,
 )
 
@@ -57,7 +57,7 @@
 
 def test_reloads_are_counted_good_and_failed(tmp_path, monkeypatch):
     async def main():
-        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             path = tmp_path / "config.json"
             monkeypatch.setenv("PROXY_CONFIG", str(path))
             path.write_text("{")
@@ -76,7 +76,7 @@
         async def script(message):
             return http_response(200 if message.headers["req-id"].startswith("q") else 500)
 
-        async with running_node(StubServer(script), settings={"tier": 1}, **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(script), settings={"tier": 1}, **ADMIN_SETTINGS) as node:
             for at in range(3):
                 assert (await exchange(node, request(name=f"q{at}"))).status == 200
             assert (await exchange(node, request("post", name="x"))).status == 502
@@ -93,7 +93,7 @@
 def test_refusals_of_the_module_and_over_the_limit_are_overload():
     async def main():
         server = BlockedServer()
-        async with running_node(server, bounds={"maxOpen": 1}, **ADMIN_SETTINGS) as node:
+        async with loopback_node(server, bounds={"maxOpen": 1}, **ADMIN_SETTINGS) as node:
             caller = await Client.connect(node)
             caller.writer.write(request(name="held"))
             await wait_until(lambda: server.seen)
@@ -113,7 +113,7 @@
 def test_concurrent_and_targets_are_those_of_the_moment():
     async def main():
         server = BlockedServer()
-        async with running_node(server, StubServer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(server, StubServer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", "/maintenance/enter", b"s1") == 200
             callers = [await Client.connect(node) for _ in range(3)]
             for at, caller in enumerate(callers):
@@ -134,7 +134,7 @@
 def test_an_attempt_that_never_connects_is_no_dispatch():
     async def main():
         gone = StubServer()
-        async with running_node(gone, **ADMIN_SETTINGS) as node:
+        async with loopback_node(gone, **ADMIN_SETTINGS) as node:
             gone._server.close()
             await gone._server.wait_closed()
             assert (await exchange(node, request(name="q"))).status == 503
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -24,8 +24,8 @@
     StubServer,
     exchange,
     list_response,
+    loopback_node,
     request,
-    running_node,
     wait_until,
 )
 
@@ -105,7 +105,7 @@
 def test_ejected_endpoint_gets_no_new_requests_and_finishes_its_own():
     async def main():
         first, second = BlockedServer(), BlockedServer()
-        async with running_node(first, second, **ADMIN_SETTINGS) as node:
+        async with loopback_node(first, second, **ADMIN_SETTINGS) as node:
             callers = [await Client.connect(node) for _ in range(2)]
             for at, caller in enumerate(callers):
                 caller.writer.write(request(name=f"q{at}"))
@@ -132,7 +132,7 @@
         with socket.create_server(("127.0.0.1", 0), backlog=0) as silent, socket.socket() as filler:
             filler.connect(silent.getsockname())
             server = StubServer()
-            async with running_node(server, bounds={"connectTimeoutMs": 10_000.0}, **ADMIN_SETTINGS) as node:
+            async with loopback_node(server, bounds={"connectTimeoutMs": 10_000.0}, **ADMIN_SETTINGS) as node:
                 known = node.endpoint_list.endpoints["s0"][0]
                 silent_server = Endpoint("quiet", zone=known.zone)
                 node.endpoint_list.endpoints["quiet"] = silent_server, silent.getsockname()[:2]
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize(("body", "expected"), [(b"s9", 404), (b"", 404), (b"\xff\xfe", 400)])
 def test_invalid_endpoint_name_is_rejected(path, body, expected):
     async def main():
-        async with running_node(StubServer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", path, body) == expected
 
     asyncio.run(main())
@@ -165,7 +165,7 @@
         await other.start()
         news = list_response(2, True, s0=(server.endpoint, "Ready"), s1=(other.endpoint, "Ready"))
         discovery = Discovery()
-        async with running_node(server, discovery=discovery, **ADMIN_SETTINGS) as node:
+        async with loopback_node(server, discovery=discovery, **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", ENTER, b"s0") == 200
             discovery.responses.append(news)  # for the next poll: the first gets no response and times out
             await wait_until(lambda: "s1" in node.endpoint_list.endpoints)
@@ -180,7 +180,7 @@
 def test_ejection_applies_to_sibling_process_and_one_started_later(tmp_path):
     async def main():
         server = StubServer()
-        async with running_node(server, tmpdir=str(tmp_path), **ADMIN_SETTINGS) as old:
+        async with loopback_node(server, tmpdir=str(tmp_path), **ADMIN_SETTINGS) as old:
             new = Node(old.config)
             new.listener.listen = _skip_listen  # type: ignore[method-assign]
             await new.start()
@@ -204,7 +204,7 @@
 
 def test_restore_right_after_ejection_in_other_process_takes_effect(tmp_path):
     async def main():
-        async with running_node(StubServer(), tmpdir=str(tmp_path), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), tmpdir=str(tmp_path), **ADMIN_SETTINGS) as node:
             EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
             assert node.ejections.restore("s0") is EjectionResult.DONE
             assert not EjectionStore(tmp_path / FOLDER_NAME).is_ejected("s0")
@@ -215,7 +215,7 @@
 
 def test_folder_is_not_read_again_without_admin_server(tmp_path):
     async def main():
-        async with running_node(StubServer(), tmpdir=str(tmp_path)) as node:
+        async with loopback_node(StubServer(), tmpdir=str(tmp_path)) as node:
             EjectionStore(tmp_path / FOLDER_NAME).eject("s0", 1.0)
             node.periodic_tasks.tick(node.loop.time())
             assert node.endpoint_list.available == {"s0"}
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -21,7 +21,7 @@
 )
 from tests.node.test_upgrade import listening
 from tests.support.builders import BalancerEnvironment, sent
-from tests.support.loopback import BlockedServer, Client, request, running_node, wait_until
+from tests.support.loopback import BlockedServer, Client, loopback_node, request, wait_until
 
 
 def learned(**changes: object) -> LearnedState:
@@ -170,7 +170,7 @@
     async def main():
         raw, server = listening(), BlockedServer()
         shared = {"accept_fd": str(os.dup(raw.fileno())), "tmpdir": str(tmp_path)}
-        async with running_node(server, **shared) as old:
+        async with loopback_node(server, **shared) as old:
             caller = await Client.connect(old)
             caller.writer.write(request(name="q1"))
             await wait_until(lambda: server.seen)
@@ -198,7 +198,7 @@
 
 def test_node_with_own_listening_socket_writes_no_handover_file(tmp_path):
     async def main():
-        async with running_node(BlockedServer(), tmpdir=str(tmp_path)) as node:
+        async with loopback_node(BlockedServer(), tmpdir=str(tmp_path)) as node:
             node.periodic_tasks.tick(node.loop.time())
             assert node.sibling_process is None
 
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -30,20 +30,20 @@
 from tests.support.node_processes import Node
 from tests.support.ports import free_port
 from tests.support.registry_processes import ROOT, until
-from tests.support.stand_in_servers import Served, ServerPool
+from tests.support.stub_servers import StubServerPool, ThreadedServer
 
 LEARNED = LearnedState(0.2, 0.3, 7, 0.01, 0.02, 0.02, 100.0, {"read": 20.0}, {"s0": 3.0})
 
 
 @pytest.fixture
-def upstream() -> Iterator[ServerPool]:
-    servers = ServerPool(1)
+def upstream() -> Iterator[StubServerPool]:
+    servers = StubServerPool(1)
     yield servers
     servers.close()
 
 
-def node_with_state(folder: Path, state: Path, upstream: ServerPool, **config: Any) -> Node:
-    return Node(folder, upstream.known(), state=str(state), **config)
+def node_with_state(folder: Path, state: Path, upstream: StubServerPool, **config: Any) -> Node:
+    return Node(folder, upstream.known_targets(), state=str(state), **config)
 
 
 def start_on_full_disk(arguments: list[str], log: Path, env: dict[str, str]) -> subprocess.Popen[bytes]:
@@ -98,7 +98,7 @@
 
 
 def test_kill_9_at_50_random_times_leaves_valid_file_and_no_request_twice(
-    tmp_path: Path, upstream: ServerPool
+    tmp_path: Path, upstream: StubServerPool
 ) -> None:
     state = tmp_path / "state" / "n0.state"
     node = node_with_state(tmp_path, state, upstream, state_every_ms=5)
@@ -112,7 +112,7 @@
         node.kill()
         client.finish()
         # A request sent just before the kill may reach the server later, so ids differ in every round.
-        assert upstream.most() <= 1, "a request reached its server twice"
+        assert upstream.max_attempts() <= 1, "a request reached its server twice"
         if state.exists():  # the rename leaves the old file or the new one, never a mix
             frame.decode_frame(state.read_bytes())
         assert len(node.log_lines("state ")) >= kill + 1, "a start did not log what it restored from the file"
@@ -148,7 +148,7 @@
     ],
 )
 def test_invalid_state_file_is_rejected_and_node_serves(
-    tmp_path: Path, upstream: ServerPool, change: Callable[[Path, DiscoveryResponse], None], rule: str
+    tmp_path: Path, upstream: StubServerPool, change: Callable[[Path, DiscoveryResponse], None], rule: str
 ) -> None:
     state = tmp_path / "n0.state"
     listing = DiscoveryResponse(
@@ -168,7 +168,9 @@
         node.stop()
 
 
-def test_full_disk_is_logged_once_and_counted_and_node_serves(tmp_path: Path, upstream: ServerPool) -> None:
+def test_full_disk_is_logged_once_and_counted_and_node_serves(
+    tmp_path: Path, upstream: StubServerPool
+) -> None:
     state = tmp_path / "n0.state"
     node = node_with_state(tmp_path, state, upstream, state_every_ms=20)
     node.start(start_on_full_disk)
@@ -184,7 +186,9 @@
     assert not state.exists()
 
 
-def test_second_process_writes_state_file_only_after_first_ends(tmp_path: Path, upstream: ServerPool) -> None:
+def test_second_process_writes_state_file_only_after_first_ends(
+    tmp_path: Path, upstream: StubServerPool
+) -> None:
     state = tmp_path / "n0.state"
     first = node_with_state(tmp_path, state, upstream, state_every_ms=20)
     second = node_with_state(tmp_path, state, upstream, state_every_ms=20)
@@ -202,8 +206,12 @@
         second.stop()
 
 
-def test_restart_during_discovery_outage_serves_restored_list(tmp_path: Path, upstream: ServerPool) -> None:
-    discovery = Served(Discovery(list_response(5, True, s1=(f"127.0.0.1:{upstream.port()}", "Ready"))))
+def test_restart_during_discovery_outage_serves_restored_list(
+    tmp_path: Path, upstream: StubServerPool
+) -> None:
+    discovery = ThreadedServer(
+        Discovery(list_response(5, True, s1=(f"127.0.0.1:{upstream.port()}", "Ready")))
+    )
     state = tmp_path / "n0.state"
     # The list in the node's configuration is outdated: its server has been removed.
     outdated = targets(s0=(f"127.0.0.1:{free_port()}", "Ready"))
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -44,8 +44,8 @@
     exchange,
     http_response,
     list_response,
+    loopback_node,
     request,
-    running_node,
     wait_until,
 )
 
@@ -69,7 +69,7 @@
             return http_response(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61")
 
         server = StubServer(script)
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             response = await exchange(
                 node, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
             )
@@ -87,7 +87,7 @@
 
 def test_request_headers_reach_balancer():
     async def main():
-        async with running_node(StubServer()) as node:
+        async with loopback_node(StubServer()) as node:
             node.driver.balancer = scripted = ScriptedBalancer(lambda event: [Reject(event.id, 250.0)])
             before = node.clock.unix_ms()
             response = await exchange(
@@ -117,7 +117,7 @@
             return None if len(server.seen) == 2 else http_response()
 
         server = StubServer(script)
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             node.driver.balancer = scripted = ScriptedBalancer(send_to("s0"))
             assert (await exchange(node, request(kind, "q1"))).status == 200
             assert (await exchange(node, request(kind, "q2"))).status == 502  # on the reused connection
@@ -140,7 +140,7 @@
             )
 
         first, second = StubServer(script), StubServer(script)
-        async with running_node(first, second) as node:
+        async with loopback_node(first, second) as node:
             assert (await exchange(node, request("post", "q1"))).status == 503
             assert len(first.seen) == len(second.seen) == 1
             assert (await exchange(node, request("post", "q2"))).status == 502
@@ -155,7 +155,7 @@
             return http_response(500)
 
         server = StubServer(script)
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
 
             def act(event):
                 abandoned = isinstance(event, AttemptOutcome) and event.result is AttemptResult.ABANDONED
@@ -182,7 +182,7 @@
 def test_client_disconnect_cancels_request_and_ends_its_attempt():
     async def main():
         server = BlockedServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             client = await Client.connect(node)
             client.writer.write(request())
             await wait_until(lambda: server.seen)
@@ -198,7 +198,7 @@
 def test_losing_hedged_attempt_reports_outcome_after_request_end():
     async def main():
         server = BlockedServer()
-        async with running_node(server, StubServer()) as node:
+        async with loopback_node(server, StubServer()) as node:
 
             def act(event):
                 if isinstance(event, Request):
@@ -218,7 +218,7 @@
 @pytest.mark.parametrize("kind", [Request, AttemptOutcome])
 def test_balancer_exception_still_yields_response(kind):
     async def main():
-        async with running_node(StubServer(lambda message: asyncio.sleep(0, http_response(500)))) as node:
+        async with loopback_node(StubServer(lambda message: asyncio.sleep(0, http_response(500)))) as node:
 
             def act(event):
                 if isinstance(event, kind):
@@ -243,7 +243,7 @@
                 raise RuntimeError("broken")
             return []
 
-        async with running_node(StubServer()) as node:
+        async with loopback_node(StubServer()) as node:
             node.driver.balancer = scripted = ScriptedBalancer(act)
             node.driver._execute(SetTimer(1.0, "tick"))
             await wait_until(
@@ -255,7 +255,7 @@
 
 def test_request_ignored_by_balancer_gets_504_at_deadline():
     async def main():
-        async with running_node(StubServer()) as node:
+        async with loopback_node(StubServer()) as node:
             node.driver.balancer = scripted = ScriptedBalancer()
             assert (await exchange(node, request(Req_Deadline_Ms="200"))).status == 504
             assert [event.id for event in scripted.events_of(RequestCancelled)] == ["q1"]
@@ -265,7 +265,7 @@
 
 def test_attempt_timeout_is_capped_by_request_deadline():
     async def main():
-        async with running_node(BlockedServer()) as node:
+        async with loopback_node(BlockedServer()) as node:
 
             def act(event):
                 if isinstance(event, Request):
@@ -303,7 +303,7 @@
 )
 def test_invalid_request_is_rejected_before_balancer(data, status):
     async def main():
-        async with running_node(StubServer()) as node:
+        async with loopback_node(StubServer()) as node:
             node.driver.balancer = scripted = ScriptedBalancer()
             assert (await exchange(node, data)).status == status
             assert not scripted.events_of(Request)
@@ -315,7 +315,7 @@
 def test_plain_64_kib_body_and_chunked_body_are_forwarded():
     async def main():
         server = StubServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             assert (await exchange(node, request("post", "q1", b"x" * 65536))).status == 200
             chunked = b"POST /post/1 HTTP/1.1\r\nReq-Id: q2\r\nTransfer-Encoding: chunked\r\n\r\n"
             assert (await exchange(node, chunked + b"3\r\nabc\r\n0\r\n\r\n")).status == 200
@@ -337,7 +337,7 @@
 def test_absolute_target_is_forwarded_as_path_and_query(target, expected):
     async def main():
         server = StubServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             data = b"POST " + target + b" HTTP/1.1\r\nHost: x\r\nReq-Id: q1\r\nContent-Length: 0\r\n\r\n"
             response = await exchange(node, data)
             assert response.status == (200 if expected else 404)
@@ -350,7 +350,7 @@
 def test_trailers_and_chunk_extensions_are_ignored():
     async def main():
         server = StubServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             head = b"POST /post/1 HTTP/1.1\r\nReq-Id: q1\r\nTransfer-Encoding: chunked\r\n\r\n"
             body = b"7530;note=1\r\n" + b"x" * 30_000 + b"\r\n0\r\nReq-Id: other\r\nX-Sum: 1\r\n\r\n"
             assert (await exchange(node, head + body)).status == 200
@@ -364,7 +364,7 @@
 def test_headers_listed_in_connection_are_dropped_except_request_id():
     async def main():
         server = StubServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             more = {"Connection": "keep-alive, X-Hop, req-id", "X-Hop": "1", "X-End": "2"}
             assert (await exchange(node, request("post", "q1", **more))).status == 200
             (seen,) = server.seen
@@ -377,7 +377,7 @@
 def test_duplicate_id_in_flight_is_rejected():
     async def main():
         server = BlockedServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             first = asyncio.create_task(exchange(node, request("post", "q1")))
             await wait_until(lambda: server.seen)
             assert (await exchange(node, request("post", "q1"))).status == 400
@@ -390,7 +390,7 @@
 
 def test_pipelined_requests_get_responses_in_order():
     async def main():
-        async with running_node(
+        async with loopback_node(
             StubServer(lambda message: asyncio.sleep(0, http_response(200, message.body)))
         ) as node:
             client = await Client.connect(node)
@@ -405,7 +405,7 @@
 @pytest.mark.parametrize("data", [b"", b"\r\n", b"GET /read/1 HTT", request("post", "q1", b"whole")[:-1]])
 def test_incomplete_request_gets_408_or_close_within_3_s(data):
     async def main():
-        async with running_node(StubServer()) as node:
+        async with loopback_node(StubServer()) as node:
             start = node.loop.time()
             client = await Client.connect(node)
             await wait_until(lambda: node.listener.connections)
@@ -440,7 +440,7 @@
 )
 def test_slow_head_and_slow_body_have_separate_timeouts(head_s, size, after_s, cut_off):
     async def main():
-        async with running_node(StubServer()) as node:
+        async with loopback_node(StubServer()) as node:
             client = await Client.connect(node)
             await wait_until(lambda: node.listener.connections)
             (connection,) = node.listener.connections
@@ -462,7 +462,7 @@
 def test_idle_or_waiting_client_connection_does_not_expire():
     async def main():
         server = BlockedServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             client = await Client.connect(node)
             client.writer.write(request(name="q1"))
             await wait_until(lambda: server.seen)
@@ -480,7 +480,7 @@
 def test_request_over_max_open_is_rejected():
     async def main():
         server = BlockedServer()
-        async with running_node(server, bounds={"maxOpen": 1}) as node:
+        async with loopback_node(server, bounds={"maxOpen": 1}) as node:
             first = asyncio.create_task(exchange(node, request(name="q1")))
             await wait_until(lambda: server.seen)
             assert (await exchange(node, request(name="q2"))).status == 503
@@ -493,7 +493,7 @@
 
 def test_many_connections_stay_within_limit_and_all_are_accepted():
     async def main():
-        async with running_node(StubServer(), limits={"sockets": 132}) as node:
+        async with loopback_node(StubServer(), limits={"sockets": 132}) as node:
             clients = [await Client.connect(node) for _ in range(200)]
             await wait_until(lambda: len(node.listener.connections) <= node.listener.request_limit)
             assert node.listener.request_limit == 45
@@ -507,7 +507,7 @@
 def test_burst_of_connections_stays_within_descriptor_limit():
     async def main():
         async with (
-            running_node(StubServer(), limits={"sockets": 132}) as node,
+            loopback_node(StubServer(), limits={"sockets": 132}) as node,
             contextlib.AsyncExitStack() as stack,
         ):
             before = len(os.listdir("/proc/self/fd"))
@@ -527,7 +527,7 @@
 
 def test_connection_over_limit_of_busy_ones_gets_503_and_close():
     async def main():
-        async with running_node(StubServer(), limits={"sockets": 132}) as node:
+        async with loopback_node(StubServer(), limits={"sockets": 132}) as node:
             node.driver.balancer = scripted = ScriptedBalancer()  # leaves every request in flight
             clients = [await Client.connect(node) for _ in range(node.listener.request_limit)]
             for at, client in enumerate(clients):
@@ -554,7 +554,7 @@
             list_response(6, False, s1=(server.endpoint, "Terminating"), s2=(server.endpoint, "Ready")),
             http_response(503),
         )
-        async with running_node(StubServer(), discovery=discovery) as node:
+        async with loopback_node(StubServer(), discovery=discovery) as node:
             node.driver.balancer = scripted = ScriptedBalancer()
             # On the initial list, the balancer has already requested a watch.
             await wait_until(lambda: len(scripted.events_of(EndpointListUpdate)) == 3)
@@ -575,7 +575,7 @@
 
 def test_initial_list_reaches_balancer_first_and_as_cached():
     async def main():
-        async with running_node(StubServer()) as node:
+        async with loopback_node(StubServer()) as node:
             node.driver.balancer = scripted = ScriptedBalancer()
             await node.start()
             assert [event.kind for event in scripted.events_of(EndpointListUpdate)] == [
@@ -605,7 +605,7 @@
 def test_failed_or_malformed_discovery_response_keeps_last_list(response, caplog):
     async def main():
         discovery = Discovery(response)
-        async with running_node(StubServer(), discovery=discovery) as node:
+        async with loopback_node(StubServer(), discovery=discovery) as node:
             node.driver.balancer = scripted = ScriptedBalancer()  # requests no watch
             await wait_until(lambda: scripted.events_of(EndpointListUpdate))
             assert [event.kind for event in scripted.events_of(EndpointListUpdate)] == [
@@ -622,7 +622,7 @@
     async def main():
         monkeypatch.setattr("loadbalancer.node.discovery.client.MAX_LIST_BYTES", 400)
         huge = list_response(2, True, **{f"s{n}": (f"127.0.0.1:{1000 + n}", "Ready") for n in range(20)})
-        async with running_node(StubServer(), discovery=Discovery(huge)) as node:
+        async with loopback_node(StubServer(), discovery=Discovery(huge)) as node:
             node.driver.balancer = scripted = ScriptedBalancer()
             await wait_until(lambda: scripted.events_of(EndpointListUpdate))
             assert [event.kind for event in scripted.events_of(EndpointListUpdate)] == [
@@ -638,7 +638,7 @@
     async def main():
         monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.RESPONSE_TIMEOUT_S", 0.05)
         discovery = Discovery()
-        async with running_node(
+        async with loopback_node(
             StubServer(), discovery=discovery, settings={"invariants": {"askWithinMs": 100.0}}
         ) as node:
             await wait_until(lambda: len(discovery.seen) >= 2)
@@ -652,7 +652,9 @@
     async def main():
         monkeypatch.setattr("loadbalancer.node.discovery.poll_policy.INITIAL_BACKOFF_S", 0.01)
         discovery = Discovery(http_response(503), list_response(5, True, s9=("127.0.0.1:9", "Ready")))
-        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+        async with loopback_node(
+            StubServer(), discovery=discovery, settings={"registryMode": "push"}
+        ) as node:
             await wait_until(lambda: set(node.pool._endpoints) == {"s9"})
             assert set(node.driver.balancer.endpoints) == {"s9"}
 
@@ -679,7 +681,9 @@
 
     async def main():
         discovery = SilentAtFirst(list_response(5, True, s9=("127.0.0.1:9", "Ready")), http_response(503))
-        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+        async with loopback_node(
+            StubServer(), discovery=discovery, settings={"registryMode": "push"}
+        ) as node:
             await wait_until(lambda: set(node.pool._endpoints) == {"s9"})
             await wait_until(lambda: len(discovery.seen) == 4)
             assert requested_waits_ms(discovery) == [50, 50, 2750, 50]  # a long poll only after a response
@@ -694,7 +698,7 @@
     async def main():
         new, old = Discovery(list_response(6, True, s6=("127.0.0.1:6", "Ready"))), Discovery(None)
         await new.start()
-        async with running_node(StubServer(), discovery=old, settings={"registryMode": mode}) as node:
+        async with loopback_node(StubServer(), discovery=old, settings={"registryMode": mode}) as node:
             await wait_until(lambda: node.event_counts["list failed"])
             node.balancer = ScriptedBalancer()  # requests no watch itself
             node.watcher.change_address(parse_address(new.endpoint))
@@ -714,7 +718,9 @@
             list_response(4, False, s5=("127.0.0.1:5", "Gone")),
             list_response(6, False, s6=("127.0.0.1:6", "Ready")),
         )
-        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+        async with loopback_node(
+            StubServer(), discovery=discovery, settings={"registryMode": "push"}
+        ) as node:
             await wait_until(lambda: "s6" in node.pool._endpoints)
             assert set(node.pool._endpoints) == set(node.driver.balancer.endpoints) == {"s5", "s6"}
             assert node.event_counts["list failed"] == 2
@@ -734,7 +740,9 @@
             list_response(3, True, s2=("127.0.0.1:2", "Ready"), s3=("127.0.0.1:3", "Ready")),
             list_response(4, False, s4=("127.0.0.1:4", "Ready")),
         )
-        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+        async with loopback_node(
+            StubServer(), discovery=discovery, settings={"registryMode": "push"}
+        ) as node:
             await wait_until(lambda: "s4" in node.pool._endpoints)
             assert set(node.pool._endpoints) == {"s2", "s3", "s4"}
             assert node.event_counts["list failed"] == 1
@@ -748,7 +756,9 @@
         new = Discovery(list_response(1, True, s1=("127.0.0.1:1", "Ready")))
         await new.start()
         discovery = Discovery(list_response(5, True, s5=("127.0.0.1:5", "Ready")))
-        async with running_node(StubServer(), discovery=discovery, settings={"registryMode": "push"}) as node:
+        async with loopback_node(
+            StubServer(), discovery=discovery, settings={"registryMode": "push"}
+        ) as node:
             await wait_until(lambda: "s5" in node.pool._endpoints)
             node.watcher.change_address(parse_address(new.endpoint))
             await wait_until(lambda: set(node.pool._endpoints) == {"s1"})
@@ -768,7 +778,7 @@
 def test_draining_server_fails_attempts_that_wait_for_connection():
     async def main():
         server = StubServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             node.driver.balancer = scripted = ScriptedBalancer(send_to("s0", "s0"))
             client = await Client.connect(node)
             hold = asyncio.Event()
@@ -797,7 +807,7 @@
     async def main():
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         discovery = Discovery(list_response(5, True, s9=("127.0.0.1:9", "Ready")))
-        async with running_node(discovery=discovery) as node:
+        async with loopback_node(discovery=discovery) as node:
             assert (await exchange(node, up)).status == 503
             await wait_until(lambda: node.listener.ready)
             assert (await exchange(node, up)).status == 200
@@ -828,7 +838,7 @@
 def test_send_after_deadline_is_abandoned_without_connection():
     async def main():
         server = StubServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
 
             def act(event):
                 if isinstance(event, Request):
@@ -849,7 +859,7 @@
 
     async def main():
         server = StubServer()
-        async with running_node(server) as node:
+        async with loopback_node(server) as node:
             assert (await exchange(node, request(name="q1"))).status == 200
             endpoints = {"s0": ("127.0.0.1", server.port)}
             for launched in (5.0, 5.0):
--- a/tests/node/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -23,11 +23,11 @@
 import pytest
 
 from tests.support.faults import LoopThread
-from tests.support.loopback import Message, StubServer, http_response, request, running_node, targets
+from tests.support.loopback import Message, StubServer, http_response, loopback_node, request, targets
 from tests.support.loopback import wait_until as wait_until_async
 from tests.support.node_processes import Node
 from tests.support.registry_processes import ROOT, until
-from tests.support.stand_in_servers import ServerPool
+from tests.support.stub_servers import StubServerPool
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 CLIENT_TIMEOUT_S = 0.3  # of the class with short deadlines
@@ -69,9 +69,9 @@
 
 
 @contextlib.contextmanager
-def running_process(folder: Path, pool: ServerPool, **row: Any) -> Iterator[Node]:
+def running_process(folder: Path, pool: StubServerPool, **row: Any) -> Iterator[Node]:
     """Run a node that serves."""
-    node = Node(folder, pool.known(), **row)
+    node = Node(folder, pool.known_targets(), **row)
     node.start()
     try:
         yield node
@@ -82,8 +82,8 @@
 
 
 @pytest.fixture(scope="module")
-def pool() -> Iterator[ServerPool]:
-    servers = ServerPool(2)
+def pool() -> Iterator[StubServerPool]:
+    servers = StubServerPool(2)
     yield servers
     servers.close()
 
@@ -125,20 +125,20 @@
 
 def test_request_received_at_drain_deadline_gets_response(tmp_path):
     """At the deadline two requests wait for a hung server, and the rest of a third, half-read one arrives."""
-    servers = ServerPool(1)
-    servers.set(0, "hang")
+    servers = StubServerPool(1)
+    servers.set_behaviour(0, "hang")
     try:
         with running_process(tmp_path, servers, settings={"categories": SHORT}) as node:
             half, busy = connect(node), connect(node)
             busy.sendall(request(name="busy"))
-            until(lambda: servers.hits["s0"] == 1)
+            until(lambda: servers.request_counts["s0"] == 1)
             sigterm_at = time.monotonic()
             node.send(signal.SIGTERM)
             until(lambda: draining(node))
             half.sendall(request(name="half")[:20])
             with connect(node) as late:
                 late.sendall(request(name="late"))
-                until(lambda: servers.hits["s0"] == 2)  # both have been read by now
+                until(lambda: servers.request_counts["s0"] == 2)  # both have been read by now
                 with paused(node):
                     sleep_until(sigterm_at + 1.1)
                     half.sendall(request(name="half")[20:])
@@ -177,23 +177,23 @@
 
 
 def test_handover_loses_no_request_of_burst_that_races_sigterm(tmp_path):
-    servers = ServerPool(1)
+    servers = StubServerPool(1)
     raw = socket.create_server(("127.0.0.1", 0))
-    old, new = (Node(tmp_path, servers.known(), settings={"categories": LONG}) for _ in range(2))
+    old, new = (Node(tmp_path, servers.known_targets(), settings={"categories": LONG}) for _ in range(2))
     try:
         start_on(old, raw, tmp_path)
-        servers.set(0, "hang")
+        servers.set_behaviour(0, "hang")
         with contextlib.ExitStack() as stack:
             in_flight = stack.enter_context(connect(old))
             in_flight.sendall(request(name="in-flight"))
-            until(lambda: servers.hits["s0"] == 1)
+            until(lambda: servers.request_counts["s0"] == 1)
             with paused(old):
                 clients = [stack.enter_context(connect(old)) for _ in range(150)]
                 for at, client in enumerate(clients):
                     client.sendall(request(name=f"q{at}"))
                 old.send(signal.SIGTERM)
             start_on(new, raw, tmp_path)
-            servers.set(0, "answer")
+            servers.set_behaviour(0, "respond")
             assert read_status(in_flight) == 200
             assert [read_status(client) in (200, 503) for client in clients].count(False) == 0
         assert exit_code(old) == 0
@@ -231,7 +231,7 @@
 
 def test_sigterm_during_start_neither_crashes_nor_loses_requests(tmp_path, pool):
     """The process is paused as soon as it listens, which is before it serves."""
-    node = Node(tmp_path, pool.known(), settings={"registryMode": "push"})
+    node = Node(tmp_path, pool.known_targets(), settings={"registryMode": "push"})
     try:
         node.launch()
         until(lambda: can_connect(node), what="listening")
@@ -277,7 +277,7 @@
 
         with ThreadPoolExecutor(8) as threads:
             clients = [threads.submit(send_until_closed, index) for index in range(8)]
-            until(lambda: sum(pool.hits.values()) > 50)
+            until(lambda: sum(pool.request_counts.values()) > 50)
             node.send(signal.SIGTERM)
             assert {code for client in clients for code in client.result(20)} <= {200, 503}
         assert exit_code(node) == 0
@@ -387,16 +387,16 @@
     """A drain begins again if standby, active and SIGTERM follow each other."""
 
     async def main() -> None:
-        async with running_node(StubServer()) as node:
+        async with loopback_node(StubServer()) as node:
             checks: list[float] = []
             close_idle = node.listener._close_idle
-            node.listener._close_idle = lambda young_s: (checks.append(young_s), close_idle(young_s))[1]  # type: ignore
-            for young_s in (1.0, 2.0, 3.0):
+            node.listener._close_idle = lambda grace_s: (checks.append(grace_s), close_idle(grace_s))[1]  # type: ignore
+            for grace_s in (1.0, 2.0, 3.0):
                 node.listener.resume()
-                node.listener.drain(young_s, open_s=0.0)
+                node.listener.drain(grace_s, close_idle_after_s=0.0)
                 seen = len(checks)
                 await wait_until_async(lambda seen=seen: len(checks) > seen + 3)  # type: ignore[misc]
-                assert set(checks[seen:]) == {young_s}
+                assert set(checks[seen:]) == {grace_s}
             node.listener.resume()
             assert node.listener._drain_timer is None
 
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -17,8 +17,8 @@
     Client,
     StubServer,
     exchange,
+    loopback_node,
     request,
-    running_node,
     wait_until,
 )
 
@@ -38,7 +38,7 @@
 def test_node_accepts_clients_on_inherited_socket():
     async def main():
         raw = listening()
-        async with running_node(StubServer(), accept_fd=str(os.dup(raw.fileno()))) as node:
+        async with loopback_node(StubServer(), accept_fd=str(os.dup(raw.fileno()))) as node:
             assert node.listener.address == raw.getsockname()
             assert (await exchange(node, request())).status == 200
         # The test's own descriptor still listens after the node has closed.
@@ -73,7 +73,7 @@
 def test_new_process_serves_while_old_one_finishes_requests_in_flight():
     async def main():
         raw, server = listening(), BlockedServer()
-        async with running_node(server, accept_fd=str(os.dup(raw.fileno()))) as old:
+        async with loopback_node(server, accept_fd=str(os.dup(raw.fileno()))) as old:
             busy, idle = await Client.connect(old), await Client.connect(old)
             busy.writer.write(request(name="in-flight"))
             assert (await idle.exchange(UP)).status == 200
@@ -105,10 +105,12 @@
     async def main():
         raw = listening()
         more = {"accept_fd": str(os.dup(raw.fileno()))} if shared else {}
-        async with running_node(StubServer(), **more) as node:
+        async with loopback_node(StubServer(), **more) as node:
             waits: list[float] = []
             monkeypatch.setattr(
-                node.listener, "drain", lambda young_s=0.0, open_s=0.0: waits.append(open_s) or None
+                node.listener,
+                "drain",
+                lambda grace_s=0.0, close_idle_after_s=0.0: waits.append(close_idle_after_s) or None,
             )
             monkeypatch.setattr(shutdown, "MIN_DRAIN_S", 0.0)
             await node.stop()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -163,7 +163,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running_node(
+async def loopback_node(
     *servers: StubServer, discovery: StubServer | None = None, **more: Any
 ) -> AsyncIterator[Node]:
     """Run a node whose initial endpoint list has these servers, named s0, s1 and so on."""
--- a/tests/test_settings_kinds.py
+++ b/tests/test_settings_kinds.py
@@ -19,8 +19,8 @@
     StubServer,
     exchange,
     http_response,
+    loopback_node,
     request,
-    running_node,
     targets,
     wait_until,
 )
@@ -112,7 +112,7 @@
 
     async def main():
         first, second = StubServer(script), StubServer(script)
-        async with running_node(first, second, **CASES[case]) as node:
+        async with loopback_node(first, second, **CASES[case]) as node:
             for round_number in range(3):
                 for name in class_names(node):
                     headers = {"Req_Owner": "north", "Req_Cost": "3000"}
@@ -155,7 +155,7 @@
             known = targets(**{name: (address, "Ready") for name, address in addresses.items()})
             for target in known:
                 target["az"], target["pod_group"] = zones[target["uid"]]
-            async with running_node(known=known, settings=settings, seed=f"{round_number:x}") as node:
+            async with loopback_node(known=known, settings=settings, seed=f"{round_number:x}") as node:
                 response = await exchange(node, request_of("move", f"q{round_number}"))
                 assert response.status == 200
                 check_no_faults(node)
@@ -179,7 +179,7 @@
 
     async def main():
         servers = [BlockedServer() for _ in range(3)]
-        async with running_node(*servers, bounds={"secondCopies": True, "maxAttempts": 5}) as node:
+        async with loopback_node(*servers, bounds={"secondCopies": True, "maxAttempts": 5}) as node:
             caller = await Client.connect(node)
             caller.writer.write(request("read", "q1"))
             await wait_until(lambda: any(server.seen for server in servers))
@@ -202,7 +202,7 @@
     settings = {"categories": [short | {"name": name, "effect": effect} for name, effect in effects]}
 
     async def main():
-        async with running_node(BlockedServer(), settings=settings, bounds={"cancel": cancel}) as node:
+        async with loopback_node(BlockedServer(), settings=settings, bounds={"cancel": cancel}) as node:
             for name, effect in effects:
                 response = await exchange(node, request_of(name, f"q-{name}"))
                 assert response.status == (503 if effect == "free" else 504)
@@ -218,7 +218,7 @@
         with full_listen_queue() as address:
             known = targets(s0=(address, "Ready"))
             bounds = {"connectTimeoutMs": 60000.0}
-            async with running_node(known=known, settings=settings, bounds=bounds) as node:
+            async with loopback_node(known=known, settings=settings, bounds=bounds) as node:
                 response = await exchange(node, request_of("post", "q1"))
                 assert response.status == 503  # never written, so it is rejected
                 check_no_faults(node)
@@ -235,7 +235,7 @@
             "categories": [READ | {"name": name} for name in ("tänk it", "a/b")],
             "accounts": [{"name": "nörd", "quotaPerS": 0.001}],
         }
-        async with running_node(StubServer(), settings=settings) as node:
+        async with loopback_node(StubServer(), settings=settings) as node:
             bucket = node.driver.balancer.admission.buckets["nörd"]
             for path, owner, cost in (
                 ("/t%C3%A4nk%20it/1", "nörd".encode(), 1.0),
