--- a/tests/node/upstream/test_pooled_limit.py
+++ b/tests/node/upstream/test_pooled_limit.py
@@ -14,7 +14,15 @@
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER_BYTES
 from loadbalancer.node.http.client_connection import Response
-from tests.support.loopback import Caller, Peer, never_up, reply, request, running, until
+from tests.support.loopback import (
+    Client,
+    StubServer,
+    http_response,
+    loopback_node,
+    request,
+    stalled_listener,
+    wait_until,
+)
 from tests.support.pool_environment import REQUEST, perform, pool_environment, receive
 
 
@@ -26,7 +34,7 @@
             env.pool.set_endpoint("other", env.listener.getsockname())
             server, connection = await env.open_idle()
             perform(server, "close", connection)
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
             for name in ("other", "other"):
                 env.pool.start_attempt(
                     name, lambda wait: REQUEST, 20.0, lambda result, _: env.results.append(result)
@@ -54,7 +62,7 @@
             for _ in range(2):
                 server = await env.accept()
                 assert await receive(server) == REQUEST
-                server.sendall(reply())
+                server.sendall(http_response())
             assert await env.wait_for_results(2) == [AttemptResult.OK, AttemptResult.OK]
             assert sizes == [1, 2]
 
@@ -89,9 +97,9 @@
 
 
 RESPONSES = {
-    "complete": reply(200, Connection="close"),
+    "complete": http_response(200, Connection="close"),
     "malformed": b"not http\r\n\r\n",
-    "truncated": reply()[:-1],
+    "truncated": http_response()[:-1],
     "silent": b"",
 }
 
@@ -110,7 +118,11 @@
 
             env.pool.connect_timeout_s = 0.1 if case == "connecting" else 20.0
             timeout_s = 0.5 if case == "silent" else 20.0
-            with never_up() if case == "connecting" else contextlib.nullcontext(env.listener) as listener:
+            with (
+                stalled_listener()
+                if case == "connecting"
+                else contextlib.nullcontext(env.listener) as listener
+            ):
                 env.pool.set_endpoint("first", listener.getsockname())
                 env.pool.start_attempt("first", lambda wait: REQUEST, timeout_s, on_result)
                 if case != "connecting":
@@ -119,11 +131,11 @@
                     server.sendall(RESPONSES[case])
                     if case == "truncated":
                         server.close()
-                await until(lambda: results)
+                await wait_until(lambda: results)
             env.pool.connect_timeout_s = 20.0
             server = await env.accept()
             assert await receive(server) == REQUEST
-            server.sendall(reply())
+            server.sendall(http_response())
             assert await env.wait_for_results() == [AttemptResult.OK]
             assert env.pool.connection_count == 1
 
@@ -139,7 +151,7 @@
     """The kernel retries the connect after 1 s, when the server's accept queue has space."""
 
     async def main():
-        with never_up() as listener:
+        with stalled_listener() as listener:
             listener.setblocking(False)
             async with pool_environment() as env:
                 env.pool.set_endpoint("late", listener.getsockname())
@@ -147,12 +159,12 @@
                 attempt = env.pool.start_attempt(
                     "late", lambda wait: REQUEST, 20.0, lambda result, _: env.results.append(result)
                 )
-                await until(lambda: descriptor_count() > before)
+                await wait_until(lambda: descriptor_count() > before)
                 assert env.pool.connection_count == 1
                 if not awaited:
                     attempt.cancel()
                     assert env.pool.connection_count == 0
-                    await until(lambda: descriptor_count() == before)
+                    await wait_until(lambda: descriptor_count() == before)
                     assert env.results == [AttemptResult.CANCELLED]
                     assert not env.pool._opening
                     return
@@ -164,15 +176,15 @@
 
                 accepting = asyncio.create_task(serve())
                 with contextlib.ExitStack() as stack:
-                    await until(lambda: env.pool._connections)
+                    await wait_until(lambda: env.pool._connections)
                     local = [c._transport.get_extra_info("sockname") for c in env.pool._connections]
-                    await until(lambda: [s for s in accepted if s.getpeername() in local])
+                    await wait_until(lambda: [s for s in accepted if s.getpeername() in local])
                     for server in accepted:
                         stack.enter_context(server)
                     (server,) = [s for s in accepted if s.getpeername() in local]
                     server.setblocking(False)
                     assert await loop.sock_recv(server, 1000) == REQUEST
-                    await loop.sock_sendall(server, reply())
+                    await loop.sock_sendall(server, http_response())
                     assert await env.wait_for_results() == [AttemptResult.OK]
                     assert env.pool.connection_count == 1
                     accepting.cancel()
@@ -187,10 +199,10 @@
     """Without it, a small write that waits for an acknowledgement would be lost in a reset."""
 
     async def main():
-        server = Peer()
-        async with running(server) as node:
-            client = await Caller.to(node)
-            assert (await client.ask(request())).status == 200
+        server = StubServer()
+        async with loopback_node(server) as node:
+            client = await Client.connect(node)
+            assert (await client.exchange(request())).status == 200
             connections = [*node.listener.connections, *node.pool._connections]
             assert len(connections) == 2
             for connection in connections:
@@ -217,7 +229,7 @@
 STREAM_START = b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + bytes(HIGH_WATER_BYTES + 1)
 
 
-@pytest.mark.parametrize("response_bytes", [reply(), STREAM_START, b"not http\r\n\r\n"])
+@pytest.mark.parametrize("response_bytes", [http_response(), STREAM_START, b"not http\r\n\r\n"])
 def test_exception_in_result_callback_costs_only_its_connection(response_bytes):
     async def main():
         async with pool_environment() as env:
@@ -231,7 +243,7 @@
             server = await env.accept()
             assert await receive(server) == REQUEST
             server.sendall(response_bytes)
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
             assert [type(error["exception"]) for error in errors] == [RuntimeError]
             await env.open_idle()
 
@@ -253,7 +265,7 @@
             server = await env.accept()
             for _ in range(3):
                 assert await receive(server) == REQUEST
-                server.sendall(reply())
+                server.sendall(http_response())
             assert await env.wait_for_results(3) == [AttemptResult.OK] * 3
             assert env.pool.connection_count == 1
 
--- a/tests/node/upstream/test_pooled_paused_process.py
+++ b/tests/node/upstream/test_pooled_paused_process.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.node.test_restarts import connect, frozen
-from tests.support.loopback import reply, request
+from tests.node.test_restarts import connect, paused
+from tests.support.loopback import http_response, request
 from tests.support.node_processes import Node
 from tests.support.pool_environment import PARTIAL_HEAD, SERVER_ACTIONS, close_socket
 from tests.support.registry_processes import until
@@ -49,22 +49,22 @@
         client.sendall(request("post", "q1", b"one"))
         first = stack.enter_context(accept(listener))
         assert b"req-id: q1" in first.recv(1000)
-        first.sendall(reply(200, b"one!"))
+        first.sendall(http_response(200, b"one!"))
         assert read_response(client).endswith(b"one!")
         reusable_at = time.monotonic() + 0.1  # past the reuse delay of the connection
         until(lambda: time.monotonic() >= reusable_at)
-        with frozen(node):
+        with paused(node):
             if not action_first:  # the loop handles both events in this order
                 client.sendall(request("post", "q2", b"two"))
             if action in ("close", "reset"):
                 close_socket(first, action == "reset")
             else:
-                first.sendall(PARTIAL_HEAD if action == "partial response" else reply(200, b"stray!"))
+                first.sendall(PARTIAL_HEAD if action == "partial response" else http_response(200, b"stray!"))
             if action_first:
                 client.sendall(request("post", "q2", b"two"))
         second = stack.enter_context(accept(listener))
         assert b"req-id: q2" in second.recv(1000)
-        second.sendall(reply(200, b"two!"))
+        second.sendall(http_response(200, b"two!"))
         response = read_response(client)
         assert response.startswith(b"HTTP/1.1 200 ")
         assert response.endswith(b"two!")
--- a/tests/node/upstream/test_upstream.py
+++ b/tests/node/upstream/test_upstream.py
@@ -13,7 +13,14 @@
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 from loadbalancer.node.http.socket_buffer import readable
 from loadbalancer.node.upstream.pool import ConnectionPool
-from tests.support.loopback import Held, Message, Peer, never_up, reply, until
+from tests.support.loopback import (
+    BlockedServer,
+    Message,
+    StubServer,
+    http_response,
+    stalled_listener,
+    wait_until,
+)
 from tests.support.ports import free_port
 
 REQUEST = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
@@ -33,25 +40,25 @@
     return await done
 
 
-def stub_server(response: bytes | None) -> Peer:
+def stub_server(response: bytes | None) -> StubServer:
     async def script(message: Message) -> bytes | None:
         return response
 
-    return Peer(script)
+    return StubServer(script)
 
 
 @pytest.mark.parametrize(
     ("response", "expected"),
     [
-        (reply(200), AttemptResult.OK),
-        (reply(500), AttemptResult.ERROR),
-        (reply(503, Srv_Declined="1"), AttemptResult.REJECTED),
-        (reply(504, Srv_Declined="1"), AttemptResult.REJECTED),
-        (reply(503), AttemptResult.ERROR),
-        (reply(504), AttemptResult.ERROR),
-        (reply(418), AttemptResult.ERROR),
-        (reply(200, Srv_Declined="1"), AttemptResult.OK),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200), AttemptResult.OK),
+        (http_response(200), AttemptResult.OK),
+        (http_response(500), AttemptResult.ERROR),
+        (http_response(503, Srv_Declined="1"), AttemptResult.REJECTED),
+        (http_response(504, Srv_Declined="1"), AttemptResult.REJECTED),
+        (http_response(503), AttemptResult.ERROR),
+        (http_response(504), AttemptResult.ERROR),
+        (http_response(418), AttemptResult.ERROR),
+        (http_response(200, Srv_Declined="1"), AttemptResult.OK),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + http_response(200), AttemptResult.OK),
         (None, AttemptResult.RESET),
         (b"not http at all\r\n\r\n", AttemptResult.RESET),
     ],
@@ -133,7 +140,7 @@
         pool = new_pool()
         pool.set_endpoint("s", server.sockets[0].getsockname())
         assert await attempt_result(pool) is expected
-        await until(lambda: not pool.connection_count)
+        await wait_until(lambda: not pool.connection_count)
         server.close()
 
     asyncio.run(main())
@@ -161,7 +168,7 @@
         pool = new_pool()
         pool.set_endpoint("s", address)
         assert await attempt_result(pool) is AttemptResult.CONNECT_FAILED
-        await until(lambda: not pool.connection_count)
+        await wait_until(lambda: not pool.connection_count)
 
     asyncio.run(main())
 
@@ -252,7 +259,9 @@
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("response", [reply(200, Connection="close"), reply(200) + b"more", reply(200) * 2])
+@pytest.mark.parametrize(
+    "response", [http_response(200, Connection="close"), http_response(200) + b"more", http_response(200) * 2]
+)
 def test_connection_that_closes_or_has_extra_bytes_is_not_reused(response):
     async def main():
         server, pool = await stub_server(response).start(), new_pool()
@@ -270,12 +279,12 @@
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 20.0)
 
     async def main():
-        server, pool = await Peer().start(), new_pool(endpoint_idle_s=100.0)
+        server, pool = await StubServer().start(), new_pool(endpoint_idle_s=100.0)
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         assert [await attempt_result(pool) for _ in range(2)] == [AttemptResult.OK, AttemptResult.OK]
         assert (server.connections, pool.connection_count) == (2, 2)
-        server._writers[0].write(reply())  # the second response
-        await until(lambda: pool.connection_count == 1)
+        server._writers[0].write(http_response())  # the second response
+        await wait_until(lambda: pool.connection_count == 1)
         for connection in pool._endpoints["s"].idle:
             connection.idle_since -= 20.0
         assert await attempt_result(pool) is AttemptResult.OK
@@ -290,7 +299,7 @@
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        server, pool = await Peer().start(), new_pool()
+        server, pool = await StubServer().start(), new_pool()
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         await asyncio.gather(attempt_result(pool), attempt_result(pool))
         assert server.connections == 2
@@ -312,10 +321,10 @@
 
 def test_idle_connections_are_closed_before_the_server_closes_them():
     async def main():
-        server, pool = await Peer().start(), new_pool(endpoint_idle_s=0.1)
+        server, pool = await StubServer().start(), new_pool(endpoint_idle_s=0.1)
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         await attempt_result(pool)
-        await until(lambda: not pool.connection_count)
+        await wait_until(lambda: not pool.connection_count)
         pool.close()
         server.stop()
 
@@ -324,7 +333,7 @@
 
 def test_connection_that_never_opens_is_connect_failed():
     async def main():
-        with never_up() as listener:
+        with stalled_listener() as listener:
             pool = new_pool(connect_timeout_s=0.1)
             pool.set_endpoint("s", listener.getsockname())
             assert await attempt_result(pool) is AttemptResult.CONNECT_FAILED
@@ -337,14 +346,14 @@
 
 def test_pool_without_keep_alive_closes_idle_connections_and_retains_none():
     async def main():
-        server, pool = await Peer().start(), new_pool()
+        server, pool = await StubServer().start(), new_pool()
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         assert await attempt_result(pool) is AttemptResult.OK
         assert pool.connection_count == 1
         pool.disable_keep_alive()
-        await until(lambda: not pool.connection_count)
+        await wait_until(lambda: not pool.connection_count)
         assert await attempt_result(pool) is AttemptResult.OK  # new attempts are still possible
-        await until(lambda: not pool.connection_count)
+        await wait_until(lambda: not pool.connection_count)
         server.stop()
         pool.close()
 
@@ -353,14 +362,14 @@
 
 def test_removed_endpoint_ends_connecting_attempts_and_accepts_no_more():
     async def main():
-        with never_up() as listener:
+        with stalled_listener() as listener:
             pool = new_pool()
             pool.set_endpoint("s", listener.getsockname())
             outcome = asyncio.create_task(attempt_result(pool))
-            await until(lambda: pool.connection_count)
+            await wait_until(lambda: pool.connection_count)
             pool.remove_endpoint("s")
             assert await outcome is AttemptResult.CONNECT_FAILED
-            await until(lambda: not pool.connection_count)
+            await wait_until(lambda: not pool.connection_count)
             assert pool.start_attempt("s", lambda wait: REQUEST, 1.0, lambda *_: None) is None
 
     asyncio.run(main())
@@ -368,11 +377,11 @@
 
 def test_in_flight_attempt_completes_after_endpoint_is_removed():
     async def main():
-        server, pool = Held(), new_pool()
+        server, pool = BlockedServer(), new_pool()
         await server.start()
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         outcome = asyncio.create_task(attempt_result(pool))
-        await until(lambda: server.seen)
+        await wait_until(lambda: server.seen)
         pool.remove_endpoint("s")
         server.release.set()
         assert await outcome is AttemptResult.OK
@@ -385,7 +394,7 @@
 
 def test_pool_at_its_limit_closes_idle_connections_first():
     async def main():
-        quiet, busy, pool = await Peer().start(), Held(), new_pool(limit=2)
+        quiet, busy, pool = await StubServer().start(), BlockedServer(), new_pool(limit=2)
         await busy.start()
         pool.set_endpoint("s", ("127.0.0.1", quiet.port))
         assert await attempt_result(pool) is AttemptResult.OK
@@ -394,10 +403,10 @@
         for _ in range(3):
             pool.start_attempt("s2", lambda wait: REQUEST, 20.0, lambda result, _: results.append(result))
         assert pool._endpoints["s"].idle == []
-        await until(lambda: results)
+        await wait_until(lambda: results)
         assert results == [AttemptResult.CONNECT_FAILED]  # the third attempt: all connections are busy
         busy.release.set()
-        await until(lambda: len(results) == 3)
+        await wait_until(lambda: len(results) == 3)
         assert results[1:] == [AttemptResult.OK, AttemptResult.OK]
         pool.close()
         quiet.stop()
@@ -423,7 +432,7 @@
                 await asyncio.sleep(0)
             server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             server_socket.close()
-            await until(lambda: exchange.calls)
+            await wait_until(lambda: exchange.calls)
             assert exchange.calls == [read]
 
     asyncio.run(main())
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -50,7 +50,7 @@
         A draining node responds to every request that it has accepted, so its outage explains only requests
         that were sent after the signal, or were about to be sent.
         """
-        last_s = outcome.sent_s + (SEND_MARGIN_S if self.drained else outcome.took_s)
+        last_s = outcome.sent_s + (SEND_MARGIN_S if self.drained else outcome.duration_s)
         return outcome.status == 0 and self.start_s < last_s and outcome.sent_s < self.end_s
 
 
@@ -122,7 +122,7 @@
 
     def status(self, index: int) -> Status:
         """Return the body of a node's GET /status/members; raise OSError if it does not respond."""
-        status, body = self.nodes[index].call_door("/status/members")
+        status, body = self.nodes[index].call_admin("/status/members")
         if status != 200:
             raise OSError(f"the admin server of n{index} responded with status {status}")
         return body  # type: ignore[no-any-return]
@@ -302,7 +302,7 @@
         """Wait until every node has observed every server; until then it rejects route versions."""
 
         def all_seen() -> bool:
-            edge_lists = [node.call_door("/status/routes")[1]["edges"] for node in self.nodes]
+            edge_lists = [node.call_admin("/status/routes")[1]["edges"] for node in self.nodes]
             marks = [edge["mark"] for edges in edge_lists for edge in edges if edge["kind"] == "server"]
             return len(marks) == len(MODELS) * self.size and "blind" not in marks
 
--- a/tests/support/test_faults.py
+++ b/tests/support/test_faults.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.support.faults import LoopThread, Relay, RelayNetwork
-from tests.support.loopback import Message, Peer, reply
+from tests.support.loopback import Message, StubServer, http_response
 
 REQUEST = b"GET /read/%d HTTP/1.1\r\n\r\n"
 SHORT_S = 0.15  # to check that nothing arrives: too short a wait can't fail a correct relay
@@ -25,15 +25,15 @@
 
     def __init__(self, loops: LoopThread) -> None:
         async def respond(message: Message) -> bytes:
-            return reply(200, message.first[1].encode())
+            return http_response(200, message.start_line[1].encode())
 
-        self.peer = loops.run(Peer(respond).start())
+        self.peer = loops.run(StubServer(respond).start())
         self.address = ("127.0.0.1", self.peer.port)
         EchoServer.running.append(self)
 
     @property
     def paths(self) -> list[str]:
-        return [message.first[1] for message in self.peer.seen]
+        return [message.start_line[1] for message in self.peer.seen]
 
 
 @pytest.fixture
