--- a/bench/registry.py
+++ b/bench/registry.py
@@ -94,10 +94,10 @@
     started = [registry.agent() for _ in range(agents)]
     try:
         for agent in started:
-            until(lambda agent=agent: agent.page() is not None, what="an agent with a list")
+            until(lambda agent=agent: agent.page() is not None, condition="an agent with a list")
         registry.put("s-warm")
         for agent in started:
-            until(lambda agent=agent: "s-warm" in agent.listed(), what="an agent with the first server")
+            until(lambda agent=agent: "s-warm" in agent.listed(), condition="an agent with the first server")
         views: list[dict[str, float]] = [{} for _ in started]
         stop = asyncio.Event()
         watchers = [asyncio.create_task(follow(a.port, v, stop)) for a, v in zip(started, views, strict=True)]
@@ -143,7 +143,7 @@
     gaps = []
     try:
         registry.put("s-0")
-        until(lambda: "s-0" in agent.listed(), what="the agent with the first server")
+        until(lambda: "s-0" in agent.listed(), condition="the agent with the first server")
         counts = {"reads": 0, "failures": 0}
         stop = asyncio.Event()
         reader = asyncio.create_task(read_repeatedly(agent.port, counts, stop))
@@ -203,7 +203,7 @@
             until(
                 lambda agent=agent: len(agent.page()["targets"]) == servers,
                 within_s=60,
-                what="an agent with the complete list",
+                condition="an agent with the complete list",
             )
         views: list[dict[str, float]] = [{} for _ in started]
         stop = asyncio.Event()
@@ -244,7 +244,7 @@
     try:
         for number in range(100):
             registry.put(f"o-{number}")
-        until(lambda: len(agent.listed()) == 100, what="the agent with all servers")
+        until(lambda: len(agent.listed()) == 100, condition="the agent with all servers")
         counts = {"reads": 0, "failures": 0}
         stop = asyncio.Event()
         reader = asyncio.create_task(read_repeatedly(agent.port, counts, stop))
@@ -260,7 +260,7 @@
         while await put(registry.http[registry.leader()], "o-after", "127.0.0.1:9") != 200:
             await asyncio.sleep(0.02)
         writes_ms = (time.monotonic() - restarted) * 1000
-        until(lambda: "o-after" in agent.listed(), what="the agent with a new server again")
+        until(lambda: "o-after" in agent.listed(), condition="the agent with a new server again")
         agent_ms = (time.monotonic() - restarted) * 1000
         stop.set()
         await reader
@@ -291,15 +291,15 @@
         until(
             lambda: len(agent.page()["targets"]) == servers,
             within_s=60,
-            what="an agent with the complete list",
+            condition="an agent with the complete list",
         )
         start = time.monotonic()
         node.launch()
-        until(lambda: node.endpoint_count() == servers, within_s=60, what="the node's complete list")
+        until(lambda: node.endpoint_count() == servers, within_s=60, condition="the node's complete list")
         complete_ms = (time.monotonic() - start) * 1000
         change_start = time.monotonic()
         assert await put(leader, "n-new", "127.0.0.1:9") == 200
-        until(lambda: node.endpoint_count() == servers + 1, within_s=30, what="the change at the node")
+        until(lambda: node.endpoint_count() == servers + 1, within_s=30, condition="the change at the node")
         return {
             "bench": "node",
             "servers": servers,
--- a/bench/scale/program.py
+++ b/bench/scale/program.py
@@ -97,7 +97,7 @@
         ports |= {f"raft{other}": port for other, port in enumerate(self.raft) if other != index}
         process = self.processes[index] = self._program.spawn("service", name, arguments, ports)
         log = self.folder / f"{name}.log"
-        until(lambda: running(process, log) and self.status(index), what=f"{name} answering")
+        until(lambda: running(process, log) and self.status(index), condition=f"{name} answering")
 
     def pids(self) -> dict[str, int]:
         return {f"r{at}": process.pid for at, process in enumerate(self.processes) if process is not None}
--- a/bench/scale/stub_pool.py
+++ b/bench/scale/stub_pool.py
@@ -23,7 +23,7 @@
         try:
             self._processes += [self._spawn(port) for port in self.ports]
             for port in self.ports:
-                until(lambda port=port: _accepts(port), what=f"stub server at {port}")  # type: ignore[misc]
+                until(lambda port=port: _accepts(port), condition=f"stub server at {port}")  # type: ignore[misc]
         except BaseException:
             self.close()
             raise
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -217,7 +217,7 @@
         )
 
     def _block_responses(self, at: float) -> None:
-        act = lambda node: self._fleet.agent_proxies[node].hold("renew", responses=True)  # noqa: E731
+        act = lambda node: self._fleet.agent_proxies[node].block("renew", responses=True)  # noqa: E731
         self._add_agent_link_fault(at, "block responses", 6.0, act)
 
     def _duplicate_renewals(self, at: float) -> None:
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -51,7 +51,7 @@
     early = make_samples((0.0, 0.0, 0), (0.05, 0.5, 1), (0.08, 0.5, 1), (0.2, 0.5, 1))
     assert quota_violations([keeps, early])
     assert version_conflicts([keeps, early], 0.05)
-    paused = make_samples((0.0, 1.0, 0), (0.05 + MAX_GAP_S, 1.0, 0))  # it may not have run in between
+    paused = make_samples((0.0, 1.0, 0), (0.05 + MAX_GAP_S, 1.0, 0))  # the node may not have run in between
     assert quota_violations([paused, make_samples(*((0.1 * number, 0.5, 1) for number in range(5)))]) == []
 
 
@@ -106,7 +106,7 @@
 def test_partitioned_halves_never_exceed_total_quota(
     fleet: Fleet, cut_off: tuple[int, ...], quotas: tuple[float, float]
 ) -> None:
-    """The nodes in `cut_off` can't reach the list service either; `quotas` has the final one per half."""
+    """The nodes in `cut_off` can't reach the list service either; `quotas`: final quota in each half."""
     with fleet.under_load() as sampler:
         fleet.net.partition(*HALVES)
         fleet.cut_service(*cut_off)
@@ -133,14 +133,14 @@
     """The service receives the renewals and extends the leases, but at the nodes the leases expire."""
     with fleet.under_load() as sampler:
         start = time.monotonic()
-        held = [fleet.agent_proxies[index].hold("/fleet/renew", responses=True) for index in (3, 4)]
+        blocked = [fleet.agent_proxies[index].block("/fleet/renew", responses=True) for index in (3, 4)]
         fleet.wait_until_all("quotas yielded", lambda status: status["share"] == 0.0, 3, 4)
         wait_ms(fleet, TTL_MS)
         assert {
             (sample.status["rows"], round(sample.quota, 6)) for sample in sampler.since(start, 0, 1, 2)
         } == {(5, 0.2)}
-        for hold in held:
-            hold.release()
+        for calls in blocked:
+            calls.release()
         fleet.wait_until_shared(0, 1, 2, 3, 4)
 
 
@@ -166,17 +166,17 @@
         assert before == {index: fleet.status(index)["incarnation"] for index in range(5)}
 
 
-def test_cut_link_is_link_fault_and_loss_or_asymmetric_delay_is_none(fleet: Fleet) -> None:
+def test_cut_link_is_link_fault_but_loss_and_asymmetric_delay_are_not(fleet: Fleet) -> None:
     """No link problem makes a node count as failed or changes a quota, and with asymmetric delays every
     estimate of service time remains correct."""
     with fleet.under_load() as sampler:
         start = time.monotonic()
         fleet.net.partition(0, 1)
         fleet.net.partition_one_way(2, 3)
-        for index, other in ((0, 1), (1, 0), (2, 3), (3, 2)):
+        for index, sibling in ((0, 1), (1, 0), (2, 3), (3, 2)):
             fleet.wait_until_all(
-                f"verdict parted of n{index} on n{other}",
-                lambda status, name=f"n{other}": verdict(status, name) == "parted",
+                f"verdict parted of n{index} on n{sibling}",
+                lambda status, name=f"n{sibling}": verdict(status, name) == "parted",
                 index,
             )
         fleet.net.heal()
@@ -188,7 +188,7 @@
         asymmetric_since = time.monotonic()
         wait_ms(fleet, 2 * TTL_MS)
         samples = sampler.since(start)
-        assert "failed" not in {found for sample in samples for found in sample.verdicts().values()}
+        assert "failed" not in {observed for sample in samples for observed in sample.verdicts().values()}
         assert {round(sample.quota, 6) for sample in samples} == {0.2}
         # Each sample bounds the offset of service time to this process's clock; a common offset must exist.
         offsets_ms = [
@@ -269,7 +269,10 @@
         assert count_rejection_lines(fleet) - lines_before <= 1 + rejected / 100
         assert rss_kb(fleet, 0) - rss_before < 8_000
         samples = sampler.since(start)
-        assert {found for sample in samples for found in sample.verdicts().values()} <= {"present", "suspect"}
+        assert {observed for sample in samples for observed in sample.verdicts().values()} <= {
+            "present",
+            "suspect",
+        }
         assert {round(sample.quota, 6) for sample in samples} == {0.2}
 
 
--- a/tests/fleet/test_fleet_routes.py
+++ b/tests/fleet/test_fleet_routes.py
@@ -1,7 +1,7 @@
 """Activation of route versions in a fleet of processes while processes end and links break.
 
-In each test, `under_load` checks that no two nodes followed different versions, except for the clock bound
-around T, the time of the switch.
+In each test, `under_load` checks that no two nodes followed different versions, except within the clock
+bound of T, the time of the switch.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.faults import Hold
+from tests.support.faults import BlockedCalls
 from tests.support.node_fleet import WAIT_LIMIT_S, Fleet
 from tests.support.registry_processes import until
 
@@ -30,7 +30,7 @@
 
 
 def until_voted(fleet: Fleet, number: int, votes: int) -> None:
-    """Wait until so many nodes have accepted the version."""
+    """Wait until `votes` nodes have accepted the version."""
 
     def voted() -> bool:
         pending = fleet.routes()["pending"]
@@ -44,13 +44,13 @@
     fleet.wait_until_all(f"version {number} followed", Fleet.following(number), *chosen)
 
 
-def block_vote(fleet: Fleet, index: int) -> Hold:
+def block_vote(fleet: Fleet, index: int) -> BlockedCalls:
     """Block the node's next votes on their way to the list service."""
-    return fleet.agent_proxies[index].hold("/routes/vote")
+    return fleet.agent_proxies[index].block("/routes/vote")
 
 
-def until_blocked(hold: Hold) -> None:
-    assert hold.reached.wait(WAIT_LIMIT_S), "no call was blocked"
+def until_blocked(blocked: BlockedCalls) -> None:
+    assert blocked.reached.wait(WAIT_LIMIT_S), "no call was blocked"
 
 
 def until_reads_reach(fleet: Fleet, server: str) -> None:
@@ -142,7 +142,7 @@
     time.sleep(max(0.0, middle_s + (service_ms - (low + high) / 2) / 1000.0 - time.monotonic()))
 
 
-def test_one_of_two_concurrent_proposals_is_accepted_and_bad_ones_rejected(fleet: Fleet) -> None:
+def test_one_of_two_concurrent_proposals_is_accepted_and_invalid_ones_rejected(fleet: Fleet) -> None:
     """The votes reject a table for a model without servers; the list service rejects a malformed table."""
     with fleet.under_load() as sampler:
         texts = [fleet.route_table(), fleet.route_table()]
--- a/tests/fleet/test_groups_small.py
+++ b/tests/fleet/test_groups_small.py
@@ -35,7 +35,7 @@
 
 
 def has_quota(quota: float) -> Any:
-    """Return a check for `Fleet.wait_until_all`."""
+    """Return a check for `Fleet.wait_until_all`: the node has this quota."""
     return lambda status: abs(status["share"] - quota) < 1e-6
 
 
@@ -60,7 +60,7 @@
 
 
 def older_and_younger(fleet: Fleet) -> tuple[int, int]:
-    """Return the two nodes of `find` by rank; in a group of two, the older one wins the tie."""
+    """Return the indexes of the two nodes of `find`, older one first; in a group of two, it wins the tie."""
     rank = {record["name"]: record["rank"] for record in member_records(fleet, "find")}
     older, younger = sorted(PAIR, key=lambda index: rank[f"n{index}"])
     return older, younger
@@ -76,7 +76,7 @@
     )
 
 
-def test_small_groups_keep_quotas_detached_and_younger_yields_if_isolated(fleet: Fleet) -> None:
+def test_small_groups_keep_quotas_if_detached_and_younger_yields_if_isolated(fleet: Fleet) -> None:
     with fleet.under_load() as sampler:
         older, younger = older_and_younger(fleet)
         fleet.cut_service(ALONE, FIRST, SECOND)
@@ -132,9 +132,9 @@
 
 
 def configure_service(fleet: Fleet, index: int, service: str) -> None:
-    """Configure another service for this node, from its next start on."""
+    """Configure another service for this node, used from its next start."""
     fleet.services[index] = service
-    fleet.nodes[index].row["members"]["service"] = service
+    fleet.nodes[index].document["members"]["service"] = service
 
 
 def test_node_with_new_service_after_restart_changes_group(fleet: Fleet) -> None:
@@ -159,8 +159,8 @@
 
 
 def test_no_record_remains_after_last_node_of_service_changes_service(fleet: Fleet) -> None:
-    """The node is killed, and no other member of its group remains to report that. Its own first renewal in
-    the other group does."""
+    """The node is killed, and no member of its group is left to report that. The record is removed only by
+    the node's first renewal in the other group."""
     with fleet.under_load():
         first = fleet.status(ALONE)["incarnation"]
         fleet.kill(ALONE)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -29,10 +29,10 @@
     """Return the tests that the file lists; raise UsageError if it is malformed."""
     if not path.exists():
         return []
-    rows = [line.split(" | ") for line in path.read_text().splitlines() if line.strip()]
-    if any(len(row) != len(FIELDS) or not all(part.strip() for part in row) for row in rows):
+    entries = [line.split(" | ") for line in path.read_text().splitlines() if line.strip()]
+    if any(len(entry) != len(FIELDS) or not all(part.strip() for part in entry) for entry in entries):
         raise pytest.UsageError(f"{FILE}: each line is `{FORM}`")
-    listed_names = [row[0].strip() for row in rows]
+    listed_names = [entry[0].strip() for entry in entries]
     if duplicates := {name for name in listed_names if listed_names.count(name) > 1}:
         raise pytest.UsageError(f"{FILE}: listed twice: {', '.join(sorted(duplicates))}")
     return listed_names
@@ -49,8 +49,8 @@
         for item in items
         if item.nodeid in listed_names or item.nodeid.partition("[")[0] in listed_names
     }
-    found = known_red | {nodeid.partition("[")[0] for nodeid in known_red}
-    if missing := [name for name in listed_names if name not in found]:
+    existing = known_red | {nodeid.partition("[")[0] for nodeid in known_red}
+    if missing := [name for name in listed_names if name not in existing]:
         raise pytest.UsageError(f"{FILE}: not found: {', '.join(missing)}")
     selected = [item for item in items if (item.nodeid in known_red) == (option == "only")]
     config.hook.pytest_deselected(items=[item for item in items if item not in selected])
--- a/tests/node/admin/test_admin_server.py
+++ b/tests/node/admin/test_admin_server.py
@@ -47,7 +47,7 @@
     return (await send_request(node, encode_request(method, path, body))).status
 
 
-def test_status_is_200_only_with_an_endpoint():
+def test_status_is_200_only_with_endpoint():
     async def main():
         async with loopback_node(**ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 503
@@ -78,7 +78,7 @@
         (b"GET /status HTTP/1.1\r\nHost: x\r\n\r\ntrailing nonsense", 200),
     ],
 )
-def test_request_gets_expected_status(data, expected):
+def test_status_depends_on_method_path_and_body_of_request(data, expected):
     async def main():
         async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             assert (await send_request(node, data)).status == expected
@@ -101,23 +101,23 @@
     assert "failed" in caplog.text
 
 
-@pytest.mark.parametrize("leave", DISCONNECTS)
+@pytest.mark.parametrize("disconnect_client", DISCONNECTS)
 @pytest.mark.parametrize("later", [False, True])
-def test_client_disconnect_before_response_logs_nothing(leave: Disconnect, later: bool, caplog):
+def test_client_disconnect_before_response_logs_nothing(disconnect_client: Disconnect, later: bool, caplog):
     async def main():
         client, disconnects = socket.socket(), []
 
-        def disconnect(_: bytes) -> AdminResponse:  # between request and response, in one turn of the loop
-            disconnects.append(leave(client))
+        def disconnect(_: bytes) -> AdminResponse:  # in the loop iteration that handles the request
+            disconnects.append(disconnect_client(client))
             return AdminResponse(200)
 
         async def disconnect_later(body: bytes) -> AdminResponse:
             return disconnect(body)
 
-        server = AdminServer({(b"GET", b"/left"): disconnect_later if later else disconnect})
+        server = AdminServer({(b"GET", b"/closed"): disconnect_later if later else disconnect})
         await server.open(("127.0.0.1", 0))
         client.connect(server.address)
-        client.sendall(encode_request("GET", "/left"))
+        client.sendall(encode_request("GET", "/closed"))
         await wait_until(lambda: disconnects and not server._connections)
         server.close()
         client.close()
@@ -169,7 +169,7 @@
             idle, busy = await Client.connect(node), await Client.connect(node)
             assert (await idle.exchange(UP)).status == 200
             busy.writer.write(request())
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             assert await status(node, "PUT", "/standby") == 200
             assert await status(node, "PUT", "/standby") == 200  # a repetition has no effect
             assert await status(node, "GET", "/status") == 503
@@ -205,7 +205,7 @@
         async with loopback_node(server, **ADMIN_SETTINGS) as node:
             client = await Client.connect(node)
             client.writer.write(request())
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             stopping = asyncio.create_task(node.stop())
             await wait_until(lambda: node.stopping)
             assert await status(node, "PUT", "/active") == 503
--- a/tests/node/admin/test_metrics.py
+++ b/tests/node/admin/test_metrics.py
@@ -77,8 +77,8 @@
             return http_response(200 if message.headers["req-id"].startswith("q") else 500)
 
         async with loopback_node(StubServer(script), settings={"tier": 1}, **ADMIN_SETTINGS) as node:
-            for at in range(3):
-                assert (await exchange(node, request(name=f"q{at}"))).status == 200
+            for index in range(3):
+                assert (await exchange(node, request(name=f"q{index}"))).status == 200
             assert (await exchange(node, request("post", name="x"))).status == 502
             assert (await exchange(node, b"GET /nothing HTTP/1.1\r\nReq-Id: z\r\n\r\n")).status == 404
             metrics = await read_metrics(node)
@@ -96,7 +96,7 @@
         async with loopback_node(server, bounds={"maxOpen": 1}, **ADMIN_SETTINGS) as node:
             client = await Client.connect(node)
             client.writer.write(request(name="held"))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             assert (await exchange(node, request("post", name="more"))).status == 503
             assert (await read_metrics(node))["replies.post.overload"] == 1
             server.release.set()
@@ -118,7 +118,7 @@
             clients = [await Client.connect(node) for _ in range(3)]
             for index, client in enumerate(clients):
                 client.writer.write(request(name=f"q{index}"))
-            await wait_until(lambda: len(server.seen) == 3)
+            await wait_until(lambda: len(server.requests) == 3)
             metrics = await read_metrics(node)
             assert (metrics["concurrent"], metrics["targets"], metrics["targets_disabled"]) == (3, 2, 1)
             server.release.set()
--- a/tests/node/control/test_registry_client.py
+++ b/tests/node/control/test_registry_client.py
@@ -1,4 +1,5 @@
-"""A node's calls to its agent: connections are reused, and a call that finds one closed is sent again."""
+"""A node's calls to its agent: connections are reused, and a call on a connection that the agent closed is
+sent again."""
 
 from __future__ import annotations
 
--- a/tests/node/discovery/test_discovery_lists.py
+++ b/tests/node/discovery/test_discovery_lists.py
@@ -82,12 +82,12 @@
         await (discovery := StubDiscovery(rev=2)).open()
         async with running_watcher(discovery) as (_, recorder):
             await recorder.wait_for_revision(2)
-            discovery.behavior, discovery.body = "given body", text
+            discovery.behaviour, discovery.body = "given body", text
             changed_at = discovery.change()
             while recorder.updates[-1][1] is not EndpointListKind.FAILED:
                 assert len(recorder.updates) == 1, "the malformed list was accepted"
                 await recorder.next()
-            discovery.behavior = "respond"
+            discovery.behaviour = "respond"
             assert await recorder.wait_for_revision(3) - changed_at < 1.0
             assert {rev for _, _, rev in recorder.updates} <= {0, 2, 3}  # the malformed list was not applied
 
--- a/tests/node/discovery/test_discovery_process.py
+++ b/tests/node/discovery/test_discovery_process.py
@@ -27,7 +27,7 @@
         path.write_bytes(orjson.dumps(config))
         program = start(path)
         try:
-            await wait_until(lambda: len(old.seen) > 1)  # the first response has been read
+            await wait_until(lambda: len(old.requests) > 1)  # the first response has been read
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
             assert "the current one stays in use" in await asyncio.to_thread(
@@ -39,8 +39,8 @@
             program.send_signal(signal.SIGHUP)
             program.send_signal(signal.SIGHUP)
             program.send_signal(signal.SIGCONT)
-            await wait_until(lambda: len(new.seen) > 1)
-            assert "since=7" in new.seen[1].start_line[1]
+            await wait_until(lambda: len(new.requests) > 1)
+            assert "since=7" in new.requests[1].start_line[1]
             program.send_signal(signal.SIGSTOP)
             path.write_bytes(orjson.dumps(config))
             program.send_signal(signal.SIGTERM)
--- a/tests/node/discovery/test_discovery_silence.py
+++ b/tests/node/discovery/test_discovery_silence.py
@@ -120,10 +120,10 @@
 @pytest.mark.parametrize("outage_s", [0.1, 3.0, 8.0])
 def test_discovery_that_fails_from_start_is_followed_after_recovery(max_backoff_s, fault, outage_s):
     async def main():
-        await (discovery := StubDiscovery(rev=2, behavior=fault)).open()
+        await (discovery := StubDiscovery(rev=2, behaviour=fault)).open()
         async with running_watcher(discovery, max_backoff_s) as (_, recorder):
             await asyncio.sleep(outage_s)
-            discovery.behavior = "respond"
+            discovery.behaviour = "respond"
             assert await recorder.wait_for_revision(2) - outage_s < PROPAGATION_DEADLINE_S
 
     run(main())
@@ -136,7 +136,7 @@
     """The deadline after SIGHUP is 4 s; a second SIGHUP with the same address changes nothing."""
 
     async def main():
-        await (discovery := StubDiscovery(behavior=old)).open()
+        await (discovery := StubDiscovery(behaviour=old)).open()
         await (new := StubDiscovery(rev=3)).open()
         async with running_watcher(discovery, max_backoff_s) as (watcher, recorder):
             await asyncio.sleep(after_s)
--- a/tests/node/http/test_service_http.py
+++ b/tests/node/http/test_service_http.py
@@ -26,12 +26,12 @@
             return None if server_closes else await _echo(message)
 
         server, client = await StubServer(script).start(), HttpClient()
-        assert [await _get(client, server, f"/{at}") for at in range(3)] == ["/0", "/1", "/2"]
+        assert [await _get(client, server, f"/{index}") for index in range(3)] == ["/0", "/1", "/2"]
         assert server.connections == 1
         server_closes = True  # the idle connection closes without a response, and so does the new one
         with pytest.raises(ConnectionError):
             await _get(client, server, "/3")
-        assert [message.start_line[1] for message in server.seen[3:]] == ["/3", "/3"]
+        assert [message.start_line[1] for message in server.requests[3:]] == ["/3", "/3"]
         server_closes = False
         assert await _get(client, server, "/4") == "/4"
         server.stop()
@@ -56,7 +56,7 @@
         with pytest.raises(TimeoutError):
             await _get(client, server, "/slow", timeout_s=0.05)
         responding.set()
-        assert [await _get(client, server, f"/{at}") for at in range(3)] == ["/0", "/1", "/2"]
+        assert [await _get(client, server, f"/{index}") for index in range(3)] == ["/0", "/1", "/2"]
         assert server.connections == 2
         server.stop()
 
@@ -66,7 +66,7 @@
 def test_client_limits_number_and_age_of_idle_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
         server, client = await StubServer(_echo).start(), HttpClient(max_idle=2)
-        await asyncio.gather(*(_get(client, server, f"/{at}") for at in range(5)))
+        await asyncio.gather(*(_get(client, server, f"/{index}") for index in range(5)))
         assert server.connections == 5
         assert len(client._idle) == 2
         monkeypatch.setattr(HttpClient, "IDLE_TIMEOUT_S", 0.0)
--- a/tests/node/listener/test_connection_close.py
+++ b/tests/node/listener/test_connection_close.py
@@ -44,7 +44,7 @@
     """Return a client whose response will be the connection's last; `sent` follows its request."""
     client = connect(node)
     client.sendall(request(name="q1", **headers) + sent)
-    await wait_until(lambda: server.seen)
+    await wait_until(lambda: server.requests)
     if end == "drain":
         node.listener.drain()
     return client
@@ -66,7 +66,7 @@
             second = await stream.read_response()
             assert (second.status, second.headers["connection"]) == (200, "close")
             assert await stream.reader.read() == b""
-            assert [message.headers["req-id"] for message in server.seen] == ["q1", "q2"]
+            assert [message.headers["req-id"] for message in server.requests] == ["q1", "q2"]
             stream.writer.close()
 
     asyncio.run(main())
@@ -77,7 +77,7 @@
     async def main():
         server = BlockedServer()
         async with loopback_node(server) as node:
-            behind = b"".join(request(name=f"q{2 + at}") for at in range(count))
+            behind = b"".join(request(name=f"q{2 + index}") for index in range(count))
             client = await send_last_request(node, server, "drain", behind)
             server.release.set()
             responses = await read_until_close(client)
@@ -100,7 +100,7 @@
             node.request_registry.respond(active, 200, RESPONSE_BODY)
             client.sendall(late)  # races with the shutdown of the sending side
             assert (await read_until_close(client)).endswith(RESPONSE_BODY)
-            assert node.event_counts["requests"] == len(server.seen) == 1
+            assert node.event_counts["requests"] == len(server.requests) == 1
 
     asyncio.run(main())
 
@@ -126,7 +126,7 @@
         async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(request(name="q1").replace(b"HTTP/1.1", b"HTTP/1.0"))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             (active,) = node.request_registry.active.values()
             body = Body(NullSource())
             node.request_registry.begin_stream(active, None, body)
@@ -151,7 +151,7 @@
 
             client = connect(node)
             client.sendall(request(name="q1"))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             node.pool.acquire_idle = lambda *_: None  # the idle connection of q1 is not reused
             node.pool.open_connection = never
             (connection,) = node.listener.connections
@@ -177,7 +177,7 @@
         async with loopback_node(server) as node:
             client, connection = await start_slow_reader(node, server)
             node.listener.on_request = lambda inbound: inbound.respond(200, RESPONSE_BODY)  # without a server
-            further = [request(name=f"q{2 + at}") for at in range(40)]
+            further = [request(name=f"q{2 + index}") for index in range(40)]
             for data in [b"".join(further)] if at_once else further:
                 client.sendall(data)
                 await run_loop(20)
@@ -279,7 +279,7 @@
                 patch.setattr(connection_states_module, "readable", check)
                 CLOSE_ACTIONS[close](node)
             if used and close == "overdue":
-                assert node.listener.connections  # not checked at all
+                assert node.listener.connections  # never overdue, so neither checked nor closed
                 client.close()
             await wait_until(lambda: not node.listener.connections)
             if client.fileno() >= 0:
@@ -287,7 +287,7 @@
                     assert client.recv(12) == b""  # so the client retries
             assert node.event_counts["requests"] == used
             assert await retry_status(node) == 200
-            assert len(server.seen) == 1 + used
+            assert len(server.requests) == 1 + used
             client.close()
 
     asyncio.run(main())
--- a/tests/node/listener/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -55,7 +55,7 @@
         async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(request(name="q1") + request(name="q2"))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             (active,) = node.request_registry.active.values()
             assert not active.inbound.connection._transport.is_reading()
             client.sendall(request(name="q3"))
@@ -82,9 +82,9 @@
         server = BlockedServer()
         async with loopback_node(server) as node:
             clients = [connect(node) for _ in range(5)]
-            for at, client in enumerate(clients):
-                client.sendall(request(name=f"q{at}"))
-            await wait_until(lambda: len(server.seen) == len(clients))
+            for index, client in enumerate(clients):
+                client.sendall(request(name=f"q{index}"))
+            await wait_until(lambda: len(server.requests) == len(clients))
             node.listener.drain()
             for client in clients[:-1]:
                 disconnect(client)  # the loop doesn't run before the responses
@@ -106,12 +106,12 @@
         async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(request(name="q1"))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             (active,) = node.request_registry.active.values()
             node.listener.drain()
             on_result, disconnected = active.attempts[0]._on_result, []
 
-            def disconnect_first(*args: object) -> None:  # the response has been read, but not yet sent on
+            def disconnect_first(*args: object) -> None:  # the response has been read, but not yet forwarded
                 disconnected.append(disconnect(client))
                 on_result(*args)
 
@@ -133,8 +133,8 @@
         server = BlockedServer()
         async with loopback_node(server) as node:
             client = connect(node)
-            client.sendall(b"".join(request(name=f"q{at}") for at in range(50)))
-            await wait_until(lambda: server.seen)
+            client.sendall(b"".join(request(name=f"q{index}") for index in range(50)))
+            await wait_until(lambda: server.requests)
             (active,) = node.request_registry.active.values()
             body = Body(NullSource())
             if first == "streamed response":
@@ -165,7 +165,7 @@
         async with loopback_node(server) as node:
             client = connect(node)
             await wait_until(lambda: node.listener.connections)
-            client.sendall(b"".join(request(name=f"q{at}") for at in range(count)))
+            client.sendall(b"".join(request(name=f"q{index}") for index in range(count)))
             disconnect(client)
             if disconnect is half_close:
                 assert (await read_until_close(client)).startswith(b"HTTP/1.1 400 ")
@@ -206,7 +206,7 @@
         async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(request(name="q1"))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             (active,) = node.request_registry.active.values()
             half_close(client)
             active.inbound.connection.eof_received()  # as the loop will call it
@@ -225,7 +225,7 @@
             blocking = BlockedServer()
             server.script = blocking.script
             client.sendall(request(name="q2"))
-            await wait_until(lambda: len(server.seen) == 2)
+            await wait_until(lambda: len(server.requests) == 2)
             half_close(client)
             await wait_until(lambda: node.event_counts["client disconnects"])
             assert b"HTTP/1.1 400 " in (await read_until_close(client)).partition(RESPONSE_BODY)[2]
@@ -239,7 +239,7 @@
         async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(request(name="q1"))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             (active,) = node.request_registry.active.values()
             body = Body(NullSource())
             node.request_registry.begin_stream(active, len(RESPONSE_BODY), body)
--- a/tests/node/listener/test_descriptor_limits.py
+++ b/tests/node/listener/test_descriptor_limits.py
@@ -65,7 +65,7 @@
         limits={"cores": 1.0, "memory_mb": 192, "sockets": sockets},
         settings={"registryMode": "push"},
     )
-    port = int(node.row["discovery"].rpartition(":")[2])
+    port = int(node.document["discovery"].rpartition(":")[2])
     try:
         node.start(with_descriptor_limit(sockets))
         with connect_many(node, sockets + 40, data):
@@ -74,7 +74,7 @@
                 assert read_status(client) == 200
             discovery.responses = [list_response(2, True, s0=(f"127.0.0.1:{servers.port()}", "Ready"))]
             loops.run(discovery.start(port))
-            until(lambda: len(discovery.seen) > 1, what="the endpoint list read and polled again")
+            until(lambda: len(discovery.requests) > 1, condition="the endpoint list read and polled again")
             with connect(node) as client:
                 client.sendall(request(name="served"))
                 assert read_status(client) == 200
--- a/tests/node/listener/test_partial_requests.py
+++ b/tests/node/listener/test_partial_requests.py
@@ -25,7 +25,7 @@
 
 DEADLINE_S = 1.0
 LATE_S = 0.5  # a response that is this late counts as lost by the operators' rules
-REQUESTS = b"".join(request(name=f"q{at}", Req_Deadline_Ms="1000") for at in range(4))
+REQUESTS = b"".join(request(name=f"q{index}", Req_Deadline_Ms="1000") for index in range(4))
 FIRST_PART = len(request(name="q0", Req_Deadline_Ms="1000")) + 30  # the first request, part of the second
 
 
@@ -45,7 +45,7 @@
             client, loop = connect(node), asyncio.get_running_loop()
             client.setblocking(False)
             await loop.sock_sendall(client, REQUESTS[:FIRST_PART])
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             (connection,) = node.listener.connections
             assert not connection._transport.is_reading()
             await loop.sock_sendall(client, REQUESTS[FIRST_PART:])
@@ -58,8 +58,10 @@
                 read += await asyncio.wait_for(loop.sock_recv(client, 65_536), 20.0)
             assert loop.time() - started_at < DEADLINE_S + LATE_S / 2
             remaining_ms = 1000 * (DEADLINE_S - (response_at_s or 0.0))
-            assert all(int(message.headers["req-deadline-ms"]) <= remaining_ms for message in server.seen[1:])
-            assert len(server.seen) == (1 if response_at_s is None else 2)
+            assert all(
+                int(message.headers["req-deadline-ms"]) <= remaining_ms for message in server.requests[1:]
+            )
+            assert len(server.requests) == (1 if response_at_s is None else 2)
             client.close()
 
     run(main())
@@ -72,15 +74,15 @@
             client, loop = connect(node), asyncio.get_running_loop()
             client.setblocking(False)
             await loop.sock_sendall(client, REQUESTS[:FIRST_PART])
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             await asyncio.sleep(0.8 * DEADLINE_S)
             server.release.set()  # reading resumes with nothing unread; the rest is sent later
             await wait_until(lambda: node.event_counts["responses 200"])
             (connection,) = node.listener.connections
             await wait_until(connection._transport.is_reading)
             await loop.sock_sendall(client, REQUESTS[FIRST_PART:])
-            await wait_until(lambda: len(server.seen) == 4)
-            assert int(server.seen[1].headers["req-deadline-ms"]) > 950
+            await wait_until(lambda: len(server.requests) == 4)
+            assert int(server.requests[1].headers["req-deadline-ms"]) > 950
             client.close()
 
     run(main())
@@ -124,7 +126,7 @@
             started_at = node.loop.time()
             await send_long(client, node)
             assert await status(client) == b"504"
-            assert len(server.seen) == 1
+            assert len(server.requests) == 1
             assert node.loop.time() - started_at < DEADLINE_S + LATE_S / 2
             client.close()
 
@@ -188,7 +190,7 @@
     run(main())
 
 
-def test_server_that_pauses_reading_for_a_moment_is_not_given_up():
+def test_server_that_pauses_reading_briefly_does_not_end_its_attempt():
     """Regression: time in which the node had nothing to send counted as a stall of the server."""
 
     async def main():
@@ -199,7 +201,7 @@
             started_at = node.loop.time()
             await loop.sock_sendall(client, LONGER[:PART])
             await server.paused.wait()
-            await asyncio.sleep(0.9)  # until now everything was read at once
+            await asyncio.sleep(0.9)  # so far the server has read all data at once
             await loop.sock_sendall(client, LONGER[PART:])
             await asyncio.sleep(0.3)
             assert node.loop.time() - started_at > DEADLINE_S
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -102,31 +102,31 @@
 # ------------------------------------------------------------- admin requests
 
 
-def test_ejected_endpoint_gets_no_new_requests_and_finishes_its_own():
+def test_ejected_endpoint_gets_no_new_requests_and_finishes_those_in_flight():
     async def main():
         first, second = BlockedServer(), BlockedServer()
         async with loopback_node(first, second, **ADMIN_SETTINGS) as node:
-            callers = [await Client.connect(node) for _ in range(2)]
-            for at, caller in enumerate(callers):
-                caller.writer.write(request(name=f"q{at}"))
-            await wait_until(lambda: first.seen and second.seen)
+            clients = [await Client.connect(node) for _ in range(2)]
+            for index, client in enumerate(clients):
+                client.writer.write(request(name=f"q{index}"))
+            await wait_until(lambda: first.requests and second.requests)
             assert await status(node, "PUT", ENTER, b"s0\n") == 200
             assert await status(node, "PUT", ENTER, b"s0") == 200
             first.release.set()
             second.release.set()
-            assert [(await caller.read_response()).status for caller in callers] == [200, 200]
-            for at in range(20):
-                assert (await exchange(node, request(name=f"r{at}"))).status == 200
-            assert len(first.seen) == 1
+            assert [(await client.read_response()).status for client in clients] == [200, 200]
+            for index in range(20):
+                assert (await exchange(node, request(name=f"r{index}"))).status == 200
+            assert len(first.requests) == 1
             assert await status(node, "PUT", EXIT, b"s0") == 200
-            for at in range(20):
-                await exchange(node, request(name=f"t{at}"))
-            assert len(first.seen) > 1
+            for index in range(20):
+                await exchange(node, request(name=f"t{index}"))
+            assert len(first.requests) > 1
 
     asyncio.run(main())
 
 
-def test_attempt_that_waits_to_connect_to_ejected_endpoint_is_forwarded():
+def test_request_waiting_to_connect_to_ejected_endpoint_goes_to_another():
     async def main():
         # The listener's backlog is full, so connections to it are never established.
         with socket.create_server(("127.0.0.1", 0), backlog=0) as silent, socket.socket() as filler:
@@ -138,12 +138,12 @@
                 node.endpoint_list.endpoints["quiet"] = silent_server, silent.getsockname()[:2]
                 assert await status(node, "PUT", ENTER, b"s0") == 200
                 node.endpoint_list.apply_change(EndpointListUpdate(EndpointListKind.DELTA, (silent_server,)))
-                caller = await Client.connect(node)
-                caller.writer.write(request())
+                client = await Client.connect(node)
+                client.writer.write(request())
                 await wait_until(lambda: node.pool.connection_count)
                 assert await status(node, "PUT", EXIT, b"s0") == 200
                 assert await status(node, "PUT", ENTER, b"quiet") == 200
-                assert (await caller.read_response()).status == 200
+                assert (await client.read_response()).status == 200
 
     asyncio.run(main())
 
@@ -160,19 +160,19 @@
 
 def test_ejection_holds_after_list_update():
     async def main():
-        server, other = StubServer(), StubServer()
+        server, second = StubServer(), StubServer()
         await server.start()
-        await other.start()
-        news = list_response(2, True, s0=(server.endpoint, "Ready"), s1=(other.endpoint, "Ready"))
+        await second.start()
+        update = list_response(2, True, s0=(server.endpoint, "Ready"), s1=(second.endpoint, "Ready"))
         discovery = Discovery()
         async with loopback_node(server, discovery=discovery, **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", ENTER, b"s0") == 200
-            discovery.responses.append(news)  # for the next poll: the first gets no response and times out
+            discovery.responses.append(update)  # for the next poll: the first gets no response and times out
             await wait_until(lambda: "s1" in node.endpoint_list.endpoints)
-            for at in range(10):
-                assert (await exchange(node, request(name=f"q{at}"))).status == 200
-            assert not server.seen
-        other.stop()
+            for index in range(10):
+                assert (await exchange(node, request(name=f"q{index}"))).status == 200
+            assert not server.requests
+        second.stop()
 
     asyncio.run(main())
 
@@ -185,7 +185,7 @@
             new.listener.listen = _skip_listen  # type: ignore[method-assign]
             await new.start()
             assert await status(old, "PUT", ENTER, b"s0") == 200
-            await wait_until(lambda: not new.endpoint_list.available)  # when it reads the folder
+            await wait_until(lambda: not new.endpoint_list.available)  # once it has read the folder
             later = Node(old.config)
             later.listener.listen = _skip_listen  # type: ignore[method-assign]
             await later.start()
@@ -199,7 +199,7 @@
 
 
 async def _skip_listen(*_: object) -> None:
-    """Replaces listening for clients, since the first node uses the address."""
+    """Replace `listen`, as the first node already uses the address."""
 
 
 def test_restore_right_after_ejection_in_other_process_takes_effect(tmp_path):
@@ -233,7 +233,7 @@
     assert {env.complete_request() for _ in range(20)} == {"s1"}
     env.handle(EndpointListUpdate(EndpointListKind.FULL, make_endpoints(2, launched_ms=env.now - 60_000.0)))
     assert {env.complete_request() for _ in range(20)} == {"s1"}
-    assert [peer.listed.name for peer in env.balancer.ready] == ["s1"]
+    assert [endpoint.listed.name for endpoint in env.balancer.ready] == ["s1"]
 
 
 def test_restored_endpoint_gets_next_request_allowed_in_slow_start():
@@ -253,30 +253,35 @@
         (None, True),
         (-50_000.0, True),
         (-9_900.0, False),
-    ],  # ms relative to its restoration
+    ],  # launched: ms relative to the restoration
 )
 def test_restored_endpoint_is_in_slow_start_unless_list_shows_it_warm(launched, slow_start):
     env = BalancerEnvironment(1)
-    at = None if launched is None else env.now + launched
-    env.handle(EndpointListUpdate(EndpointListKind.FULL, make_endpoints(1, launched_ms=at)))
+    launched_ms = None if launched is None else env.now + launched
+    env.handle(EndpointListUpdate(EndpointListKind.FULL, make_endpoints(1, launched_ms=launched_ms)))
     env.handle(EndpointEjected("s0"))
     ejected_ms = env.now - (5_000.0 if slow_start else 20_000.0)
     env.handle(EndpointRestored("s0", ejected_ms, env.now))
     env.now += 200.0  # in the last case 10.1 s after the listed launch, so not in slow start
-    peer = env.balancer.endpoints["s0"]
+    endpoint = env.balancer.endpoints["s0"]
     # The balancer sends as many requests as 100 servers usually get.
     env.balancer.state.peak_completion_rate, env.balancer.state.send_rate = 1.0, 100.0
-    admitted = sum(slow_start_admits(env.balancer.state, env.now, peer) for _ in range(200))
+    admitted = sum(slow_start_admits(env.balancer.state, env.now, endpoint) for _ in range(200))
     assert (admitted < 50) is slow_start
 
 
 def test_restored_endpoint_starts_without_earlier_statistics():
     env = BalancerEnvironment(2)
-    peer = env.balancer.endpoints["s0"]
-    peer.latency_ratio, peer.error_rate, peer.reported_queue, peer.utilisation = 5.0, 0.9, 7.0, 1.0
+    endpoint = env.balancer.endpoints["s0"]
+    endpoint.latency_ratio, endpoint.error_rate, endpoint.reported_queue, endpoint.utilisation = (
+        5.0,
+        0.9,
+        7.0,
+        1.0,
+    )
     env.handle(EndpointEjected("s0"))
     env.handle(EndpointRestored("s0", env.now - 3000.0, env.now))
-    assert (peer.latency_ratio, peer.error_rate, peer.reported_queue, peer.utilisation) == (
+    assert (endpoint.latency_ratio, endpoint.error_rate, endpoint.reported_queue, endpoint.utilisation) == (
         None,
         0.0,
         0.0,
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -44,7 +44,7 @@
 
 def test_process_reads_files_of_others_and_not_its_own(tmp_path):
     first, second, third = (HandoverFiles(tmp_path / "x", number) for number in (1, 2, 3))
-    assert third.read_siblings(0.0) == (None, {})  # the first process
+    assert third.read_siblings(0.0) == (None, {})  # no other process has written yet
     first.write(1000.0, learned(cursor=1), {"s0": 2.0, "s1": 1.0})
     second.write(1100.0, learned(cursor=2), {"s0": 3.0})
     third.write(1200.0, learned(cursor=3), {"s0": 9.0})
@@ -117,15 +117,15 @@
     new.handle(old.balancer.learned_state())
     assert new.balancer.threshold(1.0, 4) == pytest.approx(old.balancer.threshold(1.0, 4))
     assert new.balancer.state.class_latency_ms == old.balancer.state.class_latency_ms
-    assert {name: peer.latency_ratio for name, peer in new.balancer.endpoints.items()} == {
-        name: peer.latency_ratio for name, peer in old.balancer.endpoints.items()
+    assert {name: endpoint.latency_ratio for name, endpoint in new.balancer.endpoints.items()} == {
+        name: endpoint.latency_ratio for name, endpoint in old.balancer.endpoints.items()
     }
     base = new.balancer.state.baseline_ratio
     new.complete_request("read", 900.0)
     new.end_period()
     assert new.balancer.state.baseline_ratio == pytest.approx(
         base, rel=0.1
-    )  # one request does not replace it
+    )  # one request does not replace the learned ratio
 
 
 @pytest.mark.parametrize(
@@ -160,7 +160,7 @@
     env.handle(SiblingProcessLoad({"s0": 3.0}))
     assert sent(env.send_request()[1])[0].server != "s0"
     env.handle(SiblingProcessLoad({}))
-    assert all(peer.sibling_in_flight == 0.0 for peer in env.balancer.endpoints.values())
+    assert all(endpoint.sibling_in_flight == 0.0 for endpoint in env.balancer.endpoints.values())
 
 
 # ---------------------------------------------------------------------- the node
@@ -171,9 +171,9 @@
         raw, server = listening(), BlockedServer()
         shared = {"accept_fd": str(os.dup(raw.fileno())), "tmpdir": str(tmp_path)}
         async with loopback_node(server, **shared) as old:
-            caller = await Client.connect(old)
-            caller.writer.write(request(name="q1"))
-            await wait_until(lambda: server.seen)
+            client = await Client.connect(old)
+            client.writer.write(request(name="q1"))
+            await wait_until(lambda: server.requests)
             new = Node(old.config)
             assert new.sibling_process is not None
             # Both nodes run in the test's process, so the new one needs another process number.
@@ -184,7 +184,7 @@
             assert new.driver.balancer.endpoints["s0"].sibling_in_flight == 1.0
             assert old.driver.balancer.endpoints["s0"].sibling_in_flight == 0.0
             server.release.set()
-            await caller.read_response()
+            await client.read_response()
             old.sibling_process.exchange()
             new.sibling_process.exchange()
             assert new.driver.balancer.endpoints["s0"].sibling_in_flight == 0.0
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -83,7 +83,7 @@
         finally:
             connection.close()
 
-    until(request_succeeds, what="a request served")
+    until(request_succeeds, condition="a request served")
 
 
 def write_state(
@@ -107,7 +107,7 @@
         node.start()
         client = Load(node.port, f"k{kill}-")
         if kill == 0:  # a kill before the first write would leave no file and test nothing
-            until(state.exists, what="the first write")
+            until(state.exists, condition="the first write")
         time.sleep(rng.uniform(0.0, 0.15))  # most often, a write is in progress at that time
         node.kill()
         client.finish()
@@ -132,8 +132,8 @@
 
 
 def _flipped(data: bytes, rng: Random) -> bytes:
-    at = rng.randrange(len(data))
-    return data[:at] + bytes([data[at] ^ (1 << rng.randrange(8))]) + data[at + 1 :]
+    position = rng.randrange(len(data))
+    return data[:position] + bytes([data[position] ^ (1 << rng.randrange(8))]) + data[position + 1 :]
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
     node.start(start_on_full_disk)
     client = Load(node.port)
     try:
-        until(lambda: node.metric("proxy.state_failures") >= 5, what="failed writes counted")
+        until(lambda: node.metric("proxy.state_failures") >= 5, condition="failed writes counted")
         wait_until_served(node.port)
     finally:
         outcomes = client.finish()
@@ -193,13 +193,15 @@
     first = node_with_state(tmp_path, state, upstream, state_every_ms=20)
     second = node_with_state(tmp_path, state, upstream, state_every_ms=20)
     first.start()
-    until(lambda: first.metric("proxy.state_writes") > 0, what="a write of the first process")
+    until(lambda: first.metric("proxy.state_writes") > 0, condition="a write of the first process")
     second.start()
     try:
-        until(lambda: second.log_lines("another process writes it"), what="the second process not writing")
+        until(
+            lambda: second.log_lines("another process writes it"), condition="the second process not writing"
+        )
         assert second.metric("proxy.state_writes") == 0
         first.kill()
-        until(lambda: second.metric("proxy.state_writes") > 0, what="a write of the second process")
+        until(lambda: second.metric("proxy.state_writes") > 0, condition="a write of the second process")
         assert second.log_lines("this process writes it from now on")
         frame.decode_frame(state.read_bytes())
     finally:
@@ -221,7 +223,7 @@
     try:
         wait_until_served(node.port)
         writes = node.metric("proxy.state_writes")  # the second write from now certainly has the list
-        until(lambda: node.metric("proxy.state_writes") > writes + 1, what="the list written")
+        until(lambda: node.metric("proxy.state_writes") > writes + 1, condition="the list written")
     finally:
         node.kill()
         discovery.close()
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -180,8 +180,8 @@
     async def main():
         async with running_node(serve) as node:
             client = await Client.connect(node)
-            for at in range(2):
-                client.writer.write(request(name=f"q{at}"))
+            for index in range(2):
+                client.writer.write(request(name=f"q{index}"))
                 assert await read_body(client.reader) == LONG
             await wait_until(lambda: not node.request_registry.streaming)
             assert node.pool.connection_count == 1
@@ -391,7 +391,7 @@
     asyncio.run(main())
 
 
-def test_long_error_body_is_not_waited_for():
+def test_error_response_is_handled_before_its_long_body_ends():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -414,7 +414,7 @@
 
 def chunked(data: bytes, name: str = "q1", size: int = 100_000) -> bytes:
     head = f"POST /post/1 HTTP/1.1\r\nReq-Id: {name}\r\nTransfer-Encoding: chunked\r\n\r\n".encode()
-    pieces = [data[at : at + size] for at in range(0, len(data), size)]
+    pieces = [data[start : start + size] for start in range(0, len(data), size)]
     return head + b"".join(b"%x\r\n%b\r\n" % (len(piece), piece) for piece in pieces) + b"0\r\n\r\n"
 
 
@@ -675,7 +675,7 @@
     asyncio.run(main())
 
 
-def test_a_chunked_request_past_the_limit_gets_413(monkeypatch):
+def test_chunked_request_past_the_limit_gets_413(monkeypatch):
     async def main():
         monkeypatch.setattr(request_parser_module, "MAX_BODY_BYTES", MIB)
         server = RecordingServer()
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -74,11 +74,11 @@
                 node, request("post", "q7", b'{"a":1}', Req_Deadline_Ms="9000", Idempotency_Key="k1")
             )
             assert (response.status, response.body) == (200, b"posted")
-            seen = server.seen[0]
-            assert seen.start_line == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
-            assert seen.body == b'{"a":1}'
-            assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
-            assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
+            received = server.requests[0]
+            assert received.start_line == ["POST", "/post/7f3a?x=1", "HTTP/1.1"]
+            assert received.body == b'{"a":1}'
+            assert (received.headers["req-id"], received.headers["idempotency-key"]) == ("q7", "k1")
+            assert 0 < int(received.headers["req-deadline-ms"]) < 9000
             assert node.driver.balancer.endpoints["s0"].reported_queue == 3
             assert node.request_registry.active == {}
 
@@ -114,14 +114,14 @@
 
     async def main():
         async def script(message):
-            return None if len(server.seen) == 2 else http_response()
+            return None if len(server.requests) == 2 else http_response()
 
         server = StubServer(script)
         async with loopback_node(server) as node:
             node.driver.balancer = scripted = ScriptedBalancer(send_to("s0"))
             assert (await exchange(node, request(kind, "q1"))).status == 200
             assert (await exchange(node, request(kind, "q2"))).status == 502  # on the reused connection
-            assert (server.connections, len(server.seen)) == (1, 2)
+            assert (server.connections, len(server.requests)) == (1, 2)
             assert [event.result for event in scripted.events_of(AttemptOutcome)] == [
                 AttemptResult.OK,
                 AttemptResult.RESET,
@@ -142,9 +142,9 @@
         first, second = StubServer(script), StubServer(script)
         async with loopback_node(first, second) as node:
             assert (await exchange(node, request("post", "q1"))).status == 503
-            assert len(first.seen) == len(second.seen) == 1
+            assert len(first.requests) == len(second.requests) == 1
             assert (await exchange(node, request("post", "q2"))).status == 502
-            assert len(first.seen) + len(second.seen) == 3
+            assert len(first.requests) + len(second.requests) == 3
 
     asyncio.run(main())
 
@@ -165,7 +165,7 @@
 
             node.driver.balancer = scripted = ScriptedBalancer(act)
             assert (await exchange(node, request())).status == 502
-            assert len(server.seen) == 3
+            assert len(server.requests) == 3
             outcomes = scripted.events_of(AttemptOutcome)
             assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
             assert outcomes[-1].result is AttemptResult.ABANDONED
@@ -174,7 +174,7 @@
             assert [(event.result, event.request_ended) for event in scripted.events_of(AttemptOutcome)] == [
                 (AttemptResult.ABANDONED, True)
             ]
-            assert len(server.seen) == 3
+            assert len(server.requests) == 3
 
     asyncio.run(main())
 
@@ -185,7 +185,7 @@
         async with loopback_node(server) as node:
             client = await Client.connect(node)
             client.writer.write(request())
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             assert node.driver.balancer.endpoints["s0"].in_flight == 1.0
             client.writer.close()
             await wait_until(lambda: not node.request_registry.active)
@@ -319,7 +319,7 @@
             assert (await exchange(node, request("post", "q1", b"x" * 65536))).status == 200
             chunked = b"POST /post/1 HTTP/1.1\r\nReq-Id: q2\r\nTransfer-Encoding: chunked\r\n\r\n"
             assert (await exchange(node, chunked + b"3\r\nabc\r\n0\r\n\r\n")).status == 200
-            assert [len(message.body) for message in server.seen] == [65536, 3]
+            assert [len(message.body) for message in server.requests] == [65536, 3]
 
     asyncio.run(main())
 
@@ -341,7 +341,7 @@
             data = b"POST " + target + b" HTTP/1.1\r\nHost: x\r\nReq-Id: q1\r\nContent-Length: 0\r\n\r\n"
             response = await exchange(node, data)
             assert response.status == (200 if expected else 404)
-            assert [message.start_line[1] for message in server.seen] == ([expected] if expected else [])
+            assert [message.start_line[1] for message in server.requests] == ([expected] if expected else [])
             assert (await exchange(node, b"GET http://x/up HTTP/1.1\r\nHost: x\r\n\r\n")).status == 200
 
     asyncio.run(main())
@@ -354,9 +354,9 @@
             head = b"POST /post/1 HTTP/1.1\r\nReq-Id: q1\r\nTransfer-Encoding: chunked\r\n\r\n"
             body = b"7530;note=1\r\n" + b"x" * 30_000 + b"\r\n0\r\nReq-Id: other\r\nX-Sum: 1\r\n\r\n"
             assert (await exchange(node, head + body)).status == 200
-            (seen,) = server.seen
-            assert seen.headers["req-id"] == "q1"
-            assert len(seen.body) == 30_000
+            (received,) = server.requests
+            assert received.headers["req-id"] == "q1"
+            assert len(received.body) == 30_000
 
     asyncio.run(main())
 
@@ -367,9 +367,9 @@
         async with loopback_node(server) as node:
             more = {"Connection": "keep-alive, X-Hop, req-id", "X-Hop": "1", "X-End": "2"}
             assert (await exchange(node, request("post", "q1", **more))).status == 200
-            (seen,) = server.seen
-            assert "x-hop" not in seen.headers
-            assert (seen.headers["x-end"], seen.headers["req-id"]) == ("2", "q1")
+            (received,) = server.requests
+            assert "x-hop" not in received.headers
+            assert (received.headers["x-end"], received.headers["req-id"]) == ("2", "q1")
 
     asyncio.run(main())
 
@@ -379,11 +379,11 @@
         server = BlockedServer()
         async with loopback_node(server) as node:
             first = asyncio.create_task(exchange(node, request("post", "q1")))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             assert (await exchange(node, request("post", "q1"))).status == 400
             server.release.set()
             assert (await first).status == 200
-            assert len(server.seen) == 1
+            assert len(server.requests) == 1
 
     asyncio.run(main())
 
@@ -394,7 +394,7 @@
             StubServer(lambda message: asyncio.sleep(0, http_response(200, message.body)))
         ) as node:
             client = await Client.connect(node)
-            client.writer.write(b"".join(request("post", f"q{at}", b"%d" % at) for at in range(5)))
+            client.writer.write(b"".join(request("post", f"q{index}", b"%d" % index) for index in range(5)))
             assert [(await client.read_response()).body for _ in range(5)] == [b"0", b"1", b"2", b"3", b"4"]
             assert (await client.exchange(request("post", "q9", b"9"))).body == b"9"
             client.writer.close()
@@ -465,7 +465,7 @@
         async with loopback_node(server) as node:
             client = await Client.connect(node)
             client.writer.write(request(name="q1"))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             node.listener.expire(node.loop.time() + 60.0)
             server.release.set()
             assert (await client.read_response()).status == 200
@@ -482,11 +482,11 @@
         server = BlockedServer()
         async with loopback_node(server, bounds={"maxOpen": 1}) as node:
             first = asyncio.create_task(exchange(node, request(name="q1")))
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             assert (await exchange(node, request(name="q2"))).status == 503
             server.release.set()
             assert (await first).status == 200
-            assert len(server.seen) == 1
+            assert len(server.requests) == 1
 
     asyncio.run(main())
 
@@ -530,15 +530,15 @@
         async with loopback_node(StubServer(), limits={"sockets": 132}) as node:
             node.driver.balancer = scripted = ScriptedBalancer()  # leaves every request in flight
             clients = [await Client.connect(node) for _ in range(node.listener.request_limit)]
-            for at, client in enumerate(clients):
-                client.writer.write(request(name=f"q{at}"))
+            for index, client in enumerate(clients):
+                client.writer.write(request(name=f"q{index}"))
             await wait_until(lambda: node.request_registry.unanswered == len(clients))
             late = await exchange(node, request(name="late"))
             assert (late.status, late.headers["connection"]) == (503, "close")
             assert len(scripted.events_of(Request)) == len(clients)
             await wait_until(lambda: len(node.listener.connections) == len(clients))
-            for at, client in enumerate(clients):
-                node.driver._execute(Reject(f"q{at}"))
+            for index, client in enumerate(clients):
+                node.driver._execute(Reject(f"q{index}"))
                 assert (await client.read_response()).status == 503
                 client.writer.close()
 
@@ -561,7 +561,7 @@
             kinds = [event.kind for event in scripted.events_of(EndpointListUpdate)]
             assert kinds == [EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.FAILED]
             assert set(node.pool._endpoints) == {"s2"}
-            queries = [message.start_line[1] for message in discovery.seen]
+            queries = [message.start_line[1] for message in discovery.requests]
             assert [query.split("?")[1].split("&")[0] for query in queries] == [
                 "since=1",
                 "since=5",
@@ -613,7 +613,7 @@
             ]
             assert (set(node.pool._endpoints), node.listener.ready) == ({"s0"}, True)
             assert "the last list stays in use" in caplog.text
-            await wait_until(lambda: len(discovery.seen) == 2)  # regardless of the balancer
+            await wait_until(lambda: len(discovery.requests) == 2)  # regardless of the balancer
 
     asyncio.run(main())
 
@@ -641,8 +641,8 @@
         async with loopback_node(
             StubServer(), discovery=discovery, settings={"invariants": {"askWithinMs": 100.0}}
         ) as node:
-            await wait_until(lambda: len(discovery.seen) >= 2)
-            assert discovery.seen[0].start_line[1].endswith("&timeout_ms=50")
+            await wait_until(lambda: len(discovery.requests) >= 2)
+            assert discovery.requests[0].start_line[1].endswith("&timeout_ms=50")
             assert node.event_counts["list failed"] >= 1
 
     asyncio.run(main())
@@ -662,14 +662,14 @@
 
 
 def requested_waits_ms(discovery):
-    return [int(message.start_line[1].rpartition("=")[2]) for message in discovery.seen]
+    return [int(message.start_line[1].rpartition("=")[2]) for message in discovery.requests]
 
 
 class SilentAtFirst(Discovery):
     """A stub of discovery that never responds to its first poll."""
 
     async def _next(self, message):
-        if len(self.seen) == 1:
+        if len(self.requests) == 1:
             await asyncio.Event().wait()
         return await super()._next(message)
 
@@ -685,7 +685,7 @@
             StubServer(), discovery=discovery, settings={"registryMode": "push"}
         ) as node:
             await wait_until(lambda: set(node.pool._endpoints) == {"s9"})
-            await wait_until(lambda: len(discovery.seen) == 4)
+            await wait_until(lambda: len(discovery.requests) == 4)
             assert requested_waits_ms(discovery) == [50, 50, 2750, 50]  # a long poll only after a response
 
     asyncio.run(main())
@@ -702,7 +702,7 @@
             await wait_until(lambda: node.event_counts["list failed"])
             node.balancer = ScriptedBalancer()  # requests no watch itself
             node.watcher.change_address(parse_address(new.endpoint))
-            await wait_until(lambda: "s6" in node.pool._endpoints and len(new.seen) == 2)
+            await wait_until(lambda: "s6" in node.pool._endpoints and len(new.requests) == 2)
             assert requested_waits_ms(new) == [50, 2750]
         new.stop()
 
@@ -797,7 +797,7 @@
                 AttemptResult.CONNECT_FAILED
             ] * 2
             assert (await client.read_response()).status == 502
-            assert server.seen == []
+            assert server.requests == []
             client.writer.close()
 
     asyncio.run(main())
--- a/tests/node/test_nodes.py
+++ b/tests/node/test_nodes.py
@@ -17,7 +17,11 @@
 def test_killed_and_paused_nodes_lose_only_their_own_requests(tmp_path: Path) -> None:
     pool, registry = StubServerPool(3, latency_ms=2.0), Registry(tmp_path, ttl_ms=60_000)
     nodes = Nodes(
-        tmp_path, registry, 3, known=[], row=lambda index: {"state": str(tmp_path / f"n{index}.state")}
+        tmp_path,
+        registry,
+        3,
+        known=[],
+        extra_config=lambda index: {"state": str(tmp_path / f"n{index}.state")},
     )
     load = None
     try:
@@ -25,18 +29,18 @@
             registry.put(f"s{index}", pool.port(index), az="a")
         nodes.start()
         for node in nodes:
-            until(lambda node=node: node.endpoint_count() == 3, what="a node's complete list")
+            until(lambda node=node: node.endpoint_count() == 3, condition="a node's complete list")
         assert nodes.call_admin(0, "/status/metrics")[0] == 200
         load = Load(nodes.ports, kind="post", workers=6)
 
         def wait_for_more(index: int, count: int, status: int = 200) -> None:
-            def seen() -> int:
+            def response_count() -> int:
                 return Counter((o.port, o.status) for o in list(load.outcomes.values()))[
                     nodes[index].port, status
                 ]
 
-            target = seen() + count
-            until(lambda: seen() >= target, what=f"{count} more {status} from node {index}")
+            target = response_count() + count
+            until(lambda: response_count() >= target, condition=f"{count} more {status} from node {index}")
 
         for index in range(3):
             wait_for_more(index, 20)
@@ -48,7 +52,9 @@
         nodes.resume(1)
         for index in range(3):
             wait_for_more(index, 20)
-        assert len(nodes[2].log_lines("n2.state:")) == 2  # one per start: keys of `row` reach the node
+        assert (
+            len(nodes[2].log_lines("n2.state:")) == 2
+        )  # one per start: keys of `extra_config` reach the node
         load.finish()
         lost = {o.port for o in load.outcomes.values() if o.status == 0}
         assert lost <= {nodes[1].port, nodes[2].port}
--- a/tests/node/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -57,11 +57,11 @@
 
 @contextlib.contextmanager
 def paused(node: Node) -> Iterator[None]:
-    """Pause the process during the block, so that it sees all its effects at once afterwards."""
+    """Pause the process during the block, so that it finds all effects of the block at once afterwards."""
     assert node.process is not None
     node.send(signal.SIGSTOP)
     stat = Path(f"/proc/{node.process.pid}/stat")
-    until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T", what="the paused process")
+    until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T", condition="the paused process")
     try:
         yield
     finally:
@@ -69,9 +69,9 @@
 
 
 @contextlib.contextmanager
-def running_process(folder: Path, pool: StubServerPool, **row: Any) -> Iterator[Node]:
+def running_process(folder: Path, pool: StubServerPool, **extra_config: Any) -> Iterator[Node]:
     """Run a node that serves."""
-    node = Node(folder, pool.known_targets(), **row)
+    node = Node(folder, pool.known_targets(), **extra_config)
     node.start()
     try:
         yield node
@@ -114,8 +114,8 @@
         until(lambda: draining(node))
         with contextlib.ExitStack() as stack, paused(node):
             clients = [stack.enter_context(connect(node)) for _ in range(count)]
-            for at, client in enumerate(clients):
-                client.sendall(request(name=f"q{at}"))
+            for index, client in enumerate(clients):
+                client.sendall(request(name=f"q{index}"))
             sleep_until(sigterm_at + after_s)
             node.send(signal.SIGCONT)
             assert [read_status(client) in (200, 503, 504) for client in clients].count(False) == 0
@@ -171,9 +171,9 @@
             )
 
     node.port = raw.getsockname()[1]
-    node.row["listen"] = f"127.0.0.1:{node.port}"
+    node.document["listen"] = f"127.0.0.1:{node.port}"
     node.launch(run)
-    until(lambda: node.log_lines("serves on"), what=f"{node.log.name} accepting connections")
+    until(lambda: node.log_lines("serves on"), condition=f"{node.log.name} accepting connections")
 
 
 def test_handover_loses_no_request_of_burst_that_races_sigterm(tmp_path):
@@ -189,8 +189,8 @@
             until(lambda: servers.request_counts["s0"] == 1)
             with paused(old):
                 clients = [stack.enter_context(connect(old)) for _ in range(150)]
-                for at, client in enumerate(clients):
-                    client.sendall(request(name=f"q{at}"))
+                for index, client in enumerate(clients):
+                    client.sendall(request(name=f"q{index}"))
                 old.send(signal.SIGTERM)
             start_on(new, raw, tmp_path)
             servers.set_behaviour(0, "respond")
@@ -234,11 +234,11 @@
     node = Node(tmp_path, pool.known_targets(), settings={"registryMode": "push"})
     try:
         node.launch()
-        until(lambda: can_connect(node), what="listening")
+        until(lambda: can_connect(node), condition="listening")
         with paused(node):
             clients = [connect(node) for _ in range(10)]
-            for at, client in enumerate(clients):
-                client.sendall(request(name=f"early{at}"))
+            for index, client in enumerate(clients):
+                client.sendall(request(name=f"early{index}"))
             node.send(signal.SIGTERM)
         assert [read_status(client) for client in clients] == [200] * 10
         assert exit_code(node) == 0
@@ -394,9 +394,9 @@
             for grace_s in (1.0, 2.0, 3.0):
                 node.listener.resume()
                 node.listener.drain(grace_s, close_idle_after_s=0.0)
-                seen = len(checks)
-                await wait_until_async(lambda seen=seen: len(checks) > seen + 3)  # type: ignore[misc]
-                assert set(checks[seen:]) == {grace_s}
+                check_count = len(checks)
+                await wait_until_async(lambda check_count=check_count: len(checks) > check_count + 3)  # type: ignore[misc]
+                assert set(checks[check_count:]) == {grace_s}
             node.listener.resume()
             assert node.listener._drain_timer is None
 
--- a/tests/node/test_upgrade.py
+++ b/tests/node/test_upgrade.py
@@ -77,7 +77,7 @@
             busy, idle = await Client.connect(old), await Client.connect(old)
             busy.writer.write(request(name="in-flight"))
             assert (await idle.exchange(UP)).status == 200
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             new = Node(second_config(old, raw))
             await new.start()
             stopping = asyncio.create_task(old.stop())
--- a/tests/node/upstream/test_attempt_writes.py
+++ b/tests/node/upstream/test_attempt_writes.py
@@ -1,4 +1,4 @@
-"""When an attempt must not be written: each reason occurs just before the first byte would be written."""
+"""Attempts that must not be written: each reason occurs just before the first byte would be written."""
 
 from __future__ import annotations
 
@@ -40,16 +40,16 @@
 class DisconnectingClient:
     """A client on a plain socket; its actions reach the node's kernel before the node's loop runs again."""
 
-    def __init__(self, node: Node, data: bytes, how: str = "closes") -> None:
-        self._how = how
+    def __init__(self, node: Node, data: bytes, disconnect: str = "closes") -> None:
+        self._disconnect = disconnect
         self._socket = socket.create_connection(node.listener.address)
         self._socket.sendall(data)
 
     def disconnect(self) -> None:
-        if self._how == "half-closes":
+        if self._disconnect == "half-closes":
             self._socket.shutdown(socket.SHUT_WR)
             return
-        if self._how == "resets":
+        if self._disconnect == "resets":
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self._socket.close()
 
@@ -100,14 +100,14 @@
 
 
 @WITH_AND_WITHOUT_CANCEL
-@pytest.mark.parametrize("how", DISCONNECTS)
-def test_request_is_not_sent_if_client_disconnected_before_it_was_read(how, cancel, monkeypatch):
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_request_is_not_sent_if_client_disconnected_before_it_was_read(disconnect, cancel, monkeypatch):
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
         async with loopback_node(StubServer(), bounds=bounds(cancel)) as node:
             assert (await exchange(node, request(name="q0"))).status == 200  # leaves an idle connection
-            client = DisconnectingClient(node, request(), how)
+            client = DisconnectingClient(node, request(), disconnect)
             client.disconnect()  # request and disconnect precede the accept
             await wait_until(lambda: node.event_counts["client disconnects"])
             await wait_until_idle(node)
@@ -119,11 +119,11 @@
 
 @WITH_AND_WITHOUT_CANCEL
 @pytest.mark.parametrize("delivered", [True, False])
-@pytest.mark.parametrize("how", DISCONNECTS)
-def test_request_is_not_sent_if_client_disconnects_while_connecting(how, delivered, cancel):
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_request_is_not_sent_if_client_disconnects_while_connecting(disconnect, delivered, cancel):
     async def main():
         async with loopback_node(StubServer(), bounds=bounds(cancel)) as node:
-            client = DisconnectingClient(node, request(), how)
+            client = DisconnectingClient(node, request(), disconnect)
             late = LateConnections(node, (lambda: None) if delivered else client.disconnect)
             await wait_until(lambda: late.opened)
             if delivered:
@@ -147,15 +147,15 @@
 
 
 @WITH_AND_WITHOUT_CANCEL
-@pytest.mark.parametrize("how", DISCONNECTS)
-def test_request_is_not_retried_if_client_disconnects_between_attempts(how, cancel):
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_request_is_not_retried_if_client_disconnects_between_attempts(disconnect, cancel):
     async def main():
         async def script(message):
             return http_response(503, Srv_Declined="1")
 
         async with loopback_node(StubServer(script), StubServer(script), bounds=bounds(cancel)) as node:
             balancer = node.driver.balancer
-            client = DisconnectingClient(node, request(), how)
+            client = DisconnectingClient(node, request(), disconnect)
 
             def act(event):
                 if isinstance(event, AttemptOutcome) and event.result is AttemptResult.REJECTED:
@@ -177,15 +177,15 @@
 
 
 @WITH_AND_WITHOUT_CANCEL
-@pytest.mark.parametrize("how", DISCONNECTS)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("size", [HIGH_WATER_BYTES, HIGH_WATER_BYTES + 8192])
-def test_long_request_is_not_sent_if_client_disconnects_while_paused(size, how, cancel):
+def test_long_request_is_not_sent_if_client_disconnects_while_paused(size, disconnect, cancel):
     async def main():
         server = StubServer()
         async with loopback_node(server, bounds=bounds(cancel)) as node:
             data = request("post", "q1", bytes(8 * HIGH_WATER_BYTES))
             late = LateConnections(node)
-            client = DisconnectingClient(node, data[: len(data) - 8 * HIGH_WATER_BYTES + size], how)
+            client = DisconnectingClient(node, data[: len(data) - 8 * HIGH_WATER_BYTES + size], disconnect)
             await wait_until(lambda: late.opened)
             (connection,) = node.listener.connections
             assert connection._read_control.body_paused  # so the loop delivers no disconnect
@@ -201,7 +201,7 @@
                 1,
                 1,
             )
-            assert server.seen == []
+            assert server.requests == []
             client.close()
 
     asyncio.run(main())
@@ -212,7 +212,8 @@
     async def main():
         async with loopback_node(StubServer(), StubServer(), bounds=bounds(cancel)) as node:
             clients = [
-                DisconnectingClient(node, request(name=f"q{at}"), DISCONNECTS[at % 3]) for at in range(24)
+                DisconnectingClient(node, request(name=f"q{index}"), DISCONNECTS[index % 3])
+                for index in range(24)
             ]
 
             def disconnect_all():
@@ -264,7 +265,7 @@
         async with loopback_node(server, bounds=bounds(False)) as node:
             client = await Client.connect(node)
             client.writer.write(request())
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             client.writer.close()
             await wait_until(lambda: node.event_counts["client disconnects"])
             assert node.request_registry.active
@@ -331,7 +332,7 @@
         body.feed(b"other half")
         body.end()
         await wait_until(lambda: not pool.connection_count)
-        assert (server.seen, results.empty()) == ([], True)
+        assert (server.requests, results.empty()) == ([], True)
         pool.close()
         server.stop()
 
@@ -350,9 +351,9 @@
 }
 
 
-@pytest.mark.parametrize("when", ["connection made", "connection open", "attempt notified"])
+@pytest.mark.parametrize("moment", ["connection made", "connection open", "attempt notified"])
 @pytest.mark.parametrize("event", EVENTS)
-def test_event_in_the_iteration_that_opens_a_connection_prevents_the_write(event, when, monkeypatch):
+def test_event_in_the_iteration_that_opens_a_connection_prevents_the_write(event, moment, monkeypatch):
     async def main():
         clock, loop = ShiftedClock(), asyncio.get_running_loop()
         server, pool = await StubServer().start(), ConnectionPool(10, 10.0, 20.0)
@@ -371,14 +372,14 @@
 
         def connection_made(self, transport):
             made(self, transport)
-            if when == "connection made":
+            if moment == "connection made":
                 occur()
-            elif when == "connection open":
+            elif moment == "connection open":
                 loop.call_soon(occur)  # after the future is resolved, before the awaiting task continues
 
         async def open_(endpoint):
             connection = await open_connection(endpoint)
-            if when == "attempt notified":
+            if moment == "attempt notified":
                 occur()
             return connection
 
@@ -391,7 +392,7 @@
         await wait_until(lambda: not pool.connection_count)
         await wait_until(lambda: server.connections)  # already in the kernel; accepted later
         await wait_until(lambda: not any(writer.transport.is_reading() for writer in server._writers))
-        assert (server.connections, occurred, server.seen) == (1, [event], [])
+        assert (server.connections, occurred, server.requests) == (1, [event], [])
         assert results.empty()
         pool.close()
         server.stop()
@@ -478,14 +479,15 @@
      ("post", False, (502, 502)), ("move", True, (502, 502)), ("move", False, (502, 502))],
 )  # fmt: skip
 def test_repeated_id_after_disconnect_has_no_second_effect(kind, delivered, statuses, cancel):
-    """`statuses`: without cancelling, while the first attempt is still in flight; and with cancelling."""
+    """`statuses`: of the repeated request, first without cancelling (the first attempt is still in flight),
+    then with cancelling."""
 
     async def main():
         server = BlockedServer()
         async with loopback_node(server, bounds=bounds(cancel)) as node:
             data = request(kind, "q1", Idempotency_Key="k")
             client = DisconnectingClient(node, data)
-            await wait_until(lambda: server.seen)
+            await wait_until(lambda: server.requests)
             second = await Client.connect(node)
             client.disconnect()
             if delivered:
--- a/tests/node/upstream/test_upstream.py
+++ b/tests/node/upstream/test_upstream.py
@@ -68,7 +68,7 @@
         server, pool = await stub_server(response).start(), new_pool()
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         assert await attempt_result(pool) is expected
-        assert len(server.seen) == 1  # the pool never retries by itself
+        assert len(server.requests) == 1  # the pool never retries by itself
         pool.close()
         server.stop()
 
@@ -381,7 +381,7 @@
         await server.start()
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         outcome = asyncio.create_task(attempt_result(pool))
-        await wait_until(lambda: server.seen)
+        await wait_until(lambda: server.requests)
         pool.remove_endpoint("s")
         server.release.set()
         assert await outcome is AttemptResult.OK
--- a/tests/registry/test_hollow_members.py
+++ b/tests/registry/test_hollow_members.py
@@ -56,7 +56,7 @@
             [member] = hollows.add(service, 1)
             quotas[member.name] = share
         enough = hollows.samples + 2
-        until(lambda: hollows.samples >= enough, what="samples")
+        until(lambda: hollows.samples >= enough, condition="samples")
         assert bool(hollows.violations) is is_violation
     finally:
         hollows.close()
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -42,7 +42,7 @@
     stop = threading.Event()
     follower = threading.Thread(target=watch_revisions, args=(agent.page, stop, revisions), daemon=True)
     registry.put("s-first")
-    until(lambda: "s-first" in agent.listed(), what="the agent's first list")
+    until(lambda: "s-first" in agent.listed(), condition="the agent's first list")
     follower.start()
     try:
         for number in range(60):
@@ -55,9 +55,9 @@
         for index in range(3):
             until(
                 lambda index=index: set(acknowledged) <= set(registry.listed(index)),
-                what=f"r{index} caught up",
+                condition=f"r{index} caught up",
             )
-        until(lambda: set(acknowledged) <= set(agent.listed()), what="the agent's list")
+        until(lambda: set(acknowledged) <= set(agent.listed()), condition="the agent's list")
         assert registry.listed(0) == registry.listed(1) == registry.listed(2) == agent.listed()
     finally:
         stop.set()
@@ -70,14 +70,14 @@
 def test_minority_is_stale_and_rejects_writes_while_agent_serves_its_cache(registry: Registry) -> None:
     agent = registry.agent()
     registry.put("s-1")
-    until(lambda: "s-1" in agent.listed(), what="the agent's list")
+    until(lambda: "s-1" in agent.listed(), condition="the agent's list")
     leader = registry.leader()
     minority = (leader + 1) % 3
     stopped = [index for index in range(3) if index != minority]
     try:
         for index in stopped:  # paused with open connections, as a machine that vanished
             registry.kill(index, signal.SIGSTOP)
-        until(lambda: registry.status(minority)["stale"], what="the minority marking itself stale")
+        until(lambda: registry.status(minority)["stale"], condition="the minority marking itself stale")
         status, headers, page = http_request(registry.http[minority], "GET", "/discovery/hosts")
         assert (status, headers.get("registry-stale"), [target["uid"] for target in page["targets"]]) == (
             200,
@@ -95,7 +95,7 @@
         for index in stopped:
             registry.kill(index, signal.SIGCONT)
     registry.put("s-2")  # writes are accepted again
-    until(lambda: "s-2" in agent.listed(), what="the agent following again")
+    until(lambda: "s-2" in agent.listed(), condition="the agent following again")
     agent.stop()
 
 
@@ -108,7 +108,7 @@
     registry.delete_data(lost)
     registry.put("s-after")
     registry.start(lost)
-    until(lambda: registry.listed(lost) == registry.listed(leader), what="the rebuilt instance's list")
+    until(lambda: registry.listed(lost) == registry.listed(leader), condition="the rebuilt instance's list")
     assert registry.status(lost)["rev"] == registry.status(leader)["rev"] == 11
 
 
@@ -124,7 +124,7 @@
         for index in (1, 2):
             registry.start(index)
         leader = registry.leader()
-        until(lambda: "s-kept" not in registry.listed(leader), what="the lease expiring")
+        until(lambda: "s-kept" not in registry.listed(leader), condition="the lease expiring")
         assert time.monotonic() - began >= 3.0, "the new leader did not grant a full term"
         logs = "".join((tmp_path / f"r{index}.log").read_text() for index in range(3))
         grants = [
@@ -142,17 +142,18 @@
 def test_paused_leader_is_replaced_and_agent_switches_instance(registry: Registry) -> None:
     agent = registry.agent()
     registry.put("s-1")
-    until(lambda: "s-1" in agent.listed(), what="the agent's list")
+    until(lambda: "s-1" in agent.listed(), condition="the agent's list")
     leader = registry.leader()
     registry.kill(leader, signal.SIGSTOP)  # its connections stay open, but silent
     try:
         registry.put("s-2", avoid=leader)  # a write without the silent leader
         until(
-            lambda: set(agent.listed()) == {"s-1", "s-2"}, what="the agent switching from the silent leader"
+            lambda: set(agent.listed()) == {"s-1", "s-2"},
+            condition="the agent switching from the silent leader",
         )
     finally:
         registry.kill(leader, signal.SIGCONT)
-    until(lambda: registry.listed(leader) == agent.listed(), what="the old leader catching up")
+    until(lambda: registry.listed(leader) == agent.listed(), condition="the old leader catching up")
     agent.stop()
 
 
@@ -169,7 +170,7 @@
         old = registry.leader()
         registry.partition(old)
         registry.put("s-during", avoid=old)  # the majority accepts writes
-        until(lambda: registry.status(old)["stale"], what="the partitioned leader marking itself stale")
+        until(lambda: registry.status(old)["stale"], condition="the partitioned leader marking itself stale")
         assert (
             http_request(registry.http[old], "PUT", "/registry/targets/s-lost", {"endpoint": "127.0.0.1:9"})[
                 0
@@ -180,8 +181,8 @@
         registry.partition(old, silent=False)
         until(
             lambda: set(registry.listed(old)) == {"s-before", "s-during"},
-            what="the healed instance catching up",
+            condition="the healed instance catching up",
         )
-        until(lambda: leader_count(registry) == 1, what="one leader after the heal")
+        until(lambda: leader_count(registry) == 1, condition="one leader after the heal")
     finally:
         registry.stop()
--- a/tests/registry/test_registry_fleet.py
+++ b/tests/registry/test_registry_fleet.py
@@ -37,7 +37,7 @@
                     return status, response
             return None
 
-        return until(attempt, what=f"{method} {path}")  # type: ignore[no-any-return]
+        return until(attempt, condition=f"{method} {path}")  # type: ignore[no-any-return]
 
 
 class Member:
@@ -167,7 +167,7 @@
     leader = fleet.leader()
     follower = fleet.http[(leader + 1) % 3]
     agent = fleet.agent()
-    until(lambda: http_request(agent.port, "GET", "/agent/status")[0] == 200, what="the agent")
+    until(lambda: http_request(agent.port, "GET", "/agent/status")[0] == 200, condition="the agent")
     member = Member(fleet, "a")
     sent = member.renew()["t3"]
     renewal = {"incarnation": 1, "seq": 50, "acked": 1, "using": 1.0, "sent": sent, "answered": 1}
--- a/tests/registry/test_registry_node.py
+++ b/tests/registry/test_registry_node.py
@@ -35,23 +35,24 @@
     client = Load(node.port)
     agent = None
     try:
-        until(lambda: backends.request_counts["s0"] > 5, what="requests served from the known list")
+        until(lambda: backends.request_counts["s0"] > 5, condition="requests served from the known list")
         registry.put("s1", backends.port(1), az="a")
         agent = registry.agent(agent_port, wait_ms=500)
-        until(lambda: backends.request_counts["s1"] > 5, what="the node following the agent")
+        until(lambda: backends.request_counts["s1"] > 5, condition="the node following the agent")
 
         registry.kill(registry.leader())
         registry.put("s2", backends.port(2), az="a")  # a write after the leader was killed
         registry.remove("s1")
         until(
-            lambda: backends.request_counts["s2"] > 5, what="a change committed after the leader was killed"
+            lambda: backends.request_counts["s2"] > 5,
+            condition="a change committed after the leader was killed",
         )
 
         relay.set_blocked(True)  # a watch without any response
         before = backends.request_counts["s2"]
         until(
             lambda: backends.request_counts["s2"] > before + 20,
-            what="requests served while discovery is silent",
+            condition="requests served while discovery is silent",
         )
         relay.set_blocked(False)
         relay.reset()
@@ -60,10 +61,12 @@
         registry.remove("s2")
         until(
             lambda: backends.request_counts["s0"] > dropped + 5,
-            what="the node following again after the silence",
+            condition="the node following again after the silence",
         )
         hits_after_removal = backends.request_counts["s2"]
-        until(lambda: backends.request_counts["s0"] > dropped + 50, what="requests served after the change")
+        until(
+            lambda: backends.request_counts["s0"] > dropped + 50, condition="requests served after the change"
+        )
         assert backends.request_counts["s2"] - hits_after_removal <= 1, "a removed server still gets requests"
     finally:
         outcomes = client.finish()
@@ -92,7 +95,9 @@
         for number in range(5):
             registry.put(f"s{number}", backends.port(number % 3), az="a")
         for node in nodes:
-            until(lambda node=node: node.endpoint_count() == 5, within_s=6, what="five servers at a node")
+            until(
+                lambda node=node: node.endpoint_count() == 5, within_s=6, condition="five servers at a node"
+            )
         registry.kill(registry.leader())
         relay.reset()
         registry.remove("s1")  # a removal after the leader was killed
@@ -104,7 +109,7 @@
             until(
                 lambda node=node: node.endpoint_count() == live,
                 within_s=6,
-                what="a node's list after the faults",
+                condition="a node's list after the faults",
             )
     finally:
         for node in nodes:
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -73,9 +73,9 @@
 
 
 def test_quotas_are_summed_by_group_over_all_processes() -> None:
-    one = [Sample(10, 1.0, {"a": 0.5, "b": 1.0}), Sample(11, 1.0, {"a": 0.5})]
-    other = [Sample(10, 2.0, {"a": 0.6}), Sample(11, 2.0, {"a": 0.5})]
-    sums = sum_up([one, other], [], 0.1, ["a", "b"])
+    first = [Sample(10, 1.0, {"a": 0.5, "b": 1.0}), Sample(11, 1.0, {"a": 0.5})]
+    second = [Sample(10, 2.0, {"a": 0.6}), Sample(11, 2.0, {"a": 0.5})]
+    sums = sum_up([first, second], [], 0.1, ["a", "b"])
     assert (sums.moments, sums.at_once) == (2, 2)
     assert (sums.max_sum, sums.max_sum_group) == (1.1, "a")
     assert (sums.over_max, sums.over_change_max) == (1, 1)
@@ -83,10 +83,10 @@
 
 
 def test_late_process_counts_with_smaller_of_surrounding_samples() -> None:
-    one = [Sample(tick, 0.0, {"a": 0.3}) for tick in range(10, 14)]
-    other = [Sample(10, 0.0, {"a": 0.7}), Sample(12, 90.0, {"a": 0.6}), Sample(13, 0.0, {"a": 0.8})]
-    sums = sum_up([one, other], [], 0.1, ["a"])
-    # Ticks 11 and 12 are skewed: the other process counts with 0.6.
+    first = [Sample(tick, 0.0, {"a": 0.3}) for tick in range(10, 14)]
+    second = [Sample(10, 0.0, {"a": 0.7}), Sample(12, 90.0, {"a": 0.6}), Sample(13, 0.0, {"a": 0.8})]
+    sums = sum_up([first, second], [], 0.1, ["a"])
+    # Ticks 11 and 12 are skewed: the second process counts with 0.6.
     assert (sums.moments, sums.at_once) == (4, 2)
     assert (sums.max_sum, sums.over_max) == (1.1, 1)
 
@@ -99,14 +99,14 @@
 
 
 def test_histograms_of_two_processes_are_merged() -> None:
-    one, other = Times(), Times()
+    first, second = Times(), Times()
     for ms in range(1, 100):
-        one.add(float(ms))
-    other.add(5_000.0)
-    one.merge(Times.decode(other.encode()))
-    assert one.count == 100
-    assert one.at(50.0) == pytest.approx(50.0, rel=0.01)
-    assert one.maximum() == pytest.approx(5_000.0, rel=0.01)
+        first.add(float(ms))
+    second.add(5_000.0)
+    first.merge(Times.decode(second.encode()))
+    assert first.count == 100
+    assert first.at(50.0) == pytest.approx(50.0, rel=0.01)
+    assert first.maximum() == pytest.approx(5_000.0, rel=0.01)
 
 
 def test_bytes_are_counted_by_port(tmp_path: Path) -> None:
@@ -116,9 +116,9 @@
         with socket.create_connection(("127.0.0.1", port)) as dialled:
             counter.sent(dialled, 120)
             counter.received(dialled, 30)
-    found = sockets.read(tmp_path / "counts", {"members": port})
-    assert found["members"] == sockets.Traffic(bytes_in=30, bytes_out=120, receives=1, sends=1)
-    assert found[sockets.OTHER] == sockets.Traffic()
+    traffic = sockets.read(tmp_path / "counts", {"members": port})
+    assert traffic["members"] == sockets.Traffic(bytes_in=30, bytes_out=120, receives=1, sends=1)
+    assert traffic[sockets.OTHER] == sockets.Traffic()
 
 
 def test_run_over_process_or_memory_limit_is_rejected() -> None:
@@ -173,7 +173,9 @@
     assert set(expected) <= set(phases)
     assert record.number("platform", "enrolled", "enrolment") == 26
     siblings = sum(service.nodes * (service.nodes - 1) for service in build_platform(0.02, 1).services)
-    assert 0 < sum(_verdicts(record, "enrolment")) < siblings  # of the hollow nodes, by service
+    assert (
+        0 < sum(_verdicts(record, "enrolment")) < siblings
+    )  # counted at hollow nodes only, within each service
     for phase in ("settling", "zone_back", "joined"):
         assert record.number("platform", "all_settled", phase) is not None, phase
     assert record.number("platform", "changes_everywhere", "list_changes") == 10
--- a/tests/scale/test_scale_chains.py
+++ b/tests/scale/test_scale_chains.py
@@ -53,24 +53,24 @@
 
 
 def test_errors_of_last_tier_are_retried_only_there() -> None:
-    found = outcome(client_calls(Fault.FAILING), Shape(DEPTH).latency_objective_ms)
-    assert found.last_tier_attempts == pytest.approx(1 + 0.3 + 0.3**2, rel=0.1)
-    assert found.mean_attempts_by_tier[0] == pytest.approx(1.0, abs=0.01)
+    measured = outcome(client_calls(Fault.FAILING), Shape(DEPTH).latency_objective_ms)
+    assert measured.last_tier_attempts == pytest.approx(1 + 0.3 + 0.3**2, rel=0.1)
+    assert measured.mean_attempts_by_tier[0] == pytest.approx(1.0, abs=0.01)
 
 
 def test_saturated_last_tier_gets_attempts_near_its_capacity() -> None:
     shape = Shape(DEPTH)
-    found = outcome(client_calls(Fault.SATURATED), shape.latency_objective_ms)
-    assert found.last_tier_attempts <= 1.2 / shape.overload
-    assert found.within_objective > 0.4
-    assert found.rejected > 0.1
+    measured = outcome(client_calls(Fault.SATURATED), shape.latency_objective_ms)
+    assert measured.last_tier_attempts <= 1.2 / shape.overload
+    assert measured.within_objective > 0.4
+    assert measured.rejected > 0.1
 
 
 def test_run_records_every_figure_and_reports_multiplied_retries() -> None:
     run = records.Run("chains", 0.0, 1, {})
     for fault in (Fault.HEALTHY, Fault.SATURATED):
-        found = outcome(client_calls(fault), Shape(DEPTH).latency_objective_ms)
-        add_run(run, fault, DEPTH, found, MEASURED_MS / 1000.0)
+        measured = outcome(client_calls(fault), Shape(DEPTH).latency_objective_ms)
+        add_run(run, fault, DEPTH, measured, MEASURED_MS / 1000.0)
     assert not [failure for failure in run.failures if failure.startswith("healthy")]
     record = run.finish()
     phase_name = phase(Fault.HEALTHY, DEPTH)
--- a/tests/scale/test_scale_datapath.py
+++ b/tests/scale/test_scale_datapath.py
@@ -18,8 +18,8 @@
 
 
 async def _paired(direct: StubServer, node: StubServer, groups: int) -> PairedResult:
-    for peer in (direct, node):
-        await peer.start()
+    for server in (direct, node):
+        await server.start()
     addresses = {DIRECT: direct.port, NOISE: direct.port, "off": node.port}
     clients = {name: Client([("127.0.0.1", port)], seed=1) for name, port in addresses.items()}
     try:
@@ -27,8 +27,8 @@
     finally:
         for client in clients.values():
             client.close()
-        for peer in (direct, node):
-            peer.stop()
+        for server in (direct, node):
+            server.stop()
 
 
 def test_added_latency_is_relative_to_direct_request_of_same_group() -> None:
@@ -36,14 +36,14 @@
         await asyncio.sleep(SLOW_S)
         return http_response()
 
-    found = asyncio.run(_paired(StubServer(), StubServer(slow), groups=50))
+    result = asyncio.run(_paired(StubServer(), StubServer(slow), groups=50))
 
-    assert found.groups == 50
-    assert found.failed == {}
-    through, added = found.paths["off"].total, found.paths["off"].added
+    assert result.groups == 50
+    assert result.failed == {}
+    through, added = result.paths["off"].total, result.paths["off"].added
     assert through.get_min_value() >= SLOW_S * 1e6 * 0.99  # the histogram has three significant digits
     assert 0 < added.get_value_at_percentile(50) <= through.get_value_at_percentile(50)
-    assert found.paths[DIRECT].added.get_max_value() == 0
+    assert result.paths[DIRECT].added.get_max_value() == 0
 
 
 def test_pairs_that_waited_for_a_core_count_as_disturbed() -> None:
@@ -65,14 +65,14 @@
 
 
 def test_group_with_failed_request_is_counted_and_not_measured() -> None:
-    async def refuse(_message: Message) -> bytes:
+    async def reject(_message: Message) -> bytes:
         return http_response(503, b"")
 
-    found = asyncio.run(_paired(StubServer(), StubServer(refuse), groups=5))
+    result = asyncio.run(_paired(StubServer(), StubServer(reject), groups=5))
 
-    assert found.groups == 0
-    assert found.failed == {("off", "HTTP/1.1 503 Word"): 5}
-    assert (found.failed_by("off"), found.failed_by(DIRECT)) == (5, 0)
+    assert result.groups == 0
+    assert result.failed == {("off", "HTTP/1.1 503 Word"): 5}
+    assert (result.failed_by("off"), result.failed_by(DIRECT)) == (5, 0)
 
 
 def test_closed_connection_fails_its_request() -> None:
@@ -80,13 +80,13 @@
         async def close(_message: Message) -> None:
             return None
 
-        peer = await StubServer(close).start()
-        client = Client([("127.0.0.1", peer.port)], seed=1)
+        server = await StubServer(close).start()
+        client = Client([("127.0.0.1", server.port)], seed=1)
         try:
             with pytest.raises(FailedCallError, match="closed"):
                 await client.call("call-1")
         finally:
-            peer.stop()
+            server.stop()
 
     asyncio.run(closed())
 
--- a/tests/scale/test_scale_report.py
+++ b/tests/scale/test_scale_report.py
@@ -25,7 +25,7 @@
 
 def record(kind: str, figures: list[Figure], started: str = "2026-12-02T05:00:00", **more: object) -> Record:
     quiet, program = Load(1.0, 1.0, 1.0), Program("0123456789abcdef", False)
-    given = {"factor": 0.0, "seed": 1, "options": {}} | more
+    fields = {"factor": 0.0, "seed": 1, "options": {}} | more
     return Record(
         form=records.FORM,
         kind=kind,
@@ -37,34 +37,34 @@
         load_before=quiet,
         load_after=quiet,
         figures=figures,
-        **given,  # type: ignore[arg-type]
+        **fields,  # type: ignore[arg-type]
     )
 
 
 def control(nodes: int, scoped: bool = True, phase: str = "steady", **figures: Value) -> Record:
-    """Return a control record with so many nodes; figures are named ROLE__NAME."""
-    found = [
+    """Return a control record of a run with `nodes` nodes; figures are named ROLE__NAME."""
+    run_figures = [
         Figure("platform", "nodes", nodes),
         Figure("platform", "scoped_by_service", scoped),
     ]
     for key, value in figures.items():
         role, _, name = key.partition("__")
-        found.append(Figure(msgspec.convert(role, Role), name, value, phase=phase))
+        run_figures.append(Figure(msgspec.convert(role, Role), name, value, phase=phase))
     period_ms = read_layout().probe_period_ms.get("service" if scoped else "all")
-    return record("control", found, factor=nodes / FULL, options={"probe_period_ms": period_ms})
+    return record("control", run_figures, factor=nodes / FULL, options={"probe_period_ms": period_ms})
 
 
-def sources_of(*found: Record) -> Sources:
-    return Sources(read_layout(), read_size(), list(found))
+def sources_of(*committed: Record) -> Sources:
+    return Sources(read_layout(), read_size(), list(committed))
 
 
-def judged(of: Sources, table: str, figure: str, phase: str = "steady") -> Judged:
-    [found] = [
-        one
-        for one in of.judged()
-        if (one.table.name, one.row.figure, one.phase.name) == (table, figure, phase)
+def judged(sources: Sources, table: str, figure: str, phase: str = "steady") -> Judged:
+    [selected] = [
+        judgement
+        for judgement in sources.judged()
+        if (judgement.table.name, judgement.row.figure, judgement.phase.name) == (table, figure, phase)
     ]
-    return found
+    return selected
 
 
 def row(text: str, *words: str) -> list[str]:
@@ -122,23 +122,23 @@
 
 
 def test_single_size_is_shown_without_slope() -> None:
-    found = sources_of(control(350, node__cpu_percent_max=0.5))
-    cells = row(tables.render(found, "node-control"), "CPU", "ordinary")
+    sources = sources_of(control(350, node__cpu_percent_max=0.5))
+    cells = row(tables.render(sources, "node-control"), "CPU", "ordinary")
     assert "350: 0.5" in cells
     assert "one size, no slope" in cells
-    assert judged(found, "node-control", "cpu_percent_max").verdict is Verdict.NOT_RUN
+    assert judged(sources, "node-control", "cpu_percent_max").verdict is Verdict.NOT_RUN
 
 
 def test_two_sizes_give_line_without_standard_error() -> None:
-    found = sources_of(control(350, node__cpu_percent_max=0.5), control(700, node__cpu_percent_max=0.75))
-    line = judged(found, "node-control", "cpu_percent_max").series.line
+    sources = sources_of(control(350, node__cpu_percent_max=0.5), control(700, node__cpu_percent_max=0.75))
+    line = judged(sources, "node-control", "cpu_percent_max").series.line
     assert line is not None
     assert line.at(1400.0).value == pytest.approx(1.25)
     assert line.at(1400.0).error is None
-    judgement = judged(found, "node-control", "cpu_percent_max")
+    judgement = judged(sources, "node-control", "cpu_percent_max")
     assert judgement.verdict is Verdict.MISSED
     assert judgement.origin == "worked out"
-    assert "no, worked out" in row(tables.render(found, "node-control"), "CPU", "ordinary")
+    assert "no, worked out" in row(tables.render(sources, "node-control"), "CPU", "ordinary")
 
 
 def test_standard_errors_match_least_squares() -> None:
@@ -155,8 +155,8 @@
     old = msgspec.structs.replace(control(FULL, node__cpu_percent_max=9.0), started="2026-12-02T04:00:00")
     new = control(FULL, node__cpu_percent_max=0.5)
     other_seed = msgspec.structs.replace(control(FULL, node__cpu_percent_max=0.7), seed=2)
-    found = judged(sources_of(old, new, other_seed), "node-control", "cpu_percent_max").series
-    assert [sample.value for sample in found.samples] == [0.5, 0.7]
+    series = judged(sources_of(old, new, other_seed), "node-control", "cpu_percent_max").series
+    assert [sample.value for sample in series.samples] == [0.5, 0.7]
 
 
 def test_runs_with_other_probe_period_are_ignored() -> None:
@@ -167,9 +167,9 @@
 
 
 def test_figures_by_service_size_give_line() -> None:
-    given = {f"node__cpu_percent s-n{size} (service of {size})": size / 100.0 for size in (10, 50, 100)}
-    found = sources_of(control(FULL, **given))
-    line = judged(found, "node-by-service", "cpu_percent").series.line
+    figures = {f"node__cpu_percent s-n{size} (service of {size})": size / 100.0 for size in (10, 50, 100)}
+    sources = sources_of(control(FULL, **figures))
+    line = judged(sources, "node-by-service", "cpu_percent").series.line
     assert line is not None
     assert line.at(7.0).value == pytest.approx(0.07)
 
@@ -178,48 +178,48 @@
 
 
 def test_bound_is_judged_by_value_measured_at_its_size() -> None:
-    found = sources_of(
+    sources = sources_of(
         control(350, node__bytes_in_max=10_000.0),
         control(700, node__bytes_in_max=20_000.0),
         control(FULL, node__bytes_in_max=28_000.0),
     )
-    assert judged(found, "node-control", "bytes_in_max").verdict is Verdict.MET
+    assert judged(sources, "node-control", "bytes_in_max").verdict is Verdict.MET
 
 
 def test_bound_exceeded_at_smaller_size_is_missed_and_met_there_is_not_run() -> None:
-    found = sources_of(control(350, node__cpu_percent_max=2.0, node__bytes_in_max=2.0))
-    assert judged(found, "node-control", "bytes_in_max").verdict is Verdict.NOT_RUN
-    assert judged(found, "node-control", "cpu_percent_max").verdict is Verdict.MISSED
-    assert "no, at 350" in row(tables.render(found, "node-control"), "CPU", "ordinary")
-    assert "(at 350), bound 1: 2 times" in tables.render(found, "missing")
+    sources = sources_of(control(350, node__cpu_percent_max=2.0, node__bytes_in_max=2.0))
+    assert judged(sources, "node-control", "bytes_in_max").verdict is Verdict.NOT_RUN
+    assert judged(sources, "node-control", "cpu_percent_max").verdict is Verdict.MISSED
+    assert "no, at 350" in row(tables.render(sources, "node-control"), "CPU", "ordinary")
+    assert "(at 350), bound 1: 2 times" in tables.render(sources, "missing")
 
 
 def test_figure_not_reached_at_smaller_size_is_missed_despite_prediction() -> None:
     sizes = ((28, 1.0), (350, 2.0), (700, None))
-    found = sources_of(*(control(nodes, phase="enrolment", platform__all_enrolled=s) for nodes, s in sizes))
-    assert judged(found, "platform", "all_enrolled", "enrolment").verdict is Verdict.MISSED
-    assert "not reached (at 700), bound 30" in tables.render(found, "missing")
+    sources = sources_of(*(control(nodes, phase="enrolment", platform__all_enrolled=s) for nodes, s in sizes))
+    assert judged(sources, "platform", "all_enrolled", "enrolment").verdict is Verdict.MISSED
+    assert "not reached (at 700), bound 30" in tables.render(sources, "missing")
 
 
 def test_bound_is_relaxed_in_first_seconds_after_zone_loss() -> None:
     lost = control(FULL, phase="zone_lost_first", node__cpu_percent_max=2.9)
-    found = judged(sources_of(lost), "node-control", "cpu_percent_max", "zone_lost_first")
-    assert (found.limit, found.verdict) == (3.0, Verdict.MET)
+    judgement = judged(sources_of(lost), "node-control", "cpu_percent_max", "zone_lost_first")
+    assert (judgement.limit, judgement.verdict) == (3.0, Verdict.MET)
 
 
 def test_prediction_off_by_over_a_quarter_is_flagged() -> None:
-    found = sources_of(
+    sources = sources_of(
         control(350, leader__cpu_percent_max=10.0, leader__bytes_in_max=100.0),
         control(700, leader__cpu_percent_max=20.0, leader__bytes_in_max=200.0),
         control(FULL, leader__cpu_percent_max=60.0, leader__bytes_in_max=410.0),
     )
-    text = tables.render(found, "predictions")
+    text = tables.render(sources, "predictions")
     assert row(text, "list-service-leader", "CPU", "ordinary")[-4:] == ["40", "60", "33%", "**yes**"]
     assert row(text, "list-service-leader", "bytes in", "ordinary")[-4:] == ["400", "410", "2%", "no"]
 
 
 def test_missed_bounds_are_sorted_by_excess() -> None:
-    found = sources_of(
+    sources = sources_of(
         control(
             FULL,
             node__cpu_percent_max=2.0,
@@ -229,7 +229,7 @@
         ),
         control(FULL, phase="enrolment", platform__all_enrolled=None),
     )
-    lines = [line for line in tables.render(found, "missing").splitlines() if line[:1].isdigit()]
+    lines = [line for line in tables.render(sources, "missing").splitlines() if line[:1].isdigit()]
     assert [line.split(". ")[0] for line in lines] == ["1", "2", "3", "4"]
     assert {"renewals late" in lines[0], "renewals late" in lines[1]} == {True, False}
     assert "not reached" in lines[0] + lines[1]
@@ -249,28 +249,28 @@
         )
 
     for noise, verdict in ((0.2, Verdict.MISSED), (0.9, Verdict.UNDECIDED)):
-        found = sources_of(calls(noise))
-        assert judged(found, "node-calls", "added_pair_p99_ms", "").verdict is verdict
-        assert (verdict is Verdict.UNDECIDED) == ("undecided" in tables.render(found, "missing"))
+        sources = sources_of(calls(noise))
+        assert judged(sources, "node-calls", "added_pair_p99_ms", "").verdict is verdict
+        assert (verdict is Verdict.UNDECIDED) == ("undecided" in tables.render(sources, "missing"))
 
 
 def test_counted_figure_shows_number_of_observations() -> None:
     figure = Figure("call", "added_undisturbed_p99_ms", 1.69, "ms", "93/s", 106)
-    found = sources_of(record("datapath", [figure]))
-    assert "93: 1.69 (of 106)" in tables.render(found, "node-calls")
-    assert "(measured, of 106), bound 1.1" in tables.render(found, "missing")
+    sources = sources_of(record("datapath", [figure]))
+    assert "93: 1.69 (of 106)" in tables.render(sources, "node-calls")
+    assert "(measured, of 106), bound 1.1" in tables.render(sources, "missing")
 
 
 # -------------------------------------------------------------------------- other tables
 
 
 def test_scopes_table_compares_one_group_with_groups_by_service() -> None:
-    found = sources_of(
+    sources = sources_of(
         control(350, scoped=False, node__bytes_in_max=60_000.0), control(350, node__bytes_in_max=3_000.0)
     )
-    cells = row(tables.render(found, "scopes"), "node-control", "bytes in")
+    cells = row(tables.render(sources, "scopes"), "node-control", "bytes in")
     assert cells[-4:] == ["350", "60,000", "3,000", "0.05"]
-    assert judged(found, "node-control", "bytes_in_max").series.points == [Point(350.0, 3_000.0)]
+    assert judged(sources, "node-control", "bytes_in_max").series.points == [Point(350.0, 3_000.0)]
 
 
 def test_chains_with_multiplied_retries_are_listed_as_missing() -> None:
--- a/tests/stored/test_registry_data.py
+++ b/tests/stored/test_registry_data.py
@@ -85,7 +85,7 @@
     stored = (DATA / "service-clock.json").read_bytes()
     entry = orjson.loads(stored)
     bound = ClockBound(entry["ahead"], entry["at"], entry["epoch"])
-    monkeypatch.setattr("time.monotonic", lambda: 1.0)  # later than `at`, as without a reboot
+    monkeypatch.setattr("time.monotonic", lambda: 1.0)  # later than `at`: the machine has not rebooted
     ClockFile(tmp_path, ProcessClocks(0.0)).save(bound)
     path = tmp_path / "service-clock.json"
     run = orjson.loads(path.read_bytes())["run"]
--- a/tests/stored/test_stored_names.py
+++ b/tests/stored/test_stored_names.py
@@ -14,11 +14,11 @@
 from tests.support.stored_registry import StoredInstance
 
 DATA = Path(__file__).parents[1] / "data" / "release_bf594b0"
-CLASSES = 7  # that a snapshot with members and route versions names
+CLASSES = 7  # number of classes named in a snapshot that has members and route versions
 
 
 @pytest.mark.parametrize("instance", ["r0", "r1"])
-def test_a_snapshot_names_the_classes_that_it_always_named(tmp_path: Path, instance: str) -> None:
+def test_snapshot_names_same_classes_as_recorded_release(tmp_path: Path, instance: str) -> None:
     with tarfile.open(DATA / "registry-data.tar.xz") as archive:
         archive.extractall(tmp_path, filter="data")
     restored = StoredInstance(tmp_path / f"data-{instance}")
--- a/tests/support/detector_simulation.py
+++ b/tests/support/detector_simulation.py
@@ -29,7 +29,7 @@
 )
 
 SERVICE_OFFSET_MS = 1e6  # service time minus simulated time
-RENEWAL = 0.2  # fraction of the lease term between renewals, over which the last ones are spread
+RENEWAL = 0.2  # fraction of the lease term between renewals; the last renewals are spread over it
 
 
 class ProcessEnd(Enum):
@@ -44,7 +44,7 @@
 class SimulatedNode:
     incarnation: int
     detector: FailureDetector
-    skew: float  # of its clock relative to simulated time
+    skew: float  # ms by which its clock is ahead of simulated time
     rng: random.Random
     alive: bool = True
     process_end: ProcessEnd = ProcessEnd.REFUSED
@@ -60,7 +60,7 @@
 
 
 class DetectorSimulation:
-    """Nodes and their network. `delay`: range of message delays in ms; `loss`: part of calls lost."""
+    """Nodes and their network. `delay`: range of message delays (ms); `loss`: probability of losing a call."""
 
     def __init__(
         self,
@@ -84,8 +84,8 @@
             self.schedule(self.rng.uniform(0, 100), lambda node=node: self._tick(node))  # type: ignore[misc]
 
     def _node(self, number: int, config: DetectorConfig | None) -> SimulatedNode:
-        own = random.Random(self.rng.random())
-        return SimulatedNode(number, FailureDetector(number, own, config), self.rng.uniform(-1e6, 1e6), own)
+        rng = random.Random(self.rng.random())
+        return SimulatedNode(number, FailureDetector(number, rng, config), self.rng.uniform(-1e6, 1e6), rng)
 
     def clock(self, node: SimulatedNode) -> float:
         return self.now + node.skew
@@ -112,7 +112,7 @@
         self.schedule(interval_ms, lambda: self.pause_periodically(number, interval_ms, duration_ms))
 
     def disconnect_from_registry(self, ttl_ms: float) -> None:
-        """Disconnect all nodes from the list service; each begins to hold as its last renewal expires."""
+        """Disconnect all nodes from the list service; each holds its quota once its lease expires."""
         for node in self.nodes.values():
             self.schedule(
                 self.rng.uniform(0.0, RENEWAL * ttl_ms), lambda node=node: self._begin_holding(node)
@@ -121,9 +121,9 @@
     def _begin_holding(self, node: SimulatedNode) -> None:
         node.quota_status, node.holding_since = QuotaStatus.HOLDING, self.now
 
-    def partition(self, left: Iterable[int], right: Iterable[int]) -> None:
-        for one, other in itertools.product(list(left), list(right)):
-            self.blocked_links |= {(one, other), (other, one)}
+    def partition(self, group_a: Iterable[int], group_b: Iterable[int]) -> None:
+        for a, b in itertools.product(list(group_a), list(group_b)):
+            self.blocked_links |= {(a, b), (b, a)}
 
     def _resume(self, node: SimulatedNode) -> None:
         node.paused = False
@@ -166,11 +166,13 @@
     def transitions_to(self, state: Reachability) -> list[tuple[float, int, int]]:
         """Every transition to this state, as (time, observer, changed member)."""
         return [
-            (at, observer, change.incarnation) for at, observer, change in self.changes if change.new is state
+            (time, observer, change.incarnation)
+            for time, observer, change in self.changes
+            if change.new is state
         ]
 
     def majority_waits(self, timeout_ms: float) -> list[float]:
-        """Time from when each node begins to hold until it knows that a majority does, or inf."""
+        """Return each node's time (ms) from holding its quota to knowing that a majority holds, or inf."""
         waits: dict[int, float] = {}
         end = self.now + timeout_ms
         while self.now < end and len(waits) < len(self.nodes):
@@ -228,7 +230,7 @@
     def _call(self, node: SimulatedNode, action: Probe | IndirectProbe) -> None:
         node.calls_sent += 1
         node.sent_bytes += len(action.payload)
-        other = self.nodes[int(action.address.removeprefix("at-"))]
+        target = self.nodes[int(action.address.removeprefix("at-"))]
         ended = False
 
         def end(event: Callable[[], list[Action]]) -> None:
@@ -248,25 +250,25 @@
                 end(lambda: node.detector.on_ack(self.clock(node), action.id, payload))
 
         def arrive() -> None:
-            if not other.alive:
-                if other.process_end is not ProcessEnd.SILENT:
-                    refused = other.process_end is ProcessEnd.REFUSED
+            if not target.alive:
+                if target.process_end is not ProcessEnd.SILENT:
+                    refused = target.process_end is ProcessEnd.REFUSED
                     refuse = lambda: node.detector.on_failure(self.clock(node), action.id, refused)  # noqa: E731
-                    self._message(other, node, lambda: end(refuse), response_lost)
+                    self._message(target, node, lambda: end(refuse), response_lost)
                 return
-            respond = lambda payload: self._message(other, node, lambda: on_response(payload), response_lost)  # noqa: E731
-            self.run_when_active(other, lambda: self._serve(other, action, respond))
+            respond = lambda payload: self._message(target, node, lambda: on_response(payload), response_lost)  # noqa: E731
+            self.run_when_active(target, lambda: self._serve(target, action, respond))
 
         call_lost = self.rng.random() < self.loss
         response_lost = call_lost and self.rng.random() < 0.5
-        self._message(node, other, arrive, call_lost and not response_lost)
+        self._message(node, target, arrive, call_lost and not response_lost)
         timeout = lambda: node.detector.on_failure(self.clock(node), action.id, False)  # noqa: E731
         self.schedule(action.timeout_ms, lambda: end(timeout))
 
     def _message(
-        self, sender: SimulatedNode, to: SimulatedNode, arrive: Callable[[], None], lost: bool
+        self, sender: SimulatedNode, receiver: SimulatedNode, arrive: Callable[[], None], lost: bool
     ) -> None:
-        if not lost and (sender.incarnation, to.incarnation) not in self.blocked_links:
+        if not lost and (sender.incarnation, receiver.incarnation) not in self.blocked_links:
             self.schedule(self.rng.uniform(*self.delay), arrive)
 
     def _serve(
--- a/tests/support/discoveries.py
+++ b/tests/support/discoveries.py
@@ -42,18 +42,18 @@
 
 @dataclass
 class StubDiscovery:
-    """A discovery with a list of one revision, which handles each poll by `behavior`."""
+    """A discovery with a list of one revision, which handles each poll by `behaviour`."""
 
     rev: int = 1
-    behavior: str = "respond"  # or a fault, or an HTTP status; see `_respond`
-    body: bytes = b""  # of the 200 response of "given body"
+    behaviour: str = "respond"  # or a fault, or an HTTP status; see `_respond`
+    body: bytes = b""  # body of the 200 response if `behaviour` is "given body"
     polls: list[str] = field(default_factory=list)
     connections: int = 0
 
     def __post_init__(self) -> None:
         self.changed = asyncio.Event()
         self.writers: set[asyncio.StreamWriter] = set()
-        self.faulty: dict[asyncio.StreamWriter, str] = {}  # behavior by connection, instead of `behavior`
+        self.faulty: dict[asyncio.StreamWriter, str] = {}  # behaviour by connection, instead of `behaviour`
 
     async def open(self, port: int = 0) -> None:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
@@ -81,39 +81,39 @@
                 self.polls.append(target)
                 await self._respond(target, writer)
 
-    def break_connections(self, behavior: str) -> float:
-        """Give all open connections this faulty behavior; new connections work. Return the time."""
-        self.faulty |= dict.fromkeys(self.writers, behavior)
+    def break_connections(self, behaviour: str) -> float:
+        """Give all open connections this faulty behaviour; new connections work. Return the time."""
+        self.faulty |= dict.fromkeys(self.writers, behaviour)
         return now()
 
     async def _respond(self, target: str, writer: asyncio.StreamWriter) -> None:
         is_long_poll = "since" in target
         since, _, wait = target.partition("since=")[2].partition("&timeout_ms=")
-        if self.behavior == "respond" and is_long_poll and int(since) >= self.rev:
+        if self.behaviour == "respond" and is_long_poll and int(since) >= self.rev:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.changed.wait(), int(wait) / 1000.0)
-        behavior = self.faulty.get(writer, self.behavior)
-        if behavior == "respond":
+        behaviour = self.faulty.get(writer, self.behaviour)
+        if behaviour == "respond":
             writer.write(http_response(200, list_body(self.rev, not is_long_poll)))
-        elif behavior == "silent":
+        elif behaviour == "silent":
             await asyncio.Event().wait()
-        elif behavior == "drip":
+        elif behaviour == "drip":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
             while not writer.is_closing():
                 writer.write(b" ")
                 await asyncio.sleep(0.1)
-        elif behavior == "cut":
+        elif behaviour == "cut":
             writer.write(http_response(200, list_body(self.rev))[:-9])
             writer.close()
-        elif behavior == "reset":
+        elif behaviour == "reset":
             writer.transport.abort()
-        elif behavior == "no length":
+        elif behaviour == "no length":
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + list_body(self.rev))
             writer.close()
-        elif behavior == "given body":
+        elif behaviour == "given body":
             writer.write(http_response(200, self.body))
         else:
-            writer.write(http_response(int(behavior), Location="http://127.0.0.1:1/"))
+            writer.write(http_response(int(behaviour), Location="http://127.0.0.1:1/"))
 
 
 def now() -> float:
@@ -141,7 +141,7 @@
         return times[0]
 
     async def next(self) -> None:
-        """Wait for the next update; fails after 60 s, as when the watch has ended."""
+        """Wait for the next update; raise TimeoutError after 60 s, for example if the watch has ended."""
         self.received.clear()
         await asyncio.wait_for(self.received.wait(), 60.0)
 
--- a/tests/support/faults/agent_proxy.py
+++ b/tests/support/faults/agent_proxy.py
@@ -1,6 +1,6 @@
 """A proxy between a node and its agent that delays, blocks, duplicates or replays calls and responses.
 
-It also replaces the siblings' addresses that the node receives by others (those of relays).
+It also replaces the siblings' addresses in responses by the addresses of relays.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 CALL_TIMEOUT_S = 70.0  # longer than any call of a node
 
 
-class Hold:
+class BlockedCalls:
     """Calls to one path, or their responses, that are blocked until released.
 
-    `reached` is set once there is one.
+    `reached` is set once the first is blocked.
     """
 
     def __init__(self, path: str, responses: bool, loops: LoopThread) -> None:
@@ -45,31 +45,31 @@
 
 
 class AgentProxy:
-    """The proxy; its node receives `relayed(address)` in place of a sibling's address."""
+    """The proxy of one node; the node receives `relayed(address)` in place of a sibling's address."""
 
     def __init__(self, agent: Address, relayed: Callable[[str], str], loops: LoopThread) -> None:
         self._agent, self._relayed, self._loops = agent, relayed, loops
-        self._holds: list[Hold] = []
+        self._blocked: list[BlockedCalls] = []
         self._delay_s = (0.0, 0.0)
-        self._to_replay = self._to_duplicate = 0  # renewals that are still to get this fault
+        self._to_replay = self._to_duplicate = 0  # how many further renewals get each fault
         # The first response to a renewal since the last replay, which the next replay sends.
         self._first_renewed: bytes | None = None
         self._server = loops.run(serve(("127.0.0.1", 0), self._handle))
         self.port: int = self._server.sockets[0].getsockname()[1]
 
-    def hold(self, path: str = "", responses: bool = False) -> Hold:
+    def block(self, path: str = "", responses: bool = False) -> BlockedCalls:
         """Block new calls whose path ends in `path` before they are forwarded, or their responses.
 
         A blocked call that its node cancels is never forwarded.
         """
-        hold = Hold(path, responses, self._loops)
-        self._loops.call(lambda: self._holds.append(hold))
-        return hold
+        blocked_calls = BlockedCalls(path, responses, self._loops)
+        self._loops.call(lambda: self._blocked.append(blocked_calls))
+        return blocked_calls
 
     def partition(self) -> None:
         """Block calls and responses until healed."""
-        self.hold()
-        self.hold(responses=True)
+        self.block()
+        self.block(responses=True)
 
     def delay(self, forward_ms: float, reverse_ms: float) -> None:
         """Delay calls and responses."""
@@ -86,11 +86,11 @@
     def heal(self) -> None:
         """Remove all faults and release blocked calls and responses."""
         self._delay_s, self._to_replay, self._to_duplicate = (0.0, 0.0), 0, 0
-        for hold in self._loops.call(lambda: [self._holds.pop() for _ in list(self._holds)]):
-            hold.release()
+        for blocked_calls in self._loops.call(lambda: [self._blocked.pop() for _ in list(self._blocked)]):
+            blocked_calls.release()
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
-        await self._delay_or_hold(request.path, responses=False)
+        await self._delay_or_block(request.path, responses=False)
         try:
             target = request.path + (f"?{urlencode(request.query)}" if request.query else "")
             response = await send_request(self._agent, request.method, target, request.body, CALL_TIMEOUT_S)
@@ -103,7 +103,7 @@
             if request.path in ("/fleet/enrol", "/fleet/renew")
             else response.body
         )
-        await self._delay_or_hold(request.path, responses=True)
+        await self._delay_or_block(request.path, responses=True)
         headers = {name: value for name, value in response.headers.items() if name != "content-length"}
         return HttpResponse(response.status, body, headers)
 
@@ -121,12 +121,14 @@
         self._to_replay, self._first_renewed = self._to_replay - 1, None
         return ReceivedResponse(HTTPStatus.OK, response.headers, older)
 
-    async def _delay_or_hold(self, path: str, responses: bool) -> None:
+    async def _delay_or_block(self, path: str, responses: bool) -> None:
         await asyncio.sleep(self._delay_s[responses])
-        for hold in [
-            hold for hold in self._holds if hold.responses is responses and path.endswith(hold.path)
+        for blocked_calls in [
+            blocked_calls
+            for blocked_calls in self._blocked
+            if blocked_calls.responses is responses and path.endswith(blocked_calls.path)
         ]:
-            await hold.wait()
+            await blocked_calls.wait()
 
     def _with_relayed_addresses(self, body: bytes) -> bytes:
         response = orjson.loads(body)
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -141,7 +141,7 @@
             raise ValueError(text)
         return text
 
-    return str(until(response, what=f"{step['method']} {step['target']}"))
+    return str(until(response, condition=f"{step['method']} {step['target']}"))
 
 
 class RecordingServer:
@@ -203,18 +203,18 @@
 ) -> Iterator[tuple[int, dict[str, str]]]:
     """Run one list-service instance with `peers` unreachable peers; yield its HTTP port and varying texts."""
     http, raft = free_port(), free_port()
-    others = ", ".join(f'"127.0.0.1:{free_port()}"' for _ in range(peers))
+    unreachable = ", ".join(f'"127.0.0.1:{free_port()}"' for _ in range(peers))
     config = folder / "instance.toml"
     config.write_text(
         f'[instance]\nname = "r0"\nlisten = "127.0.0.1:{http}"\nraft = "127.0.0.1:{raft}"\n'
-        f'peers = [{others}]\ndata = "data"\n[raft]\nelection_min_ms = 100\nelection_max_ms = 200\n'
+        f'peers = [{unreachable}]\ndata = "data"\n[raft]\nelection_min_ms = 100\nelection_max_ms = 200\n'
         f"[members]\n{members}"
     )
     process = release.start(
         ["-m", release.registry, "serve", "--config", str(config)], folder / "instance.log"
     )
     with killed_at_end(process):
-        until(lambda: _accepts(http), what="an instance accepting connections")
+        until(lambda: _accepts(http), condition="an instance accepting connections")
         yield http, {f"127.0.0.1:{raft}": "<raft>", f"127.0.0.1:{http}": "<http>"}
 
 
@@ -225,7 +225,7 @@
     config.write_text(f'[agent]\nlisten = "127.0.0.1:{port}"\nregistries = ["127.0.0.1:{registry}"]\n')
     process = release.start(["-m", release.registry, "agent", "--config", str(config)], folder / "agent.log")
     with killed_at_end(process):
-        until(lambda: _accepts(port), what="an agent accepting connections")
+        until(lambda: _accepts(port), condition="an agent accepting connections")
         yield port, {f"127.0.0.1:{registry}": "<registry>"}
 
 
--- a/tests/support/golden_node.py
+++ b/tests/support/golden_node.py
@@ -29,7 +29,7 @@
 
 Row = dict[str, Any]
 
-WATCH_S = 0.5  # for which a watch without changes stays open
+WATCH_S = 0.5  # duration of a watch without changes
 TTL_MS = 5_000.0
 ROUTES = "[[class.read.group]]\nweight = 1.0\n"
 NEUTRAL_DIGEST = "2a3097ffe4eaeb06"
@@ -100,8 +100,8 @@
 
 
 def _member(name: str, address: str, incarnation: int) -> Row:
-    row = {"name": name, "address": address, "zone": "a", "incarnation": incarnation, "rank": incarnation}
-    return row | {"state": "live"}
+    record = {"name": name, "address": address, "zone": "a", "incarnation": incarnation, "rank": incarnation}
+    return record | {"state": "live"}
 
 
 def sibling_message(sender: int) -> bytes:
@@ -148,10 +148,12 @@
     def wait_ready(self, grouped: bool) -> None:
         """Wait until the node serves and, in a group, has enrolled, voted and sent its first probe."""
         ready = request_bytes("GET", "/up")
-        until(lambda: exchange(self.ports["listen"], ready).startswith(b"HTTP/1.1 200"), what="a node up")
+        until(
+            lambda: exchange(self.ports["listen"], ready).startswith(b"HTTP/1.1 200"), condition="a node up"
+        )
         if grouped:
-            until(lambda: all(map(self._service.saw, AT_START)), what="a node enrolled and its vote")
-            until(lambda: self._sibling.saw(PROBES), what="a node's first probe")
+            until(lambda: all(map(self._service.saw, AT_START)), condition="a node enrolled and its vote")
+            until(lambda: self._sibling.saw(PROBES), condition="a node's first probe")
 
     def play(self, step: Row) -> Row:
         (played,) = play(self.ports[step["port"]], [step], self.names)
--- a/tests/support/golden_registry.py
+++ b/tests/support/golden_registry.py
@@ -110,7 +110,7 @@
 
     stub = RecordingServer(respond)
     with agent(release, folder, stub.port) as (port, names):
-        until(lambda: len(lists) > 1, what="two calls of the agent")
+        until(lambda: len(lists) > 1, condition="two calls of the agent")
         for method, target, body in FORWARDED_CALLS:
             exchange(port, request_bytes(method, target, body))
     stub.close()
--- a/tests/support/group_registry.py
+++ b/tests/support/group_registry.py
@@ -9,12 +9,12 @@
 from tests.registry.test_registry_fleet import Sampler
 from tests.support.registry_processes import Registry, http_request, until
 
-LIMIT_S = 60.0  # of every wait, as the machine may be slow
+LIMIT_S = 60.0  # limit of every wait; long, as the machine may be slow
 MAX_QUOTA_SUM = 1.0 + 1e-9
 
 
 class GroupRegistry(Registry):
-    """Three instances; those in `grouped` have groups from their next start on."""
+    """Three instances; those in `grouped` have groups from their next start."""
 
     def __init__(
         self, folder: Path, ttl_ms: int, grouped: Iterable[int] = (0, 1, 2), relayed: bool = False
@@ -60,7 +60,7 @@
     """Reads all member records from every live instance and checks two invariants.
 
     The quotas of each service sum to at most 1, where members that name no service count in every service.
-    The incarnations of a name never fall.
+    The incarnation of a name never decreases.
     """
 
     def check(self, records: list[dict[str, Any]], incarnations: dict[str, int]) -> None:
--- a/tests/support/hollow_members.py
+++ b/tests/support/hollow_members.py
@@ -39,7 +39,7 @@
 class RegistryLink(RegistryClient):
     """A member's link to the instances: each call goes to the next instance that it can reach.
 
-    If set, `intercept(path, body, timeout_ms, send)` replaces each call, by which tests inject faults.
+    If set, `intercept(path, body, timeout_ms, send)` replaces each call, so that tests can inject faults.
     """
 
     def __init__(self, instances: Sequence[Address]) -> None:
@@ -79,8 +79,8 @@
         self.name, self.service, self.zone = f"h{number}", service, "z"
         self.address = f"127.0.0.1:{10_000 + number}"
         self.incarnations: list[int] = []  # in the order in which they were assigned
-        self.lease_losses = 0  # how often the service had no record of it
-        self.renewals = 0  # with a response that was used
+        self.lease_losses = 0  # how often the list service had no record of the member
+        self.renewals = 0  # renewals whose response was accepted
         self.sibling_reports: dict[int, SiblingReport] = {}
         self.registry_link, self._clock = RegistryLink(instances), clock
         self._starts = count(1)
@@ -93,7 +93,7 @@
 
     @property
     def enrolled(self) -> bool:
-        """Whether it runs and has a record, as far as it knows."""
+        """Whether the member runs and believes that it has a record."""
         return self.lease is not None and self.core.incarnation is not None
 
     def start(self, watches: bool = False) -> None:
@@ -188,9 +188,9 @@
 
     # ------------------------------------------------------------------ waits
 
-    def until(self, what: str, check: Callable[[float], bool], within_s: float = LIMIT_S) -> None:
+    def until(self, condition: str, check: Callable[[float], bool], within_s: float = LIMIT_S) -> None:
         """Wait until check(now), called on the loop, is true."""
-        until(lambda: self.holds(check), within_s, what)
+        until(lambda: self.holds(check), within_s, condition)
 
     def holds(self, check: Callable[[float], bool]) -> bool:
         return bool(self.call(lambda: check(self.clock.now_ms())))
@@ -267,7 +267,7 @@
     # ------------------------------------------------------------------ shutdown
 
     def leave(self, members: Sequence[HollowMember]) -> None:
-        """Let these members leave and sample them no longer."""
+        """Let these members leave, and stop sampling them."""
 
         async def all_leave() -> None:
             await asyncio.gather(*(member.leave() for member in members))
--- a/tests/support/invariant_sampler.py
+++ b/tests/support/invariant_sampler.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 SAMPLE_PERIOD_S = 0.03
-MAX_GAP_S = 0.5  # between two samples that are evaluated together
+MAX_GAP_S = 0.5  # maximum time between two samples that are evaluated together
 QUOTA_TOLERANCE = 1e-4
 
 Status = dict[str, Any]
@@ -46,7 +46,7 @@
         return self.status["incarnation"], routes["stand"], routes["version"]
 
     def verdicts(self) -> dict[str, str]:
-        return {row["name"]: row["verdict"] for row in self.status["siblings"]}
+        return {sibling["name"]: sibling["verdict"] for sibling in self.status["siblings"]}
 
 
 def min_quota(samples: Sequence[Sample], moment: float) -> float:
--- a/tests/support/keep_alive_load.py
+++ b/tests/support/keep_alive_load.py
@@ -30,16 +30,16 @@
         if reused is not None:
             status = self._exchange(reused, name)
             if status:
-                self._keep(connections, port, reused)
+                self._retain(connections, port, reused)
                 return status
             self.crossed[name] = Outcome(port, 0, sent_s, time.monotonic() - sent_s)
             name = f"{name}x"
         fresh = http.client.HTTPConnection("127.0.0.1", port, timeout=self.timeout_s)
         status = self._exchange(fresh, name)
-        self._keep(connections, port, fresh)
+        self._retain(connections, port, fresh)
         return status
 
-    def _keep(self, connections: Connections, port: int, connection: http.client.HTTPConnection) -> None:
+    def _retain(self, connections: Connections, port: int, connection: http.client.HTTPConnection) -> None:
         if connection.sock is not None:  # neither side has closed it
             connections[port] = connection
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -72,7 +72,7 @@
 
     def __init__(self, script: Script | None = None) -> None:
         self.script = script
-        self.seen: list[Message] = []
+        self.requests: list[Message] = []
         self.connections = 0
         self._writers: list[asyncio.StreamWriter] = []
 
@@ -91,7 +91,7 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
                 message = await read_message(reader)
-                self.seen.append(message)
+                self.requests.append(message)
                 response = http_response() if self.script is None else await self.script(message)
                 if response is None:
                     break
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -23,7 +23,7 @@
 from tests.support.registry_processes import Registry, http_request, until
 from tests.support.stub_servers import StubServerPool
 
-WAIT_LIMIT_S = 120.0  # of every wait, as the machine may be slow
+WAIT_LIMIT_S = 120.0  # limit of every wait; long, as the machine may be slow
 # Leases, elections and the preparation of a version time out by the real clock, and on a busy machine a
 # process may get no CPU for two seconds. These timeouts are so long that only injected faults reach them.
 TTL_MS, BOUND_MS = 8_000, 250
@@ -78,7 +78,7 @@
             node.launch()
 
     def _agent_proxy(self, index: int) -> AgentProxy:
-        """Return the relay to the agent; it replaces siblings' addresses by those of the relays to them."""
+        """Return the proxy of a node's agent; it replaces siblings' addresses by those of their relays."""
         relayed = {
             f"127.0.0.1:{port}": "{}:{}".format(*self.net.address(index, other))
             for other, port in enumerate(self._member_ports)
@@ -148,19 +148,21 @@
     def phase(self, number: int) -> str:
         return {version["number"]: version["phase"] for version in self.routes()["history"]}[number]
 
-    def wait_until_all(self, what: str, check: Any, *chosen: int) -> None:
+    def wait_until_all(self, condition: str, check: Any, *chosen: int) -> None:
         """Wait until check(status) holds at the chosen nodes, or at all, in one round of reads."""
         nodes = chosen or tuple(range(self.size))
-        seen: list[Status] = []
+        statuses: list[Status] = []
 
         def all_hold() -> bool:
-            seen[:] = [self.status(index) for index in nodes]
-            return all(check(status) for status in seen)
+            statuses[:] = [self.status(index) for index in nodes]
+            return all(check(status) for status in statuses)
 
         try:
-            until(all_hold, WAIT_LIMIT_S, what)
+            until(all_hold, WAIT_LIMIT_S, condition)
         except AssertionError as error:
-            raise AssertionError(f"{what}: {error}; {[_summary(status) for status in seen]}") from error
+            raise AssertionError(
+                f"{condition}: {error}; {[_summary(status) for status in statuses]}"
+            ) from error
 
     def wait_until_shared(self, *holders: int) -> None:
         """Wait until these nodes are the only members of their group and have equal quotas."""
@@ -172,8 +174,8 @@
         )
 
     def wait_until_stable(self) -> None:
-        """Heal all links and start what does not run; then wait until members are present, quotas equal and
-        routes settled."""
+        """Heal all links and start all stopped processes; then wait until members are present, quotas equal
+        and routes settled."""
         for proxy in self.agent_proxies:
             proxy.heal()
         self.net.heal()
@@ -247,8 +249,8 @@
     def propose(self, weights: Sequence[float] = (1.0, 1.0)) -> int:
         """Propose a route table and return its version number.
 
-        First wait until every node can vote yes: after a change of leaders each has to estimate service time
-        again.
+        First wait until every node can accept a version: after a change of leaders, each node has to estimate
+        service time again.
         """
         self.wait_until_all("narrow estimates of service time", _knows_service_time)
         status, proposal = self.call_service("PUT", "routes", self.route_table(weights))
@@ -275,7 +277,7 @@
         self.loads = loads
         sampler = StatusSampler(self.size, self.status)
         try:
-            self._wait_until_servers_seen()
+            self._wait_until_servers_observed()
             yield sampler
             self.wait_until_stable()
             self._wait_until_all_respond(loads)
@@ -298,15 +300,15 @@
             ]
             assert not (violations := quota_violations(nodes)), (service, violations[:3])
 
-    def _wait_until_servers_seen(self) -> None:
+    def _wait_until_servers_observed(self) -> None:
         """Wait until every node has observed every server; until then it rejects route versions."""
 
-        def all_seen() -> bool:
+        def all_observed() -> bool:
             edge_lists = [node.call_admin("/status/routes")[1]["edges"] for node in self.nodes]
             marks = [edge["mark"] for edges in edge_lists for edge in edges if edge["kind"] == "server"]
             return len(marks) == len(MODELS) * self.size and "blind" not in marks
 
-        until(all_seen, WAIT_LIMIT_S, "every server observed")
+        until(all_observed, WAIT_LIMIT_S, "every server observed")
 
     def _wait_until_all_respond(self, loads: Sequence[Load]) -> None:
         """Wait until every running node has responded with 200 to a request sent from now on."""
--- a/tests/support/node_processes.py
+++ b/tests/support/node_processes.py
@@ -22,19 +22,19 @@
 class Node:
     """One node process. After `kill`, `start` runs it again with the same name, ports and files.
 
-    `row` has the arguments of loopback's config_document: `settings` and `bounds` are merged into the
-    defaults, any other key is added to the configuration.
+    `extra_config` has the arguments of loopback's config_document: `settings` and `bounds` are merged into
+    the defaults, any other key is added to the configuration.
     """
 
     def __init__(
-        self, folder: Path, known: list[dict[str, Any]], discovery: int | None = None, **row: Any
+        self, folder: Path, known: list[dict[str, Any]], discovery: int | None = None, **extra_config: Any
     ) -> None:
         self.port, self.admin_port = free_port(), free_port()
         # Named by port, because the two processes of an upgrade have one name and may share the folder.
         self.config, self.log = folder / f"node-{self.port}.json", folder / f"node-{self.port}.log"
         address = f"127.0.0.1:{free_port() if discovery is None else discovery}"
         ports = {"listen": f"127.0.0.1:{self.port}", "operator": f"127.0.0.1:{self.admin_port}"}
-        self.row = config_document(address, known=known, **row) | ports
+        self.document = config_document(address, known=known, **extra_config) | ports
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self, run: Spawn = spawn) -> None:
@@ -43,7 +43,7 @@
 
     def launch(self, run: Spawn = spawn) -> None:
         """Start the process without waiting, so that several can start concurrently."""
-        self.config.write_bytes(orjson.dumps(self.row))
+        self.config.write_bytes(orjson.dumps(self.document))
         self.process = run(["-m", "loadbalancer"], self.log, {"PROXY_CONFIG": str(self.config)})
 
     def wait_up(self) -> None:
@@ -55,7 +55,7 @@
             socket.create_connection(("127.0.0.1", self.port), timeout=0.5).close()
             return True
 
-        until(up, what=f"{self.log.name} accepting connections")
+        until(up, condition=f"{self.log.name} accepting connections")
 
     def send(self, number: int) -> None:
         assert self.process is not None
@@ -103,8 +103,9 @@
 class Nodes:
     """`count` nodes named n0, n1 and so on, which follow `registry` through an agent each or a shared agent.
 
-    `row(index)` gives a node's additional configuration, as Node takes it. It is called before any node
-    starts; a test that needs the ports of all nodes in a configuration updates `node.row` before `start`.
+    `extra_config(index)` returns the extra configuration of a node (see Node). It is called before any node
+    starts; a test that needs the ports of all nodes in a configuration updates `node.document` before
+    `start`.
     """
 
     def __init__(
@@ -113,12 +114,17 @@
         registry: Registry,
         count: int,
         known: list[dict[str, Any]],
-        row: Callable[[int], dict[str, Any]] = lambda index: {},
+        extra_config: Callable[[int], dict[str, Any]] = lambda index: {},
         shared_agent: bool = False,
     ) -> None:
         self.agents: list[Agent] = [registry.agent() for _ in range(1 if shared_agent else count)]
         self._nodes = [
-            Node(folder, known, self.agents[index % len(self.agents)].port, **_named(index, row(index)))
+            Node(
+                folder,
+                known,
+                self.agents[index % len(self.agents)].port,
+                **_named(index, extra_config(index)),
+            )
             for index in range(count)
         ]
 
@@ -156,7 +162,7 @@
         self._nodes[index].send(signal.SIGCONT)
 
     def restart(self, index: int) -> None:
-        """Stop the node if it runs, and start it with the present contents of its `row`."""
+        """Stop the node if it runs, and start it with the present contents of its `document`."""
         self._nodes[index].stop()
         self._nodes[index].start()
 
@@ -172,6 +178,6 @@
             agent.stop()
 
 
-def _named(index: int, row: dict[str, Any]) -> dict[str, Any]:
-    base = {"name": f"n{index}", "settings": {"registryMode": "push"} | row.get("settings", {})}
-    return row | base
+def _named(index: int, extra_config: dict[str, Any]) -> dict[str, Any]:
+    base = {"name": f"n{index}", "settings": {"registryMode": "push"} | extra_config.get("settings", {})}
+    return extra_config | base
--- a/tests/support/pool_environment.py
+++ b/tests/support/pool_environment.py
@@ -123,7 +123,7 @@
 
 
 def perform(server: socket.socket, action: str, connection: ClientConnection) -> None:
-    """Perform a server action; return once its effect is in the node's kernel, unseen by its event loop."""
+    """Perform a server action; return once its effect is in the kernel, before the node's event loop runs."""
     if action == "partial response":
         server.sendall(PARTIAL_HEAD)
     elif action == "second response":
--- a/tests/support/raw_clients.py
+++ b/tests/support/raw_clients.py
@@ -16,7 +16,7 @@
 
 
 def connect(node: Node) -> socket.socket:
-    """Return a client; what it does between two awaits happens before the node's loop runs again."""
+    """Return a client; its actions between two awaits take effect before the node's loop runs again."""
     return socket.create_connection(node.listener.address, timeout=20.0)
 
 
@@ -87,7 +87,7 @@
 
 
 async def read_until_close(client: socket.socket, responses: int | None = None, close: bool = True) -> bytes:
-    """Read until the node closes the connection, or until so many complete responses have arrived."""
+    """Read until the node closes the connection, or until `responses` complete responses have arrived."""
     client.setblocking(False)
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
     data = b""
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def until(check: Callable[[], Any], within_s: float = 20.0, what: str = "condition") -> Any:
+def until(check: Callable[[], Any], within_s: float = 20.0, condition: str = "condition") -> Any:
     """Poll until check() is truthy and return its value; raise AssertionError after within_s."""
     deadline = time.monotonic() + within_s
     last: Any = None
@@ -39,7 +39,7 @@
             if last:
                 return last
         time.sleep(0.02)
-    raise AssertionError(f"{what} not reached in {within_s} s; last value {last!r}")
+    raise AssertionError(f"{condition} not reached in {within_s} s; last value {last!r}")
 
 
 def http_request(
@@ -77,9 +77,9 @@
     raise AssertionError(f"{log.name}: ended with {process.returncode}: {last_lines}")
 
 
-def read_metric(operator_port: int, name: str) -> float:
+def read_metric(admin_port: int, name: str) -> float:
     """Read one of a node's metrics from its admin server."""
-    connection = http.client.HTTPConnection("127.0.0.1", operator_port, timeout=2)
+    connection = http.client.HTTPConnection("127.0.0.1", admin_port, timeout=2)
     try:
         connection.request("GET", "/status/metrics")
         text = connection.getresponse().read().decode()
@@ -145,7 +145,7 @@
         return "{}:{}".format(*link.address) if link else f"{self.hosts[other]}:{self.raft[other]}"
 
     def partition(self, index: int, silent: bool = True) -> None:
-        """Silence an instance's links, as with a cut cable; heal the partition if not `silent`."""
+        """Block an instance's links, as with a cut cable; heal the partition if not `silent`."""
         for pair, link in self.links.items():
             if index in pair:
                 link.set_blocked(silent)
@@ -154,7 +154,7 @@
         arguments = ["-m", "loadbalancer.registry", "serve", "--config", str(self.config(index))]
         log = self.folder / f"r{index}.log"
         process = self.processes[index] = spawn(arguments, log)
-        until(lambda: running(process, log) and self.status(index), what=f"a response of r{index}")
+        until(lambda: running(process, log) and self.status(index), condition=f"a response of r{index}")
 
     def kill(self, index: int, signal_number: int = signal.SIGKILL) -> None:
         process = self.processes[index]
@@ -186,7 +186,7 @@
     def put(self, uid: str, port: int = 9, avoid: int | None = None, **fields: Any) -> int:
         """Register through any live instance and return the committed revision.
 
-        Retries for 20 s, then raises AssertionError; repeating the same body is one change.
+        Retries for 20 s, then raises AssertionError; repetitions of the same body count as one change.
         """
         return self._write("PUT", uid, {"uid": uid, "endpoint": f"127.0.0.1:{port}", **fields}, avoid)
 
@@ -204,7 +204,7 @@
                         return [int(response["rev"])]
             return None
 
-        [revision] = until(attempt, what=f"a commit of {method} {uid}")
+        [revision] = until(attempt, condition=f"a commit of {method} {uid}")
         return int(revision)
 
     def live(self, avoid: int | None = None) -> list[int]:
--- a/tests/support/stored_registry.py
+++ b/tests/support/stored_registry.py
@@ -74,4 +74,4 @@
         status = raft.getStatus()
         return bool(raft.isReady()) and status["last_applied"] == status["commit_idx"]
 
-    until(applied, what="a journal replayed")
+    until(applied, condition="a journal replayed")
--- a/tests/support/stub_servers.py
+++ b/tests/support/stub_servers.py
@@ -16,13 +16,13 @@
 class ThreadedServer:
     """A loopback server, started on a thread of its own."""
 
-    def __init__(self, peer: StubServer) -> None:
-        self.peer = peer
+    def __init__(self, server: StubServer) -> None:
+        self._server = server
         self._loops = LoopThread()
-        self.port = self._loops.run(peer.start()).port
+        self.port = self._loops.run(server.start()).port
 
     def close(self) -> None:
-        self._loops.call(self.peer.stop)
+        self._loops.call(self._server.stop)
         self._loops.close()
 
 
@@ -33,7 +33,7 @@
     uid: str
     latency_ms: float
     capacity: int | None
-    peer: StubServer = field(default_factory=StubServer)
+    stub: StubServer = field(default_factory=StubServer)
     behaviour: Behaviour = "respond"
     behaviour_changed: asyncio.Event = field(default_factory=asyncio.Event)
     in_flight: int = 0
@@ -56,11 +56,11 @@
 
     async def _start(self) -> None:
         for server in self._servers:
-            server.peer.script = lambda message, server=server: self._respond(server, message)
-            await server.peer.start()
+            server.stub.script = lambda message, server=server: self._respond(server, message)
+            await server.stub.start()
 
     async def _respond(self, server: _Server, message: Message) -> bytes | None:
-        server.peer.seen.clear()  # requests are recorded below by id, so that long runs retain no bodies
+        server.stub.requests.clear()  # requests are recorded below by id, so that long runs retain no bodies
         self._request_counts[server.uid] += 1
         self._servers_reached.setdefault(message.headers.get("req-id", message.start_line[1]), []).append(
             server.uid
@@ -93,12 +93,12 @@
         self._loops.call(change)
 
     def port(self, index: int = 0) -> int:
-        return self._servers[index].peer.port
+        return self._servers[index].stub.port
 
     def known_targets(self, *indexes: int) -> list[dict[str, Any]]:
         """Return these servers (default: all) as targets for the `known` setting of a node."""
         servers = [self._servers[index] for index in indexes] if indexes else self._servers
-        return targets(**{server.uid: (server.peer.endpoint, "Ready") for server in servers})
+        return targets(**{server.uid: (server.stub.endpoint, "Ready") for server in servers})
 
     @property
     def request_counts(self) -> Counter[str]:
@@ -117,7 +117,7 @@
     def close(self) -> None:
         def stop() -> None:
             for server in self._servers:
-                server.peer.stop()
+                server.stub.stop()
 
         self._loops.call(stop)
         self._loops.close()
--- a/tests/support/test_faults.py
+++ b/tests/support/test_faults.py
@@ -1,4 +1,4 @@
-"""Fault-injecting relays: each fault has its effect, in its direction only, and as its seed decides."""
+"""Fault-injecting relays: each fault has its effect, in its direction only, determined by its seed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.loopback import Message, StubServer, http_response
 
 REQUEST = b"GET /read/%d HTTP/1.1\r\n\r\n"
-SHORT_S = 0.15  # to check that nothing arrives: too short a wait can't fail a correct relay
+SHORT_S = 0.15  # wait before checking that nothing arrived; a correct relay passes however short it is
 
 
 class EchoServer:
@@ -27,13 +27,13 @@
         async def respond(message: Message) -> bytes:
             return http_response(200, message.start_line[1].encode())
 
-        self.peer = loops.run(StubServer(respond).start())
-        self.address = ("127.0.0.1", self.peer.port)
+        self.server = loops.run(StubServer(respond).start())
+        self.address = ("127.0.0.1", self.server.port)
         EchoServer.running.append(self)
 
     @property
     def paths(self) -> list[str]:
-        return [message.start_line[1] for message in self.peer.seen]
+        return [message.start_line[1] for message in self.server.requests]
 
 
 @pytest.fixture
@@ -41,7 +41,7 @@
     thread = LoopThread()
     yield thread
     while EchoServer.running:
-        thread.call(EchoServer.running.pop().peer.stop)
+        thread.call(EchoServer.running.pop().server.stop)
     thread.close()
 
 
@@ -116,8 +116,8 @@
             network.partition(0, 1)
             with connect(network.address(0, 1)) as new:
                 assert send_request(new, 2, SHORT_S) == b""
-                assert servers[1].peer.connections == 1
-                loops.call(servers[1].peer.stop)  # closes its connection, which a partition must hide
+                assert servers[1].server.connections == 1
+                loops.call(servers[1].server.stop)  # closes its connection, which a partition must hide
                 old.settimeout(SHORT_S)
                 with pytest.raises(TimeoutError):
                     old.recv(1)
--- a/tests/support/thread_cases.py
+++ b/tests/support/thread_cases.py
@@ -36,7 +36,7 @@
         self.notified: list[int] = []
         self.catalog = TargetCatalog(1, self.notified.append)
         self.put("a")
-        self.seen: ListPage | None = None
+        self.read_result: ListPage | None = None
         self.changes: ListPage | None = None
         if faulty:
             self.catalog._lock = nullcontext()
@@ -49,21 +49,21 @@
         self.catalog.remove("a", 0, _doApply=True)
 
     def http_read(self) -> None:
-        self.seen = self.catalog.page(None)
+        self.read_result = self.catalog.page(None)
 
     def watcher(self) -> None:
         self.changes = self.catalog.page(1)
 
     def holds(self) -> bool:
         """Each page shows exactly the state at its revision: no partial change and none missing."""
-        assert self.seen is not None
+        assert self.read_result is not None
         assert self.changes is not None
         targets = {1: ["a"], 2: ["a", "b"], 3: ["b"]}
         since = {1: [], 2: [("b", "Ready")], 3: [("b", "Ready"), ("a", "Gone")]}
-        changes = [(row["uid"], row["state"]) for row in self.changes.targets]
-        seen = sorted(row["uid"] for row in self.seen.targets)
+        changes = [(target["uid"], target["state"]) for target in self.changes.targets]
+        read_targets = sorted(target["uid"] for target in self.read_result.targets)
         return (
-            seen == targets[self.seen.revision]
+            read_targets == targets[self.read_result.revision]
             and changes == since[self.changes.revision]
             and self.notified == [1, 2, 3]
         )
@@ -77,8 +77,8 @@
         self.fleet.lead(0.0, 1, "", 0, 1000.0, 50.0, _doApply=True)
         self.fleet.start_answering(1)
         self.enrol("n0")
-        self.taken: list[AppliedRenewal] = []
-        self.seen: dict[str, Any] = {}
+        self.taken_renewals: list[AppliedRenewal] = []
+        self.read_result: dict[str, Any] = {}
         if faulty:
             self.fleet._lock = nullcontext()
 
@@ -90,21 +90,24 @@
         self.enrol("n1")
 
     def leader(self) -> None:
-        self.taken += self.fleet.take_applied_renewals()
+        self.taken_renewals += self.fleet.take_applied_renewals()
 
     def http_read(self) -> None:
-        self.seen = self.fleet.members()
+        self.read_result = self.fleet.members()
 
     def holds(self) -> bool:
         """Each renewal is taken once; a read shows the state between two commands of the log."""
         taken = [
             (renewal.incarnation, renewal.seq)
-            for renewal in (*self.taken, *self.fleet.take_applied_renewals())
+            for renewal in (*self.taken_renewals, *self.fleet.take_applied_renewals())
         ]
-        rows = [(row["name"], row["seq"], row["share"]) for row in self.seen["members"]]
+        records = [(record["name"], record["seq"], record["share"]) for record in self.read_result["members"]]
         before, renewed = [("n0", 0, 1.0)], [("n0", 1, 1.0)]
         states = [(1, 1.0, before), (1, 2.0, renewed), (2, 2.0, [*renewed, ("n1", 0, 0.0)])]
-        return taken == [(1, 0), (1, 1), (2, 0)] and (self.seen["rev"], self.seen["log_ms"], rows) in states
+        return (
+            taken == [(1, 0), (1, 1), (2, 0)]
+            and (self.read_result["rev"], self.read_result["log_ms"], records) in states
+        )
 
 
 class WriteDuringStop:
@@ -171,7 +174,7 @@
         self.folder = Path(tempfile.mkdtemp())
         self.store, self.faulty = RouteStore(self.folder), faulty
         self.done: list[str] = []  # frontrun orders threads by accesses to memory, not to the folder
-        self.seen: list[tuple[int, str]] = []
+        self.read_result: list[tuple[int, str]] = []
 
     def worker(self) -> None:
         self._step("write", lambda: self.store._write(1, "aborted"))
@@ -184,7 +187,7 @@
             self._step("remove", lambda: self.store._remove(1))
 
     def reader(self) -> None:
-        self._step("read", lambda: self.seen.extend(RouteStore(self.folder).load_all()))
+        self._step("read", lambda: self.read_result.extend(RouteStore(self.folder).load_all()))
 
     def _step(self, name: str, act: Callable[[], object]) -> None:
         self.done.append(name)
@@ -193,7 +196,7 @@
     def holds(self) -> bool:
         """A read shows the complete contents at one point in time; the last stored version remains."""
         states = ([], [(1, "aborted")], [(2, "proposed next")])
-        return self.seen in states and RouteStore(self.folder).load_all() == [(2, "proposed next")]
+        return self.read_result in states and RouteStore(self.folder).load_all() == [(2, "proposed next")]
 
 
 CASES: dict[str, tuple[Callable[[bool], Any], list[Callable[[Any], None]]]] = {
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -83,14 +83,14 @@
         path.write_bytes(orjson.dumps(document))
         program = start(path)
         try:
-            await wait_until(lambda: old.seen)
+            await wait_until(lambda: old.requests)
             path.write_text("{")
             program.send_signal(signal.SIGHUP)
             line = await asyncio.to_thread(next_line, program, "not reloaded")
             assert "the current one stays in use" in line
             path.write_bytes(orjson.dumps(document | {"discovery": new.endpoint}))
             program.send_signal(signal.SIGHUP)
-            await wait_until(lambda: len(new.seen) > 1)  # the second poll follows the first response
+            await wait_until(lambda: len(new.requests) > 1)  # the second poll follows the first response
             client = Client(*await asyncio.open_connection(*address))
             assert (await client.exchange(UP)).status == 200  # ready due to the new address's list
             assert program.poll() is None
@@ -141,7 +141,7 @@
                 idle = await connect()
                 await idle.exchange(UP)
                 client.writer.write(request(name="in-flight"))
-                await wait_until(lambda: server.seen)
+                await wait_until(lambda: server.requests)
                 program.send_signal(signal.SIGTERM)
 
                 async def exchange_again(data: bytes) -> Message:
--- a/tests/test_settings_bad.py
+++ b/tests/test_settings_bad.py
@@ -43,9 +43,9 @@
 )
 
 
-def full_row() -> dict[str, Any]:
+def full_document() -> dict[str, Any]:
     """Return a configuration with every key that a node reads."""
-    row = config_document(
+    document = config_document(
         "127.0.0.1:9",
         known=targets(s0=("127.0.0.1:8", "Ready")),
         settings={
@@ -80,11 +80,11 @@
         "memorySpanMs": 300.0,
         "stream": False,
     }
-    row["settings"]["categories"] = [
-        all_keys | service_class for service_class in row["settings"]["categories"]
+    document["settings"]["categories"] = [
+        all_keys | service_class for service_class in document["settings"]["categories"]
     ]
     return orjson.loads(
-        orjson.dumps(row | {"operator": "127.0.0.1:7", "state_every_ms": 500.0, "state": "s"})
+        orjson.dumps(document | {"operator": "127.0.0.1:7", "state_every_ms": 500.0, "state": "s"})
     )
 
 
@@ -96,14 +96,14 @@
 
 
 def config_with(path: tuple[Any, ...], value: Any) -> bytes:
-    row = parent = full_row()
+    document = parent = full_document()
     for key in path[:-1]:
         parent = parent[key]
     if value is ABSENT:
         del parent[path[-1]]
     else:
         parent[path[-1]] = value
-    return orjson.dumps(row)
+    return orjson.dumps(document)
 
 
 def run_requests(config: NodeConfig) -> None:
@@ -131,7 +131,7 @@
     assert 0.0 < threshold < 1e30, f"a threshold of {threshold} never applies"
 
 
-@pytest.mark.parametrize("path", list(key_paths(full_row())), ids=lambda path: ".".join(map(str, path)))
+@pytest.mark.parametrize("path", list(key_paths(full_document())), ids=lambda path: ".".join(map(str, path)))
 def test_any_key_with_any_value_gives_one_line_error_or_works(path):
     for value in VALUES:
         data = config_with(path, value)
@@ -188,10 +188,10 @@
     ],
 )
 def test_invalid_setting_is_named_with_its_value(settings, message):
-    row = config_document("127.0.0.1:9", settings=settings)
-    row["settings"] |= settings  # `bounds` are merged with others
+    document = config_document("127.0.0.1:9", settings=settings)
+    document["settings"] |= settings  # `bounds` are merged with others
     with pytest.raises(ValueError) as raised:  # noqa: PT011
-        parse_config(orjson.dumps(row), {})
+        parse_config(orjson.dumps(document), {})
     assert message in str(raised.value)
 
 
@@ -235,14 +235,19 @@
 
 
 def test_unknown_keys_are_ignored_and_null_counts_as_absent():
-    row = full_row()
-    unknown_keys = {"novel": [1], "limits": row["limits"] | {"novel": {}}}
-    settings = row["settings"] | {"novel": {"a": 1}, "valueBy": None, "registryMode": None, "locality": None}
+    document = full_document()
+    unknown_keys = {"novel": [1], "limits": document["limits"] | {"novel": {}}}
+    settings = document["settings"] | {
+        "novel": {"a": 1},
+        "valueBy": None,
+        "registryMode": None,
+        "locality": None,
+    }
     settings["categories"] = [
         service_class | {"novel": 1, "keyScope": None, "credit": None}
         for service_class in settings["categories"]
     ]
-    parsed = parse_config(orjson.dumps(row | unknown_keys | {"settings": settings}), {}).settings
+    parsed = parse_config(orjson.dumps(document | unknown_keys | {"settings": settings}), {}).settings
     assert (parsed.weight_by_work, parsed.poll_discovery, parsed.zone) == (False, False, "")
     assert {
         (service_class.priority_weight, service_class.deduplication_scope) for service_class in parsed.classes
--- a/tests/test_settings_kinds.py
+++ b/tests/test_settings_kinds.py
@@ -124,7 +124,7 @@
                 assert response.status == 503, name  # all servers rejected it
                 response = await exchange(node, request_of(name, f"lost-{name}"))
                 assert response.status == (503 if effect.value == "safe" else 502), name
-            ids = [message.headers["req-id"] for server in (first, second) for message in server.seen]
+            ids = [message.headers["req-id"] for server in (first, second) for message in server.requests]
             max_attempts = node.config.settings.max_attempts
             assert all(ids.count(name) <= max_attempts for name in ids)
             assert all(ids.count(name) <= 1 for name in ids if name.startswith("lost-post"))
@@ -159,12 +159,12 @@
                 response = await exchange(node, request_of("move", f"q{round_number}"))
                 assert response.status == 200
                 check_no_faults(node)
-        retried_ids = {message.headers["req-id"] for message in resetting.seen}
+        retried_ids = {message.headers["req-id"] for message in resetting.requests}
         assert retried_ids, "no attempt reached the server that resets"
         used_servers = {
             name
             for name, server in others.items()
-            for message in server.seen
+            for message in server.requests
             if message.headers["req-id"] in retried_ids
         }
         assert used_servers <= allowed_servers
@@ -180,16 +180,16 @@
     async def main():
         servers = [BlockedServer() for _ in range(3)]
         async with loopback_node(*servers, bounds={"secondCopies": True, "maxAttempts": 5}) as node:
-            caller = await Client.connect(node)
-            caller.writer.write(request("read", "q1"))
-            await wait_until(lambda: any(server.seen for server in servers))
+            client = await Client.connect(node)
+            client.writer.write(request("read", "q1"))
+            await wait_until(lambda: any(server.requests for server in servers))
             for _ in range(50):  # at the end of each period, another attempt might be sent
                 node.handle_event(TimerFired("period"))
-            assert sum(len(server.seen) for server in servers) == 1
+            assert sum(len(server.requests) for server in servers) == 1
             assert node.request_registry.active["q1"].attempts_in_flight == 1
             for server in servers:
                 server.release.set()
-            assert (await caller.read_response()).status == 200
+            assert (await client.read_response()).status == 200
 
     asyncio.run(main())
 
