--- a/tests/support/detector_simulation.py
+++ b/tests/support/detector_simulation.py
@@ -60,7 +60,7 @@
 
 
 class DetectorSimulation:
-    """Nodes and their network. `delay`: range of message delays (ms); `loss`: probability of losing a call."""
+    """Nodes and their network. `delay`: range of message delays (ms); `loss`: probability of a lost call."""
 
     def __init__(
         self,
