--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,7 +1,7 @@
 """The node's program: `python -m loadbalancer`, configured by the JSON file that PROXY_CONFIG names.
 
 `python -m loadbalancer state show FILE [--node NAME]` prints a state file's verdict and contents as JSON.
-It exits with 0 where the file is accepted, 1 where a rule rejects it, 2 on a wrong command line.
+It exits with 0 if the file is accepted, 1 if a rule rejects it, 2 if the command line is invalid.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
     node = Node(config)
     loop.add_signal_handler(signal.SIGHUP, reload, node)
     await node.start()
-    # What exists now lives as long as the process, so the garbage collector need not look at it again.
+    # Objects that exist now live as long as the process: the garbage collector need not examine them again.
     gc.collect()
     gc.freeze()
     logging.info("%s serves on %s:%d", config.name, *node.listener.address)
--- a/loadbalancer/balancing/actions.py
+++ b/loadbalancer/balancing/actions.py
@@ -13,8 +13,9 @@
     id: str
     server: str
     timeout_ms: float = 0.0  # 0: until the client's deadline
-    # The host must have written the attempt's last byte by this time: executed later, it might take effect a
-    # second time. It constrains the host only, so it is left out of the recorded decisions (`repr=False`).
+    # The host must have written the attempt's last byte by this time. A server that receives it later may
+    # have forgotten the idempotency key, and would execute the request a second time. Only the host uses
+    # this time, so `repr=False` leaves it out of the recorded decisions.
     written_by_ms: float = field(default=math.inf, repr=False)
 
 
--- a/loadbalancer/balancing/admission.py
+++ b/loadbalancer/balancing/admission.py
@@ -13,7 +13,7 @@
 ADMITTED_GAIN = 0.1  # smoothing of the admitted ratio, per request
 COST_HINT_GAIN = 0.03  # smoothing of the mean cost hint, per request
 MIN_WEIGHT_RATIO = 0.25  # lower bound of a request's weight over the mean
-MAX_WEIGHT_RATIO = 4.0  # and upper bound
+MAX_WEIGHT_RATIO = 4.0  # upper bound of a request's weight over the mean
 MS_PER_S = 1000.0
 
 
@@ -21,12 +21,12 @@
 class TokenBucket:
     """A token bucket for a tenant's quota at this balancer, one second of tokens deep."""
 
-    quota_per_s: float  # of all siblings together
+    quota_per_s: float  # the sum over all siblings
     tokens: float
     updated_ms: float
 
     def take(self, now_ms: float, divisor: float) -> bool:
-        """Take a token; False if none is left. The bucket refills at the quota over `divisor`."""
+        """Take a token; False if none is left. The bucket refills at `quota_per_s / divisor`."""
         quota_per_s = self.quota_per_s / divisor
         refilled = self.tokens + quota_per_s * (now_ms - self.updated_ms) / MS_PER_S
         self.tokens = min(bucket_depth(quota_per_s), refilled)
@@ -38,9 +38,9 @@
 
 
 def bucket_depth(quota_per_s: float) -> float:
-    """The maximum number of tokens of a bucket: those of one second.
+    """The maximum number of tokens of a bucket: those of one second, but at least 1 unless the quota is 0.
 
-    At least one unless the quota is 0, so that a quota under one request per second admits requests too.
+    With less than one token, a quota under one request per second would never admit a request.
     """
     return max(1.0, quota_per_s) if quota_per_s > 0.0 else 0.0
 
@@ -72,9 +72,9 @@
     def rejects(self, now_ms: float, request: Request, service_class: ServiceClass) -> bool:
         """Whether the requests in flight have reached the threshold of the request's row.
 
-        Takes a token from its tenant's bucket. If less than one request fits under the threshold, the request
-        is admitted with that probability: if hundreds of balancers admitted one request each, they would
-        together keep an overloaded pool overloaded.
+        Takes a token from the tenant's bucket, if any. If less than one request fits under the threshold, the
+        request is admitted with the remaining capacity (0 to 1) as the probability: if hundreds of balancers
+        admitted one request each, they would together keep an overloaded pool overloaded.
         """
         state = self.state
         in_flight = sum([endpoint.total_in_flight for endpoint in state.ready])
@@ -85,8 +85,8 @@
         return rejected
 
     def priority(self, now_ms: float, request: Request, service_class: ServiceClass) -> float:
-        """The request's priority, from 0 to 1: that of its class, reduced for a retry and over the tenant's
-        quota."""
+        """The request's priority, from 0 to 1: that of its class, reduced for a client's retry and for a
+        tenant over its quota. Takes a token from the tenant's bucket, if any."""
         priority = service_class.priority_weight / self.top_weight
         if request.is_retry:
             priority *= RETRY_PRIORITY_RATIO
--- a/loadbalancer/balancing/balancer.py
+++ b/loadbalancer/balancing/balancer.py
@@ -47,7 +47,7 @@
 
     in_flight: float  # weight of the requests in flight to ready endpoints
     cursor: int
-    threshold: float  # for the highest priority
+    threshold: float  # the threshold for the highest priority
 
 
 class Balancer:
--- a/loadbalancer/balancing/cursor_table.py
+++ b/loadbalancer/balancing/cursor_table.py
@@ -12,20 +12,20 @@
 
 FLAT_SLOTS_COUNT = 2  # n: slots at the left of the table that equal T1
 FALLING_SLOTS_COUNT = 14  # slots to their right, each lower than the one before
-SLOT_RATIO = 0.86  # of a falling slot to the slot before it
-LOWEST_ROW_HALVINGS_COUNT = 4.0  # a priority of 1 halved this often gets the lowest row
-ROW_GAP_RATIO = 0.25  # by which T1 of the lowest row is lower than that of the highest
+SLOT_RATIO = 0.86  # a falling slot over the slot to its left
+LOWEST_ROW_HALVINGS_COUNT = 4.0  # a priority of 1, halved this many times, gets the lowest row
+ROW_GAP_RATIO = 0.25  # T1 of the lowest row is lower by this ratio than T1 of the highest row
 TOP_ROW_FACTOR = 0.5  # exponent of the highest row, whose slots fall more slowly: low priority is shed first
 MIN_THRESHOLD_COUNT = 0.1  # admits some requests at any cursor, so that a recovery is noticed
 MIN_PRIORITY = 1e-6  # keeps the logarithm finite
-UNKNOWN_BASELINE_RATIO = 0.5  # of the latency objective, until a baseline is known
+UNKNOWN_BASELINE_RATIO = 0.5  # assumed unloaded latency over the objective until a baseline is known
 HEADROOM_COUNT = 3.0  # requests per ready endpoint beyond those at unloaded latency, over all siblings
-UNDERUSED_RATIO = 0.75  # median reported utilisation below which the headroom is larger
+UNDERUSED_RATIO = 0.75  # below this median reported utilisation, the headroom is larger
 UNDERUSED_HEADROOM_COUNT = 6.0
-ROOT_FACTOR = 0.5  # square roots of T1 added for random variation, which is larger in small pools
+ROOT_FACTOR = 0.5  # this multiple of sqrt(T1) is added for random variation, which is larger in small pools
 STARTUP_FLOOR_COUNT = 7.0  # smallest T1 per ready endpoint, over all siblings, until rates are known
 STARTUP_MS = 3000.0
-FLOOR_COUNT = 2.0  # the same after the start
+FLOOR_COUNT = 2.0  # smallest T1 per ready endpoint, over all siblings, once rates are known
 
 SLOT_RATIOS = (*(1.0,) * FLAT_SLOTS_COUNT, *(SLOT_RATIO**step for step in range(1, FALLING_SLOTS_COUNT + 1)))
 
@@ -36,7 +36,7 @@
 
 
 def first_entry(state: BalancerState, ready: int) -> float:
-    """T1 of the highest row for this number of ready endpoints, without the allowance for variation."""
+    """T1 of the highest row for `ready` endpoints, without the allowance for random variation."""
     baseline_ratio = UNKNOWN_BASELINE_RATIO if state.baseline_ratio is None else state.baseline_ratio
     divisor = state.quota.divisor_at(state.now_ms)
     # The headroom doesn't grow with the rate: how many requests an endpoint can queue beyond its unloaded
--- a/loadbalancer/balancing/endpoint_selection.py
+++ b/loadbalancer/balancing/endpoint_selection.py
@@ -16,10 +16,11 @@
 LATENCY_DECAY_MS = 8000.0  # time constant with which a latency ratio returns to 1 without outcomes
 QUEUE_DECAY_MS = 500.0  # time constant with which a reported queue decays
 RANK_JITTER_RATIO = 0.1  # width of the random factor that separates equal ranks
-CROSS_ZONE_FACTOR = 64.0  # queued requests that a crossing of zones counts as, per unit of its price
-ENDPOINT_QUOTA_FACTOR = 1.25  # maximum in flight to an endpoint over its part of T1, see cursor_table
-RETRY_MARGIN_MS = 10.0  # before the end of the deduplication window, for a retry's bytes to arrive
-SLOW_START_RATIO = 0.4  # of the overload factor: traffic to an endpoint in slow start over its capacity
+CROSS_ZONE_FACTOR = 64.0  # a cross-zone price of 1 ranks like this many queued requests
+ENDPOINT_QUOTA_FACTOR = 1.25  # maximum in flight to an endpoint, over T1 per ready endpoint (cursor_table)
+# A retry must be written this long before the deduplication window ends, so that its bytes arrive in time.
+RETRY_MARGIN_MS = 10.0
+SLOW_START_RATIO = 0.4  # traffic to an endpoint in slow start, over the load at which it fails
 MAX_ERROR_RATE = 0.9  # keeps the rank of a failing endpoint finite
 
 
@@ -123,8 +124,8 @@
 def _current_latency_ratio(state: BalancerState, now_ms: float, endpoint: EndpointState) -> float:
     """The smoothed latency ratio, decayed towards 1, the mean over all endpoints.
 
-    If the oldest attempt in flight has already taken longer, its ratio so far: this detects a hanging server
-    before any timeout.
+    If the oldest attempt in flight has already taken longer than that, the ratio of its time so far: this
+    detects a hanging server before any timeout.
     """
     ratio = 1.0
     if endpoint.latency_ratio is not None:
@@ -143,9 +144,9 @@
 def slow_start_admits(state: BalancerState, now_ms: float, endpoint: EndpointState) -> bool:
     """Whether an attempt may go to the endpoint under its slow start; always true after the slow start.
 
-    All balancers together must not overload an endpoint in slow start. Each attempt is admitted with a
-    probability, the endpoint's current capacity over the present traffic. Such a draw keeps the sum over any
-    number of balancers within that capacity, which a count limit at each balancer would not.
+    All balancers together must not overload an endpoint in slow start. Each attempt is therefore admitted at
+    random, with the endpoint's current capacity over the present traffic as the probability. This keeps the
+    sum over any number of balancers within that capacity, which a count limit at each balancer would not.
     """
     settings = state.settings
     age_ms = _process_age_ms(state, now_ms, endpoint)
@@ -167,7 +168,7 @@
 
 
 def _traffic_in_endpoints(state: BalancerState) -> float:
-    """The present traffic, as the number of endpoints that it keeps at their peak rate; at least 1."""
+    """The present traffic, as the number of endpoints that it would keep at their peak rate; at least 1."""
     ready = len(state.ready)
     if state.peak_completion_rate <= 0.0:
         return ready
--- a/loadbalancer/balancing/endpoint_set.py
+++ b/loadbalancer/balancing/endpoint_set.py
@@ -13,7 +13,7 @@
 from loadbalancer.endpoints import Endpoint, EndpointListKind, EndpointStatus
 
 WATCH_TIMER = "watch"  # subscribes to the endpoint list again
-WATCH_BACKOFF_MS = 250.0  # half the first backoff, which doubles at each failure
+WATCH_BACKOFF_MS = 250.0  # half the backoff after the first failure; each further failure doubles it
 MAX_WATCH_BACKOFF_MS = 4000.0
 MAX_DOUBLINGS_COUNT = 16  # keeps the power of 2 from overflowing in a long outage
 
--- a/loadbalancer/balancing/events.py
+++ b/loadbalancer/balancing/events.py
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class RequestCancelled:
-    """The client has disconnected; it gets no response any more."""
+    """The client has disconnected; no response is sent to it."""
 
     id: str
 
@@ -103,17 +103,17 @@
 
 @dataclass(slots=True)
 class LearnedState:
-    """The measurements of another process of this node. Ratios are latencies over the latency objective."""
+    """The measurements of another process of this node."""
 
-    baseline_ratio: float | None  # at unloaded latency; None while unknown
-    latency_ratio: float  # smoothed
+    baseline_ratio: float | None  # unloaded latency over the latency objective; None while unknown
+    latency_ratio: float  # smoothed latency over the latency objective
     cursor: int
     completion_rate: float  # weight per ms and ready endpoint
     peak_completion_rate: float
     send_rate: float  # weight per ms
     mean_latency_objective_ms: float
     class_latency_ms: dict[str, float]
-    endpoint_latency_ratios: dict[str, float]  # over the latency of the request's class
+    endpoint_latency_ratios: dict[str, float]  # over the mean latency of the request's class
 
 
 @dataclass(slots=True)
--- a/loadbalancer/balancing/fleet_control.py
+++ b/loadbalancer/balancing/fleet_control.py
@@ -18,7 +18,7 @@
 
 
 def apply_quota_grant(state: BalancerState, event: QuotaGrant) -> None:
-    """Use the granted quota in place of an equal one by `Settings.siblings`."""
+    """Use the granted quota instead of the equal quota that `Settings.siblings` implies."""
     divisor = 1.0 / event.quota if event.quota > 0.0 else math.inf
     state.quota = Quota(divisor, max(1, event.holders), event.expires_ms)
 
@@ -47,8 +47,11 @@
 
 
 def usable_endpoints(state: BalancerState, endpoints: list[EndpointState]) -> list[EndpointState]:
-    """The endpoints without those of confidence NONE that already have a request in flight from here: its
-    outcome will show whether they respond. All endpoints if none has a confidence above LOW."""
+    """The endpoints, except those of confidence NONE that already have a request in flight from this node.
+
+    The outcome of that request will show whether the endpoint responds. If no endpoint has a confidence above
+    LOW, all of them are usable.
+    """
     ratings = [state.confidence.get(endpoint.listed.name) for endpoint in endpoints]
     if all(rating in LOW_CONFIDENCE for rating in ratings):
         return endpoints
--- a/loadbalancer/balancing/load_estimate.py
+++ b/loadbalancer/balancing/load_estimate.py
@@ -11,15 +11,16 @@
 from loadbalancer.balancing.state import BalancerState, PeriodWindow
 
 LATENCY_SLACK_RATIO = 0.11  # target: the baseline plus this ratio of its gap to the objective
-REPORTED_LATENCY_SLACK_RATIO = 0.35  # if servers report utilisation: latency then indicates lower tiers
+# The same if servers report utilisation: latency then indicates the load of lower tiers.
+REPORTED_LATENCY_SLACK_RATIO = 0.35
 HALF_WEIGHT_COUNT = 10.0  # with this many outcomes, a period has half the weight in the smoothed latency
 OVERLOADED_LATENCY_RATIO = 0.6  # above this, latency counts even in a period without responses
 BASELINE_SAMPLE_COUNT = 20  # outcomes from which the first baseline is taken
 BASELINE_FALL_GAIN = 0.1  # smoothing of the baseline towards a lower latency, per period
-BASELINE_RISE_GAIN = 0.01  # and towards a higher one
+BASELINE_RISE_GAIN = 0.01  # smoothing of the baseline towards a higher latency, per period
 UTILISATION_TARGET_RATIO = 0.97  # target of the median reported utilisation
-UTILISATION_MARGIN_RATIO = 0.03  # less this if many balancers, with few requests each, load servers unevenly
-FEW_BALANCERS_COUNT = 8.0  # up to this many balancers there is no margin
+UTILISATION_MARGIN_RATIO = 0.03  # lowers the target if many balancers with few requests load servers unevenly
+FEW_BALANCERS_COUNT = 8.0  # up to this many balancers, the margin is 0
 REJECTED_TARGET_RATIO = 0.05  # target ratio of attempts that servers reject
 REPORT_FRESH_MS = 1500.0  # age up to which a reported utilisation counts
 RATE_SMOOTHING_MS = 1000.0  # time constant of the rates
--- a/loadbalancer/balancing/outcome_statistics.py
+++ b/loadbalancer/balancing/outcome_statistics.py
@@ -45,7 +45,7 @@
             window.latency_ratios.append(event.latency_ms / objective_ms)
         _record_latency(state, now_ms, pending.service_class, endpoint, event)
     if result is AttemptResult.OK:
-        if endpoint in state.ready:  # not ready: its completions don't count in the rate of the others
+        if endpoint in state.ready:  # the rate is per ready endpoint, so other completions don't count
             window.completed += pending.weight / len(state.ready)
         state.mean_latency_objective_ms += CLASS_GAIN * (objective_ms - state.mean_latency_objective_ms)
 
--- a/loadbalancer/balancing/state.py
+++ b/loadbalancer/balancing/state.py
@@ -23,11 +23,11 @@
     """This balancer's state for one endpoint."""
 
     listed: Endpoint
-    latency_ratio: float | None = None  # smoothed latency over the mean of its class
+    latency_ratio: float | None = None  # smoothed latency over the mean of the request's class
     error_rate: float = 0.0  # smoothed ratio of failed attempts
     last_outcome_ms: float = -math.inf
     in_flight: float = 0.0  # weight of the requests in flight from this process
-    sibling_in_flight: float = 0.0  # the same of the sibling process during an upgrade
+    sibling_in_flight: float = 0.0  # weight in flight from the sibling process during an upgrade
     reported_queue: float = 0.0  # requests queued at the server, by its last load report
     reported_at_ms: float = -math.inf
     utilisation: float | None = None  # 0 to 1, by its last load report
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Restoration:
-    """An endpoint's ejection that an operator has ended."""
+    """The restoration of an endpoint that an operator had ejected."""
 
     ejected_ms: float
     restored_ms: float
@@ -94,7 +94,7 @@
     latency_ratios: list[float] = field(default_factory=list)  # latencies over their objectives
     completed: float = 0.0  # weight of completed requests per ready endpoint
     attempts_ended: float = 0.0
-    attempts_rejected: float = 0.0  # of the ended attempts: rejected by a server at its limit
+    attempts_rejected: float = 0.0  # ended attempts that a server or a lower tier rejected
     weight_sent: float = 0.0
 
 
@@ -117,10 +117,10 @@
 
     settings: Settings
     rng: Random
-    now_ms: float = 0.0  # of the event being handled
+    now_ms: float = 0.0  # time of the event being handled
     quota: Quota = field(init=False)
-    confidence: dict[str, Confidence] = field(default_factory=dict)  # by endpoint; full without an entry
-    route_version: int = 0  # in force; 0 is neutral
+    confidence: dict[str, Confidence] = field(default_factory=dict)  # by endpoint; HIGH without an entry
+    route_version: int = 0  # number of the version in force; 0 is neutral
     # The versions in use except the neutral one, by number and class.
     route_versions: dict[int, dict[str, tuple[TrafficSplit, ...]]] = field(default_factory=dict)
     service_classes: dict[str, ServiceClass] = field(init=False)
--- a/loadbalancer/endpoints.py
+++ b/loadbalancer/endpoints.py
@@ -1,6 +1,6 @@
 """Values that balancing, staleness and routing share: endpoints, attempt results, traffic splits.
 
-Source: PROTOCOL and WIRE. The values of the enums are the words used there.
+Source: PROTOCOL and WIRE. The values of the enums are the words used in them.
 """
 
 from __future__ import annotations
@@ -59,9 +59,10 @@
 
     name: str  # its uid, which stays the same over restarts
     zone: str = ""
-    cell: int = 0  # within a zone; the servers of a cell may share idempotency keys
+    cell: int = 0  # number within its zone; the servers of a cell may share idempotency keys
     state: EndpointStatus = EndpointStatus.UP
-    launched_ms: float | None = None  # start of its process by the host's clock; None: unknown, so long ago
+    # Start of its process by the host's clock; None if unknown, which counts as long ago.
+    launched_ms: float | None = None
     model: str = ""
 
 
--- a/loadbalancer/membership/actions.py
+++ b/loadbalancer/membership/actions.py
@@ -21,20 +21,23 @@
     """
 
     period_ms: float = 1000.0  # the protocol period: one member is probed in each
-    urgent_period_ms: float = 100.0  # while this node is detached or suspects a member
+    urgent_period_ms: float = 100.0  # replaces period_ms while this node is detached or suspects a member
     probe_timeout_ms: float = 500.0  # longer than the longest round trip between nodes
     helpers: int = 3  # number of members that each make an indirect probe
     tick_ms: float = 50.0  # maximum time between ticks; bounds how soon a pause of this process is detected
     idle_tick_ms: float = 100.0  # as tick_ms, while attached with no probe in flight and no suspect
-    late_ms: float = 100.0  # a tick later than this means that the process was paused
-    suspicion_min_ms: float = 1000.0  # after probe timeouts, with `accusers` further accusers
-    suspicion_max_ms: float = 6000.0  # after probe timeouts, with a single accuser
+    late_ms: float = 100.0  # a tick that is overdue by more means that the process was paused
+    # Suspicion timeouts after probe timeouts: the minimum with `accusers` further accusers, the maximum with
+    # a single accuser.
+    suspicion_min_ms: float = 1000.0
+    suspicion_max_ms: float = 6000.0
     accusers: int = 3  # further accusers that reduce the suspicion timeout to the minimum
-    connection_refused_suspicion_ms: float = 300.0  # the machine responds, but the process has ended
+    # Suspicion timeout if the connection was refused: the machine responds, but the process has ended.
+    connection_refused_suspicion_ms: float = 300.0
     max_health: int = 4  # local timeouts grow by up to a factor of 1 + max_health
-    indirect_after: int = 4  # consecutive failed direct probes with acked indirect ones
+    indirect_after: int = 4  # this many failed direct probes in a row, each with an acked indirect one
     retransmit_multiplier: float = 3.0  # transmissions of an update, in multiples of log2(members)
-    updates: int = 12  # maximum per payload
+    updates: int = 12  # maximum number of updates per payload
     max_ahead_ms: float = 1000.0  # a report's service time may exceed the local estimate by this much
     relayed_probes: int = 64  # maximum in flight on behalf of other members
 
@@ -113,7 +116,7 @@
 
     id: int
     helper: int  # incarnation
-    address: str  # the helper's
+    address: str  # the helper's address
     target: int  # incarnation
     timeout_ms: float
     payload: bytes
@@ -121,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Action: respond to the call that was passed to `on_indirect_probe`; None rejects a malformed call."""
+    """Action: respond to the call passed to `on_indirect_probe`; payload None rejects a malformed call."""
 
     call: int
     payload: bytes | None
--- a/loadbalancer/membership/failure_detector.py
+++ b/loadbalancer/membership/failure_detector.py
@@ -72,7 +72,7 @@
         self._gossip.set_view(view)
 
     def tick(self, now: float) -> list[Action]:
-        """Declare failed the suspects whose timeout is over, and probe the next member once per period."""
+        """Declare suspects failed at their suspicion timeout, and probe the next member once per period."""
         self._record_wakeup(now)
         self._members.expire_suspicions(now)
         actions: list[Action] = []
@@ -87,7 +87,7 @@
         return [*actions, *self._members.take_changes()]
 
     def on_ack(self, now: float, probe_id: int, payload: bytes) -> list[Action]:
-        """A Probe or IndirectProbe was acked; a malformed ack counts as a failure."""
+        """Handle the ack of a Probe or IndirectProbe; a malformed ack counts as a failure."""
         self._record_wakeup(now)
         pending = self._probing.end(probe_id)
         if pending is None:
@@ -109,7 +109,7 @@
         return [*views, *acks, *self._members.take_changes()]
 
     def on_failure(self, now: float, probe_id: int, refused: bool) -> list[Action]:
-        """A Probe or IndirectProbe got no ack; `refused` only if the machine refused the connection."""
+        """Handle a Probe or IndirectProbe without an ack; `refused`: the machine refused the connection."""
         self._record_wakeup(now)
         pending = self._probing.end(probe_id)
         if pending is None:
@@ -118,7 +118,10 @@
         return [*actions, *self._members.take_changes()]
 
     def on_probe(self, now: float, payload: bytes) -> tuple[bytes | None, list[Action]]:
-        """Another member probes this node: return the ack's payload, or None to reject a malformed probe."""
+        """Handle a probe by another member; return the ack's payload and the actions.
+
+        The payload is None if the probe is malformed, which rejects it.
+        """
         self._record_wakeup(now)
         message = decode(payload)
         if message is None:
@@ -128,8 +131,10 @@
         return self._gossip.payload(now, message.sender), [*views, *self._members.take_changes()]
 
     def on_indirect_probe(self, now: float, call: int, payload: bytes) -> list[Action]:
-        """Another member calls for an indirect probe of a third one. Exactly one Ack to `call` is returned:
-        here or when that probe has ended."""
+        """Handle a member's call for an indirect probe of a third member.
+
+        Exactly one Ack to `call` is returned: by this method, or when that probe has ended.
+        """
         self._record_wakeup(now)
         message = decode(payload)
         if message is None:
--- a/loadbalancer/membership/lease_calls.py
+++ b/loadbalancer/membership/lease_calls.py
@@ -23,7 +23,7 @@
     """The fraction of the group's load that the node may use: `quota` before `until_ms`, 0 from then on."""
 
     quota: float  # fraction, 0 to 1
-    members: int  # of the group, this node included
+    members: int  # number of members of the group, including this node
     until_ms: float  # on the node's own clock
 
 
--- a/loadbalancer/membership/lease_clock.py
+++ b/loadbalancer/membership/lease_clock.py
@@ -5,7 +5,7 @@
 own lease from the moment at which it sent the renewal, so the lease always ends earlier by the node's clock.
 
 A member is *confirmed attached* while its process is known to have used a response that was sent less than
-ATTACHED_TERM_FRACTION of a term ago: each renewal states the last one whose response was used. (Renewals
+ATTACHED_TERM_FRACTION of a term ago: each renewal states the last renewal whose response was used. (Renewals
 alone prove nothing: if the responses are lost, the process considers itself detached.) A member counts
 towards a majority after it has been attached without a gap for a full term. That is longer than any sibling
 relies on an earlier report that the member was detached (membership/member_lease.py).
@@ -19,9 +19,10 @@
 
 # Fractions of the lease term.
 ATTACHED_TERM_FRACTION = 0.55  # how long a used response proves its process attached
-MAX_DELAY_TERM_FRACTION = 0.25  # renewals delayed by more are rejected, responses are not used
+# Renewals delayed by more than this are rejected, and responses delayed by more are not used.
+MAX_DELAY_TERM_FRACTION = 0.25
 
-MAX_RENEWALS_KEPT = 8  # per member, with the times at which they were applied
+MAX_RENEWALS_KEPT = 8  # renewals per member whose times of application are retained
 
 
 @dataclass(slots=True)
@@ -71,7 +72,7 @@
         lease.attached_until_ms = max(lease.attached_until_ms, used_at + ATTACHED_TERM_FRACTION * self.ttl_ms)
 
     def retain(self, incarnations: Container[int]) -> None:
-        """Drop the leases of all other members."""
+        """Drop the leases of all members that are not in `incarnations`."""
         self._leases = {number: lease for number, lease in self._leases.items() if number in incarnations}
 
     def expired_and_attached(self, now: float) -> LeaseCount:
--- a/loadbalancer/membership/member_list.py
+++ b/loadbalancer/membership/member_list.py
@@ -24,7 +24,7 @@
     status: MemberStatus = MemberStatus.ALIVE
     accusers: tuple[int, ...] = ()
     suspected_at: float = 0.0
-    suspicion_ends: float = math.inf  # when the suspect fails unless it refutes
+    suspicion_ends: float = math.inf  # when the suspect is declared failed unless it refutes
     indirect_acks: int = 0  # consecutive failed direct probes with acked indirect ones
     last_ack_at: float | None = None  # when it last acked a call of this node
 
@@ -145,7 +145,7 @@
             peer.indirect_acks, peer.last_ack_at = 0, now
 
     def expire_suspicions(self, now: float) -> None:
-        """Declare failed the suspects that did not refute in time."""
+        """Declare suspects failed that did not refute in time."""
         for incarnation in [key for key in self._suspects if self.peers[key].suspicion_ends <= now]:
             peer = self.peers[incarnation]
             self.remember_reachability(peer)
--- a/loadbalancer/membership/probe_order.py
+++ b/loadbalancer/membership/probe_order.py
@@ -27,7 +27,7 @@
             self._out_of_turn.append(incarnation)
 
     def next_target(self, members: Collection[int], busy: Collection[int]) -> int | None:
-        """Return the next member that is not `busy`, or None; at most every second turn is out of turn."""
+        """Return the next member that is not `busy`, or None; at most every second probe is out of turn."""
         self._out_of_turn_next = not self._out_of_turn_next
         if not self._out_of_turn_next:
             target = self._next_out_of_turn(members, busy)
--- a/loadbalancer/routing/coordinator.py
+++ b/loadbalancer/routing/coordinator.py
@@ -49,7 +49,7 @@
     digest,
 )
 
-MAX_VERSIONS = 50  # retained, in addition to version 0 and the one in force
+MAX_VERSIONS = 50  # retained versions, besides version 0 and the one in force
 MAX_REASON_LENGTH = 300  # characters
 MAX_NAMED_VOTERS = 10  # missing voters listed in the reason of an abort
 
--- a/loadbalancer/routing/route_table.py
+++ b/loadbalancer/routing/route_table.py
@@ -26,7 +26,7 @@
 from loadbalancer.routing.errors import RouteTableError, as_one_line
 
 DEFAULT = "default"
-TEXT = "text"  # stands for the complete text in an error
+TEXT = "text"  # key of errors that concern the complete text
 CLASS = "class"  # key of the table of classes
 NEUTRAL = "neutral = true\n"
 MAX_TEXT_BYTES = 16 * 1024  # about 300 groups; bounds the parsing time
--- a/loadbalancer/routing/version_copy.py
+++ b/loadbalancer/routing/version_copy.py
@@ -30,8 +30,8 @@
     objection: str | None = None  # why the node can't apply the version; None: not checked yet, "": it can
     store_error: str = ""  # error of the last write
     retry_at_ms: float = 0.0  # local time before which a failed fetch or write is not retried
-    vote_sent: bool = False  # under the current incarnation
-    vote_acknowledged: bool = False  # by the list service
+    vote_sent: bool = False  # the vote was sent under the current incarnation
+    vote_acknowledged: bool = False  # the list service has received the vote
     clock_confirmed: bool = False  # service time was known within the bound, or the version is in force
 
     @property
--- a/loadbalancer/service_settings.py
+++ b/loadbalancer/service_settings.py
@@ -24,9 +24,9 @@
 class Effect(Enum):
     """The effect of executing a request a second time."""
 
-    IDEMPOTENT = "safe"  # none: it may be retried freely
-    IDEMPOTENCY_KEY = "keyed"  # none at servers that remember the key: they drop the retry
-    NON_IDEMPOTENT = "unsafe"  # a second one: it must never be executed twice
+    IDEMPOTENT = "safe"  # a second execution has no effect: it may be retried freely
+    IDEMPOTENCY_KEY = "keyed"  # servers that remember the key drop a retry
+    NON_IDEMPOTENT = "unsafe"  # a second execution takes effect again: it must never happen
 
 
 class DeduplicationScope(Enum):
@@ -58,7 +58,7 @@
     """A tenant with a quota."""
 
     name: str
-    quota_per_s: float  # of all balancers of the tier together
+    quota_per_s: float  # the sum over all balancers of the tier
 
 
 @dataclass(slots=True, frozen=True)
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -31,7 +31,7 @@
 
 
 def section(row: JsonObject, key: str) -> JsonObject:
-    """Return the object under this key, empty if absent; raise SettingTypeError if it is no object."""
+    """Return the object under this key, empty if absent; raise SettingTypeError if it is not an object."""
     value = row.get(key)
     if not isinstance(value, dict | None):
         raise SettingTypeError(key, value, "an object")
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -40,8 +40,8 @@
     249: AttemptResult.ABANDONED,
 }
 IGNORED_KINDS = ("PEER",)
-MAX_ERROR_CHARS = 500  # of an error's text in a PANIC row
-MAX_QUOTED_BYTES = 200  # of a malformed line in an error message
+MAX_ERROR_CHARS = 500  # maximum length of an error's text in a PANIC row
+MAX_QUOTED_BYTES = 200  # of a malformed line, quoted in an error message
 EXIT_MALFORMED_INPUT = 2
 
 
--- a/loadbalancer/staleness/clock_offsets.py
+++ b/loadbalancer/staleness/clock_offsets.py
@@ -1,4 +1,4 @@
-"""Offsets between the clocks of other processes and the local clock, as intervals that hold on any link.
+"""Offsets between other processes' clocks and the local clock, as intervals that contain the true offset.
 
 The offset is the peer's clock minus the local clock. A call is sent at `t1` (local clock), received at `t2`
 and responded to at `t3` (peer's clock), and its response arrives at `t4` (local clock). Since no message
@@ -22,8 +22,8 @@
 from enum import Enum, auto
 from typing import Final
 
-# Between two clocks whose rates err in opposite directions, each by up to 500 ppm, the maximum correction by
-# a kernel's clock discipline (MAXFREQ in RFC 5905, appendix A).
+# Drift between two clocks whose rates err in opposite directions, each by up to 500 ppm, the maximum
+# correction by a kernel's clock discipline (MAXFREQ in RFC 5905, appendix A).
 MAX_DRIFT_PPM: Final = 1000.0
 MAX_SAMPLES: Final = 8  # per peer, the number of stages of the clock filter in RFC 5905
 MAX_PEERS: Final = 1024  # beyond this, the peer sampled longest ago is dropped
--- a/loadbalancer/staleness/confidence.py
+++ b/loadbalancer/staleness/confidence.py
@@ -41,7 +41,7 @@
 ConnectivityState = Literal["attached", "adrift", "alone"]
 
 MAX_AGE_PERIODS: Final = (16.0, 64.0, 256.0)  # maximum evidence age for HIGH, MEDIUM, LOW
-RISE_AGE_RATIO: Final = 0.75  # of a level's maximum age; to rise to the level, evidence must be younger
+RISE_AGE_RATIO: Final = 0.75  # evidence under this ratio of a level's maximum age lets a route rise to it
 SUSTAINED_PERIODS: Final = 8.0  # how long a node's state must last before it lowers levels
 MAX_LIST_AGE_MS: Final = 6000.0  # maximum time since discovery last confirmed the endpoint list
 FAILURE_LIMITS: Final = (2, 4)  # consecutive failures from which a level is capped at MEDIUM, LOW
@@ -103,7 +103,7 @@
         self._rise_ages_ms = tuple(age * RISE_AGE_RATIO - update_every_ms for age in self._max_ages_ms)
         self._listed: frozenset[str] = frozenset()
         self._routes: dict[str, _Route] = {}
-        self._current_cap = _NO_CAP  # by the node's state now
+        self._current_cap = _NO_CAP  # the cap by the node's state now
         self._sustained_cap = _NO_CAP  # the cap in effect; a worse state must last before it counts
         self._worse_since: float | None = None
 
--- a/loadbalancer/staleness/gossip_reports.py
+++ b/loadbalancer/staleness/gossip_reports.py
@@ -12,7 +12,8 @@
 from loadbalancer.staleness.clock_offsets import Interval, OffsetReading
 from loadbalancer.staleness.wire import ServerObservation
 
-MAX_ORIGINS: Final = 3  # siblings whose reports on one server are retained: those it responded to last
+# Siblings whose reports on one server are retained: those to which the server responded last.
+MAX_ORIGINS: Final = 3
 _NO_FAILURE: Final = (None, AttemptResult.OK, AttemptResult.REJECTED)
 
 
@@ -99,7 +100,7 @@
 
 
 def _merge(earlier: ServerReport, latest: ServerReport) -> ServerReport:
-    """Return the latest report; if both are of the same observation, with the time bounds of both."""
+    """Return the latest report; if both describe one observation, intersect its response times."""
     if earlier.version != latest.version or earlier.responded_at is None or latest.responded_at is None:
         return latest
     responded_at = intersect_or_latest(earlier.responded_at, latest.responded_at)
--- a/loadbalancer/staleness/report_selection.py
+++ b/loadbalancer/staleness/report_selection.py
@@ -38,7 +38,7 @@
         self._rotation = deque(name for name in self._rotation if name in servers)
 
     def select(self, latest_first: Iterable[str]) -> Iterator[str]:
-        """Return the servers of the next report, each once; `latest_first`: by latest observation."""
+        """Return the servers of the next report, each once; `latest_first`: all, last observed first."""
         rotated = list(islice(self._rotation, MAX_ROTATED))
         self._rotation.rotate(-len(rotated))
         names = chain(self._flipped, islice(latest_first, MAX_RECENT), rotated)
--- a/loadbalancer/staleness/wire.py
+++ b/loadbalancer/staleness/wire.py
@@ -58,7 +58,7 @@
     version: Literal[1]
     sequence: _Sequence  # incremented with each report of the origin
     sent_at: _Timestamp
-    list_revision: _Sequence  # of the origin's endpoint list
+    list_revision: _Sequence  # revision of the origin's endpoint list
     list_confirmed_at: _Timestamp | None  # None: the origin has no list yet
     pools: Annotated[list[PoolState], msgspec.Meta(max_length=MAX_POOLS)]
     servers: Annotated[list[ServerObservation], msgspec.Meta(max_length=MAX_SERVERS)]
--- a/tests/balancing/test_guards.py
+++ b/tests/balancing/test_guards.py
@@ -213,7 +213,7 @@
     assert chosen <= 4
 
 
-def test_slow_server_without_new_outcomes_is_tried_again_sooner_over_time():
+def test_rank_of_slow_server_recovers_over_time_without_outcomes():
     env = BalancerEnvironment(count=2)
     for _ in range(40):
         request_id, actions = env.send_request()
@@ -223,7 +223,7 @@
         env.end_attempt(request_id, server, AttemptResult.OK, latency_ms)
 
     def requests_before_slow_endpoint(env: BalancerEnvironment) -> int:
-        """How many requests the other server gets before the slow one gets its first."""
+        """Return how many requests the other server gets before the slow one gets its first."""
         requests = [action.server for _ in range(12) for action in sent(env.send_request()[1])]
         return requests.index("s1") if "s1" in requests else len(requests)
 
@@ -243,7 +243,7 @@
 
 
 def test_errors_move_cursor_at_front_tier_only():
-    """Guard: rejections by a lower tier reach the front tier as errors, and it did not reduce its load."""
+    """Guard: rejections by a lower tier are errors at the front tier, which did not reduce its load."""
     cursors = []
     for tier in (0, 1):
         env = BalancerEnvironment(tier=tier)
@@ -256,7 +256,7 @@
 
 
 def test_outdated_utilisation_report_does_not_count():
-    """Guard: a node that rejects requests gets no new load reports, and the last ones kept it rejecting."""
+    """Guard: a node that rejects requests gets no new load reports; the last ones kept it rejecting."""
     env = BalancerEnvironment(count=2)
     for _ in range(6):
         env.complete_request(latency_ms=50.0, load_report={"util": 1.0})
@@ -288,7 +288,7 @@
 
 
 def test_period_without_responses_does_not_lower_cursor_under_overload():
-    """Guard: with a response every second period, the cursor fell in the others and overload persisted."""
+    """Guard: with a response every second period, periods without one lowered the cursor under overload."""
     env = BalancerEnvironment(count=2)
     for _ in range(20):
         env.complete_request(latency_ms=50.0)
@@ -310,7 +310,7 @@
 
 
 def test_requests_sent_before_load_shedding_do_not_raise_cursor():
-    """Guard: their latencies arrived seconds later, and made an idle pool keep rejecting requests."""
+    """Guard: latencies of earlier requests arrived seconds later, and made an idle pool reject requests."""
     env = BalancerEnvironment()
     for _ in range(20):
         env.complete_request(latency_ms=50.0)
@@ -406,7 +406,7 @@
 # ----------------------------------------------------------------- slow start
 
 
-def test_server_in_slow_start_gets_at_most_its_part_of_a_warm_ones_requests():
+def test_server_in_slow_start_gets_at_most_half_of_a_warm_servers_requests():
     env = BalancerEnvironment(count=4)
     env.handle(EndpointListUpdate(EndpointListKind.DELTA, (Endpoint("starting", "a", launched_ms=env.now),)))
     counts: dict[str, int] = {}
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -123,7 +123,7 @@
                     and record.service_class.deduplication_scope is DeduplicationScope.ALL
                 )
                 assert record.service_class.effect is Effect.IDEMPOTENT or key_known_to_all, (
-                    "an untrue rejection"
+                    "a rejection although a retry is not safe"
                 )
             record.ended = True
         elif isinstance(action, Cancel):
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -1,7 +1,8 @@
 """Simulations of servers in slow start, which must not be overloaded by the sum of all balancers' requests.
 
-The work that arrives at a server in any window of `tipAfterMs` is compared with a budget: `overloadFactor`
-times the server's capacity in that window, plus 2 * sqrt(budget) + 2 requests for random variation.
+The work that arrives at a server in any window of `window_ms` (the simulator's `tipAfterMs`) is compared with
+a budget: `overload_factor` times the server's capacity in that window, plus 2 * sqrt(budget) + 2 requests
+for random variation.
 """
 
 from __future__ import annotations
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -238,7 +238,7 @@
     assert detector.ignored["absurd count"] == 1
 
 
-def test_large_count_jump_is_accepted_only_in_own_ack() -> None:
+def test_large_count_jump_is_accepted_only_in_ack_of_that_member() -> None:
     detector = make_detector(siblings=1)
     receive_updates(detector, MemberUpdate(2, 5000, MemberStatus.FAILED))
     assert detector.reachability()[2] is Reachability.ALIVE
@@ -363,7 +363,8 @@
     assert {report.incarnation for report in forwarded} == {1, 4}
 
 
-def test_reports_about_self_from_future_or_before_time_is_known_are_ignored() -> None:
+def test_quota_reports_about_self_or_without_known_time_are_ignored() -> None:
+    """Reports about the node itself or from the future are ignored; all are while service time is unknown."""
     detector = make_detector()
     reports = (
         QuotaReport(1, QuotaStatus.YIELDED, 9e5),
--- a/tests/membership/test_orders.py
+++ b/tests/membership/test_orders.py
@@ -118,17 +118,17 @@
         6,
         7_000,
     ),
-    "a member beside two groups, any fault": (
+    "two groups and a member without service, any fault": (
         lambda: settled(QuotaModel, 4, 1, WITH_SNAPSHOT, services=MEMBER_WITHOUT_SERVICE),
         6,
         6_000,
     ),
-    "two groups and a restart elsewhere": (
+    "two groups, restart in the other group, any fault": (
         lambda: settled(QuotaModel, 4, 1, WITH_SNAPSHOT, services=RESTART_IN_OTHER_GROUP),
         6,
         8_000,
     ),
-    "enrolling beside a group, two faults": (
+    "enrolling in a group and without service, two faults": (
         lambda: unenrolled(2, 2, WITH_SNAPSHOT, services=(("pay",), ("",))),
         7,
         12_000,
@@ -138,12 +138,12 @@
         25,
         500,
     ),
-    "beside two groups in rounds, a lasting fault": (
+    "two groups and a member without service in rounds, a lasting fault": (
         lambda: settled(RoundsModel, 4, 1, LASTING_FAULTS, services=MEMBER_WITHOUT_SERVICE),
         25,
         500,
     ),
-    "a restart elsewhere from a group of two, two faults": (
+    "group of two, restart in the other group, two faults": (
         lambda: settled(QuotaModel, 3, 2, frozenset(("send", "crash", "lead")), services=GROUP_LOSES_MEMBER),
         6,
         3_000,
@@ -153,7 +153,7 @@
         4,
         1_500,
     ),
-    "restarts elsewhere in rounds, two lasting faults": (
+    "restarts in the other group in rounds, two lasting faults": (
         lambda: settled(RoundsModel, 4, 2, LASTING_FAULTS, services=RESTART_IN_OTHER_GROUP),
         5,
         3_000,
@@ -168,7 +168,7 @@
         10_000,
     ),
     "three prepared, any fault": (lambda: settled_routes(3, 1, OperatorCommands(0), PREPARED), 6, 5_000),
-    "decided, an end and a late call": (
+    "decided, two faults: crashes or delayed calls": (
         lambda: settled_routes(2, 2, OperatorCommands(0), DECIDED, kinds=CRASH_AND_SEND),
         9,
         15_000,
@@ -228,7 +228,7 @@
 @pytest.mark.parametrize(
     "services",
     [TWO_GROUPS, MEMBER_WITHOUT_SERVICE, RESTART_IN_OTHER_GROUP],
-    ids=["two", "beside", "elsewhere"],
+    ids=["two groups", "member without service", "restart in other group"],
 )
 def test_service_quotas_stay_within_bound_on_long_random_runs(services: tuple[tuple[str, ...], ...]) -> None:
     for kind in (QuotaModel, RoundsModel):
@@ -332,7 +332,7 @@
     assert result.violation is not None
     monkeypatch.undo()
     assert explore(start(), check, len(result.trace)).violation is None, (
-        "the correct implementation violates the check there"
+        "the correct implementation violates the check too"
     )
 
 
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -407,13 +407,13 @@
 class Process:
     """A simulated process of a node; its local clock is true time plus `skew`."""
 
-    index: int  # of the node
+    index: int  # index of its node
     skew: float
     disk: dict[int, str]
     participant: RouteParticipant = field(default_factory=lambda: RouteParticipant(("read", "write"), BOUND))
     incarnation: int | None = None
     paused: bool = False
-    followed: bool = False  # at the last check
+    followed: bool = False  # whether it followed at the last check
 
 
 class Fleet:
@@ -429,7 +429,7 @@
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = count()
         self.coordinator, self.switches, self.expirations = ActivationCoordinator(), 0, 0
-        self.leases: dict[int, float] = {}  # by incarnation: when it expires at the leader
+        self.leases: dict[int, float] = {}  # by incarnation: when the lease expires at the leader
         self.expired: set[int] = set()
         self.partitioned_until = [0.0, 0.0, 0.0]  # by node: its calls are lost until then
         self.nodes = [self.start_process(index, {}) for index in range(3)]
--- a/tests/staleness/test_staleness.py
+++ b/tests/staleness/test_staleness.py
@@ -273,7 +273,7 @@
 
 
 def report_with(path: tuple[int, ...], value: object) -> list[object]:
-    """A valid report with `value` at the position that the indices in `path` lead to."""
+    """Return a valid report with `value` at the position given by the indices in `path`."""
     report = parent = valid_report()
     for index in path[:-1]:
         parent = parent[index]
@@ -341,7 +341,7 @@
         return self.tracker.edge_statuses(self.now)[0].reason
 
 
-def test_confidence_rises_with_responses_and_falls_without_by_single_levels():
+def test_confidence_rises_and_falls_one_level_at_a_time():
     ticker = Ticker()
     ticker.run(UPDATE_MS)
     assert (ticker.changes, ticker.reason()) == ([Confidence.NONE], "unheard")
@@ -443,7 +443,7 @@
     assert (ticker.level, ticker.reason()) == (Confidence.MEDIUM, "missing-for-sibling")
 
 
-def test_unconfirmed_list_and_list_behind_lower_level():
+def test_outdated_or_unconfirmed_endpoint_list_lowers_level():
     ticker = Ticker()
     ticker.run(3000.0, gap=UPDATE_MS)
     sibling = table_of("s")
