--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -296,4 +296,4 @@
 
 
 def count_rejection_lines(fleet: Fleet) -> int:
-    return len(fleet.nodes[0].lines("members: call rejected"))
+    return len(fleet.nodes[0].log_lines("members: call rejected"))
--- a/tests/node/admin/test_admin_server.py
+++ b/tests/node/admin/test_admin_server.py
@@ -14,15 +14,15 @@
 from loadbalancer.node.config import parse_config
 from loadbalancer.node.node import Node
 from tests.support.loopback import (
-    Caller,
-    Held,
+    BlockedServer,
+    Client,
     Message,
-    Peer,
-    config_row,
+    StubServer,
+    config_document,
+    loopback_node,
     read_message,
     request,
-    running,
-    until,
+    wait_until,
 )
 from tests.support.raw_clients import DISCONNECTS, Disconnect
 
@@ -49,9 +49,9 @@
 
 def test_status_is_200_only_with_an_endpoint():
     async def main():
-        async with running(**ADMIN_SETTINGS) as node:
+        async with loopback_node(**ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 503
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "GET", "/status") == 200
 
     asyncio.run(main())
@@ -59,7 +59,7 @@
 
 def test_node_without_admin_address_has_no_admin_server():
     async def main():
-        async with running(Peer()) as node:
+        async with loopback_node(StubServer()) as node:
             with pytest.raises(AssertionError):
                 _ = node.admin_server.address
 
@@ -80,7 +80,7 @@
 )
 def test_request_gets_expected_status(data, expected):
     async def main():
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             assert (await send_request(node, data)).status == expected
 
     asyncio.run(main())
@@ -118,7 +118,7 @@
         await server.open(("127.0.0.1", 0))
         client.connect(server.address)
         client.sendall(encode_request("GET", "/left"))
-        await until(lambda: disconnects and not server._connections)
+        await wait_until(lambda: disconnects and not server._connections)
         server.close()
         client.close()
 
@@ -128,7 +128,7 @@
 
 def test_incomplete_requests_do_not_block_others_and_time_out(monkeypatch):
     async def main():
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             idle = [
                 await asyncio.open_connection(*node.admin_server.address) for _ in range(MAX_CONNECTIONS + 4)
             ]
@@ -147,7 +147,7 @@
     async def main():
         other = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         with pytest.raises(OSError, match="address already in use"):
-            async with running(Peer(), operator=f"127.0.0.1:{other.sockets[0].getsockname()[1]}"):
+            async with loopback_node(StubServer(), operator=f"127.0.0.1:{other.sockets[0].getsockname()[1]}"):
                 pass
         other.close()
 
@@ -155,7 +155,7 @@
 
 
 def test_admin_address_of_environment_overrides_file_and_is_validated():
-    config = orjson.dumps(config_row("127.0.0.1:1", operator="127.0.0.1:7"))
+    config = orjson.dumps(config_document("127.0.0.1:1", operator="127.0.0.1:7"))
     assert parse_config(config).admin_address == ("127.0.0.1", 7)
     assert parse_config(config, {"PROXY_OPERATOR": "127.0.0.1:8"}).admin_address == ("127.0.0.1", 8)
     with pytest.raises(ValueError, match="'nowhere' is not an address"):
@@ -164,54 +164,54 @@
 
 def test_standby_rejects_new_closes_idle_and_finishes_in_flight_requests():
     async def main():
-        server = Held()
-        async with running(server, **ADMIN_SETTINGS) as node:
-            idle, busy = await Caller.to(node), await Caller.to(node)
-            assert (await idle.ask(UP)).status == 200
+        server = BlockedServer()
+        async with loopback_node(server, **ADMIN_SETTINGS) as node:
+            idle, busy = await Client.connect(node), await Client.connect(node)
+            assert (await idle.exchange(UP)).status == 200
             busy.writer.write(request())
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             assert await status(node, "PUT", "/standby") == 200
             assert await status(node, "PUT", "/standby") == 200  # a repetition has no effect
             assert await status(node, "GET", "/status") == 503
             assert await idle.reader.read() == b""
-            late = await Caller.to(node)
-            response = await late.ask(UP)
+            late = await Client.connect(node)
+            response = await late.exchange(UP)
             assert (response.status, response.headers["connection"]) == (503, "close")
             server.release.set()
-            response = await busy.answer()
+            response = await busy.read_response()
             assert (response.status, response.headers["connection"]) == (200, "close")
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
 
     asyncio.run(main())
 
 
 def test_active_ends_standby_and_connections_stay_open():
     async def main():
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             await status(node, "PUT", "/standby")
             assert await status(node, "PUT", "/active") == 200
             assert await status(node, "GET", "/status") == 200
-            client = await Caller.to(node)
-            assert (await client.ask(UP)).status == 200
+            client = await Client.connect(node)
+            assert (await client.exchange(UP)).status == 200
             assert node.listener._drain_timer is None  # would close the connection
-            assert (await client.ask(request())).status == 200
+            assert (await client.exchange(request())).status == 200
 
     asyncio.run(main())
 
 
 def test_active_is_rejected_while_node_stops():
     async def main():
-        server = Held()
-        async with running(server, **ADMIN_SETTINGS) as node:
-            client = await Caller.to(node)
+        server = BlockedServer()
+        async with loopback_node(server, **ADMIN_SETTINGS) as node:
+            client = await Client.connect(node)
             client.writer.write(request())
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             stopping = asyncio.create_task(node.stop())
-            await until(lambda: node.stopping)
+            await wait_until(lambda: node.stopping)
             assert await status(node, "PUT", "/active") == 503
             assert await status(node, "GET", "/status") == 503
             server.release.set()
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             await stopping
 
     asyncio.run(main())
--- a/tests/node/admin/test_metrics.py
+++ b/tests/node/admin/test_metrics.py
@@ -13,16 +13,16 @@
 from loadbalancer.node.node import Node
 from tests.node.admin.test_admin_server import ADMIN_SETTINGS, encode_request, send_request, status
 from tests.support.loopback import (
-    Caller,
-    Held,
-    Peer,
-    Scripted,
-    ask,
-    config_row,
-    reply,
+    BlockedServer,
+    Client,
+    ScriptedBalancer,
+    StubServer,
+    config_document,
+    exchange,
+    http_response,
+    loopback_node,
     request,
-    running,
-    until,
+    wait_until,
 )
 
 
@@ -57,12 +57,12 @@
 
 def test_reloads_are_counted_by_success_and_failure(tmp_path, monkeypatch):
     async def main():
-        async with running(Peer(), **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(), **ADMIN_SETTINGS) as node:
             path = tmp_path / "config.json"
             monkeypatch.setenv("PROXY_CONFIG", str(path))
             path.write_text("{")
             reload(node)
-            path.write_bytes(orjson.dumps(config_row("127.0.0.1:1")))
+            path.write_bytes(orjson.dumps(config_document("127.0.0.1:1")))
             reload(node)
             reload(node)
             metrics = await read_metrics(node)
@@ -74,13 +74,13 @@
 def test_responses_of_server_and_node_are_counted_by_class_and_kind():
     async def main():
         async def script(message):
-            return reply(200 if message.headers["req-id"].startswith("q") else 500)
+            return http_response(200 if message.headers["req-id"].startswith("q") else 500)
 
-        async with running(Peer(script), settings={"tier": 1}, **ADMIN_SETTINGS) as node:
+        async with loopback_node(StubServer(script), settings={"tier": 1}, **ADMIN_SETTINGS) as node:
             for at in range(3):
-                assert (await ask(node, request(name=f"q{at}"))).status == 200
-            assert (await ask(node, request("post", name="x"))).status == 502
-            assert (await ask(node, b"GET /nothing HTTP/1.1\r\nReq-Id: z\r\n\r\n")).status == 404
+                assert (await exchange(node, request(name=f"q{at}"))).status == 200
+            assert (await exchange(node, request("post", name="x"))).status == 502
+            assert (await exchange(node, b"GET /nothing HTTP/1.1\r\nReq-Id: z\r\n\r\n")).status == 404
             metrics = await read_metrics(node)
             assert metrics["replies.read.success"] == 3
             assert metrics["replies.post.error"] == 1
@@ -92,19 +92,19 @@
 
 def test_rejections_by_balancer_and_request_limit_count_as_overload():
     async def main():
-        server = Held()
-        async with running(server, bounds={"maxOpen": 1}, **ADMIN_SETTINGS) as node:
-            client = await Caller.to(node)
+        server = BlockedServer()
+        async with loopback_node(server, bounds={"maxOpen": 1}, **ADMIN_SETTINGS) as node:
+            client = await Client.connect(node)
             client.writer.write(request(name="held"))
-            await until(lambda: server.seen)
-            assert (await ask(node, request("post", name="more"))).status == 503
+            await wait_until(lambda: server.seen)
+            assert (await exchange(node, request("post", name="more"))).status == 503
             assert (await read_metrics(node))["replies.post.overload"] == 1
             server.release.set()
-            await client.answer()
-            node.driver.balancer = Scripted(
+            await client.read_response()
+            node.driver.balancer = ScriptedBalancer(
                 lambda event: [Reject("no")] if isinstance(event, Request) else []
             )
-            assert (await ask(node, request(name="no"))).status == 503
+            assert (await exchange(node, request(name="no"))).status == 503
             assert (await read_metrics(node))["replies.read.overload"] == 1
 
     asyncio.run(main())
@@ -112,18 +112,18 @@
 
 def test_concurrent_and_targets_show_current_values():
     async def main():
-        server = Held()
-        async with running(server, Peer(), **ADMIN_SETTINGS) as node:
+        server = BlockedServer()
+        async with loopback_node(server, StubServer(), **ADMIN_SETTINGS) as node:
             assert await status(node, "PUT", "/maintenance/enter", b"s1") == 200
-            clients = [await Caller.to(node) for _ in range(3)]
+            clients = [await Client.connect(node) for _ in range(3)]
             for index, client in enumerate(clients):
                 client.writer.write(request(name=f"q{index}"))
-            await until(lambda: len(server.seen) == 3)
+            await wait_until(lambda: len(server.seen) == 3)
             metrics = await read_metrics(node)
             assert (metrics["concurrent"], metrics["targets"], metrics["targets_disabled"]) == (3, 2, 1)
             server.release.set()
             for client in clients:
-                await client.answer()
+                await client.read_response()
             assert await status(node, "PUT", "/maintenance/exit", b"s1") == 200
             metrics = await read_metrics(node)
             assert (metrics["concurrent"], metrics["targets"], metrics["targets_disabled"]) == (0, 2, 0)
@@ -133,11 +133,11 @@
 
 def test_attempt_without_connection_is_not_counted_as_dispatch():
     async def main():
-        closed = Peer()
-        async with running(closed, **ADMIN_SETTINGS) as node:
+        closed = StubServer()
+        async with loopback_node(closed, **ADMIN_SETTINGS) as node:
             closed._server.close()
             await closed._server.wait_closed()
-            assert (await ask(node, request(name="q"))).status == 503
+            assert (await exchange(node, request(name="q"))).status == 503
             assert (await read_metrics(node))["dispatches"] == 0
 
     asyncio.run(main())
--- a/tests/node/listener/test_connection_states.py
+++ b/tests/node/listener/test_connection_states.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.listener.flow_control import LINGER_S, MAX_LINGER_S, WRITE_STALL_TIMEOUT_S
-from tests.support.loopback import Held, Peer, request, running, until
+from tests.support.loopback import BlockedServer, StubServer, loopback_node, request, wait_until
 from tests.support.raw_clients import (
     DISCONNECTS,
     RESPONSE_BODY,
@@ -27,18 +27,18 @@
 @pytest.mark.parametrize("pending", ["nothing", "second request", "long body"])
 def test_disconnect_is_detected_before_the_loop_delivers_it(disconnect: Disconnect, pending: str):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with loopback_node(server) as node:
             client = connect(node)
             if pending == "long body":  # the server reads none of it
                 client.sendall(request("post", "q1", bytes(4 * HIGH_WATER_BYTES))[: -2 * HIGH_WATER_BYTES])
             else:
                 client.sendall(request(name="q1"))
-            await until(lambda: node.request_registry.active)
+            await wait_until(lambda: node.request_registry.active)
             (active,) = node.request_registry.active.values()
             if pending == "second request":
                 client.sendall(request(name="q2") + b"GET /half")
-                await until(lambda: not active.inbound.connection._transport.is_reading())
+                await wait_until(lambda: not active.inbound.connection._transport.is_reading())
                 client.sendall(b"unread")
             assert not active.inbound.connection.disconnected
             disconnect(client)
@@ -51,17 +51,17 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_disconnect_is_detected_while_reading_is_paused(disconnect: Disconnect):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(request(name="q1") + request(name="q2"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (active,) = node.request_registry.active.values()
             assert not active.inbound.connection._transport.is_reading()
             client.sendall(request(name="q3"))
             disconnect(client)
             active.inbound.connection.sweep(node.loop.time())
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             assert (
                 node.event_counts["client disconnects"],
                 node.request_registry.unanswered,
@@ -79,12 +79,12 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_disconnects_during_shutdown_do_not_affect_responses_of_others(disconnect: Disconnect):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with loopback_node(server) as node:
             clients = [connect(node) for _ in range(5)]
             for at, client in enumerate(clients):
                 client.sendall(request(name=f"q{at}"))
-            await until(lambda: len(server.seen) == len(clients))
+            await wait_until(lambda: len(server.seen) == len(clients))
             node.listener.drain()
             for client in clients[:-1]:
                 disconnect(client)  # the loop doesn't run before the responses
@@ -92,7 +92,7 @@
             assert clients[-1].recv(12) == b"HTTP/1.1 504"
             assert node.request_registry.unanswered == 0
             # The last client's connection lingers until it has read its response.
-            await until(lambda: len(node.listener.connections) == 1)
+            await wait_until(lambda: len(node.listener.connections) == 1)
             for client in clients:
                 client.close()
 
@@ -102,11 +102,11 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_disconnect_just_before_the_last_response_releases_all_resources(disconnect: Disconnect):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(request(name="q1"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (active,) = node.request_registry.active.values()
             node.listener.drain()
             on_result, disconnected = active.attempts[0]._on_result, []
@@ -117,7 +117,7 @@
 
             active.attempts[0]._on_result = disconnect_first
             server.release.set()
-            await until(lambda: disconnected)
+            await wait_until(lambda: disconnected)
             assert not node.request_registry.active
             assert node.driver.balancer.endpoints["s0"].in_flight == 0.0
             assert node.pool.connection_count == 1
@@ -130,11 +130,11 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_queued_requests_are_not_started_after_their_client_disconnected(disconnect: Disconnect, first: str):
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(b"".join(request(name=f"q{at}") for at in range(50)))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (active,) = node.request_registry.active.values()
             body = Body(NullSource())
             if first == "streamed response":
@@ -146,7 +146,7 @@
                 body.end()
             else:
                 node.request_registry.respond(active, 200, b"done")
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             assert node.event_counts["requests"] == 1
             if disconnect is half_close:
                 assert (await read_until_close(client)).count(b"HTTP/1.1 400 ") == 1
@@ -161,15 +161,15 @@
     disconnect: Disconnect, count: int
 ):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with loopback_node(server) as node:
             client = connect(node)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             client.sendall(b"".join(request(name=f"q{at}") for at in range(count)))
             disconnect(client)
             if disconnect is half_close:
                 assert (await read_until_close(client)).startswith(b"HTTP/1.1 400 ")
-            await until(lambda: not node.listener.connections and not node.request_registry.active)
+            await wait_until(lambda: not node.listener.connections and not node.request_registry.active)
             assert node.metrics.attempts_sent == server.connections == 0
             assert node.event_counts["requests"] <= 1
 
@@ -178,7 +178,7 @@
 
 def test_readiness_check_with_half_close_gets_200():
     async def main():
-        async with running(Peer()) as node:
+        async with loopback_node(StubServer()) as node:
             client = connect(node)
             client.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             half_close(client)
@@ -190,7 +190,7 @@
 @pytest.mark.parametrize("sent", [request("post", "q1", b"body")[:-1], request(name="q1")[:-1], b"G"])
 def test_half_close_within_a_request_gets_400_and_starts_nothing(sent: bytes):
     async def main():
-        async with running(Peer()) as node:
+        async with loopback_node(StubServer()) as node:
             client = connect(node)
             client.sendall(sent)
             half_close(client)
@@ -202,32 +202,32 @@
 
 def test_half_close_after_a_request_ends_it_at_once_with_400():
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(request(name="q1"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (active,) = node.request_registry.active.values()
             half_close(client)
             active.inbound.connection.eof_received()  # as the loop will call it
             assert (active.answered, node.event_counts["client disconnects"]) == (True, 1)
             assert (await read_until_close(client)).startswith(b"HTTP/1.1 400 ")
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
 
     asyncio.run(main())
 
 
 def test_half_close_ends_a_request_while_the_previous_response_is_unsent():
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with loopback_node(server) as node:
             client, _ = await start_slow_reader(node, server)
-            blocking = Held()
+            blocking = BlockedServer()
             server.script = blocking.script
             client.sendall(request(name="q2"))
-            await until(lambda: len(server.seen) == 2)
+            await wait_until(lambda: len(server.seen) == 2)
             half_close(client)
-            await until(lambda: node.event_counts["client disconnects"])
+            await wait_until(lambda: node.event_counts["client disconnects"])
             assert b"HTTP/1.1 400 " in (await read_until_close(client)).partition(RESPONSE_BODY)[2]
 
     asyncio.run(main())
@@ -235,11 +235,11 @@
 
 def test_half_close_during_a_streamed_response_does_not_truncate_it():
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with loopback_node(server) as node:
             client = connect(node)
             client.sendall(request(name="q1"))
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (active,) = node.request_registry.active.values()
             body = Body(NullSource())
             node.request_registry.begin_stream(active, len(RESPONSE_BODY), body)
@@ -247,11 +247,11 @@
             eof_calls, eof_received = [], active.inbound.connection.eof_received
             active.inbound.connection.eof_received = lambda: eof_calls.append(True) or eof_received()
             half_close(client)
-            await until(lambda: eof_calls)
+            await wait_until(lambda: eof_calls)
             body.feed(RESPONSE_BODY[1000:])
             body.end()
             assert (await read_until_close(client)).endswith(RESPONSE_BODY)
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             assert not node.request_registry.streaming
 
     asyncio.run(main())
@@ -262,8 +262,8 @@
 
 def test_connection_is_not_idle_until_its_response_is_sent():
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with loopback_node(server) as node:
             client, connection = await start_slow_reader(node, server)
             assert not connection.idle
             assert not connection.close_if_idle()
@@ -275,15 +275,15 @@
 
 def test_last_response_is_not_dropped_while_its_client_reads():
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with loopback_node(server) as node:
             client, connection = await start_slow_reader(node, server, Connection="close")
             connection.sweep(node.loop.time() + MAX_LINGER_S)  # would close it if the response had been sent
             response = await read_until_close(client, close=False)
             assert response.endswith(RESPONSE_BODY)
             assert node.listener.connections  # lingering
             connection.sweep(node.loop.time() + LINGER_S)
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             client.close()
 
     asyncio.run(main())
@@ -292,8 +292,8 @@
 @pytest.mark.parametrize("headers", [{}, {"Connection": "close"}])
 def test_client_that_stops_reading_its_response_is_disconnected(headers):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with loopback_node(server) as node:
             client, connection = await start_slow_reader(node, server, **headers)
             now = node.loop.time() + 1.0
             connection.sweep(now)
@@ -306,7 +306,7 @@
             await asyncio.sleep(0)
             assert node.listener.connections
             connection.sweep(now + 2 * WRITE_STALL_TIMEOUT_S)
-            await until(lambda: not node.listener.connections)
+            await wait_until(lambda: not node.listener.connections)
             client.close()
 
     asyncio.run(main())
--- a/tests/node/listener/test_partial_requests.py
+++ b/tests/node/listener/test_partial_requests.py
@@ -11,7 +11,16 @@
 
 from loadbalancer.node.node import Node
 from tests.support.clocks import run
-from tests.support.loopback import Held, Message, Peer, reply, request, running, targets, until
+from tests.support.loopback import (
+    BlockedServer,
+    Message,
+    StubServer,
+    http_response,
+    loopback_node,
+    request,
+    targets,
+    wait_until,
+)
 from tests.support.raw_clients import connect
 
 DEADLINE_S = 1.0
@@ -29,14 +38,14 @@
 
         async def hang_after_first(message: Message) -> bytes:
             await (respond_to_first if message.headers["req-id"] == "q0" else asyncio.Event()).wait()
-            return reply()
+            return http_response()
 
-        server = Peer(hang_after_first)
-        async with running(server) as node:
+        server = StubServer(hang_after_first)
+        async with loopback_node(server) as node:
             client, loop = connect(node), asyncio.get_running_loop()
             client.setblocking(False)
             await loop.sock_sendall(client, REQUESTS[:FIRST_PART])
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             (connection,) = node.listener.connections
             assert not connection._transport.is_reading()
             await loop.sock_sendall(client, REQUESTS[FIRST_PART:])
@@ -58,19 +67,19 @@
 
 def test_request_that_arrives_after_reading_resumed_has_its_full_timeout():
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with loopback_node(server) as node:
             client, loop = connect(node), asyncio.get_running_loop()
             client.setblocking(False)
             await loop.sock_sendall(client, REQUESTS[:FIRST_PART])
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             await asyncio.sleep(0.8 * DEADLINE_S)
             server.release.set()  # reading resumes with nothing unread; the rest is sent later
-            await until(lambda: node.event_counts["responses 200"])
+            await wait_until(lambda: node.event_counts["responses 200"])
             (connection,) = node.listener.connections
-            await until(connection._transport.is_reading)
+            await wait_until(connection._transport.is_reading)
             await loop.sock_sendall(client, REQUESTS[FIRST_PART:])
-            await until(lambda: len(server.seen) == 4)
+            await wait_until(lambda: len(server.seen) == 4)
             assert int(server.seen[1].headers["req-deadline-ms"]) > 950
             client.close()
 
@@ -89,7 +98,7 @@
     loop = asyncio.get_running_loop()
     client.setblocking(False)
     await loop.sock_sendall(client, LONG[:PART])
-    await until(lambda: node.request_registry.active)
+    await wait_until(lambda: node.request_registry.active)
     await loop.sock_sendall(client, LONG[PART:])
 
 
@@ -102,8 +111,8 @@
     """Regression: the timeout started when the last byte was read, so the response came 0.8 s too late."""
 
     async def main():
-        server = Held()
-        async with running(server) as node:
+        server = BlockedServer()
+        async with loopback_node(server) as node:
             open_connection = node.pool.open_connection
 
             async def open_late(endpoint):
@@ -140,7 +149,7 @@
         with contextlib.suppress(TimeoutError):  # until no more data arrives
             while await asyncio.wait_for(reader.read(1024), 0.05):
                 pass
-        writer.write(reply())
+        writer.write(http_response())
 
     @contextlib.asynccontextmanager
     async def running_node(self) -> AsyncIterator[Node]:
@@ -150,7 +159,7 @@
         sock.bind(("127.0.0.1", 0))
         server = await asyncio.start_server(self._serve, sock=sock, limit=1024)
         endpoint = f"127.0.0.1:{sock.getsockname()[1]}"
-        async with running(known=targets(s0=(endpoint, "Ready"))) as node:
+        async with loopback_node(known=targets(s0=(endpoint, "Ready"))) as node:
             open_connection = node.pool.open_connection
 
             async def open_with_small_buffer(endpoint):
--- a/tests/node/test_long_responses.py
+++ b/tests/node/test_long_responses.py
@@ -12,7 +12,7 @@
 from loadbalancer.node.node import Node
 from loadbalancer.node.upstream.attempt import STREAM_IDLE_TIMEOUT_S
 from tests.support.clocks import run
-from tests.support.loopback import SETTINGS, request, running, targets, until
+from tests.support.loopback import SETTINGS, loopback_node, request, targets, wait_until
 from tests.support.raw_clients import connect
 
 DEADLINE_S = 1.0
@@ -50,7 +50,7 @@
     async def running_node(self, **more: Any) -> AsyncIterator[Node]:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         endpoint = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with running(known=targets(s0=(endpoint, "Ready")), **more) as node:
+        async with loopback_node(known=targets(s0=(endpoint, "Ready")), **more) as node:
             yield node
         server.close()
 
@@ -81,7 +81,7 @@
             assert DEADLINE_S < duration_s < DEADLINE_S + LATE_S
             assert b" 200 " in read
             assert not read.endswith(b"0\r\n\r\n")  # no regular end
-            await until(lambda: server.disconnects and not node.pool.connection_count)
+            await wait_until(lambda: server.disconnects and not node.pool.connection_count)
             assert node.request_registry.streaming == 0
             assert node.event_counts["aborted streams"] == 1
 
--- a/tests/node/upstream/test_pooled.py
+++ b/tests/node/upstream/test_pooled.py
@@ -11,7 +11,7 @@
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER_BYTES, Body
 from loadbalancer.node.http.client_connection import ClientConnection
-from tests.support.loopback import reply, until
+from tests.support.loopback import http_response, wait_until
 from tests.support.pool_environment import (
     LARGE_SIZE,
     REQUEST,
@@ -38,14 +38,14 @@
             assert sink.size
             sink.body.resume()  # the client has read the first part
             server.sendall(b"x")
-            await until(lambda: sink.calls == ["end"])
+            await wait_until(lambda: sink.calls == ["end"])
             assert sink.size == HIGH_WATER_BYTES + 1
             (connection,) = env.idle
             assert connection._transport.is_reading()
             connection.idle_since -= 1.0
             env.send()
             assert await receive(server) == REQUEST
-            server.sendall(reply())
+            server.sendall(http_response())
             assert await env.wait_for_results(2) == [AttemptResult.OK, AttemptResult.OK]
 
     asyncio.run(main())
@@ -62,16 +62,16 @@
             server, connection = await env.open_idle()
             perform(server, action, connection)
             if delivered:
-                await until(lambda: not env.pool.connection_count)
+                await wait_until(lambda: not env.pool.connection_count)
             env.send()
             second = await env.accept()
             assert await receive(second) == REQUEST
-            second.sendall(reply())
+            second.sendall(http_response())
             assert await env.wait_for_results() == [AttemptResult.OK]
             assert env.responses[0].body == b"done"
             if action in ("partial response", "second response"):  # the first connection got no request
                 assert await receive(server) == b""
-            await until(lambda: env.pool.connection_count == 1)
+            await wait_until(lambda: env.pool.connection_count == 1)
 
     asyncio.run(main())
 
@@ -97,9 +97,9 @@
 
             env.pool.start_attempt("s", encode_request, 20.0, lambda result, _: env.results.append(result))
             if action == "partial response":
-                server.sendall(reply())
+                server.sendall(http_response())
             assert await env.wait_for_results() == [expected]
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
@@ -114,7 +114,7 @@
             if action == "partial response":
                 close_socket(server, reset=True)
             assert await env.wait_for_results() == [AttemptResult.RESET]
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
@@ -136,7 +136,7 @@
             monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
             env.send()
             assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
             if action in ("partial response", "second response"):
                 assert await receive(env.servers[0]) == b""
 
@@ -160,7 +160,7 @@
             assert await env.wait_for_results() == [
                 AttemptResult.CONNECT_FAILED if action == "remove" else AttemptResult.CANCELLED
             ]
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
             assert await receive(server) == b""
 
     asyncio.run(main())
@@ -182,7 +182,7 @@
                 size += len(data)
             assert size < LARGE_SIZE
             assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
@@ -192,13 +192,13 @@
         async with pool_environment() as env:
             env.send(data=bytes(LARGE_SIZE), body=Body(source := RecordingSource()))
             server = await env.accept()
-            await until(lambda: source.calls)
+            await wait_until(lambda: source.calls)
             assert source.calls == ["pause"]
             size = 0
             while size < LARGE_SIZE and (data := await receive(server, 1_000_000)):
                 size += len(data)
             assert size == LARGE_SIZE
-            await until(lambda: source.calls[-1] == "resume")
+            await wait_until(lambda: source.calls[-1] == "resume")
 
     asyncio.run(main())
 
@@ -212,16 +212,16 @@
             server, connection = await env.open_idle()
             env.send(body=(body := Body(RecordingSource())))
             assert await receive(server) == REQUEST
-            response = reply(200, b"stray")
+            response = http_response(200, b"stray")
             server.sendall(response[:-1] if body_ends == "before" else response)
-            await until(lambda: connection.last_data_at > connection.upload_progress_at or env.results)
+            await wait_until(lambda: connection.last_data_at > connection.upload_progress_at or env.results)
             body.feed(b"x")
             body.end()
             if body_ends == "before":
                 with contextlib.suppress(OSError):
                     server.sendall(response[-1:])
             assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
@@ -232,13 +232,13 @@
             env.send(body=(body := Body(source := RecordingSource())))
             server = await env.accept()
             assert await receive(server) == REQUEST
-            server.sendall(reply(503, Srv_Declined="1"))
+            server.sendall(http_response(503, Srv_Declined="1"))
             assert await env.wait_for_results() == [AttemptResult.REJECTED]
             body.feed(b"x")
             body.end()
             assert await receive(server) == b""
             assert "abandon" not in source.calls  # a retry can replay the body
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
@@ -268,11 +268,11 @@
             server = await env.accept()
             assert await receive(server) == REQUEST
             (connection,) = env.pool._connections
-            server.sendall(reply(500))
+            server.sendall(http_response(500))
             perform(server, "reset", connection)
             body.feed(b"x")  # the write fails, which also discards the unread response
             body.end()
             assert await env.wait_for_results() == [AttemptResult.CONNECT_FAILED]
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
--- a/tests/node/upstream/test_pooled_responses.py
+++ b/tests/node/upstream/test_pooled_responses.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.node.http.body import HIGH_WATER_BYTES
-from tests.support.loopback import reply, until
+from tests.support.loopback import http_response, wait_until
 from tests.support.pool_environment import (
     PARTIAL_HEAD,
     REQUEST,
@@ -36,8 +36,8 @@
         (WITH_LENGTH + b"done", AttemptResult.OK, AttemptResult.OK),
         (CHUNKED + b"4\r\ndone\r\n0\r\n\r\n", AttemptResult.OK, AttemptResult.OK),
         (WITH_LENGTH + b"done" + PARTIAL_HEAD, AttemptResult.OK, AttemptResult.OK),
-        (WITH_LENGTH + b"done" + reply(500), AttemptResult.OK, AttemptResult.OK),
-        (reply(503, b"x" * 5, Srv_Declined="1"), AttemptResult.REJECTED, AttemptResult.REJECTED),
+        (WITH_LENGTH + b"done" + http_response(500), AttemptResult.OK, AttemptResult.OK),
+        (http_response(503, b"x" * 5, Srv_Declined="1"), AttemptResult.REJECTED, AttemptResult.REJECTED),
         (
             b"HTTP/1.1 100 Continue\r\n\r\n" + EARLY_HINTS * 3 + WITH_LENGTH + b"done",
             AttemptResult.OK,
@@ -78,7 +78,7 @@
             server.sendall(response)
             perform(server, "reset" if reset else "close", connection)
             assert await env.wait_for_results() == [after_reset if reset else after_close]
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
             assert not env.idle
 
     asyncio.run(main())
@@ -102,11 +102,11 @@
             perform(server, "reset", connection)
             assert sink.calls == []
             sink.body.resume()
-            await until(lambda: sink.size == HIGH_WATER_BYTES + 2)  # the byte sent before the reset
+            await wait_until(lambda: sink.size == HIGH_WATER_BYTES + 2)  # the byte sent before the reset
             sink.body.resume()
-            await until(lambda: sink.calls == ["fail"])
+            await wait_until(lambda: sink.calls == ["fail"])
             assert env.results == [AttemptResult.OK]
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
@@ -121,7 +121,7 @@
             assert await receive(server) == REQUEST
             size = HIGH_WATER_BYTES + 1
             server.sendall(CHUNKED + b"%x\r\n" % size + bytes(size - 10))
-            await until(lambda: connection._body_size == size - 10)
+            await wait_until(lambda: connection._body_size == size - 10)
             server.sendall(bytes(10) + b"\r\nno length\r\n")
             assert await env.wait_for_results() == [AttemptResult.RESET]
             assert env.pool.malformed_responses == 1
@@ -174,7 +174,7 @@
                 assert sent < 2_000_000
             else:
                 assert loop.time() - started_at >= 0.5
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
 
@@ -200,6 +200,6 @@
             server.sendall(part)
             assert await env.wait_for_results() == [AttemptResult.TIMEOUT]
             assert await receive(server) == b""
-            await until(lambda: not env.pool.connection_count)
+            await wait_until(lambda: not env.pool.connection_count)
 
     asyncio.run(main())
