--- a/tests/fleet/test_groups_small.py
+++ b/tests/fleet/test_groups_small.py
@@ -85,7 +85,7 @@
         until_samples(sampler, 20)
         for index, quota in ((ALONE, 1.0), (FIRST, 0.5), (SECOND, 0.5)):
             assert quotas(sampler.samples[index]) == {quota}
-        fleet.net.cut(*((index,) for index in PAIR))
+        fleet.net.partition(*((index,) for index in PAIR))
         fleet.wait_until_all("quota yielded by the younger node", has_quota(0.0), younger)
         until_samples(sampler, 20)
         assert quotas(sampler.samples[older]) == {0.5}
@@ -94,7 +94,7 @@
 
 def test_pair_with_link_fault_keeps_quotas_while_attached(fleet: Fleet) -> None:
     with fleet.under_load() as sampler:
-        fleet.net.cut(*((index,) for index in PAIR))
+        fleet.net.partition(*((index,) for index in PAIR))
         fleet.wait_until_all(
             "neither node of the pair present at the other",
             lambda status: "present" not in sibling_verdicts(status),
--- a/tests/node/listener/test_descriptor_limits.py
+++ b/tests/node/listener/test_descriptor_limits.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from tests.node.test_restarts import UP, connect, frozen, status
+from tests.node.test_restarts import UP, connect, paused, read_status
 from tests.support.faults import LoopThread
-from tests.support.loopback import Caller, Discovery, Peer, listing, request, running
+from tests.support.loopback import Client, Discovery, StubServer, list_response, loopback_node, request
 from tests.support.node_processes import Node
 from tests.support.registry_processes import ROOT, until
 from tests.support.stub_servers import StubServerPool
@@ -46,7 +46,7 @@
 def connect_many(node: Node, count: int, data: bytes) -> Iterator[list[socket.socket]]:
     """Open `count` idle client connections at once, each of which has sent `data`."""
     with contextlib.ExitStack() as stack:
-        with frozen(node):
+        with paused(node):
             clients = [stack.enter_context(connect(node)) for _ in range(count)]
             for client in clients:
                 client.sendall(data)
@@ -71,16 +71,16 @@
         with connect_many(node, sockets + 40, data):
             with connect(node) as client:
                 client.sendall(UP)
-                assert status(client) == 200
-            discovery.news = [listing(2, True, s0=(f"127.0.0.1:{servers.port()}", "Ready"))]
+                assert read_status(client) == 200
+            discovery.responses = [list_response(2, True, s0=(f"127.0.0.1:{servers.port()}", "Ready"))]
             loops.run(discovery.start(port))
             until(lambda: len(discovery.seen) > 1, what="the endpoint list read and polled again")
             with connect(node) as client:
                 client.sendall(request(name="served"))
-                assert status(client) == 200
+                assert read_status(client) == 200
         assert node.process is not None
         assert node.process.poll() is None
-        assert not node.lines("Too many open files")
+        assert not node.log_lines("Too many open files")
     finally:
         node.kill()
         loops.call(discovery.stop)
@@ -92,9 +92,9 @@
     """The platform's descriptor limit is lower than the configured one."""
 
     async def main() -> None:
-        async with asyncio.timeout(20), running(Peer()) as node:
-            idle = await Caller.to(node)
-            assert (await idle.ask(UP)).status == 200
+        async with asyncio.timeout(20), loopback_node(StubServer()) as node:
+            idle = await Client.connect(node)
+            assert (await idle.exchange(UP)).status == 200
             listening = node.listener._socket
             assert listening is not None
             errors = [OSError(errno.EMFILE, "Too many open files") for _ in range(3)]
@@ -111,8 +111,8 @@
 
             node.listener._socket = FailingSocket()  # type: ignore[assignment]
             started_at = node.loop.time()
-            client = await Caller.to(node)
-            assert (await client.ask(UP)).status == 200
+            client = await Client.connect(node)
+            assert (await client.exchange(UP)).status == 200
             assert node.loop.time() - started_at < 1.0  # asyncio's own listener would pause for 1 s
             assert await idle.reader.read() == b""
 
--- a/tests/node/listener/test_new_connections_in_drain.py
+++ b/tests/node/listener/test_new_connections_in_drain.py
@@ -16,7 +16,7 @@
 from loadbalancer.node.listener.listener import NEW_CONNECTION_GRACE_S
 from loadbalancer.node.node import Node
 from tests.support import clocks
-from tests.support.loopback import Peer, request, running, until
+from tests.support.loopback import StubServer, loopback_node, request, wait_until
 from tests.support.raw_clients import connect
 
 STEP_S = 0.01  # between two checks for idle connections
@@ -62,11 +62,11 @@
 @pytest.mark.parametrize("drain", DRAINS)
 def test_first_request_of_new_connection_is_served(drain: str, opened_s: float, silent_s: float) -> None:
     async def main() -> None:
-        async with running(Peer()) as node:
+        async with loopback_node(StubServer()) as node:
             shutdown = await start_drain(drain, node)
             await asyncio.sleep(opened_s)
             client = connect(node)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             await assert_served(silent_s, client, shutdown)
 
     clocks.run(main())
@@ -78,7 +78,7 @@
     """The kernel accepts the connection in time; the node accepts it after the idle checks have started."""
 
     async def main() -> None:
-        async with running(Peer()) as node:
+        async with loopback_node(StubServer()) as node:
             listening = node.listener._socket
             assert listening is not None
             shutdown = await start_drain(drain, node)
@@ -86,7 +86,7 @@
             client = connect(node)
             await asyncio.sleep(0.55)
             node.loop.add_reader(listening, node.listener._accept)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             await assert_served(silent_s, client, shutdown)
 
     clocks.run(main())
@@ -95,11 +95,11 @@
 @pytest.mark.parametrize("drain", DRAINS)
 def test_silent_new_connection_is_closed_after_grace_period(drain: str) -> None:
     async def main() -> None:
-        async with running(Peer()) as node:
+        async with loopback_node(StubServer()) as node:
             shutdown = await start_drain(drain, node)
             await asyncio.sleep(0.3)
             client = connect(node)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             opened_at = node.loop.time()
             assert await read_status_line(client) == b""
             waited_s = node.loop.time() - opened_at
@@ -113,12 +113,12 @@
 
 def test_reactivated_node_closes_no_idle_connection() -> None:
     async def main() -> None:
-        async with running(Peer()) as node:
+        async with loopback_node(StubServer()) as node:
             node.standby()
             await asyncio.sleep(2.0)
             assert node.active()
             client = connect(node)
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             await asyncio.sleep(2.0)
             client.sendall(request(name="q1"))
             assert await read_status_line(client) == b"HTTP/1.1 200 OK"
--- a/tests/node/test_bodies.py
+++ b/tests/node/test_bodies.py
@@ -17,7 +17,17 @@
 from loadbalancer.node.node import Node
 from loadbalancer.node.upstream import attempt as attempt_module
 from tests.support.builders import BalancerEnvironment, sent
-from tests.support.loopback import Caller, Peer, Scripted, ask, reply, request, running, targets, until
+from tests.support.loopback import (
+    Client,
+    ScriptedBalancer,
+    StubServer,
+    exchange,
+    http_response,
+    loopback_node,
+    request,
+    targets,
+    wait_until,
+)
 
 MIB = 1024 * 1024
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -118,7 +128,7 @@
 
     server = await asyncio.start_server(guarded, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    async with running(known=targets(s0=(f"127.0.0.1:{port}", "Ready")), **more) as node:
+    async with loopback_node(known=targets(s0=(f"127.0.0.1:{port}", "Ready")), **more) as node:
         yield node
     server.close()
 
@@ -169,11 +179,11 @@
 
     async def main():
         async with running_node(serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             for at in range(2):
                 client.writer.write(request(name=f"q{at}"))
                 assert await read_body(client.reader) == LONG
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
             assert node.pool.connection_count == 1
             assert not node.request_registry.active
             client.writer.close()
@@ -189,7 +199,7 @@
             await writer.drain()
 
         async with running_node(serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request())
             assert await read_body(client.reader) == LONG
             client.writer.close()
@@ -210,14 +220,14 @@
             await reader.read()
 
         async with running_node(serve) as node:
-            node.driver.balancer = scripted = Scripted(
+            node.driver.balancer = scripted = ScriptedBalancer(
                 lambda event: [Send(event.id, "s0")] if isinstance(event, Request) else []
             )
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request(Req_Deadline_Ms="20000"))
             await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(1000) == LONG[:1000]
-            (outcome,) = scripted.of(AttemptOutcome)
+            (outcome,) = scripted.events_of(AttemptOutcome)
             assert (outcome.result, outcome.request_ended) == (AttemptResult.OK, True)
             assert (
                 node.metrics.render(
@@ -227,7 +237,7 @@
             )
             more.set()
             assert await client.reader.readexactly(len(LONG) - 1000) == LONG[1000:]
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
             assert b"proxy.replies.read.success=1" in node.render_metrics()
             client.writer.close()
 
@@ -249,17 +259,17 @@
                 await writer.drain()
 
         async with running_node(serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request())
             await client.reader.readuntil(b"\r\n\r\n")
             (connection,) = node.listener.connections
-            await until(lambda: connection._stream is not None and connection._stream.body.paused)
+            await wait_until(lambda: connection._stream is not None and connection._stream.body.paused)
             assert connection._transport.get_write_buffer_size() < MIB
             assert written < total
             remaining = total
             while remaining:
                 remaining -= len(await client.reader.read(MIB))
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
             client.writer.close()
 
     asyncio.run(main())
@@ -274,13 +284,13 @@
             await writer.drain()
 
         async with running_node(serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 response = await client.reader.read()
                 assert not response.endswith(b"0\r\n\r\n")
                 assert len(response) < len(LONG)
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
             assert b"proxy.replies.read.error=1" in node.render_metrics()
 
     asyncio.run(main())
@@ -298,13 +308,13 @@
             disconnected.set()
 
         async with running_node(serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request())
             await client.reader.readexactly(1000)
             client.writer.transport.abort()
             async with asyncio.timeout(20):
                 await disconnected.wait()
-            await until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
+            await wait_until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
 
     asyncio.run(main())
 
@@ -319,11 +329,11 @@
             await reader.read()
 
         async with running_node(serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 assert len(await client.reader.read()) < len(LONG)
-            await until(lambda: not node.request_registry.streaming)
+            await wait_until(lambda: not node.request_registry.streaming)
 
     asyncio.run(main())
 
@@ -331,7 +341,7 @@
 def test_http_1_0_client_gets_a_chunked_response_ended_by_the_close():
     async def main():
         async with running_node(respond_with(CHUNKED, b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
             head, _, body = (await client.reader.read()).partition(b"\r\n\r\n")
             assert b"Transfer-Encoding" not in head
@@ -353,7 +363,7 @@
 
         async with running_node(serve) as node:
             sends = iter(["s0", "s0"])
-            node.driver.balancer = Scripted(
+            node.driver.balancer = ScriptedBalancer(
                 lambda event: (
                     [Send(event.id, next(sends))]
                     if isinstance(event, Request)
@@ -361,7 +371,7 @@
                     else []
                 )
             )
-            assert (await ask(node, request())).body == b"done"  # from the second attempt
+            assert (await exchange(node, request())).body == b"done"  # from the second attempt
             assert node.pool.malformed_responses == 1
 
     asyncio.run(main())
@@ -371,11 +381,11 @@
     async def main():
         monkeypatch.setattr(client_connection_module, "MAX_BODY_BYTES", MIB)
         async with running_node(respond_with(CHUNKED, b"%x\r\n%b\r\n0\r\n\r\n" % (len(LONG), LONG))) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request())
             with contextlib.suppress(ConnectionError):
                 assert len(await client.reader.read()) < len(LONG)
-            await until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
+            await wait_until(lambda: not node.request_registry.streaming and not node.pool.connection_count)
             assert node.pool.malformed_responses == 1
 
     asyncio.run(main())
@@ -391,8 +401,8 @@
             await reader.read()
 
         async with running_node(serve, settings={"tier": 1}) as node:
-            client = await Caller.to(node)
-            assert (await client.ask(request("post"))).status == 502
+            client = await Client.connect(node)
+            assert (await client.exchange(request("post"))).status == 502
             assert node.event_counts["error"] == 1
             client.writer.close()
 
@@ -434,7 +444,7 @@
                 self.incomplete += 1
                 raise
             self.bodies.append(body)
-            writer.write(reply())
+            writer.write(http_response())
 
 
 @pytest.mark.parametrize("data", [request("post", "q1", LONG), chunked(LONG)])
@@ -444,10 +454,10 @@
     async def main():
         server = RecordingServer()
         async with running_node(server.serve) as node:
-            client = await Caller.to(node)
-            assert (await client.ask(data)).status == 200
+            client = await Client.connect(node)
+            assert (await client.exchange(data)).status == 200
             assert server.bodies == [LONG]
-            assert (await client.ask(request("post", "q2", b"short"))).status == 200
+            assert (await client.exchange(request("post", "q2", b"short"))).status == 200
             assert server.bodies[1:] == [b"short"]
             assert (
                 node.pool.connection_count,
@@ -464,23 +474,23 @@
     async def main():
         server = RecordingServer()
         async with running_node(server.serve) as node:
-            node.driver.balancer = scripted = Scripted(
+            node.driver.balancer = scripted = ScriptedBalancer(
                 lambda event: [Send(event.id, "s0")] if isinstance(event, Request) else []
             )
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             data = request("post", "q1", LONG, Req_Deadline_Ms="5000")
             client.writer.write(data[:MIB])
-            await until(lambda: scripted.of(Request) and server.heads)
-            (early,) = scripted.of(Request)
+            await wait_until(lambda: scripted.events_of(Request) and server.heads)
+            (early,) = scripted.events_of(Request)
             assert early.receiving
             (active,) = node.request_registry.active.values()
             assert active.backstop_timer is None
             assert node.metrics.attempts_sent == 0
             client.writer.write(data[MIB:])
-            assert (await client.answer()).status == 200
-            (received,) = scripted.of(RequestReceived)
+            assert (await client.read_response()).status == 200
+            (received,) = scripted.events_of(RequestReceived)
             assert received.deadline_ms > early.deadline_ms
-            (outcome,) = scripted.of(AttemptOutcome)
+            (outcome,) = scripted.events_of(AttemptOutcome)
             assert outcome.latency_ms <= (node.loop.time() - active.received_at) * 1000.0
             assert node.metrics.attempts_sent == 1
             client.writer.close()
@@ -502,18 +512,18 @@
                 return await open_connection(endpoint)
 
             node.pool.open_connection = open_late
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             end = len(data) - 5  # dispatched before its last bytes, or its last chunk, arrive
             client.writer.write(data[:end])
-            await until(lambda: node.listener.connections)
+            await wait_until(lambda: node.listener.connections)
             (connection,) = node.listener.connections
             parser = connection._parser
-            await until(lambda: parser.request and parser.request.body.size >= HIGH_WATER_BYTES - 5)
+            await wait_until(lambda: parser.request and parser.request.body.size >= HIGH_WATER_BYTES - 5)
             connection._transport.resume_reading()
             client.writer.write(data[end:])
-            await until(lambda: parser.request is None)
+            await wait_until(lambda: parser.request is None)
             up.set()
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             assert server.bodies == [LONG[:HIGH_WATER_BYTES]]
             assert node.pool.connection_count == 1
             client.writer.close()
@@ -529,14 +539,14 @@
             await reader.readuntil(b"\r\n\r\n")
             await go_on.wait()
             assert len(await reader.readexactly(16 * MIB)) == 16 * MIB
-            writer.write(reply())
+            writer.write(http_response())
             await reader.read()
 
         async with running_node(serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request("post", "q1", bytes(16 * MIB)))
             # Wait for the pause by the slow server, not the one while the attempt is still connecting.
-            await until(
+            await wait_until(
                 lambda: [
                     c
                     for c in node.listener.connections
@@ -548,7 +558,7 @@
             node.listener.expire(node.loop.time() + 60.0)  # the client is not overdue
             assert node.listener.expired == 0
             go_on.set()
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             client.writer.close()
 
     asyncio.run(main())
@@ -559,20 +569,20 @@
     async def main():
         server = RecordingServer()
         async with running_node(server.serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             data = chunked(LONG)
             client.writer.write(data[:MIB])
-            await until(lambda: server.heads)
+            await wait_until(lambda: server.heads)
             if failure == "disconnects":
                 client.writer.transport.abort()
             elif failure == "stalls":
-                await until(lambda: not node.listener.connections or node.request_registry.receiving)
+                await wait_until(lambda: not node.listener.connections or node.request_registry.receiving)
                 node.listener.expire(node.loop.time() + 60.0)
-                assert (await client.answer()).status == 408
+                assert (await client.read_response()).status == 408
             else:
                 client.writer.write(b"\r\nnonsense\r\n" * 100_000)
-                assert (await client.answer()).status == 400
-            await until(lambda: server.incomplete and not node.request_registry.active)
+                assert (await client.read_response()).status == 400
+            await wait_until(lambda: server.incomplete and not node.request_registry.active)
             assert not server.bodies
             assert len(server.heads) == 1
             assert (
@@ -590,7 +600,7 @@
 
 def test_long_request_is_retried_from_its_start_after_connect_failed():
     async def main():
-        server, stopped = RecordingServer(), Peer()
+        server, stopped = RecordingServer(), StubServer()
         await stopped.start()
         stopped._server.close()
         await stopped._server.wait_closed()
@@ -603,9 +613,9 @@
                 unsent = isinstance(event, AttemptOutcome) and event.result is AttemptResult.CONNECT_FAILED
                 return [Send(event.id, "s0")] if unsent else []
 
-            node.driver.balancer = Scripted(act)
-            client = await Caller.to(node)
-            assert (await client.ask(request("post", "q1", LONG))).status == 200
+            node.driver.balancer = ScriptedBalancer(act)
+            client = await Client.connect(node)
+            assert (await client.exchange(request("post", "q1", LONG))).status == 200
             assert server.bodies == [LONG]
             client.writer.close()
 
@@ -617,11 +627,11 @@
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(len(LONG))
-            writer.write(reply(503, Srv_Declined="1"))
+            writer.write(http_response(503, Srv_Declined="1"))
             await reader.read()
 
         async with running_node(serve) as node:
-            response = await ask(node, request("post", "q1", LONG))
+            response = await exchange(node, request("post", "q1", LONG))
             assert response.status == 503
             assert not node.request_registry.active
 
@@ -632,13 +642,13 @@
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(reply(503, Srv_Declined="1"))
+            writer.write(http_response(503, Srv_Declined="1"))
             await reader.read()
 
         async with running_node(serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(request("post", "q1", LONG)[:MIB])
-            response = await client.answer()
+            response = await client.read_response()
             assert (response.status, response.headers["connection"]) == (503, "close")
             assert (node.request_registry.unanswered, node.request_registry.receiving) == (0, 0)
             client.writer.close()
@@ -651,14 +661,14 @@
         server = RecordingServer()
         async with running_node(server.serve, limits={"memory_mb": 1, "sockets": 1024}) as node:
             assert node.request_registry.max_receiving == 1
-            first = await Caller.to(node)
+            first = await Client.connect(node)
             first.writer.write(request("post", "q1", LONG)[:MIB])
-            await until(lambda: node.request_registry.receiving)
-            second = await Caller.to(node)
+            await wait_until(lambda: node.request_registry.receiving)
+            second = await Client.connect(node)
             second.writer.write(request("post", "q2", LONG)[:MIB])
-            assert (await second.answer()).status == 503
+            assert (await second.read_response()).status == 503
             first.writer.write(request("post", "q1", LONG)[MIB:])
-            assert (await first.answer()).status == 200
+            assert (await first.read_response()).status == 200
             first.writer.close()
             second.writer.close()
 
@@ -670,10 +680,10 @@
         monkeypatch.setattr(request_parser_module, "MAX_BODY_BYTES", MIB)
         server = RecordingServer()
         async with running_node(server.serve) as node:
-            client = await Caller.to(node)
+            client = await Client.connect(node)
             client.writer.write(chunked(LONG))
-            assert (await client.answer()).status == 413
-            await until(lambda: not node.request_registry.active)
+            assert (await client.read_response()).status == 413
+            await wait_until(lambda: not node.request_registry.active)
             assert not server.bodies
 
     asyncio.run(main())
--- a/tests/node/upstream/test_attempt_writes.py
+++ b/tests/node/upstream/test_attempt_writes.py
@@ -20,7 +20,17 @@
 from loadbalancer.node.node import Node
 from loadbalancer.node.upstream.attempt import Attempt
 from loadbalancer.node.upstream.pool import ConnectionPool
-from tests.support.loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
+from tests.support.loopback import (
+    BlockedServer,
+    Client,
+    ScriptedBalancer,
+    StubServer,
+    exchange,
+    http_response,
+    loopback_node,
+    request,
+    wait_until,
+)
 
 REQUEST = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 DISCONNECTS = ("closes", "resets", "half-closes")
@@ -68,7 +78,7 @@
 
 async def wait_until_idle(node: Node) -> None:
     """Wait until no request is active and all client connections are closed; check that counters are 0."""
-    await until(lambda: not node.request_registry.active and not node.listener.connections)
+    await wait_until(lambda: not node.request_registry.active and not node.listener.connections)
     assert node.request_registry.unanswered == 0
     assert sum(endpoint.in_flight for endpoint in node.driver.balancer.endpoints.values()) == 0.0
 
@@ -95,11 +105,11 @@
     monkeypatch.setattr("loadbalancer.node.upstream.pool.REUSE_DELAY_S", 0.0)
 
     async def main():
-        async with running(Peer(), bounds=bounds(cancel)) as node:
-            assert (await ask(node, request(name="q0"))).status == 200  # leaves an idle connection
+        async with loopback_node(StubServer(), bounds=bounds(cancel)) as node:
+            assert (await exchange(node, request(name="q0"))).status == 200  # leaves an idle connection
             client = DisconnectingClient(node, request(), how)
             client.disconnect()  # request and disconnect precede the accept
-            await until(lambda: node.event_counts["client disconnects"])
+            await wait_until(lambda: node.event_counts["client disconnects"])
             await wait_until_idle(node)
             assert node.metrics.attempts_sent == 1
             client.close()
@@ -112,13 +122,13 @@
 @pytest.mark.parametrize("how", DISCONNECTS)
 def test_request_is_not_sent_if_client_disconnects_while_connecting(how, delivered, cancel):
     async def main():
-        async with running(Peer(), bounds=bounds(cancel)) as node:
+        async with loopback_node(StubServer(), bounds=bounds(cancel)) as node:
             client = DisconnectingClient(node, request(), how)
             late = LateConnections(node, (lambda: None) if delivered else client.disconnect)
-            await until(lambda: late.opened)
+            await wait_until(lambda: late.opened)
             if delivered:
                 client.disconnect()
-                await until(lambda: node.event_counts["client disconnects"])
+                await wait_until(lambda: node.event_counts["client disconnects"])
             late.release.set()
             await wait_until_idle(node)
             assert (
@@ -130,7 +140,7 @@
                 1,
                 1,
             )
-            assert (await ask(node, request(name="q2"))).status == 200
+            assert (await exchange(node, request(name="q2"))).status == 200
             client.close()
 
     asyncio.run(main())
@@ -141,9 +151,9 @@
 def test_request_is_not_retried_if_client_disconnects_between_attempts(how, cancel):
     async def main():
         async def script(message):
-            return reply(503, Srv_Declined="1")
+            return http_response(503, Srv_Declined="1")
 
-        async with running(Peer(script), Peer(script), bounds=bounds(cancel)) as node:
+        async with loopback_node(StubServer(script), StubServer(script), bounds=bounds(cancel)) as node:
             balancer = node.driver.balancer
             client = DisconnectingClient(node, request(), how)
 
@@ -152,8 +162,8 @@
                     client.disconnect()  # in the loop iteration that chooses the next attempt
                 return balancer.handle(node.clock.unix_ms(), event)
 
-            node.driver.balancer = Scripted(act)
-            await until(lambda: node.event_counts["client disconnects"])
+            node.driver.balancer = ScriptedBalancer(act)
+            await wait_until(lambda: node.event_counts["client disconnects"])
             node.driver.balancer = balancer
             await wait_until_idle(node)
             assert (node.metrics.attempts_sent, node.event_counts["full"], node.event_counts["error"]) == (
@@ -171,12 +181,12 @@
 @pytest.mark.parametrize("size", [HIGH_WATER_BYTES, HIGH_WATER_BYTES + 8192])
 def test_long_request_is_not_sent_if_client_disconnects_while_paused(size, how, cancel):
     async def main():
-        server = Peer()
-        async with running(server, bounds=bounds(cancel)) as node:
+        server = StubServer()
+        async with loopback_node(server, bounds=bounds(cancel)) as node:
             data = request("post", "q1", bytes(8 * HIGH_WATER_BYTES))
             late = LateConnections(node)
             client = DisconnectingClient(node, data[: len(data) - 8 * HIGH_WATER_BYTES + size], how)
-            await until(lambda: late.opened)
+            await wait_until(lambda: late.opened)
             (connection,) = node.listener.connections
             assert connection._read_control.body_paused  # so the loop delivers no disconnect
             client.disconnect()
@@ -200,7 +210,7 @@
 @WITH_AND_WITHOUT_CANCEL
 def test_nothing_is_sent_for_a_burst_of_disconnected_clients(cancel):
     async def main():
-        async with running(Peer(), Peer(), bounds=bounds(cancel)) as node:
+        async with loopback_node(StubServer(), StubServer(), bounds=bounds(cancel)) as node:
             clients = [
                 DisconnectingClient(node, request(name=f"q{at}"), DISCONNECTS[at % 3]) for at in range(24)
             ]
@@ -210,9 +220,9 @@
                     clients.pop().disconnect()
 
             late = LateConnections(node, disconnect_all)
-            await until(lambda: late.opened + node.event_counts["responses 503"] == 24)
+            await wait_until(lambda: late.opened + node.event_counts["responses 503"] == 24)
             late.release.set()
-            await until(lambda: not node.request_registry.active)
+            await wait_until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 0
             assert late.opened > 1
 
@@ -221,14 +231,14 @@
 
 def test_connecting_hedged_request_is_not_written_after_the_response():
     async def main():
-        async with running(Peer(), Peer(), bounds=bounds(False)) as node:
-            assert (await ask(node, request(name="q0"))).status == 200
+        async with loopback_node(StubServer(), StubServer(), bounds=bounds(False)) as node:
+            assert (await exchange(node, request(name="q0"))).status == 200
 
             def act(event):
                 both = [Send("q1", "s0"), Send("q1", "s1")]
                 return both if isinstance(event, Request) else []
 
-            node.driver.balancer = scripted = Scripted(act)
+            node.driver.balancer = scripted = ScriptedBalancer(act)
             open_connection, up = node.pool.open_connection, asyncio.Event()
             addresses = {server: address for server, (_, address) in node.endpoint_list.endpoints.items()}
 
@@ -238,11 +248,11 @@
                 return await open_connection(endpoint)
 
             node.pool.open_connection = late
-            assert (await ask(node, request())).status == 200
+            assert (await exchange(node, request())).status == 200
             up.set()
-            await until(lambda: not node.request_registry.active)
+            await wait_until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 2
-            results = {event.attempt: event.result for event in scripted.of(AttemptOutcome)}
+            results = {event.attempt: event.result for event in scripted.events_of(AttemptOutcome)}
             assert results == {0: AttemptResult.ABANDONED, 1: AttemptResult.OK}
 
     asyncio.run(main())
@@ -250,13 +260,13 @@
 
 def test_written_attempt_continues_if_cancelling_is_disabled():
     async def main():
-        server = Held()
-        async with running(server, bounds=bounds(False)) as node:
-            client = await Caller.to(node)
+        server = BlockedServer()
+        async with loopback_node(server, bounds=bounds(False)) as node:
+            client = await Client.connect(node)
             client.writer.write(request())
-            await until(lambda: server.seen)
+            await wait_until(lambda: server.seen)
             client.writer.close()
-            await until(lambda: node.event_counts["client disconnects"])
+            await wait_until(lambda: node.event_counts["client disconnects"])
             assert node.request_registry.active
             server.release.set()
             await wait_until_idle(node)
@@ -275,20 +285,22 @@
 
         async def script(message):
             await release.wait()
-            return None if node.metrics.attempts_sent < 2 else reply()  # the first may have been executed
+            return (
+                None if node.metrics.attempts_sent < 2 else http_response()
+            )  # the first may have been executed
 
-        async with running(Peer(script), Peer(script)) as node:
-            client = await Caller.to(node)
+        async with loopback_node(StubServer(script), StubServer(script)) as node:
+            client = await Client.connect(node)
             client.writer.write(request("move", "q1", Idempotency_Key="k"))
-            await until(lambda: node.metrics.attempts_sent)
+            await wait_until(lambda: node.metrics.attempts_sent)
             late = LateConnections(node, lambda: clock.advance_to(elapsed_s))
             release.set()
-            await until(lambda: late.opened)
+            await wait_until(lambda: late.opened)
             if connects:
                 late.release.set()
             else:
                 clock.advance_to(elapsed_s)
-            assert (await client.answer()).status == status
+            assert (await client.read_response()).status == status
             assert node.metrics.attempts_sent == written
             client.writer.close()
 
@@ -303,7 +315,7 @@
 
     async def main():
         clock, loop, body = ShiftedClock(), asyncio.get_running_loop(), Body(Source())
-        server, pool = await Peer().start(), ConnectionPool(10, 10.0, 20.0)
+        server, pool = await StubServer().start(), ConnectionPool(10, 10.0, 20.0)
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
         body.feed(b"half of it")
@@ -312,13 +324,13 @@
             "s", lambda wait: head, 20.0, lambda result, _: results.put_nowait(result), body,
             written_by=loop.time() + 9.0,
         )  # fmt: skip
-        await until(lambda: server.connections)
+        await wait_until(lambda: server.connections)
         clock.advance_to(9.0)
-        await until(lambda: not results.empty())
+        await wait_until(lambda: not results.empty())
         assert results.get_nowait() is AttemptResult.CONNECT_FAILED
         body.feed(b"other half")
         body.end()
-        await until(lambda: not pool.connection_count)
+        await wait_until(lambda: not pool.connection_count)
         assert (server.seen, results.empty()) == ([], True)
         pool.close()
         server.stop()
@@ -343,7 +355,7 @@
 def test_event_in_the_iteration_that_opens_a_connection_prevents_the_write(event, when, monkeypatch):
     async def main():
         clock, loop = ShiftedClock(), asyncio.get_running_loop()
-        server, pool = await Peer().start(), ConnectionPool(10, 10.0, 20.0)
+        server, pool = await StubServer().start(), ConnectionPool(10, 10.0, 20.0)
         pool.set_endpoint("s", ("127.0.0.1", server.port))
         results: asyncio.Queue[AttemptResult] = asyncio.Queue()
         attempt = pool.start_attempt(
@@ -373,12 +385,12 @@
         monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
         monkeypatch.setattr(pool, "open_connection", open_)
         expected = {"attempt cancelled": {"cancelled"}, "deadline passed": {"moot", "connect_failed"}}
-        await until(lambda: not results.empty())
+        await wait_until(lambda: not results.empty())
         assert results.get_nowait().value in expected.get(event, {"connect_failed"})
         pool.disable_keep_alive()
-        await until(lambda: not pool.connection_count)
-        await until(lambda: server.connections)  # already in the kernel; accepted later
-        await until(lambda: not any(writer.transport.is_reading() for writer in server._writers))
+        await wait_until(lambda: not pool.connection_count)
+        await wait_until(lambda: server.connections)  # already in the kernel; accepted later
+        await wait_until(lambda: not any(writer.transport.is_reading() for writer in server._writers))
         assert (server.connections, occurred, server.seen) == (1, [event], [])
         assert results.empty()
         pool.close()
@@ -392,8 +404,8 @@
 )
 def test_any_connect_error_ends_the_attempt_as_connect_failed(fault):
     async def main():
-        server = Peer()
-        async with running(server) as node:
+        server = StubServer()
+        async with loopback_node(server) as node:
             open_connection = node.pool.open_connection
 
             async def failing(endpoint):
@@ -402,9 +414,9 @@
 
             node.pool.open_connection = failing
             async with asyncio.timeout(15):  # the client timeout is 30 s
-                assert (await ask(node, request("post", "q1"))).status == 503
+                assert (await exchange(node, request("post", "q1"))).status == 503
             assert node.event_counts["connect_failed"] == 1
-            assert (await ask(node, request("post", "q2"))).status == 200
+            assert (await exchange(node, request("post", "q2"))).status == 200
 
     asyncio.run(main())
 
@@ -427,9 +439,9 @@
 
             pool.open_connection = open_and_act  # type: ignore[method-assign]
             pool.start_attempt("s", lambda wait: REQUEST, 5.0, lambda result, _: results.put_nowait(result))
-            await until(lambda: not results.empty())
+            await wait_until(lambda: not results.empty())
             assert results.get_nowait() is AttemptResult.CONNECT_FAILED
-            await until(lambda: not pool.connection_count)
+            await wait_until(lambda: not pool.connection_count)
             pool.close()
             accepted[0].close()
 
@@ -438,8 +450,8 @@
 
 def test_request_without_free_descriptors_gets_503_and_later_ones_are_served():
     async def main():
-        async with running(Peer(), Peer()) as node:
-            client = await Caller.to(node)
+        async with loopback_node(StubServer(), StubServer()) as node:
+            client = await Client.connect(node)
             limits_before = resource.getrlimit(resource.RLIMIT_NOFILE)
             descriptors: list[int] = []
             resource.setrlimit(resource.RLIMIT_NOFILE, (256, limits_before[1]))
@@ -447,13 +459,13 @@
                 with contextlib.suppress(OSError):
                     while True:
                         descriptors.append(os.dup(0))
-                assert (await client.ask(request("post", "q1"))).status == 503
+                assert (await client.exchange(request("post", "q1"))).status == 503
                 assert (node.metrics.attempts_sent, node.event_counts["connect_failed"]) == (0, 2)
             finally:
                 for descriptor in descriptors:
                     os.close(descriptor)
                 resource.setrlimit(resource.RLIMIT_NOFILE, limits_before)
-            assert (await client.ask(request("post", "q2"))).status == 200
+            assert (await client.exchange(request("post", "q2"))).status == 200
             client.writer.close()
 
     asyncio.run(main())
@@ -469,20 +481,20 @@
     """`statuses`: without cancelling, while the first attempt is still in flight; and with cancelling."""
 
     async def main():
-        server = Held()
-        async with running(server, bounds=bounds(cancel)) as node:
+        server = BlockedServer()
+        async with loopback_node(server, bounds=bounds(cancel)) as node:
             data = request(kind, "q1", Idempotency_Key="k")
             client = DisconnectingClient(node, data)
-            await until(lambda: server.seen)
-            second = await Caller.to(node)
+            await wait_until(lambda: server.seen)
+            second = await Client.connect(node)
             client.disconnect()
             if delivered:
-                await until(lambda: node.event_counts["client disconnects"])
+                await wait_until(lambda: node.event_counts["client disconnects"])
             second.writer.write(data)
             server.script = None
-            assert (await second.answer()).status == statuses[cancel]
+            assert (await second.read_response()).status == statuses[cancel]
             server.release.set()
-            await until(lambda: not node.request_registry.active)
+            await wait_until(lambda: not node.request_registry.active)
             assert node.metrics.attempts_sent == 1 + (statuses[cancel] == 200)
             second.writer.close()
 
@@ -491,14 +503,14 @@
 
 def test_repeated_id_is_served_if_the_first_request_was_not_written():
     async def main():
-        async with running(Peer(), bounds=bounds(False)) as node:
+        async with loopback_node(StubServer(), bounds=bounds(False)) as node:
             client = DisconnectingClient(node, request("post", "q1"))
             late = LateConnections(node)
-            await until(lambda: late.opened)
+            await wait_until(lambda: late.opened)
             client.disconnect()
             late.release.set()
-            await until(lambda: node.event_counts["client disconnects"])
-            assert (await ask(node, request("post", "q1"))).status == 200
+            await wait_until(lambda: node.event_counts["client disconnects"])
+            assert (await exchange(node, request("post", "q1"))).status == 200
             assert node.metrics.attempts_sent == 1
 
     asyncio.run(main())
@@ -514,15 +526,15 @@
         async def script(message):
             if node.metrics.attempts_sent < 2:
                 await asyncio.Event().wait()
-            return reply()
+            return http_response()
 
-        async with running(Peer(script), Peer(script), bounds=bounds(False)) as node:
-            client = await Caller.to(node)
+        async with loopback_node(StubServer(script), StubServer(script), bounds=bounds(False)) as node:
+            client = await Client.connect(node)
             client.writer.write(request(kind, "q1", Idempotency_Key="k"))
-            await until(lambda: node.metrics.attempts_sent)
+            await wait_until(lambda: node.metrics.attempts_sent)
             # Past the latency objective, after which a response has no value, and past the retry window.
             clock.advance_to(19.7)
-            assert (await client.answer()).status == status
+            assert (await client.read_response()).status == status
             assert node.metrics.attempts_sent == written
             client.writer.close()
 
--- a/tests/support/golden_relay.py
+++ b/tests/support/golden_relay.py
@@ -12,7 +12,7 @@
 import orjson
 import structlog
 
-from tests.support.golden import StandIn, masked
+from tests.support.golden import RecordingServer, masked
 
 RENEWALS = [
     {"incarnation": 1, "seq": 2, "acked": 3, "using": 0.5, "sent": 1000.5, "answered": 1, "delta": True},
@@ -38,11 +38,11 @@
 
 def play(functions: Functions) -> dict[str, Any]:
     """Return the calls that a leader receives, and the responses that a follower returns."""
-    leader = StandIn(lambda path, body: orjson.dumps(RESPONSES) if "renew-many" in path else b"{}")
+    leader = RecordingServer(lambda path, body: orjson.dumps(RESPONSES) if "renew-many" in path else b"{}")
     names = {f"127.0.0.1:{leader.port}": "<leader>"}
     responses = asyncio.run(_call_leader(functions, leader.port))
     leader.close()
-    calls = {call: masked(message, names) for call, message in sorted(leader.first.items())}
+    calls = {call: masked(message, names) for call, message in sorted(leader.first_requests.items())}
     batch = functions.encode_responses(responses)
     return {"calls": calls, "answers": [_plain(response) for response in responses], "batch": _plain(batch)}
 
--- a/tests/support/node_fleet.py
+++ b/tests/support/node_fleet.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.faults import LoopThread, Net, Post
+from tests.support.faults import AgentProxy, LoopThread, RelayNetwork
 from tests.support.invariant_sampler import Status, StatusSampler, quota_violations, version_conflicts
 from tests.support.load import Load, Outcome
 from tests.support.node_processes import Node
@@ -50,7 +50,7 @@
         A draining node responds to every request that it has accepted, so its outage explains only requests
         that were sent after the signal, or were about to be sent.
         """
-        last_s = outcome.sent_s + (SEND_MARGIN_S if self.drained else outcome.took_s)
+        last_s = outcome.sent_s + (SEND_MARGIN_S if self.drained else outcome.duration_s)
         return outcome.status == 0 and self.start_s < last_s and outcome.sent_s < self.end_s
 
 
@@ -69,22 +69,22 @@
         for index, model in enumerate(MODELS):
             self.registry.put(f"s{index}", self.pool.port(index), az="a", model=model)
         self._member_ports = [free_port() for _ in range(size)]
-        self.net = Net([("127.0.0.1", port) for port in self._member_ports], seed=folder.name)
+        self.net = RelayNetwork([("127.0.0.1", port) for port in self._member_ports], seed=folder.name)
         self._loops = LoopThread()
-        self.agent_links = [self._agent_link(index) for index in range(size)]
+        self.agent_proxies = [self._agent_proxy(index) for index in range(size)]
         self.nodes = [self._node(folder, index) for index in range(size)]
         self._outages: dict[int, list[Outage]] = {index: [] for index in range(size)}
         for node in self.nodes:
             node.launch()
 
-    def _agent_link(self, index: int) -> Post:
+    def _agent_proxy(self, index: int) -> AgentProxy:
         """Return the relay to the agent; it replaces siblings' addresses by those of the relays to them."""
         relayed = {
             f"127.0.0.1:{port}": "{}:{}".format(*self.net.address(index, other))
             for other, port in enumerate(self._member_ports)
             if other != index
         }
-        return Post(
+        return AgentProxy(
             ("127.0.0.1", self.agent.port), lambda address: relayed.get(address, address), self._loops
         )
 
@@ -98,7 +98,7 @@
         }
         settings = {"registryMode": "push"}
         return Node(
-            folder, [], self.agent_links[index].port, name=f"n{index}", settings=settings, members=members
+            folder, [], self.agent_proxies[index].port, name=f"n{index}", settings=settings, members=members
         )
 
     def _instance(self, index: int) -> dict[str, int | str]:
@@ -122,7 +122,7 @@
 
     def status(self, index: int) -> Status:
         """Return the body of a node's GET /status/members; raise OSError if it does not respond."""
-        status, body = self.nodes[index].call_door("/status/members")
+        status, body = self.nodes[index].call_admin("/status/members")
         if status != 200:
             raise OSError(f"the admin server of n{index} responded with status {status}")
         return body  # type: ignore[no-any-return]
@@ -174,8 +174,8 @@
     def wait_until_stable(self) -> None:
         """Heal all links and start what does not run; then wait until members are present, quotas equal and
         routes settled."""
-        for link in self.agent_links:
-            link.heal()
+        for proxy in self.agent_proxies:
+            proxy.heal()
         self.net.heal()
         for index in range(3):
             if self.registry.processes[index] is None:
@@ -231,7 +231,7 @@
     def cut_service(self, *chosen: int) -> None:
         """Partition the chosen nodes from the list service."""
         for index in chosen:
-            self.agent_links[index].cut()
+            self.agent_proxies[index].partition()
 
     # ------------------------------------------------------------------ routes
 
@@ -302,7 +302,7 @@
         """Wait until every node has observed every server; until then it rejects route versions."""
 
         def all_seen() -> bool:
-            edge_lists = [node.call_door("/status/routes")[1]["edges"] for node in self.nodes]
+            edge_lists = [node.call_admin("/status/routes")[1]["edges"] for node in self.nodes]
             marks = [edge["mark"] for edges in edge_lists for edge in edges if edge["kind"] == "server"]
             return len(marks) == len(MODELS) * self.size and "blind" not in marks
 
--- a/tests/support/pool_environment.py
+++ b/tests/support/pool_environment.py
@@ -16,7 +16,7 @@
 from loadbalancer.node.http.client_connection import ClientConnection, Response
 from loadbalancer.node.http.socket_buffer import readable
 from loadbalancer.node.upstream.pool import ConnectionPool
-from tests.support.loopback import reply, until
+from tests.support.loopback import http_response, wait_until
 
 REQUEST = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 LARGE_SIZE = 30_000_000  # bytes; exceeds the kernel's socket buffers
@@ -64,8 +64,8 @@
     async def open_idle(self) -> tuple[socket.socket, ClientConnection]:
         """Open a connection that is idle in the pool after a response and past its reuse delay."""
         server = await self.receive_request()
-        server.sendall(reply())
-        await until(lambda: self.results)
+        server.sendall(http_response())
+        await wait_until(lambda: self.results)
         assert self.results.pop() is AttemptResult.OK
         self.responses.clear()
         connection = self.idle[-1]
@@ -78,7 +78,7 @@
 
     async def wait_for_results(self, count: int = 1) -> list[AttemptResult]:
         """Wait for at least `count` results and return all."""
-        await until(lambda: len(self.results) >= count)
+        await wait_until(lambda: len(self.results) >= count)
         return self.results
 
 
@@ -127,7 +127,7 @@
     if action == "partial response":
         server.sendall(PARTIAL_HEAD)
     elif action == "second response":
-        server.sendall(reply(200, b"stray"))
+        server.sendall(http_response(200, b"stray"))
     else:
         close_socket(server, action == "reset")
     while not readable(connection._transport):
--- a/tests/support/raw_clients.py
+++ b/tests/support/raw_clients.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.node.listener.connection import ServerConnection
 from loadbalancer.node.node import Node
-from tests.support.loopback import Message, Peer, reply, request, until
+from tests.support.loopback import Message, StubServer, http_response, request, wait_until
 
 
 def connect(node: Node) -> socket.socket:
@@ -64,12 +64,12 @@
 
 
 async def start_slow_reader(
-    node: Node, server: Peer, **headers: str
+    node: Node, server: StubServer, **headers: str
 ) -> tuple[socket.socket, ServerConnection]:
     """Return a client whose response has been written and is mostly in the node's write buffer."""
 
     async def respond(_message: Message) -> bytes:
-        return reply(body=RESPONSE_BODY)
+        return http_response(body=RESPONSE_BODY)
 
     server.script = respond
     client = socket.socket()
@@ -77,11 +77,11 @@
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     client.connect(node.listener.address)
-    await until(lambda: node.listener.connections)
+    await wait_until(lambda: node.listener.connections)
     (connection,) = node.listener.connections
     connection._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     client.sendall(request(**headers))
-    await until(lambda: node.event_counts["responses 200"])
+    await wait_until(lambda: node.event_counts["responses 200"])
     assert connection._transport.get_write_buffer_size() > 20_000
     return client, connection
 
