--- a/bench/scale/events.py
+++ b/bench/scale/events.py
@@ -164,7 +164,7 @@
         """Hollow nodes and instances of the two regions, for longer than any lease; then joined."""
         world = self.world
         await world.stop_real()
-        await asyncio.to_thread(world.instances.cut, WEST_INSTANCE)
+        await asyncio.to_thread(world.instances.partition, WEST_INSTANCE)
         await world.children.part(True)
         await asyncio.sleep(self.durations.parted)
         state = await world.children.state()
@@ -173,7 +173,7 @@
         run.add("platform", "taking", state.taking, "nodes", "parted", state.running)
         await self.measuring.phase("parted")
         began = time.monotonic()
-        await asyncio.to_thread(world.instances.cut, WEST_INSTANCE, False)
+        await asyncio.to_thread(world.instances.partition, WEST_INSTANCE, False)
         await world.children.part(False)
         state = await self._until(self._settled, SETTLE_LIMIT_S, "joined")
         seconds = round(time.monotonic() - began, 2) if self._settled(state) else None
