--- a/bench/lease_recovery.py
+++ b/bench/lease_recovery.py
@@ -4,9 +4,9 @@
 
 Each run has one of these faults, with a random size: an old response in place of the current one, a step of
 the leader's or a member's clock, a new leader that knows service time from the log only, a process paused in
-the middle of a call, a wrong estimate of service time. Time is simulated (tests/support/lease_world.py). The
-program prints one JSON line: the times from the end of the fault to the next lease, in lease terms, and the
-number of members (`none`) that got no lease within the limit.
+the middle of a call, a wrong estimate of service time. Time is simulated
+(tests/support/lease_simulation.py). The program prints one JSON line: the times from the end of the fault to
+the next lease, in lease terms, and the number of members (`none`) that got no lease within the limit.
 """
 
 from __future__ import annotations
@@ -26,60 +26,60 @@
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
 from loadbalancer.registry.service_clock import ServiceClock
-from tests.support.lease_world import TTL_MS, LeasedMember, LeaseWorld, pause, run
-from tests.support.lease_world_faults import OlderAnswer, StoppedInCall, believe_wrongly
+from tests.support.lease_faults import OlderResponse, PausedDuringCall, set_wrong_estimate
+from tests.support.lease_simulation import TTL_MS, LeasedMember, LeaseSimulation, run, sleep_ms
 
 LIMIT_TERMS = 12.0
 
-Fault = Callable[[LeaseWorld, Random], Awaitable[list[LeasedMember]]]  # returns the affected members
+Fault = Callable[[LeaseSimulation, Random], Awaitable[list[LeasedMember]]]  # returns the affected members
 
 
 # The names of these functions are keys of the printed JSON.
 
 
-async def older_answer(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+async def older_answer(simulation: LeaseSimulation, rng: Random) -> list[LeasedMember]:
     """Replace the response to a member's renewal by an older one."""
-    member = rng.choice(world.members)
-    await OlderAnswer(member, rng.uniform(0.2, 10.0) * TTL_MS).injected.wait()
+    member = rng.choice(simulation.members)
+    await OlderResponse(member, rng.uniform(0.2, 10.0) * TTL_MS).injected.wait()
     return [member]
 
 
-async def leader_clock_set(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+async def leader_clock_set(simulation: LeaseSimulation, rng: Random) -> list[LeasedMember]:
     """Step the leader's clock, forward or back."""
-    world.service.clocks.offset_ms += rng.uniform(-3.0, 0.9) * TTL_MS
-    return world.members
+    simulation.service.clocks.offset_ms += rng.uniform(-3.0, 0.9) * TTL_MS
+    return simulation.members
 
 
-async def member_clock_set(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+async def member_clock_set(simulation: LeaseSimulation, rng: Random) -> list[LeasedMember]:
     """Step a member's clock forward."""
-    member = rng.choice(world.members)
-    member.clock.set_by(rng.uniform(0.1, 5.0) * TTL_MS)
+    member = rng.choice(simulation.members)
+    member.clock.step(rng.uniform(0.1, 5.0) * TTL_MS)
     member.client._tick()
     return [member]
 
 
-async def service_time_lost(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+async def service_time_lost(simulation: LeaseSimulation, rng: Random) -> list[LeasedMember]:
     """Replace the leader by one that knows service time from the log only."""
-    world.service.lead(ServiceClock())
-    while not world.service.leads():
-        await pause(1.0)
-    return world.members
+    simulation.service.start_leader(ServiceClock())
+    while not simulation.service.is_leading():
+        await sleep_ms(1.0)
+    return simulation.members
 
 
-async def stopped_in_call(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+async def stopped_in_call(simulation: LeaseSimulation, rng: Random) -> list[LeasedMember]:
     """Pause a member's process between a response and its handling."""
-    member = rng.choice(world.members)
-    await StoppedInCall(member, rng.uniform(0.1, 5.0) * TTL_MS).going_on.wait()
+    member = rng.choice(simulation.members)
+    await PausedDuringCall(member, rng.uniform(0.1, 5.0) * TTL_MS).resumed.wait()
     return [member]
 
 
-async def wrong_estimate(world: LeaseWorld, rng: Random) -> list[LeasedMember]:
+async def wrong_estimate(simulation: LeaseSimulation, rng: Random) -> list[LeasedMember]:
     """Give all members the same wrong estimate of service time."""
-    await world.until_no_call_is_in_flight()
+    await simulation.wait_until_no_call_in_flight()
     error_ms = rng.uniform(-10.0, 10.0) * TTL_MS
-    for member in world.members:
-        believe_wrongly(member, world, error_ms)
-    return world.members
+    for member in simulation.members:
+        set_wrong_estimate(member, simulation, error_ms)
+    return simulation.members
 
 
 FAULTS: tuple[Fault, ...] = (
@@ -93,12 +93,12 @@
 
     async def main() -> None:
         rng = Random(seed)
-        world = LeaseWorld(Path(folder), members, seed)
-        await world.until_settled()
-        await pause(rng.uniform(0.0, TTL_MS))
-        affected = await fault(world, rng)
-        times.extend(await world.times_to_lease_ms(affected, LIMIT_TERMS * TTL_MS))
-        world.close()
+        simulation = LeaseSimulation(Path(folder), members, seed)
+        await simulation.wait_until_settled()
+        await sleep_ms(rng.uniform(0.0, TTL_MS))
+        affected = await fault(simulation, rng)
+        times.extend(await simulation.times_to_lease_ms(affected, LIMIT_TERMS * TTL_MS))
+        simulation.close()
 
     with tempfile.TemporaryDirectory() as folder:
         run(main())
