--- a/tests/wire/test_golden_members.py
+++ b/tests/wire/test_golden_members.py
@@ -1,6 +1,7 @@
-"""Members send each other the payloads that commit bf594b0 sent, and read them alike.
+"""Messages between members have the same bytes as in commit bf594b0, and have the same effect.
 
-tests/data/golden/README.md says how the messages were recorded.
+A change of the format would break a fleet during an upgrade, when its nodes run different releases.
+tests/data/golden/README.md describes the recording.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from loadbalancer.endpoints import AttemptResult
 from loadbalancer.membership import FailureDetector, QuotaStatus, Sibling
 from loadbalancer.staleness import ClockOffsets, ConfidenceTracker, FreshnessTable
-from tests.support.golden_members import Cores, play
+from tests.support.golden_members import ReleaseClasses, run_scenarios
 
 DATA = Path(__file__).parents[1] / "data" / "golden"
 
 
-def test_members_say_the_same_of_the_same_events() -> None:
-    cores = Cores(
+def test_same_events_produce_recorded_member_messages() -> None:
+    classes = ReleaseClasses(
         FailureDetector, Sibling, QuotaStatus, FreshnessTable, ClockOffsets, ConfidenceTracker, AttemptResult
     )
-    played = orjson.loads(orjson.dumps(play(cores)))
-    assert played == orjson.loads((DATA / "members.json").read_bytes())
+    entries = orjson.loads(orjson.dumps(run_scenarios(classes)))
+    assert entries == orjson.loads((DATA / "members.json").read_bytes())
