--- a/tests/support/orders/explore.py
+++ b/tests/support/orders/explore.py
@@ -49,7 +49,7 @@
         lines = [f"{counts}, {self.seconds:.1f} s"]
         if self.violation is not None:
             lines += [f"violation after {len(self.trace)} actions: {self.violation}"]
-            lines += [f"  {at:2d} {action}" for at, action in enumerate(self.trace, 1)]
+            lines += [f"  {number:2d} {action}" for number, action in enumerate(self.trace, 1)]
         return "\n".join(lines)
 
 
@@ -156,8 +156,8 @@
 
 def _shortened(start: M, check: Check[M], trace: list[str]) -> list[str]:
     """Remove each action, from the end, without which the trace still has a violation."""
-    for at in reversed(range(len(trace))):
-        shorter = trace[:at] + trace[at + 1 :]
+    for index in reversed(range(len(trace))):
+        shorter = trace[:index] + trace[index + 1 :]
         if replay(start, shorter, check) is not None:
             trace = shorter
     return trace
--- a/tests/support/orders/keys.py
+++ b/tests/support/orders/keys.py
@@ -29,23 +29,28 @@
     bounds: Bounds
     nodes: tuple[Node, ...]
     service: Service
-    plan: DueExpiry | None
+    delayed_expiry: DueExpiry | None
     violation: str | None
 
     def key(self) -> tuple[Any, ...]:
         state = self.service.state
-        numbers: dict[int | None, int] = {}
-        usable: dict[int | None, int] = {}  # no further renewal states an earlier response
+        last_numbers: dict[int | None, int] = {}  # of the latest call, by incarnation
+        # By incarnation, the call of the last used response; no further renewal states an earlier one.
+        last_used_numbers: dict[int | None, int] = {}
         for node in self.nodes:
             if node.lease is not None:
-                numbers[node.lease.incarnation] = node.lease._last_number
+                last_numbers[node.lease.incarnation] = node.lease._last_number
                 if not node.calls:
-                    usable[node.lease.incarnation] = node.lease._last_used_number
-        plan = None
-        if self.plan is not None:
-            lapsed, support, repeats = self.plan.expired, self.plan.attached, self.plan.repeated_enrolments
-            seqs = tuple((number, numbers.get(number, 0) - seq) for number, seq in lapsed)
-            plan = (seqs, tuple(support), repeats == state.repeated_enrolments)
+                    last_used_numbers[node.lease.incarnation] = node.lease._last_used_number
+        expiry = None
+        if self.delayed_expiry is not None:
+            expired, attached, repeated_enrolments = (
+                self.delayed_expiry.expired,
+                self.delayed_expiry.attached,
+                self.delayed_expiry.repeated_enrolments,
+            )
+            seqs = tuple((number, last_numbers.get(number, 0) - seq) for number, seq in expired)
+            expiry = (seqs, tuple(attached), repeated_enrolments == state.repeated_enrolments)
         groups = [(NO_SERVICE, state.ledger), *sorted(state.services.items(), key=itemgetter(0))]
         revisions = {service: ledger.revision for service, ledger in groups}
         return (
@@ -59,21 +64,21 @@
                         self._record_key(
                             record,
                             ledger.revision,
-                            numbers.get(record.incarnation, 0),
-                            usable.get(record.incarnation, -1),
+                            last_numbers.get(record.incarnation, 0),
+                            last_used_numbers.get(record.incarnation, -1),
                         )
                         for record in ledger.records()
                     ),
                 )
                 for service, ledger in groups
             ),
-            plan,
+            expiry,
             self.violation,
         )
 
     def _changes_key(self, service: str, ledger: QuotaLedger) -> tuple[Any, ...]:
-        """Key of the change log, as far back as a renewal may still refer to: its begin, and each member's
-        last change."""
+        """Return the key of the change log: the oldest revision that a renewal may still acknowledge, and the
+        last change of each member since then."""
         revisions = [ledger.revision]
         for node in self.nodes:
             lease = node.lease
@@ -89,29 +94,31 @@
                 if sent.service == service
                 and sent.call.body.get("incarnation") in ledger.records_by_incarnation
             ]
-        since = max(ledger._changes._floor, min(at for at in revisions if at != FULL_LIST_REVISION))
-        changed = {number: at for at, number in ledger._changes._changes if at > since}
+        since = max(
+            ledger._changes._floor, min(revision for revision in revisions if revision != FULL_LIST_REVISION)
+        )
+        changed = {number: revision for revision, number in ledger._changes._changes if revision > since}
         return (
             ledger.revision - since,
-            tuple(sorted((ledger.revision - at, n) for n, at in changed.items())),
+            tuple(sorted((ledger.revision - revision, number) for number, revision in changed.items())),
         )
 
     def _node_key(self, node: Node, revisions: dict[str, int]) -> tuple[Any, ...]:
-        if node.cached[:2] != (self.now, revisions):
-            node.cached = (self.now, revisions, self._build_node_key(node, revisions))
-        node_key: tuple[Any, ...] = node.cached[2]
+        if node.cached_key[:2] != (self.now, revisions):
+            node.cached_key = (self.now, revisions, self._build_node_key(node, revisions))
+        node_key: tuple[Any, ...] = node.cached_key[2]
         return node_key
 
     def _build_node_key(self, node: Node, revisions: dict[str, int]) -> tuple[Any, ...]:
         lease, node_now = node.lease, self.now + node.skew
         revision = revisions.get(node.service, 0)
-        base = 0 if lease is None else lease._last_number
+        last_number = 0 if lease is None else lease._last_number
         calls = tuple(
             (
                 sent.call.path,
-                base - sent.call.number,
+                last_number - sent.call.number,
                 self.now - sent.at_ms,
-                *self._call_key(sent.call, base, revisions.get(sent.service, 0)),
+                *self._call_key(sent.call, last_number, revisions.get(sent.service, 0)),
             )
             for sent in node.calls
         )
@@ -121,7 +128,7 @@
         if lease is None:
             return (node.starts, calls, delayed_reports)
         responses = tuple(
-            (base - number, None if grant is None else self._grant_key(grant, revision))
+            (last_number - number, None if grant is None else self._grant_key(grant, revision))
             for number, grant in node.responses
         )
         in_flight = lease._in_flight
@@ -143,10 +150,10 @@
             if_positive(lease.lease_end_ms - node_now),
             if_positive(lease._quota_end_ms - node_now),
             if_positive(lease._last_response_ms + ATTACHED_TERM_FRACTION * TTL - node_now),
-            base - lease._last_used_number,
+            last_number - lease._last_used_number,
             None
             if in_flight is None
-            else (in_flight[0].path, base - in_flight[0].number, node_now - in_flight[1]),
+            else (in_flight[0].path, last_number - in_flight[0].number, node_now - in_flight[1]),
             max(0.0, lease._next_call_ms - node_now),
             lease._needs_full_list,
             lease._enrols_again,
@@ -155,13 +162,13 @@
             members_key(lease.members),
         )
 
-    def _call_key(self, call: RegistryCall, base: int, revision: int) -> tuple[Any, ...]:
+    def _call_key(self, call: RegistryCall, last_number: int, revision: int) -> tuple[Any, ...]:
         body = call.body
         if call.path != "renew":
             return (call.path, body.get("start"), body.get("incarnation"))
         return (
             body["incarnation"],
-            base - body["answered"],
+            last_number - body["answered"],
             None if body["acked"] == FULL_LIST_REVISION else revision - body["acked"],
             body["delta"],
             round(body["using"], 6),
@@ -182,19 +189,21 @@
             grant.removed,
         )
 
-    def _record_key(self, record: MemberRecord, revision: int, base: int, usable: int) -> tuple[Any, ...]:
+    def _record_key(
+        self, record: MemberRecord, revision: int, last_number: int, last_used_number: int
+    ) -> tuple[Any, ...]:
         lease = self.service.clock._leases.get(record.incarnation)
         lease_key = None
         if lease is not None:
             attached = lease.attached_since_ms is not None and self.now < lease.attached_until_ms
             applied = tuple(
-                (base - seq, self.now - at)
-                for seq, at in lease.applied_at_ms.items()
-                if seq >= usable and self.now < at + ATTACHED_TERM_FRACTION * TTL
+                (last_number - seq, self.now - applied_ms)
+                for seq, applied_ms in lease.applied_at_ms.items()
+                if seq >= last_used_number and self.now < applied_ms + ATTACHED_TERM_FRACTION * TTL
             )
             lease_key = (
                 min(self.now - lease.last_renewal_ms, TTL + self.bounds.step),
-                base - lease.seq,
+                last_number - lease.seq,
                 (min(self.now - lease.attached_since_ms, TTL), lease.attached_until_ms - self.now)
                 if attached
                 else None,
@@ -209,6 +218,6 @@
             revision - record.acknowledged_revision,
             record.elector,
             record.state,
-            base - record.renewal_seq,
+            last_number - record.renewal_seq,
             lease_key,
         )
--- a/tests/support/orders/parts.py
+++ b/tests/support/orders/parts.py
@@ -41,12 +41,12 @@
     services: tuple[tuple[str, ...], ...] = ()
     faulty: frozenset[str] | None = None
 
-    def service(self, at: int, start: int) -> str:
-        """The service that the process of this start balances to; starts count from 1."""
+    def service(self, node_index: int, start: int) -> str:
+        """Return the service of a node's process; `start` is the number of the process's start, from 1."""
         if not self.services:
             return NO_SERVICE
-        named = self.services[at]
-        return named[min(start, len(named)) - 1]
+        services = self.services[node_index]
+        return services[min(start, len(services)) - 1]
 
 
 class SentCall(NamedTuple):
@@ -83,13 +83,12 @@
     starts: int = 0
     reports: dict[int, SiblingReport] = field(default_factory=dict)  # latest of siblings, by incarnation
     calls: tuple[SentCall, ...] = ()
-    responses: tuple[
-        tuple[int, LeaseGrant | None], ...
-    ] = ()  # by call number; None if there is no such member
+    # (call number, grant), with None for the grant if the service has no such member.
+    responses: tuple[tuple[int, LeaseGrant | None], ...] = ()
     delayed_reports: tuple[DelayedReport, ...] = ()
     service: str = NO_SERVICE  # of the current process
     largest_grant: tuple[int, LeaseGrant] | None = None  # (call number, used grant with the largest quota)
-    cached: tuple[float, Any, Any] = (NEVER, None, None)  # (time, revisions, this node's part of the key)
+    cached_key: tuple[float, Any, Any] = (NEVER, None, None)  # (time, revisions, this node's part of the key)
 
     def copy(self) -> Node:
         lease = None if self.lease is None else copy_lease(self.lease)
@@ -107,7 +106,7 @@
 
 
 def copy_lease(lease: MemberLease) -> MemberLease:
-    """Return a shallow copy, which suffices as all field values are immutable."""
+    """Return a shallow copy, which is enough because all field values are immutable."""
     new: MemberLease = object.__new__(type(lease))
     new.__dict__.update(lease.__dict__)
     return new
@@ -138,6 +137,7 @@
 
 
 def awaits_response(node: Node, number: int) -> bool:
+    """Return whether the node's call in flight has this number."""
     return (
         node.lease is not None
         and node.lease._in_flight is not None
@@ -146,6 +146,7 @@
 
 
 def if_positive(remaining: float) -> float | None:
+    """Return the remaining time, or None if it is over."""
     return remaining if remaining > 0.0 else None
 
 
--- a/tests/support/orders/rounds.py
+++ b/tests/support/orders/rounds.py
@@ -6,13 +6,13 @@
 its messages in flight may arrive. A search thus covers every placement of few faults in a run of many terms,
 with a single order of undisturbed events; the detailed model covers all orders within a few moments.
 
-    cut n0      no call of n0 arrives
-    mute n0     calls of n0 arrive, but no response to them
-    oneway n0   siblings receive reports of n0, but n0 receives none
+    cut n0        no call of n0 reaches the list service
+    mute n0       calls of n0 reach the list service, but no response reaches n0
+    oneway n0     siblings receive reports of n0, but n0 receives none
     parted n0 n1  neither receives reports of the other
-    down        no call of any node arrives
-    wrong n0    the renewals of n0 are rejected (if `kinds` contains "reject"), as its estimate of service
-                time is wrong
+    down          no call of any node reaches the list service
+    wrong n0      the renewals of n0 are rejected (if `kinds` contains "reject"), as its estimate of service
+                  time is wrong
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from tests.support.orders.parts import Bounds, Node
 from tests.support.orders.shares import QuotaModel
 
-PART_OF_STEP = {"renew", "hear", "tick", "expire"}  # actions of the detailed model
+ACTIONS_IN_STEP = {"renew", "hear", "tick", "expire"}  # actions of the detailed model
 
 
 class RoundsModel(QuotaModel):
@@ -39,14 +39,14 @@
         if self.link_faults:
             yield self._transition("heal", 0, lambda m: setattr(m, "link_faults", frozenset()))
         if self.faults > 0:
-            for cut in self._possible_link_faults():
-                if cut not in self.link_faults:
+            for fault in self._possible_link_faults():
+                if fault not in self.link_faults:
                     yield self._transition(
-                        cut, 1, lambda m, c=cut: setattr(m, "link_faults", m.link_faults | {c})
+                        fault, 1, lambda m, f=fault: setattr(m, "link_faults", m.link_faults | {f})
                     )
-        for name, after in super().transitions():
-            if name.split()[0] not in PART_OF_STEP:
-                yield name, after
+        for name, successor in super().transitions():
+            if name.split()[0] not in ACTIONS_IN_STEP:
+                yield name, successor
 
     def key(self) -> tuple[Any, ...]:
         return (*super().key(), self.link_faults)
@@ -74,37 +74,37 @@
     def _step(self) -> None:
         self._tick()
         for _ in range(2):
-            for at, node in enumerate(self.nodes):
-                self._run_calls(at, node)
-            lapsed, support = self.service.clock.expired_and_attached(self.now)
-            plan = self.service.state.due_expiry(lapsed, support)
-            if plan is not None:
-                self._expire(plan)
+            for index, node in enumerate(self.nodes):
+                self._run_calls(index, node)
+            expired, attached = self.service.clock.expired_and_attached(self.now)
+            due = self.service.state.due_expiry(expired, attached)
+            if due is not None:
+                self._expire(due)
             self._receive_all_reports()
 
-    def _run_calls(self, at: int, node: Node) -> None:
+    def _run_calls(self, index: int, node: Node) -> None:
         node_now, lease = self.now + node.skew, node.lease
         if lease is None:
             return
         if lease._in_flight is not None and node_now >= lease._in_flight[1] + lease._in_flight[0].timeout_ms:
-            self._timeout(at)
+            self._timeout(index)
         elif lease.next_call_at() <= node_now:
             if {"down", f"cut {node.name}"} & self.link_faults:
-                self._begin_call(self._copy_node(at))
+                self._begin_call(self._copy_node(index))
             elif f"mute {node.name}" in self.link_faults:
-                mute = self._copy_node(at)
-                self._serve(mute, self._begin_call(mute).call)
+                copy = self._copy_node(index)
+                self._serve(copy, self._begin_call(copy).call)
             elif f"wrong {node.name}" in self.link_faults and lease.incarnation and not lease._enrols_again:
-                self._reject(at)
+                self._reject(index)
             else:
-                self._renew(at)
+                self._renew(index)
 
     def _receive_all_reports(self) -> None:
-        for at, node in enumerate(self.nodes):
+        for index, node in enumerate(self.nodes):
             if node.lease is None or f"oneway {node.name}" in self.link_faults:
                 continue
             for other in self.nodes:
                 pair = " ".join(sorted((node.name, other.name)))
                 if other.name != node.name and f"parted {pair}" not in self.link_faults:
-                    for number, report in self._current_report(self.nodes[at], other):
-                        self._receive_report(at, number, report)
+                    for number, report in self._current_report(self.nodes[index], other):
+                        self._receive_report(index, number, report)
--- a/tests/support/orders/routes_check.py
+++ b/tests/support/orders/routes_check.py
@@ -28,17 +28,23 @@
 
 
 def route_invariant(model: RouteModel) -> str | None:
-    """Each following node runs the version that the log has in force at this time, with a tolerance of the
-    clock bound around its activation time. So no two nodes run different versions, and none an undecided
-    one."""
+    """Each following node runs the version that the log has in force at this time.
+
+    So no node runs an undecided version, and no two nodes run different ones. The exception is the time within
+    CLOCK_BOUND_MS of an activation, when both the version before and the one after it are allowed.
+    """
     if model.violation is not None:
         return model.violation
-    s, versions = model._service_ms(), decided_versions(model)
+    service_ms, versions = model._service_ms(), decided_versions(model)
     possible = [
-        version.number for version in versions if (version.activates_at_ms or 0.0) <= s + CLOCK_BOUND_MS
+        version.number
+        for version in versions
+        if (version.activates_at_ms or 0.0) <= service_ms + CLOCK_BOUND_MS
     ]
     settled = [
-        version.number for version in versions if (version.activates_at_ms or 0.0) < s - CLOCK_BOUND_MS
+        version.number
+        for version in versions
+        if (version.activates_at_ms or 0.0) < service_ms - CLOCK_BOUND_MS
     ]
     allowed = {*settled[-1:], *possible[len(settled) :]}
     for node, entry in zip(model.nodes, model.participants, strict=True):
--- a/tests/support/orders/shares.py
+++ b/tests/support/orders/shares.py
@@ -3,28 +3,31 @@
 
 All times are read from one reference clock; a node's own clock differs from it by a constant skew. Time
 advances in steps of `Bounds.step`, and what happens between two steps happens at one moment, in any order.
-The step divides the lease term so that every limit in the rules (0.25, 0.55, 0.9 and 1 term) is on or between
-steps. In a state's key, times are relative to now, call numbers and revisions relative to the latest, and
-values too old to matter are left out: the product only compares them, so states that differ by such a shift
-behave alike.
+A step is a quarter of the lease term by default. Of the time limits in the rules, 0.25 and 1 term are at a
+step, 0.55 and 0.9 term between two steps.
+
+In a state's key, times are relative to now, call numbers and revisions relative to the latest, and values too
+old to matter are left out: the product only compares them, so states that differ by such a shift behave
+alike.
 
 Actions without a fault: `renew` (a node's due call is sent, applied and answered at this moment), `hear` (a
 node receives a sibling's current report), `expire` (the leader expires the due leases), `tick`. A broken link
-is a node that does not renew or does not hear, as no action is ever forced. Actions that use up one of the
-model's faults:
-
-    send     a call that does not arrive at this moment. From then on `arrive`, `answer` and `timeout` happen
-             in any order, at any time, or never; this covers delayed, lost and reordered messages
-    repeat   a message that arrives and stays in flight, to arrive again
-    plan     an `expire` that is determined now and applied later (or rejected, after a new leader)
+is a node that does not renew or does not `hear`, as no action is ever forced. Each of the following actions
+uses up one of the model's faults:
+
+    send     a call that does not arrive at this moment. Then `arrive`, `answer` (its response arrives) and
+             `timeout` happen in any order, at any time, or never; this covers delayed, lost and reordered
+             messages
+    repeat   a call arrives, and a duplicate of it stays in flight
+    plan     an `expire` that the leader decides now; `apply` applies it later, unless there is a new leader
     crash    the process ends; `start` (no fault) begins another one at the same address; calls that it has
              sent may still arrive
     reject   a due renewal is rejected for its stated time, as the node's estimate of service time is wrong
-    older    instead of the response to the call in flight, the response with the largest quota of all that
-             were used so far arrives, which belongs to another call
-    lead     a new leader, which grants every lease again
+    older    instead of the response to the call in flight, an earlier response arrives, which belongs to
+             another call: of all that were used, the one that granted the largest quota
+    lead     a new leader, at which every lease starts again from now
     snapshot the change logs of the member lists begin at the current revision, as at an instance that has
-             loaded a snapshot and serves calls from now on
+             just loaded a snapshot
     late     a current report that siblings may receive later
 
 Nodes may belong to services (`Bounds.services`). They then enrol by the command that supports groups, and
@@ -32,7 +35,7 @@
 
 Omitted, since they can change nothing: a report other than `HOLDING`, unless it replaces a `HOLDING` one;
 responses to calls that have timed out; and renewals that are too late for the service to accept. Nodes are
-not treated as interchangeable, because the lowest rank wins a tie.
+not treated as interchangeable, because the node with the lowest rank decides a tied majority.
 """
 
 from __future__ import annotations
@@ -67,7 +70,16 @@
 class QuotaModel(QuotaStateKey):
     """A state of the model; immutable from outside, as each action works on a `_copy`."""
 
-    __slots__ = ("assigned_incarnations", "bounds", "faults", "nodes", "now", "plan", "service", "violation")
+    __slots__ = (
+        "assigned_incarnations",
+        "bounds",
+        "delayed_expiry",
+        "faults",
+        "nodes",
+        "now",
+        "service",
+        "violation",
+    )
 
     def __init__(self, bounds: Bounds, faults: int) -> None:
         self.bounds, self.faults = bounds, faults
@@ -75,44 +87,48 @@
         state = FleetState()
         state.start_term(1, "", 0, TTL, 0.0)
         self.service = Service(state, LeaseClock(TTL))
-        self.plan: DueExpiry | None = None
+        self.delayed_expiry: DueExpiry | None = None
         # The first incarnation assigned to each start of a process.
         self.assigned_incarnations: tuple[tuple[str, int], ...] = ()
         self.violation: str | None = None
-        self.nodes = tuple(self._start(at, Node(f"n{at}", skew)) for at, skew in enumerate(bounds.skews))
+        self.nodes = tuple(
+            self._start(index, Node(f"n{index}", skew)) for index, skew in enumerate(bounds.skews)
+        )
 
     # ---------------------------------------------------------------------- transitions
 
     def transitions(self) -> Iterator[tuple[str, QuotaModel]]:
-        for at, node in enumerate(self.nodes):
+        for index, node in enumerate(self.nodes):
             if node.lease is not None:
-                yield from self._node_transitions(at, node, node.lease)
+                yield from self._node_transitions(index, node, node.lease)
             elif node.starts < 3:
-                yield self._transition(f"start {node.name}", 0, lambda m, at=at: m._restart(at))
-            yield from self._arrival_transitions(at, node)
+                yield self._transition(f"start {node.name}", 0, lambda m, index=index: m._restart(index))
+            yield from self._arrival_transitions(index, node)
         yield from self._leader_transitions()
         yield self._transition("tick", 0, lambda m: m._tick())
 
-    def _node_transitions(self, at: int, node: Node, lease: MemberLease) -> Iterator[tuple[str, QuotaModel]]:
+    def _node_transitions(
+        self, index: int, node: Node, lease: MemberLease
+    ) -> Iterator[tuple[str, QuotaModel]]:
         node_now = self.now + node.skew
         if lease.next_call_at() <= node_now:
-            yield self._transition(f"renew {node.name}", 0, lambda m: m._renew(at))
+            yield self._transition(f"renew {node.name}", 0, lambda m: m._renew(index))
             if self._may_inject("send", node) and len(node.calls) < self.bounds.max_calls_in_flight:
-                yield self._transition(f"send {node.name}", 1, lambda m: m._send(at))
+                yield self._transition(f"send {node.name}", 1, lambda m: m._send(index))
             if self._may_inject("reject", node) and lease.incarnation is not None and not lease._enrols_again:
-                yield self._transition(f"reject {node.name}", 1, lambda m: m._reject(at))
+                yield self._transition(f"reject {node.name}", 1, lambda m: m._reject(index))
         elif (
             lease._in_flight is not None and node_now >= lease._in_flight[1] + lease._in_flight[0].timeout_ms
         ):
-            yield self._transition(f"timeout {node.name}", 0, lambda m: m._timeout(at))
+            yield self._transition(f"timeout {node.name}", 0, lambda m: m._timeout(index))
         if (
             lease._in_flight is not None
             and node.largest_grant is not None
             and self._may_inject("older", node)
         ):
-            yield self._transition(f"older {node.name}", 1, lambda m: m._deliver_older_grant(at))
+            yield self._transition(f"older {node.name}", 1, lambda m: m._deliver_older_grant(index))
         if self._may_inject("crash", node):
-            yield self._transition(f"crash {node.name}", 1, lambda m: m._crash(at))
+            yield self._transition(f"crash {node.name}", 1, lambda m: m._crash(index))
         if not self.bounds.siblings:
             return
         for other in self.nodes:
@@ -121,12 +137,12 @@
             for incarnation, report in self._current_report(node, other):
                 name = f"hear {node.name} {other.name}"
                 yield self._transition(
-                    name, 0, lambda m, i=incarnation, x=report: m._receive_report(at, i, x)
+                    name, 0, lambda m, i=incarnation, x=report: m._receive_report(index, i, x)
                 )
             for incarnation, report in self._delayed_reports(node, other):
                 name = f"hear {node.name} {other.name} of {node_now - report.made_at_ms:g} ms ago"
                 yield self._transition(
-                    name, 0, lambda m, i=incarnation, x=report: m._receive_report(at, i, x)
+                    name, 0, lambda m, i=incarnation, x=report: m._receive_report(index, i, x)
                 )
         if (
             self._may_inject("late", node)
@@ -135,28 +151,28 @@
         ):
             report = DelayedReport(lease.incarnation, self.now, node.service)
             if report not in node.delayed_reports:
-                yield self._transition(f"late {node.name}", 1, lambda m: m._delay_report(at, report))
+                yield self._transition(f"late {node.name}", 1, lambda m: m._delay_report(index, report))
 
-    def _arrival_transitions(self, at: int, node: Node) -> Iterator[tuple[str, QuotaModel]]:
+    def _arrival_transitions(self, index: int, node: Node) -> Iterator[tuple[str, QuotaModel]]:
         for sent in node.calls:
             name = f"{node.name} {sent.call.path} {sent.call.number}"
-            yield self._transition(f"arrive {name}", 0, lambda m, s=sent: m._arrive(at, s, False))
+            yield self._transition(f"arrive {name}", 0, lambda m, s=sent: m._arrive(index, s, False))
             if self._may_inject("repeat", node):
-                yield self._transition(f"repeat {name}", 1, lambda m, s=sent: m._arrive(at, s, True))
+                yield self._transition(f"repeat {name}", 1, lambda m, s=sent: m._arrive(index, s, True))
         for response in node.responses:
             yield self._transition(
-                f"answer {node.name} {response[0]}", 0, lambda m, a=response: m._deliver_response(at, a)
+                f"answer {node.name} {response[0]}", 0, lambda m, a=response: m._deliver_response(index, a)
             )
 
     def _leader_transitions(self) -> Iterator[tuple[str, QuotaModel]]:
-        lapsed, support = self.service.clock.expired_and_attached(self.now)
-        plan = self.service.state.due_expiry(lapsed, support)
-        if plan is not None:
-            yield self._transition("expire", 0, lambda m: m._expire(plan))
-            if self.plan is None and self._may_inject("plan"):
-                yield self._transition("plan", 1, lambda m: setattr(m, "plan", plan))
-        if self.plan is not None:
-            yield self._transition("apply", 0, lambda m: m._apply_plan())
+        expired, attached = self.service.clock.expired_and_attached(self.now)
+        due = self.service.state.due_expiry(expired, attached)
+        if due is not None:
+            yield self._transition("expire", 0, lambda m: m._expire(due))
+            if self.delayed_expiry is None and self._may_inject("plan"):
+                yield self._transition("plan", 1, lambda m: setattr(m, "delayed_expiry", due))
+        if self.delayed_expiry is not None:
+            yield self._transition("apply", 0, lambda m: m._apply_delayed_expiry())
         if self._may_inject("lead"):
             yield self._transition("lead", 1, lambda m: m._elect_leader())
         if self._may_inject("snapshot"):
@@ -168,26 +184,26 @@
         return self.faults > 0 and kind in self.bounds.kinds
 
     def _transition(self, name: str, cost: int, act: Any) -> tuple[str, Any]:
-        after = self._copy()
-        after.faults -= cost
-        act(after)
-        return name, after
+        successor = self._copy()
+        successor.faults -= cost
+        act(successor)
+        return name, successor
 
     def _copy(self) -> QuotaModel:
         new: QuotaModel = object.__new__(type(self))
         new.bounds, new.faults, new.now, new.service = self.bounds, self.faults, self.now, self.service
-        new.plan, new.assigned_incarnations, new.violation, new.nodes = (
-            self.plan,
+        new.delayed_expiry, new.assigned_incarnations, new.violation, new.nodes = (
+            self.delayed_expiry,
             self.assigned_incarnations,
             self.violation,
             self.nodes,
         )
         return new
 
-    def _copy_node(self, at: int) -> Node:
+    def _copy_node(self, index: int) -> Node:
         """Copy a node and its lease into this state, since actions change them in place."""
-        node = self.nodes[at].copy()
-        self.nodes = (*self.nodes[:at], node, *self.nodes[at + 1 :])
+        node = self.nodes[index].copy()
+        self.nodes = (*self.nodes[:index], node, *self.nodes[index + 1 :])
         return node
 
     def _service_ms(self) -> float:
@@ -214,20 +230,20 @@
 
     # ------------------------------------------------------------------ calls
 
-    def _start(self, at: int, node: Node) -> Node:
+    def _start(self, index: int, node: Node) -> Node:
         starts = node.starts + 1
-        service = self.bounds.service(at, starts)
+        service = self.bounds.service(index, starts)
         lease = MemberLease(node.name, f"a-{node.name}", "", f"{node.name}.{starts}", RNG, service)
         return Node(
             node.name, node.skew, lease, starts, calls=node.calls, delayed_reports=node.delayed_reports,
             service=service,
         )  # fmt: skip
 
-    def _restart(self, at: int) -> None:
-        self.nodes = (*self.nodes[:at], self._start(at, self.nodes[at]), *self.nodes[at + 1 :])
+    def _restart(self, index: int) -> None:
+        self.nodes = (*self.nodes[:index], self._start(index, self.nodes[index]), *self.nodes[index + 1 :])
 
-    def _crash(self, at: int) -> None:
-        node = self._copy_node(at)
+    def _crash(self, index: int) -> None:
+        node = self._copy_node(index)
         node.lease, node.responses, node.reports = None, (), {}
 
     def _begin_call(self, node: Node) -> SentCall:
@@ -237,24 +253,25 @@
         assert call is not None
         return SentCall(call, self.now, node.service)
 
-    def _send(self, at: int) -> None:
-        node = self._copy_node(at)
+    def _send(self, index: int) -> None:
+        node = self._copy_node(index)
         node.calls = (*node.calls, self._begin_call(node))
 
-    def _renew(self, at: int) -> None:
-        node = self._copy_node(at)
+    def _renew(self, index: int) -> None:
+        node = self._copy_node(index)
         sent = self._begin_call(node)
         self._use_response(node, sent.call.number, self._serve(node, sent.call))
 
-    def _reject(self, at: int) -> None:
-        node = self._copy_node(at)
+    def _reject(self, index: int) -> None:
+        node = self._copy_node(index)
         sent = self._begin_call(node)
         assert node.lease is not None
         node.lease.on_renewal_rejected(self.now + node.skew, sent.call.number)
 
-    def _deliver_older_grant(self, at: int) -> None:
-        """As the lease client does: the response states its call, and the call in flight fails."""
-        node = self._copy_node(at)
+    def _deliver_older_grant(self, index: int) -> None:
+        """Treat the response as the lease client does: it states the number of another call, so the call in
+        flight fails."""
+        node = self._copy_node(index)
         assert node.lease is not None
         assert node.lease._in_flight is not None
         assert node.largest_grant is not None
@@ -263,8 +280,8 @@
             node.lease.on_failure(node_now, number)
         node.responses = ()
 
-    def _arrive(self, at: int, sent: SentCall, repeated: bool) -> None:
-        node = self._copy_node(at)
+    def _arrive(self, index: int, sent: SentCall, repeated: bool) -> None:
+        node = self._copy_node(index)
         if not repeated:
             node.calls = tuple(other for other in node.calls if other is not sent)
         response = (sent.call.number, self._serve(node, sent.call))
@@ -305,8 +322,8 @@
                 )
             self.assigned_incarnations = (*self.assigned_incarnations, (record.start_id, record.incarnation))
 
-    def _deliver_response(self, at: int, response: tuple[int, LeaseGrant | None]) -> None:
-        node = self._copy_node(at)
+    def _deliver_response(self, index: int, response: tuple[int, LeaseGrant | None]) -> None:
+        node = self._copy_node(index)
         node.responses = tuple(other for other in node.responses if other is not response)
         self._use_response(node, *response)
 
@@ -331,8 +348,8 @@
     def _on_unregistered(self, node: Node, node_now: float) -> None:
         """Hook: the list service has no record of the node."""
 
-    def _timeout(self, at: int) -> None:
-        node = self._copy_node(at)
+    def _timeout(self, index: int) -> None:
+        node = self._copy_node(index)
         assert node.lease is not None
         assert node.lease._in_flight is not None
         node.lease.on_failure(self.now + node.skew, node.lease._in_flight[0].number)
@@ -355,45 +372,47 @@
 
     def _delayed_reports(self, node: Node, other: Node) -> list[tuple[int, SiblingReport]]:
         delayed = []
-        for number, at, service in other.delayed_reports:
+        for number, made_at_ms, service in other.delayed_reports:
             known = node.reports.get(number)
             if service != node.service:
                 continue
-            if at < self.now and (known is None or known.made_at_ms < at + node.skew):
-                delayed.append((number, SiblingReport(QuotaStatus.HOLDING, at + node.skew)))
+            if made_at_ms < self.now and (known is None or known.made_at_ms < made_at_ms + node.skew):
+                delayed.append((number, SiblingReport(QuotaStatus.HOLDING, made_at_ms + node.skew)))
         return delayed
 
-    def _receive_report(self, at: int, incarnation: int, report: SiblingReport) -> None:
-        node = self._copy_node(at)
+    def _receive_report(self, index: int, incarnation: int, report: SiblingReport) -> None:
+        node = self._copy_node(index)
         assert node.lease is not None
         node.reports = {**node.reports, incarnation: report}
         node.lease.on_sibling_reports(self.now + node.skew, node.reports)
         if report.status is not QuotaStatus.HOLDING and not self.bounds.all_reports:
-            del node.reports[incarnation]  # from here on as if it had not been received
+            del node.reports[
+                incarnation
+            ]  # it has no later effect, so the state is as if it had not been received
 
-    def _delay_report(self, at: int, report: DelayedReport) -> None:
-        node = self._copy_node(at)
+    def _delay_report(self, index: int, report: DelayedReport) -> None:
+        node = self._copy_node(index)
         node.delayed_reports = (*node.delayed_reports, report)
 
     # -------------------------------------------------------------- leader and time
 
-    def _expire(self, plan: DueExpiry) -> None:
+    def _expire(self, due: DueExpiry) -> None:
         state = self._begin_command()
-        state.expire(plan.expired, plan.attached, plan.repeated_enrolments)
+        state.expire(due.expired, due.attached, due.repeated_enrolments)
         state.settle()
         self.service.clock.retain({record.incarnation for record in state.records()})
 
-    def _apply_plan(self) -> None:
-        assert self.plan is not None
-        self._expire(self.plan)
-        self.plan = None
+    def _apply_delayed_expiry(self) -> None:
+        assert self.delayed_expiry is not None
+        self._expire(self.delayed_expiry)
+        self.delayed_expiry = None
 
     def _elect_leader(self) -> None:
         state = self._begin_command()
         self.service.clock.begin_term(
             self.now, [(record.incarnation, record.renewal_seq) for record in state.records()]
         )
-        self.plan = None  # the log rejects what the previous leader proposed
+        self.delayed_expiry = None  # the log rejects commands of the previous leader
 
     def _snapshot(self) -> None:
         state = self._begin_command()
@@ -402,8 +421,8 @@
 
     def _tick(self) -> None:
         self.now += self.bounds.step
-        for at in range(len(self.nodes)):
-            node = self._copy_node(at)
+        for index in range(len(self.nodes)):
+            node = self._copy_node(index)
             node_now = self.now + node.skew
             oldest_ms = self.now - MAX_DELAY_TERM_FRACTION * TTL
             node.calls = tuple(
@@ -435,22 +454,22 @@
     def run_without_faults(self, steps: int) -> QuotaModel:
         """Continue without faults: at every step all nodes start and renew, and due leases expire."""
         model = self._copy()
-        model.faults, model.plan = 0, None
+        model.faults, model.delayed_expiry = 0, None
         for _ in range(steps):
             model._tick()
             model._step_without_faults()
         return model
 
     def _step_without_faults(self) -> None:
-        for at, node in enumerate(self.nodes):
+        for index, node in enumerate(self.nodes):
             if node.lease is None:
-                self._restart(at)
+                self._restart(index)
             elif node.lease._in_flight is not None:
-                self._timeout(at)
+                self._timeout(index)
         for _ in range(3):
-            for at, node in enumerate(self.nodes):
+            for index, node in enumerate(self.nodes):
                 if node.lease is not None and node.lease.next_call_at() <= self.now + node.skew:
-                    self._renew(at)
-        lapsed, support = self.service.clock.expired_and_attached(self.now)
-        if lapsed:
-            self._expire(DueExpiry(lapsed, support, self.service.state.repeated_enrolments))
+                    self._renew(index)
+        expired, attached = self.service.clock.expired_and_attached(self.now)
+        if expired:
+            self._expire(DueExpiry(expired, attached, self.service.state.repeated_enrolments))
