--- a/loadbalancer/membership/member_lease.py
+++ b/loadbalancer/membership/member_lease.py
@@ -11,9 +11,8 @@
   itself included, have recently reported that they are detached and hold their quota too. A report counts for
   HOLD_TERM_FRACTION of the term, and the node has to be an elector itself.
 - Otherwise the node has *yielded*: its quota is 0 until a renewal succeeds again.
-- The member list is that of the node's group. Changes are merged only into the revision at which they begin.
-  For changes since any other revision the node requests the complete list, and goes on acknowledging the
-  revision that it has.
+- The member list is that of the node's group. Changes are merged only if they begin at the revision that the
+  node has. Otherwise it requests the complete list, and goes on acknowledging its revision.
 - A rejected enrolment (the group is full) is retried with exponential backoff and jitter.
 - A renewal that is rejected as late, judged by the service time that it states, shows that the node's
   estimate of service time is wrong. The node enrols again: an enrolment states no time, keeps the node's
@@ -40,10 +39,10 @@
 from loadbalancer.membership.messages import LeaseGrant, Member
 from loadbalancer.membership.payload import QuotaStatus
 
-# Fractions of the lease term.
+# Durations as fractions of the lease term.
 RENEWAL_TERM_FRACTION = 0.2  # between renewals
 RETRY_TERM_FRACTION = 0.1  # from a failure to the retry, before jitter
-CATCH_UP_TERM_FRACTION = 0.05  # between renewals while the quota differs from its target
+CATCH_UP_TERM_FRACTION = 0.05  # between renewals while the quota differs from its target value
 HOLD_TERM_FRACTION = 0.9  # validity of a sibling's report that it holds its quota
 MAX_BACKOFF_TERMS = 2.0  # maximum backoff after consecutive rejected enrolments
 MAX_RENEWAL_BACKOFF_TERMS = 0.4  # after rejected renewals; shorter than the lease
@@ -52,7 +51,7 @@
 MAX_BACKOFF_DOUBLINGS = 10  # enough to reach MAX_BACKOFF_TERMS; bounds the exponent
 MAX_WATCH_JITTER_MS = 20.0  # spreads the renewals that follow one watch event
 MAX_CLOCK_DRIFT_RATIO = 0.001  # bound on the drift between clocks; the node's term is shorter by it
-FULL_LIST_REVISION = -1  # acknowledged to request the complete member list
+FULL_LIST_REVISION = -1  # acknowledging this revision requests the complete member list
 FIRST_TTL_MS = 5_000.0  # used until the service has announced its term
 QUOTA_TOLERANCE = 1e-9  # smaller differences of quotas are ignored
 
@@ -81,7 +80,7 @@
         self._quota = 0.0
         self._quota_end_ms = -math.inf  # the quota is 0 from this time on
         self._last_response_ms = -math.inf  # when the last used response arrived
-        self._last_used_number = -1  # number of the call of that response
+        self._last_used_number = -1  # number of the call whose response was used last
         self._last_number = 0
         self._in_flight: tuple[RegistryCall, float] | None = None  # the latest call and when it was sent
         self._next_call_ms = self._last_sent_ms = -math.inf
@@ -144,7 +143,7 @@
         }
 
     def on_departure_acknowledged(self, now: float, number: int) -> bool:
-        """The service has recorded the departure; returns whether that call was still in flight."""
+        """End the call that announced the departure; return whether it was still in flight."""
         if self._in_flight is None or self._in_flight[0].number != number:
             return False
         (call, _), self._in_flight = self._in_flight, None
@@ -153,7 +152,7 @@
         return True
 
     def on_grant(self, now: float, number: int, grant: LeaseGrant, ttl_ms: float) -> bool:
-        """An enrolment or renewal got a valid response; returns whether it was used."""
+        """Apply the grant of an enrolment or renewal; return False if it is late or its call has ended."""
         if self._in_flight is None or self._in_flight[0].number != number:
             return False  # the call is no longer in flight
         (call, sent), self._in_flight = self._in_flight, None
@@ -173,18 +172,18 @@
         return True
 
     def on_enrolment_rejected(self, now: float, number: int) -> None:
-        """The group is full: retry the enrolment with backoff."""
+        """Schedule another enrolment with backoff, after one was rejected because the group is full."""
         if self._end_call(number):
             self._back_off(now, MAX_BACKOFF_TERMS)
 
     def on_renewal_rejected(self, now: float, number: int) -> None:
-        """The service rejected the service time that the renewal stated: enrol again."""
+        """Enrol again with backoff, after the service rejected the service time that a renewal stated."""
         if self._end_call(number):
             self._enrols_again = True
             self._back_off(now, MAX_RENEWAL_BACKOFF_TERMS)
 
     def on_failure(self, now: float, number: int, unknown: bool = False) -> None:
-        """A call failed; `unknown` if the service has no such member, so that the process enrols again."""
+        """Retry a failed call later; if the service has no such member (`unknown`), enrol again at once."""
         if not self._end_call(number):
             return
         if unknown and self._departure_path is None:
@@ -195,14 +194,14 @@
             self._retry(now)
 
     def on_watch_event(self, now: float) -> None:
-        """The fleet's state has changed: renew soon, to receive the change and report the quota in use."""
+        """Renew soon, as the fleet's state has changed, to receive the change and report the quota in use."""
         renewal_at = max(now, self._last_sent_ms + CATCH_UP_TERM_FRACTION * self.ttl_ms) + self._rng.uniform(
             0.0, MAX_WATCH_JITTER_MS
         )
         self._next_call_ms = min(self._next_call_ms, renewal_at)
 
     def begin_draining(self, now: float) -> None:
-        """Announce that this node drains; it uses its quota until `leave`."""
+        """Announce that this node drains; it goes on using its quota until `leave`."""
         if not self._drain_announced and self.incarnation is not None:
             self._drain_announced, self._departure_path, self._next_call_ms = True, "leaving", now
 
@@ -222,10 +221,13 @@
             self._expire_quota(now)
 
     def _majority_holds_until(self, reports: Mapping[int, SiblingReport]) -> float:
-        """Return until when a majority of the last known members, including this one, counts as holding."""
+        """Return the time until which a majority of the last known members counts as holding, or -inf.
+
+        This node counts as holding, if it is an elector.
+        """
         if not self.elector:
             return -math.inf
-        known = {member.rank for member in self.members}
+        known_ranks = {member.rank for member in self.members}
         ends = [(math.inf, member.rank) for member in self.members if member.incarnation == self.incarnation]
         for member in self.members:
             report = reports.get(member.incarnation)
@@ -235,14 +237,14 @@
                 and report.status is QuotaStatus.HOLDING
             ):
                 ends.append((report.made_at_ms + HOLD_TERM_FRACTION * self.ttl_ms, member.rank))
-        ranks: set[int] = set()
+        holding_ranks: set[int] = set()
         for end, rank in sorted(ends, reverse=True):
-            ranks.add(rank)
-            if is_majority(ranks, known):
+            holding_ranks.add(rank)
+            if is_majority(holding_ranks, known_ranks):
                 return end
         return -math.inf
 
-    # Steps.
+    # Helpers.
 
     def _end_call(self, number: int) -> bool:
         """End the call of this number; return whether it was in flight."""
@@ -257,12 +259,12 @@
         self._merge_members(grant)
         self.lease_end_ms = sent + self.ttl_ms * (1.0 - MAX_CLOCK_DRIFT_RATIO)
         self._quota, self._quota_end_ms, self._last_response_ms = grant.quota, self.lease_end_ms, now
-        settled = (
+        is_at_target = (
             self._quota > self._target_quota(grant) - QUOTA_TOLERANCE
             and used <= self._quota + QUOTA_TOLERANCE
         )
         self._next_call_ms = (
-            now + (RENEWAL_TERM_FRACTION if settled else CATCH_UP_TERM_FRACTION) * self.ttl_ms
+            now + (RENEWAL_TERM_FRACTION if is_at_target else CATCH_UP_TERM_FRACTION) * self.ttl_ms
         )
         if used > self._quota + QUOTA_TOLERANCE:
             # The released quota becomes free only when the next renewal reports the lower usage.
--- a/loadbalancer/membership/probing.py
+++ b/loadbalancer/membership/probing.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class _ProbeState:
-    """State of the probe of one member: first direct, then through helpers."""
+    """State of the probe of one member, which is direct first and then made by helpers."""
 
     target: int
     refused: bool = False
@@ -37,8 +37,8 @@
     sent: float
     timeout_ms: float
     probe: _ProbeState | None = None
-    relayed_for: int = 0  # the incarnation that this node probes for; 0 for its own calls
-    call: int = 0  # id of the received call to respond to
+    relayed_for: int = 0  # incarnation of the member that requested the probe; 0 for this node's own calls
+    received_call: int = 0  # id of that member's call, to respond to
 
 
 class Probing:
@@ -54,7 +54,7 @@
         self._ids = itertools.count(1)
         self._pending: dict[int, PendingCall] = {}
         self._probed_targets: set[int] = set()  # members being probed
-        self._relayed = 0
+        self._relayed_count = 0
 
     def next_probe(self, now: float) -> list[Probe]:
         """Return a probe of the next member that is not being probed, if any."""
@@ -66,15 +66,18 @@
         return [self._probe(now, PendingCall(target, now, timeout_ms, _ProbeState(target)))]
 
     def relay(self, now: float, call: int, message: Message) -> Probe | Ack:
-        """Probe on the sender's behalf if sender and target are known and `relayed_probes` is not reached."""
+        """Probe the message's target on the sender's behalf; `call` is the id of the received call.
+
+        If either is unknown, or `relayed_probes` are in flight already, return an inconclusive ack instead.
+        """
         known = message.sender in self._members.peers and message.target in self._members.peers
-        if not known or self._relayed >= self._config.relayed_probes:
+        if not known or self._relayed_count >= self._config.relayed_probes:
             self._local.ignored["ask for another not taken"] += 1
             return Ack(call, self._gossip.payload(now, message.sender))
-        self._relayed += 1
+        self._relayed_count += 1
         # Independent of this node's health, since the sender waits for twice this timeout.
         timeout_ms = self._config.probe_timeout_ms
-        pending = PendingCall(message.target, now, timeout_ms, relayed_for=message.sender, call=call)
+        pending = PendingCall(message.target, now, timeout_ms, relayed_for=message.sender, received_call=call)
         return self._probe(now, pending)
 
     @property
@@ -92,20 +95,20 @@
     def drop_abandoned(self, now: float) -> None:
         """Drop calls that the driver has never ended."""
         expired = [
-            key
-            for key, pending in self._pending.items()
+            probe_id
+            for probe_id, pending in self._pending.items()
             if pending.sent + pending.timeout_ms + GRACE_MS < now
         ]
         for probe_id in expired:
             pending = self._pending.pop(probe_id)
             self._local.ignored["ask never ended"] += 1
             if pending.probe is None:
-                self._relayed -= 1
+                self._relayed_count -= 1
             else:
                 self._probed_targets.discard(pending.probe.target)
 
     def on_ack(self, now: float, pending: PendingCall, result: ProbeResult) -> list[Ack]:
-        """The called member responded; `result` is the outcome of its probe if it is a helper."""
+        """Handle a response; `result` is the outcome of the helper's probe if the call was to a helper."""
         if pending.probe is None:
             return [self._relayed_ack(now, pending, ProbeResult.ACKED)]
         if pending.to == pending.probe.target:
@@ -122,7 +125,7 @@
         return []
 
     def on_failure(self, now: float, pending: PendingCall, refused: bool) -> list[Ack] | list[IndirectProbe]:
-        """The call got no response; `refused` if the machine refused the connection."""
+        """Handle a call that got no response; `refused`: whether the machine refused the connection."""
         # A call in flight during a pause of this process proves nothing, unless a machine refused it.
         inconclusive = pending.sent < self._local.awake_since and not refused
         if pending.probe is None:
@@ -144,11 +147,15 @@
         return Probe(probe_id, pending.to, address, pending.timeout_ms, payload)
 
     def _relayed_ack(self, now: float, pending: PendingCall, result: ProbeResult) -> Ack:
-        self._relayed -= 1
-        return Ack(pending.call, self._gossip.payload(now, pending.relayed_for, result=result))
+        self._relayed_count -= 1
+        return Ack(pending.received_call, self._gossip.payload(now, pending.relayed_for, result=result))
 
     def _probe_indirectly(self, now: float, probe: _ProbeState, refused: bool) -> list[IndirectProbe]:
-        """After a failed direct probe, probe through helpers unless that could show nothing new."""
+        """Probe through helpers after a failed direct probe.
+
+        Send no probe if it could show nothing new: the target has been removed, counts as failed, or is
+        suspected by this node already.
+        """
         peer = self._members.peers.get(probe.target)
         probe.refused = refused
         status = MemberStatus.REFUSED if refused else MemberStatus.SUSPECT
@@ -162,7 +169,7 @@
         helpers = self._choose_helpers(probe.target)
         probe.awaited_helpers = len(helpers)
         if not helpers:
-            self._local.worsen_health()  # no helper can show that the fault is not this node's own
+            self._local.worsen_health()  # no helper can show that the cause is not this node
             self._conclude(now, probe, no_helpers=True)
         return [self._indirect_probe(now, probe, helper) for helper in helpers]
 
@@ -188,12 +195,15 @@
         if refused:
             self.order.probe_soon(pending.to)
         elif not inconclusive:
-            self._local.worsen_health()  # a live helper always responds: the fault may be this node's own
+            self._local.worsen_health()  # a live helper always responds, so the cause may be this node itself
         self._conclude(now, probe)
 
     def _conclude(self, now: float, probe: _ProbeState, no_helpers: bool = False) -> None:
-        """End the probe: reachable indirectly as soon as one helper's probe is acked, suspected once all
-        helpers have ended without an ack."""
+        """End the probe once its result is known.
+
+        The target is reachable indirectly as soon as one helper's probe is acked. It is suspected once the
+        calls to all helpers have ended without an ack of the target.
+        """
         if probe.ended or (probe.awaited_helpers and not probe.acked):
             return
         probe.ended = True
--- a/loadbalancer/membership/quota_ledger.py
+++ b/loadbalancer/membership/quota_ledger.py
@@ -25,7 +25,7 @@
 from loadbalancer.membership.member_record import MemberRecord, MemberState, is_majority
 from loadbalancer.membership.messages import LeaseGrant, Member
 
-HOLDING_LEASE = (MemberState.LIVE, MemberState.DRAINING)
+LEASED_STATES = (MemberState.LIVE, MemberState.DRAINING)  # of members that hold a lease
 
 # (incarnation, sequence number); a plain tuple, since commands in the log contain it.
 LastRenewal = tuple[int, int]
@@ -53,7 +53,7 @@
     """
 
     def __init__(self) -> None:
-        self.revision = 0  # of the member list; incremented by each change that the processes need
+        self.revision = 0  # of the member list; incremented by each change that the members have to receive
         self.last_incarnation = 0
         self.records_by_incarnation: dict[int, MemberRecord] = {}
         self.external = ExternalQuota()
@@ -80,23 +80,23 @@
 
         A repeated enrolment of the same `start` changes nothing.
         """
-        before = None
+        predecessor = None
         for record in self.records_by_incarnation.values():
             if record.state is MemberState.LEFT:
                 continue
             if record.start_id == start:
                 return record
             if record.address == address:
-                before = record
+                predecessor = record
         self.last_incarnation += 1
         number = self.last_incarnation
-        self._record_change(number, *(() if before is None else (before.incarnation,)))
+        self._record_change(number, *(() if predecessor is None else (predecessor.incarnation,)))
         new = MemberRecord(name, address, zone, start, number, number, self.revision)
-        if before is not None:  # both listened at the same address, so one of them has ended
-            del self.records_by_incarnation[before.incarnation]
-            # A delayed enrolment may come from the ended process while the other one still uses this quota,
-            # so the quota becomes free only when a process reports that it uses less.
-            new.rank, new.elector, new.quota = before.rank, before.elector, before.quota
+        if predecessor is not None:  # both listened at the same address, so one of them has ended
+            del self.records_by_incarnation[predecessor.incarnation]
+            # The enrolment may be a delayed one of the ended process, while the other one still uses this
+            # quota. So the quota becomes free only when a process reports that it uses less.
+            new.rank, new.elector, new.quota = predecessor.rank, predecessor.elector, predecessor.quota
         self.records_by_incarnation[number] = new
         self._promote_electors()
         self._allocate(new)
@@ -143,8 +143,8 @@
         return True
 
     def remove(self, name: str) -> list[int]:
-        """Release the quota of the processes of this name, which an operator reports as ended; return their
-        incarnations."""
+        """Release the quota of the processes of this name, which have ended according to an operator; return
+        their incarnations."""
         ended = [
             record
             for record in self.records_by_incarnation.values()
@@ -166,7 +166,7 @@
             for number, seq in expired_leases
             if self._is_last_renewal(number, seq)
         ]
-        expired = [record for record in due if record.state in HOLDING_LEASE]
+        expired = [record for record in due if record.state in LEASED_STATES]
         for record in expired:
             record.state = MemberState.EXPIRED
         can_release = self.is_majority_attached(attached)
@@ -225,11 +225,11 @@
         changed = self._changes.since(acked) if delta else None
         if changed is None:
             return replace(grant, members=self.members())
-        present = sorted(changed & self.records_by_incarnation.keys())
+        listed = sorted(changed & self.records_by_incarnation.keys())
         return replace(
             grant,
             since_revision=acked,
-            members=tuple(self.records_by_incarnation[incarnation].to_member() for incarnation in present),
+            members=tuple(self.records_by_incarnation[incarnation].to_member() for incarnation in listed),
             removed=tuple(sorted(changed - self.records_by_incarnation.keys())),
         )
 
@@ -257,14 +257,14 @@
         return 1.0 / max(1, self.sharing_count() + self.external.members)
 
     def sharing_count(self) -> int:
-        """Return the number of members that share the load."""
+        """Return the number of members that share the load, which are all that have not departed."""
         return sum(record.state is not MemberState.LEFT for record in self.records_by_incarnation.values())
 
     def granted_quota(self) -> float:
         """Return the sum of the quotas of all records."""
         return sum(record.quota for record in self.records_by_incarnation.values())
 
-    # Steps.
+    # Helpers.
 
     def _record_change(self, *incarnations: int) -> None:
         self.revision += 1
@@ -281,14 +281,14 @@
 
     def _allocate(self, record: MemberRecord) -> None:
         """Grant unallocated quota up to the target; only a renewal lowers a quota above the target."""
-        if record.state in HOLDING_LEASE:
+        if record.state in LEASED_STATES:
             lacking = self.target_quota() - record.quota
             if lacking > 0.0:
                 free = 1.0 - self.granted_quota() - self.external.quota
                 record.quota += min(max(0.0, free), lacking)
 
     def _promote_electors(self) -> None:
-        """Promote the members that every elector knows of to electors."""
+        """Promote each member that all electors know of to an elector."""
         electors = (
             record
             for record in self.records_by_incarnation.values()
@@ -297,6 +297,6 @@
         # Every elector knows the members enrolled up to this revision.
         known = min((record.acknowledged_revision for record in electors), default=self.revision)
         for record in self.records_by_incarnation.values():
-            if not record.elector and record.state in HOLDING_LEASE and record.enrolled_revision <= known:
+            if not record.elector and record.state in LEASED_STATES and record.enrolled_revision <= known:
                 record.elector = True
                 known = min(known, record.acknowledged_revision)
--- a/loadbalancer/membership/quota_reports.py
+++ b/loadbalancer/membership/quota_reports.py
@@ -18,7 +18,7 @@
 
 
 class QuotaReports:
-    """Quota reports by incarnation, of the known members and this node only."""
+    """The latest quota report of each known member and of this node, by incarnation."""
 
     def __init__(self, local: LocalState) -> None:
         self._local = local
@@ -27,29 +27,32 @@
         self._service_offset_ms: float | None = None  # service time minus this node's clock
 
     def set_local(self, now: float, status: QuotaStatus, service_ms: float) -> None:
-        """Set this node's own report, made at this service time."""
+        """Set the local node's report, made at this service time."""
         if not 0 <= service_ms <= MAX_TIME_MS:  # other members would reject the whole payload
             self._local.ignored["own service time absurd"] += 1
             return
         self._local_report = QuotaReport(self._local.incarnation, status, service_ms)
-        before_ms, self._service_offset_ms = self._service_offset_ms, service_ms - now
-        if before_ms is not None and before_ms > self._service_offset_ms:
+        previous_offset_ms, self._service_offset_ms = self._service_offset_ms, service_ms - now
+        if previous_offset_ms is not None and previous_offset_ms > self._service_offset_ms:
             self._drop_later_than(service_ms + self._local.config.max_ahead_ms)
 
     def _drop_later_than(self, service_ms: float) -> None:
-        """Drop the reports made before service time went back.
+        """Drop the reports that were made later than this, before service time went back.
 
-        They would count as new until service time has caught up, and newer reports would be ignored until
-        then.
+        Until service time catches up with them, they would count as the latest, and newer reports would be
+        ignored.
         """
         self._known = {key: report for key, report in self._known.items() if report.service_ms <= service_ms}
 
     def clear_local(self) -> None:
-        """Drop the local report, which belongs to an earlier incarnation of this process."""
+        """Drop the local report, as it belongs to an earlier incarnation of this process."""
         self._local_report = None
 
     def merge(self, now: float, reports: Iterable[QuotaReport], members: Container[int]) -> None:
-        """Accept newer reports; without a local service time none is accepted, since none can be checked."""
+        """Accept the reports that are newer than the known ones.
+
+        Without a local service time no report is accepted, since its time cannot be checked.
+        """
         if self._service_offset_ms is None:
             return
         latest = now + self._service_offset_ms + self._local.config.max_ahead_ms
@@ -67,18 +70,18 @@
                 self._known[report.incarnation] = report
 
     def retain(self, members: Container[int]) -> None:
-        """Drop the reports of all other members."""
+        """Drop the reports of all but these members."""
         self._known = {key: report for key, report in self._known.items() if key in members}
 
     def to_send(self, rng: random.Random) -> tuple[QuotaReport, ...]:
-        """Return the reports for the next payload: this node's own, and those of other detached nodes.
+        """Return the reports for the next payload: that of this node, and those of other detached nodes.
 
         `ATTACHED` reports of other nodes are not forwarded, since no node acts on them. A node that holds its
         quota after its lease has ended relies on `HOLDING` reports only, and on each for HOLD_TERM_FRACTION
-        of a term (membership/member_lease.py). When the reporting node is attached again, it counts towards a
-        majority that could release the quota only after a full term without a gap
-        (membership/lease_clock.py). By then an outdated `HOLDING` report has expired, whether or not the
-        later one was received.
+        of a term (membership/member_lease.py). A reporting node that is attached again may count towards the
+        majority that releases this quota, but only once it has been attached for a full term without a gap
+        (membership/lease_clock.py). By then its `HOLDING` report has expired, whether or not the later
+        `ATTACHED` report was received.
         """
         local = () if self._local_report is None else (self._local_report,)
         others = [report for report in self._known.values() if report.status is not QuotaStatus.ATTACHED]
--- a/loadbalancer/membership/verdict.py
+++ b/loadbalancer/membership/verdict.py
@@ -21,12 +21,12 @@
 
     ALIVE = "heard"
     SUSPECT = "suspect"  # may still refute the suspicion
-    UNREACHABLE = "unheard"  # the suspicion was not refuted in time
+    UNREACHABLE = "unheard"  # it did not refute the suspicion in time
     INDIRECT = "bridged"  # indirect probes are acked, direct ones fail
 
 
 class Verdict(Enum):
-    """Judgement of a node on another member."""
+    """Conclusion of a node about another member, from its lease and reachability."""
 
     PRESENT = "present"
     SUSPECT = "suspect"
@@ -67,16 +67,16 @@
 
 
 def connectivity(
-    now: float, ttl_ms: float, renewed: float | None, last_ack: float | None, ack_valid_ms: float
+    now: float, ttl_ms: float, renewed_ms: float | None, acked_ms: float | None, ack_valid_ms: float
 ) -> Connectivity:
-    """Return this node's own connectivity.
+    """Return the local node's connectivity.
 
-    `renewed` is when the last successful renewal was sent, `last_ack` when any member last acked a call of
-    this node (ms on the clock of `now`; None if never). Half a term after the last renewal, the node's
-    information on leases is stale.
+    `renewed_ms` is when the last successful renewal was sent, `acked_ms` when any member last acked a call of
+    this node; both by the clock of `now`, or None if never. Half a lease term after the last renewal, the
+    node's information on leases is stale.
     """
-    if renewed is not None and now - renewed < ttl_ms / 2:
+    if renewed_ms is not None and now - renewed_ms < ttl_ms / 2:
         return Connectivity.ATTACHED
-    if last_ack is not None and now - last_ack < ack_valid_ms:
+    if acked_ms is not None and now - acked_ms < ack_valid_ms:
         return Connectivity.DETACHED
     return Connectivity.ISOLATED
--- a/tests/support/orders/routes_check.py
+++ b/tests/support/orders/routes_check.py
@@ -30,8 +30,8 @@
 def route_invariant(model: RouteModel) -> str | None:
     """Each following node runs the version that the log has in force at this time.
 
-    So no node runs an undecided version, and no two nodes run different ones. The exception is the time within
-    CLOCK_BOUND_MS of an activation, when both the version before and the one after it are allowed.
+    So no node runs an undecided version, and no two nodes run different ones. The exception is the time
+    within CLOCK_BOUND_MS of an activation, when both the version before and the one after it are allowed.
     """
     if model.violation is not None:
         return model.violation
