--- a/tests/node/control/test_lease_recovery.py
+++ b/tests/node/control/test_lease_recovery.py
@@ -1,5 +1,5 @@
 """A member that can reach the list service regains its lease within a bounded time, however wrong its
-estimate of service time was. Clocks are injected."""
+estimate of service time was. All clocks are simulated."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from tests.support.lease_simulation import TTL_MS, Deliver, LeaseSimulation, run, sleep_ms
 
 LIMIT_MS = 2.4 * TTL_MS  # two lease terms and a backoff
-AGES = (0.2, 0.24, 0.26, 0.5, 1.0, 3.0, 10.0)  # in lease terms
+RESPONSE_AGES = (0.2, 0.24, 0.26, 0.5, 1.0, 3.0, 10.0)  # in lease terms
 
 
-@pytest.mark.parametrize("age", AGES)
+@pytest.mark.parametrize("age", RESPONSE_AGES)
 def test_lease_recovers_after_older_response_replaces_newer(tmp_path: Path, age: float) -> None:
     async def main() -> None:
         simulation = LeaseSimulation(tmp_path, members=3)
@@ -143,11 +143,13 @@
     run(main())
 
 
-@pytest.mark.parametrize("states_call_number", [True, False], ids=["numbered", "of an earlier release"])
+@pytest.mark.parametrize("states_call_number", [True, False], ids=["with call number", "without call number"])
 @pytest.mark.parametrize("path", ["renew", "enrol"])
 def test_response_to_earlier_call_grants_nothing(tmp_path: Path, path: str, states_call_number: bool) -> None:
-    """The replayed response grants the complete quota, of which other members hold parts by now. Its times
-    must not be used either."""
+    """A replayed response grants the complete quota, although other members have parts of it by now.
+
+    Its times must not be used for the estimate of service time either. Responses of earlier releases state no call number.
+    """
 
     async def main() -> None:
         simulation = LeaseSimulation(tmp_path, members=1)
@@ -205,7 +207,8 @@
             await sleep_ms(TTL_MS)
             return late_responses[0]
 
-        await simulation.wait_until_no_call_in_flight()  # whose response would extend the lease
+        # The response to a call in flight would extend the lease.
+        await simulation.wait_until_no_call_in_flight()
         member.network.fault = delay
         lease_end_ms = member.core.lease_end_ms
         while member.client.mismatched_responses == 0:
