--- a/tests/node/control/test_lease_recovery.py
+++ b/tests/node/control/test_lease_recovery.py
@@ -148,7 +148,8 @@
 def test_response_to_earlier_call_grants_nothing(tmp_path: Path, path: str, states_call_number: bool) -> None:
     """A replayed response grants the complete quota, although other members have parts of it by now.
 
-    Its times must not be used for the estimate of service time either. Responses of earlier releases state no call number.
+    Its times must not be used for the estimate of service time either. Responses of earlier releases state no
+    call number.
     """
 
     async def main() -> None:
