--- a/loadbalancer/node/admin/connection.py
+++ b/loadbalancer/node/admin/connection.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.node.admin.messages import AdminResponse
 
-MAX_REQUEST_BYTES = 16 * 1024  # of head and body
+MAX_REQUEST_BYTES = 16 * 1024  # limit for head and body together
 REQUEST_TIMEOUT_S = 5.0  # for the complete request to arrive
 LINGER_S = 1.0  # how long input after the response is read and dropped before the connection is closed
 
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -76,7 +76,7 @@
             endpoint_list,
             driver.handle_event,
         )
-        self._last_grant: QuotaGrant | None = None  # that the balancer was notified of
+        self._last_grant: QuotaGrant | None = None  # the last one passed to the balancer
         self._client = RegistryClient(lambda: watcher.address)
         # Separate from the balancer's generator, so that the control plane does not change its sequence.
         rng = Random(int.from_bytes(os.urandom(SEED_BYTES), "big"))
@@ -252,9 +252,9 @@
 
 
 def _unconfirmed(levels: Mapping[str, Confidence]) -> list[str]:
-    """Return the servers with confidence NONE, or none of them if no server has MEDIUM or HIGH.
+    """Return the servers with confidence NONE, or an empty list if no server has MEDIUM or HIGH.
 
-    As in the balancer, levels that are low throughout do not distinguish one server from another.
+    In that case the levels are low for all servers and, as in the balancer, do not distinguish them.
     """
     if not any(level in (Confidence.HIGH, Confidence.MEDIUM) for level in levels.values()):
         return []
--- a/loadbalancer/node/control/freshness_tracker.py
+++ b/loadbalancer/node/control/freshness_tracker.py
@@ -26,8 +26,8 @@
     FreshnessTable,
 )
 
-# The interval between two updates of the confidence levels is at most this many of the balancer's control
-# periods, or MIN_UPDATE_MS if that is longer, which bounds the CPU time of updates.
+# Maximum interval between two updates of the confidence levels, in control periods of the balancer. If that
+# is shorter than MIN_UPDATE_MS, the maximum is MIN_UPDATE_MS, which bounds the CPU time of the updates.
 MAX_UPDATE_PERIODS: Final = 4.0
 MIN_UPDATE_MS: Final = 50.0
 
--- a/loadbalancer/node/control/probe_transport.py
+++ b/loadbalancer/node/control/probe_transport.py
@@ -36,7 +36,7 @@
 MAX_BODY_BYTES: Final = 64 * 1024
 MAX_INDIRECT_PROBES: Final = 128  # in flight on behalf of other members; further ones are rejected
 MAX_CONNECTIONS: Final = 128
-MIN_TICK_MS: Final = 1.0  # between two ticks
+MIN_TICK_MS: Final = 1.0  # minimum time between two ticks
 MAX_LOGGED_METHOD_CHARS: Final = 20
 MAX_LOGGED_PATH_CHARS: Final = 60
 _MS_PER_S: Final = 1000.0
@@ -147,7 +147,7 @@
             )
 
     async def _handle(self, call: web.HttpRequest) -> web.HttpResponse:
-        """Respond to a peer's call within `INDIRECT_TIMEOUT_S`; malformed input raises no exception."""
+        """Respond to another member's call within INDIRECT_TIMEOUT_S; malformed input raises no exception."""
         self.probes_received += 1
         if call.method != "POST" or call.path not in (PROBE_PATH, INDIRECT_PROBE_PATH):
             return self._reject(
--- a/loadbalancer/node/control/registry_watch.py
+++ b/loadbalancer/node/control/registry_watch.py
@@ -18,8 +18,8 @@
 # the same changes.
 WATCH_TIMEOUT_MS: Final = 20_000.0
 WATCH_SLACK_MS: Final = 1_500.0  # added to the timeout for the service's response at the end of the poll
-RETRY_PAUSE_S: Final = 0.5  # after a failed poll
-RENEWAL_CHECK_S: Final = 0.05  # between two checks whether the renewal has been answered
+RETRY_PAUSE_S: Final = 0.5  # time from a failed poll to the next one
+RENEWAL_CHECK_S: Final = 0.05  # interval of the checks whether the renewal has got its response
 MAX_RENEWAL_CHECKS: Final = 10  # the next poll starts after these even without a renewal
 
 
--- a/loadbalancer/node/control/service_time.py
+++ b/loadbalancer/node/control/service_time.py
@@ -36,7 +36,7 @@
         return None if interval is None else sum(interval) / 2
 
     def is_older(self, response: LeaseResponse) -> bool:
-        """Whether this response belongs to an earlier call than the last response does."""
+        """Whether this response belongs to an earlier call than the last response that was added."""
         if response.term != self._term:
             return response.term < self._term
         return response.received_ms < self._last_response_ms
--- a/loadbalancer/node/discovery/poll_policy.py
+++ b/loadbalancer/node/discovery/poll_policy.py
@@ -31,7 +31,7 @@
     """Timing of the polls; the same in both registry modes (`push` and `ask`)."""
 
     def __init__(self, max_wait_s: float, max_backoff_s: float, rng: Random) -> None:
-        """`max_wait_s`, `max_backoff_s`: bounds from the node's settings, on top of the policy's own."""
+        """`max_wait_s`, `max_backoff_s`: bounds from the node's settings; the policy's own also apply."""
         self._wait_ms = round(min(max_wait_s, MAX_POLL_WAIT_S) * 1000.0)
         self._max_backoff_s = min(max_backoff_s, MAX_BACKOFF_S)
         self._rng = rng
@@ -44,7 +44,7 @@
 
     @property
     def wait_ms(self) -> int:
-        """How long the next poll lets discovery wait for a change.
+        """How long (ms) the next poll lets discovery wait for a change.
 
         The wait is short until discovery has responded. A discovery that does not respond is then detected
         within the deadline after the start of the process, the end of an outage or a change of address.
@@ -53,7 +53,7 @@
 
     @property
     def timeout_s(self) -> float:
-        """How long the next poll may take, including the time to connect."""
+        """How long (s) the next poll may take, including the time to connect."""
         return self.wait_ms / 1000.0 + RESPONSE_TIMEOUT_S
 
     def record_success(self) -> None:
--- a/loadbalancer/node/discovery/revision_guard.py
+++ b/loadbalancer/node/discovery/revision_guard.py
@@ -37,7 +37,7 @@
 
         The poll requested the changes after revision `since`; `now` is the event loop's time in s.
         """
-        if not response.complete:  # it lacks the changes up to `since`
+        if not response.complete:  # a delta lacks the changes up to `since`
             self.minimum = max(self.minimum, since)
         if response.revision >= self.minimum:
             return False
--- a/loadbalancer/node/discovery/watcher.py
+++ b/loadbalancer/node/discovery/watcher.py
@@ -84,11 +84,11 @@
                     response = await self._poll()
                 kind = EndpointListKind.FULL if response.complete else EndpointListKind.DELTA
                 self._on_update(kind, response)
-            except Exception as error:  # of any kind, also of the listener: the watch must continue
+            except Exception as error:  # also of the listener, as the watch must continue
                 self._report_failure(error)
                 await asyncio.sleep(self._policy.record_failure())
                 continue
-            # Only after the listener has returned, so that an update at which it raised is polled for again.
+            # Set only after the listener has returned: an update for which it raised is polled for again.
             self._revision = response.revision
             self._guard.accept(response.revision)
             self._failing = False
--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -19,8 +19,8 @@
 class EndpointList:
     """The endpoint list from discovery, and its available endpoints.
 
-    The balancer receives an event for each change. Available are the endpoints that are up and not ejected by
-    an operator; the connection pool connects only to these.
+    The balancer receives an event for each change. An endpoint is available if it is up and not ejected by an
+    operator; the connection pool connects only to available endpoints.
     """
 
     def __init__(
--- a/loadbalancer/node/http/body.py
+++ b/loadbalancer/node/http/body.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request or a response
-HIGH_WATER_BYTES = 64 * 1024  # reading pauses once so much is buffered without a sink
+MAX_BODY_BYTES = 32 * 1024 * 1024  # limit for the body of a request or a response
+HIGH_WATER_BYTES = 64 * 1024  # without a sink, reading pauses once this many bytes are buffered
 
 
 class Source(Protocol):
@@ -38,7 +38,7 @@
     """Passes bytes from its source to its sink as they arrive.
 
     A body up to the high-water mark is buffered, so that a later sink, of a retry, can get it from the start.
-    A longer body is not buffered any more once it has a sink, and only that sink gets the rest.
+    Once a longer body has a sink, it is no longer buffered, and only that sink gets the rest.
     """
 
     def __init__(self, source: Source) -> None:
@@ -48,7 +48,7 @@
         self.size = 0  # bytes received so far
         self.ended = False
         self.failed = False
-        self.paused = False  # by a sink that can't write at the moment
+        self.paused = False  # whether the sink, which can't write at the moment, has paused the source
 
     @property
     def complete_bytes(self) -> bytes | None:
@@ -63,7 +63,7 @@
     # ---------------------------------------------------------------- for the source
 
     def feed(self, data: bytes) -> None:
-        """Buffer the next bytes and pass them to the sink, as far as there is one."""
+        """Buffer the next bytes, and pass them to the sink if there is one."""
         self.size += len(data)
         if self._replay_buffer is not None:
             if self._sink is not None and self.size > HIGH_WATER_BYTES:
--- a/loadbalancer/node/http/client_connection.py
+++ b/loadbalancer/node/http/client_connection.py
@@ -52,7 +52,10 @@
         """The request's last byte has been written to the socket."""
 
     def on_stream_started(self, response: Response) -> None:
-        """A response is too long to buffer and is streamed; one of the next two calls follows at its end."""
+        """A response that is too long to buffer is streamed.
+
+        At its end, `on_response` or `on_connection_lost` is called.
+        """
 
     def on_response(self, response: Response) -> None:
         """The response is complete."""
@@ -78,23 +81,26 @@
         self._chunked = chunked
 
     def write(self, data: bytes) -> None:
+        """Write the next bytes, as one chunk if the transfer coding is chunked."""
         self._connection.write(encode_chunk(data) if self._chunked else data)
 
     def end(self) -> None:
+        """Write the last chunk if the transfer coding is chunked, and finish the request."""
         if self._chunked:
             self._connection.write(LAST_CHUNK)
         self._connection.finish_request()
 
     def fail(self) -> None:
+        """End the connection, as the rest of the request body will not arrive."""
         self._connection.abandon()
 
 
 class ClientConnection(asyncio.Protocol):
     """The client's end of a connection, and the source of the response bodies that it streams.
 
-    `on_closed` is called when the connection is closed, or is certain to be closed before any callback that
-    is scheduled later; it may be called more than once. With `streams`, a response with status 200 and a body
-    longer than `max_buffered_bytes` is streamed.
+    `on_closed` is called when the connection is closed, or as soon as it is certain to close before any
+    callback that is scheduled later. It may be called more than once. With `streams`, a response with status
+    200 and a body longer than `max_buffered_bytes` is streamed.
     """
 
     def __init__(
@@ -116,10 +122,10 @@
         self._unparsed_bytes = 0  # received since the last body part; the parser buffers an incomplete line
         self._complete = False
         self._ends_with_connection = False  # whether closing the connection completes the response
-        self._unusable = False  # for another exchange
+        self._unusable = False  # whether it can't carry another exchange
         self._written = True
         self._upload: _Upload | None = None  # while a request body is being sent
-        self.malformed = False  # received data is not a valid response, or too long
+        self.malformed = False  # whether the received data is no valid response, or is too long
         self.idle_since = 0.0  # loop time (s), set by the pool
         self.upload_progress_at = 0.0  # loop time (s) when the upload was last paused or resumed
         self.last_data_at = 0.0  # loop time (s) of the last bytes received
@@ -204,8 +210,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and set its write buffer limits to 0.
 
-        asyncio drops its write buffer before it calls `connection_lost`, so that can't show whether all bytes
-        were written; with limits of 0, `resume_writing` is called when they were.
+        asyncio drops its write buffer before it calls `connection_lost`, so the buffer does not show there
+        whether all bytes were written. With limits of 0, asyncio calls `resume_writing` once they are.
         """
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
@@ -256,7 +262,8 @@
             return
         if self._complete:
             exchange, self._exchange = self._exchange, None
-            # The server responded before the request was complete; the rest would precede the next request.
+            # The server responded before the request was complete. The rest of this request would be sent
+            # before the next request.
             if not self._written:
                 self._unusable = True
             if self._unusable:
--- a/loadbalancer/node/http/service_http.py
+++ b/loadbalancer/node/http/service_http.py
@@ -108,6 +108,8 @@
 
 
 class _Connection(asyncio.Protocol):
+    """A connection to the server. Its parsed requests are queued and handled one at a time."""
+
     def __init__(
         self, handler: Handler, limits: ServerLimits, open_connections: dict[_Connection, None]
     ) -> None:
@@ -124,6 +126,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start to handle requests; close the oldest connection if there are more than the limit."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._task = asyncio.create_task(self._serve())
@@ -132,11 +135,13 @@
             next(iter(self._open_connections)).abort()
 
     def abort(self) -> None:
+        """Close the connection immediately."""
         self._open_connections.pop(self, None)
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Parse the bytes; if they are malformed or too long, queue None, which ends the connection."""
         self._size += len(data)
         if self._size > self._limits.body + MAX_HEAD_BYTES:  # bounds the memory of an endless head
             self._queue.put_nowait(None)
@@ -147,22 +152,27 @@
             self._queue.put_nowait(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Stop handling requests, as the connection is closed."""
         self._open_connections.pop(self, None)
         if self._task is not None:
             self._task.cancel()
 
     def on_url(self, url: bytes) -> None:
+        """Append a part of the request target (called by httptools)."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Store a header under its name in lower case (called by httptools)."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
+        """Append a part of the body (called by httptools); raise RequestTooLongError over the limit."""
         self._body += body
         if len(self._body) > self._limits.body:
             raise RequestTooLongError(self._limits.body)
 
     def on_message_complete(self) -> None:
+        """Queue the complete request (called by httptools); pause reading if the queue is full."""
         url = urlsplit(self._url.decode("latin-1"))
         fields = parse_qs(url.query, keep_blank_values=True)
         query = {name: values[0] for name, values in fields.items()}
@@ -231,33 +241,40 @@
         self._body = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport, as the connection is established."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Parse the bytes; fail the exchange if they are no HTTP response."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, ValueError) as error:
             self._fail(MalformedResponseError(error))
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Fail the exchange, if there is one, and call `on_lost`."""
         self._fail(ConnectionLostError(exc))
         self.on_lost()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Store a header under its name in lower case (called by httptools)."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
+        """Check the declared length (called by httptools); raise ResponseTooLongError over the limit."""
         size = int(self._headers.get("content-length", "0"))
         if size > MAX_RESPONSE_BODY_BYTES:
             raise ResponseTooLongError(size)
 
     def on_body(self, body: bytes) -> None:
+        """Append a part of the body (called by httptools); raise ResponseTooLongError over the limit."""
         self._body += body
         if len(self._body) > MAX_RESPONSE_BODY_BYTES:  # a chunked body, whose size is not declared
             raise ResponseTooLongError(len(self._body))
 
     def on_message_complete(self) -> None:
+        """End the exchange with the complete response (called by httptools)."""
         self.reusable = self._parser.should_keep_alive()
         if self._response is not None and not self._response.done():
             self._response.set_result(
@@ -285,6 +302,7 @@
         return await self._response
 
     def close(self) -> None:
+        """Close the connection immediately; it can't be reused."""
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
@@ -348,7 +366,8 @@
         async with asyncio.timeout(timeout_s):
             connection = self._take_idle(address)
             if connection is not None:
-                with contextlib.suppress(ConnectionError):  # then it is sent again on a new connection
+                # If the server has closed the connection, the request is sent again on a new one.
+                with contextlib.suppress(ConnectionError):
                     return await self._exchange(connection, address, request)
             return await self._exchange(await _connect(address), address, request)
 
--- a/loadbalancer/node/listener/listener.py
+++ b/loadbalancer/node/listener/listener.py
@@ -18,7 +18,7 @@
 
 BACKLOG = 1024  # connections queued in the kernel until they are accepted
 ACCEPT_PAUSE_S = 0.002  # at capacity: a closed connection frees its descriptor one loop iteration later
-CLOSE_IDLE_AFTER_S = 0.5  # after a drain's start; clients open new connections for up to 0.4 s
+CLOSE_IDLE_AFTER_S = 0.5  # from the start of a drain; clients open new connections for up to 0.4 s
 DRAIN_INTERVAL_S = 0.01
 NEW_CONNECTION_GRACE_S = 0.5  # time for the first request of a connection, which clients don't retry
 SWEEP_INTERVAL_S = 0.1  # a client that sends no request must get an error or a close within 3 s
@@ -27,8 +27,8 @@
 LIMIT_PARTS = 7
 CLOSING_PARTS = 3
 
-# Which connections are closed first when more than `limit` accept requests, and when the listener is at
-# capacity. Closing them keeps the pauses of accepting short.
+# The methods by which connections are closed, in order of preference: when more than `limit` connections
+# accept requests, and when the listener is at capacity. Closing some keeps the pauses of accepting short.
 _CloseMethod = Callable[[ClosableConnection], bool]
 _CLOSE_OVER_LIMIT: tuple[_CloseMethod, ...] = (
     ClosableConnection.close_if_idle,
@@ -186,7 +186,7 @@
     ) -> None:
         """Close up to `count` connections, trying the methods in order, longest inactive connections first.
 
-        No connection is closed that has a complete request.
+        A connection that has a complete request is not closed.
         """
         if count > 0:
             others = sorted(
--- a/loadbalancer/node/state/handover.py
+++ b/loadbalancer/node/state/handover.py
@@ -23,7 +23,7 @@
 
 FOLDER_NAME = "orchidledge-handover"
 FILE_PREFIX = "process-"
-FRESHNESS_MS = 1000.0  # if its file is older, a process has ended or hangs
+FRESHNESS_MS = 1000.0  # a process whose file is older has ended or hangs
 RETENTION_MS = 60_000.0  # a file older than this is removed
 MAX_FILE_BYTES = 256 * 1024
 
@@ -31,7 +31,7 @@
 class SiblingReport(NamedTuple):
     """Report of the other live processes of this node."""
 
-    learned: LearnedState | None  # of the process that wrote last; None without another process
+    learned: LearnedState | None  # that of the process that wrote last; None if there is no other process
     in_flight: dict[str, float]  # load in flight by endpoint, summed over the processes
 
 
--- a/loadbalancer/node/state/inspection.py
+++ b/loadbalancer/node/state/inspection.py
@@ -35,7 +35,7 @@
         return _rejected(Rule.UNREADABLE, "error", str(error))
     except StateRejectedError as error:
         return _rejected(error.rule, "rule", error.rule.explanation)
-    except (TypeError, ValueError):  # a key that JSON can't represent, or a null character in the path
+    except (TypeError, ValueError):  # for a key that JSON can't represent, or a null character in the path
         return _rejected(Rule.MALFORMED, "rule", Rule.MALFORMED.explanation)
 
 
--- a/loadbalancer/node/state/restore.py
+++ b/loadbalancer/node/state/restore.py
@@ -46,5 +46,5 @@
         return RestoredState(violated_rules=[Rule.UNREADABLE])
     except StateRejectedError as error:
         return RestoredState(violated_rules=[error.rule])
-    except ValueError:  # of the path itself, if it contains a null character
+    except ValueError:  # raised for a path that contains a null character
         return RestoredState(violated_rules=[Rule.MALFORMED])
--- a/loadbalancer/node/upstream/attempt.py
+++ b/loadbalancer/node/upstream/attempt.py
@@ -242,7 +242,7 @@
             self._timer = loop.call_at(due, self._watch_stream)
 
     def _on_timeout(self) -> None:
-        # A request that was not written completely can't have been executed, so it is safe to retry.
+        # A request that was not written completely can't have been executed, so it is safe to retry it.
         sent = self._connection is not None and self._connection.written
         self._finish(AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
 
--- a/loadbalancer/node/upstream/pool.py
+++ b/loadbalancer/node/upstream/pool.py
@@ -13,8 +13,10 @@
 from loadbalancer.node.upstream.attempt import Attempt
 from loadbalancer.node.upstream.endpoint import PooledEndpoint
 
-IDLE_TIMEOUT_RATIO = 0.5  # of the endpoints' idle timeout: the pool closes first, so no request races with it
-REUSE_DELAY_S = 0.008  # after a response: an unexpected second response in this time ends the connection
+# The pool closes an idle connection after this part of the endpoints' idle timeout, so that no request is
+# written to a connection that its endpoint is closing.
+IDLE_TIMEOUT_RATIO = 0.5
+REUSE_DELAY_S = 0.008  # an unexpected second response within this time of the first ends the connection
 SWEEPS_PER_IDLE_TIMEOUT = 4
 
 
@@ -92,7 +94,7 @@
     def disable_keep_alive(self) -> None:
         """Close idle connections and retain none from now on.
 
-        Used during a handover: both processes share the descriptor limit of one.
+        Used during a handover, when two processes share the descriptor limit of one process.
         """
         self._idle_timeout_s = 0.0
         for endpoint in self._endpoints.values():
--- a/loadbalancer/registry/__main__.py
+++ b/loadbalancer/registry/__main__.py
@@ -6,8 +6,8 @@
     list HOST:PORT                   the complete list of an instance or agent, as JSON
     local [--dir D --port P]         a node, three instances, an agent and stub servers on loopback
 
-Exit status: 0; 1 if a program could not be started or reached, or its response is not 200; 2 on an invalid
-configuration.
+Exit status: 0 on success; 1 if a program could not be started or reached, or its response is not 200; 2 if
+the configuration is invalid.
 """
 
 from __future__ import annotations
--- a/loadbalancer/registry/agent.py
+++ b/loadbalancer/registry/agent.py
@@ -5,9 +5,9 @@
 from that cache. Until it has received a first list it sends the node no response, as PROTOCOL requires of the
 agent while discovery is down.
 
-The agent numbers its revisions independently of the service, so that they rise for the node even when the
-service's go back (an instance rebuilt from nothing, or a switch to another instance): they start at the
-agent's start time in microseconds and rise by one with each change. Two rules protect the cache:
+The agent counts revisions of its own, which start at its start time in microseconds and rise by one with each
+change. So the node sees only rising revisions, even if the service's revisions fall because an instance was
+rebuilt from nothing or the agent has switched to another instance. Two rules protect the cache:
 
 - A stale list (`Registry-Stale: 1`) is accepted only while the cache is empty, since an instance in a
   minority may be behind the list that the node already has. A list of an earlier revision than the cached one
@@ -53,8 +53,8 @@
 
 MAX_TOMBSTONES = 10_000
 MIN_BACKOFF_S = 0.05
-RESPONSE_MARGIN_S = 1.5  # added to the wait of a watch for its response timeout
-EMPTY_LIST_PERIOD_S = 0.2  # between reads while an empty list is not yet accepted
+RESPONSE_MARGIN_S = 1.5  # the response timeout of a watch is its wait plus this margin
+EMPTY_LIST_PERIOD_S = 0.2  # interval of the reads while an empty list is not accepted yet
 FAILURES_PER_LOG_LINE = 50
 MAX_LOGGED_CHARACTERS = 200
 NS_PER_US = 1_000
--- a/loadbalancer/registry/catalog.py
+++ b/loadbalancer/registry/catalog.py
@@ -39,7 +39,7 @@
         self._lock = threading.Lock()
         self._on_change = on_change
         self._list = TargetList(max_tombstones)
-        self._renewed_at_ms: dict[str, int] = {}  # last renewal by uid, in Unix time of the proposer
+        self._renewed_at_ms: dict[str, int] = {}  # by uid: last renewal, in Unix time of the proposer
         super().__init__()
 
     # Commands: each runs on every instance, in the order of the log.
--- a/loadbalancer/registry/commands.py
+++ b/loadbalancer/registry/commands.py
@@ -22,7 +22,10 @@
 
 
 class RemoveMembers(Struct, frozen=True, tag="remove"):
-    """An operator reports that the processes of this name have ended, in one group or (None) in all."""
+    """An operator reports that the processes of this name have ended.
+
+    This concerns the group of `service`, or all groups if it is None.
+    """
 
     name: str
     service: str | None = None
--- a/loadbalancer/registry/fleet_api.py
+++ b/loadbalancer/registry/fleet_api.py
@@ -1,8 +1,8 @@
-"""The fleet's calls over HTTP (docs/fleet.md): checked, forwarded to the leader, carried out there.
+"""Handles the fleet's HTTP calls (docs/fleet.md): carries them out on the leader, or forwards them to it.
 
-Status 200: done, and the result in the body is committed. 400: a malformed call, with the reason in one line.
-404: no such record, version or path. 409: rejected, or too late. 503: not known to be done; the caller
-retries.
+Status 200: carried out, and the result in the body is committed. 400: a malformed call, with the reason in
+one line. 404: no such record, version or path. 409: rejected, or its send time is out of range. 503: it
+is not known whether the call was carried out; the caller retries.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 MAX_LOGGED_CHARACTERS = 200
 MAX_VERSION_DIGITS = 15
 FAILURES_PER_LOG_LINE = 100  # without a leader, every member repeats its failing calls
-REJECTIONS_PER_LOG_LINE = 1_000  # of enrolments rejected at a member limit
+REJECTIONS_PER_LOG_LINE = 1_000  # enrolments rejected at a member limit
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
@@ -82,7 +82,7 @@
         self._client = HttpClient()
         self._relay = RenewalRelay(self._client, self._other_leader, log)
         self._failures = 0
-        self.rejected_enrolments = 0  # at a member limit
+        self.rejected_enrolments = 0  # enrolments rejected at a member limit since the start
         self._handlers: dict[tuple[str, str], Handler] = {
             ("POST", "enrol"): self._enrol,
             ("POST", "renew"): self._renew,
@@ -130,7 +130,7 @@
             return self._reject(call, f"body: {len(call.body)} bytes, over {limit_bytes}")
         try:
             return await handler(call)
-        except ValueError as failure:  # base of this package's errors of invalid calls and of orjson's
+        except ValueError as failure:  # includes orjson's errors and this package's for invalid calls
             return self._reject(call, str(failure))
 
     def _handler(self, method: str, path: str) -> Handler | None:
@@ -213,7 +213,7 @@
 
     async def _renew_lease(self, body: RenewRequest) -> HttpResponse:
         received_ms = self._leader.service_ms()
-        age_ms = None if body.sent is None else self._leader.out_of_range_by_ms(body.sent)
+        age_ms = None if body.sent is None else self._leader.out_of_range_age_ms(body.sent)
         if age_ms is not None:
             return _error(HTTPStatus.CONFLICT, f"sent {age_ms:.0f} ms ago by service time")
         renewal = Renewal(body.incarnation, body.seq, body.answered, body.acked, body.using)
@@ -274,10 +274,11 @@
         return json_response(HTTPStatus.OK, self._fleet.members(call.query.get("service")))
 
     async def _watch(self, call: HttpRequest) -> HttpResponse:
-        """Respond once there are changes for the process of `incarnation`, or the wait is over.
+        """Respond when the member list or the routes have changed for a process, or when the wait is over.
 
-        There are changes if, in the state applied here, the revision of its group's member list differs from
-        `since` or that of the routes from `routes_since` (by default their revision when the call arrives).
+        The query names the process by its `incarnation`. It gives the known revision of its group's member
+        list as `since`, and that of the routes as `routes_since`, by default the revision at the call's
+        arrival. Both are compared with the state that this instance has applied.
         """
         try:
             query = watch.parse_query(call, self._max_wait_ms)
--- a/loadbalancer/registry/fleet_catalog.py
+++ b/loadbalancer/registry/fleet_catalog.py
@@ -2,12 +2,13 @@
 
 The state and its rules are in fleet_state.py; catalog.py is the first consumer.
 
-A command of a replaced leader returns None. Other results are the contents of the response to a node, read
-from the state right after the command was applied; only the leader prepares them.
+A command of a replaced leader returns None. Otherwise it returns the content of the response, which is read
+from the state right after the command was applied. Only the leader prepares grants and outcomes; on the other
+instances they are None.
 
 pysyncobj numbers commands by their methods' names in alphabetical order, and journals contain these numbers.
 So the names of replicated methods are part of the journal's format, and a new command's name has to sort
-after all others. `write` does; it carries any command of commands.py, which makes further ones unnecessary.
+after all others. `write` does. It carries any command of commands.py, so no further method is needed.
 """
 
 from __future__ import annotations
@@ -46,8 +47,8 @@
     """The fleet's state under one lock: Raft's thread changes it, the event loop reads it.
 
     `monotonic_ms` reads the monotonic clock. `on_change` is called in Raft's thread when a revision has risen
-    or this instance has begun or ceased to lead, with the groups whose member lists have changed, or None for
-    all. The service clock is changed under the same lock.
+    and when this instance has begun or ceased to lead. Its argument is the set of groups whose member lists
+    have changed, or None for all groups. The service clock is changed under the same lock.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self._answering_term = -1  # term in which this instance prepares responses and records renewals
         self._applied_renewals: list[AppliedRenewal] = []
         self._delta_requests: set[int] = set()  # incarnations whose next renewal gets a delta of the list
-        self.leader_term: int | None = None  # term in which it leads Raft; set only by Raft's thread
+        self.leader_term: int | None = None  # term in which this instance leads Raft; set by Raft's thread
         super().__init__()
         self.state = FleetState()
 
@@ -88,7 +89,7 @@
     def enrol(
         self, stamp: float, term: int, name: str, address: str, zone: str, start: str
     ) -> list[MemberGrant | None] | None:
-        """Enrol a process and return its grant, or [None] if there are too many members."""
+        """Enrol a process; return a list of its grant, or [None] if there are too many members."""
 
         def enrol() -> list[AppliedRequest]:
             record = self.state.enrol(name, address, zone, start)
@@ -102,7 +103,7 @@
     def renew_many(
         self, stamp: float, term: int, renewals: list[PlainRenewal]
     ) -> list[MemberGrant | None] | None:
-        """Renew leases and return each process's grant, None for a process without a record."""
+        """Renew leases; return the grants in order, with None for each process that has no record."""
         return self._apply(
             stamp, term, lambda: [self._renew(Renewal(*renewal)) for renewal in renewals], self._grants
         )
@@ -167,7 +168,7 @@
 
     @replicated  # type: ignore[untyped-decorator]
     def decide(self, stamp: float, term: int) -> bool | None:
-        """Advance the log's time, by which a deadline or an activation time may be reached."""
+        """Advance the log's time, so that a deadline or activation time which has passed takes effect."""
         return self._apply(stamp, term, lambda: True, _unchanged)
 
     # Used by the leader.
@@ -229,7 +230,7 @@
     def _apply(
         self, stamp_ms: float, term: int, change: Callable[[], T], read_result: Callable[[T], R]
     ) -> R | None:
-        """Apply a command: make its change, carry out what is due, then read its result."""
+        """Apply a command: make its change, settle the route version that is due, then read its result."""
         with self._lock:
             before, routes_before = self.state.group_revisions(), self.state.routes.revision
             if not self.state.accept(stamp_ms, term):
@@ -248,7 +249,7 @@
         return frozenset(group for group, _ in before.items() ^ now.items())
 
     def _observe_stamp(self, stamp_ms: float) -> None:
-        # Stamps applied while a journal is replayed or caught up with are old, and no bound on service time.
+        # A stamp applied while this instance replays its journal or catches up is old, so it gives no bound.
         raft = self._syncObj
         if raft is not None and raft.isReady() and raft.raftCurrentTerm == self.state.term:
             self._clock.observe(self._monotonic_ms(), stamp_ms, self.state.epoch)
@@ -286,7 +287,7 @@
             self._applied_renewals.append(AppliedRenewal(self._monotonic_ms(), incarnation, seq, answered))
 
     def _grants(self, applied: Iterable[AppliedRequest]) -> list[MemberGrant | None] | None:
-        """Return the processes' grants, None for a process without a record."""
+        """Return the grants in order, with None for each process that has no record."""
         if self._answering_term != self.state.term:
             return None
         routes = self.state.routes.announcement()
--- a/loadbalancer/registry/fleet_leader.py
+++ b/loadbalancer/registry/fleet_leader.py
@@ -36,9 +36,9 @@
 from loadbalancer.registry.service_clock import ClockBound, ServiceClock
 from loadbalancer.registry.settings import MemberSettings
 
-Commit = Callable[..., Awaitable[Any]]  # of a command and its arguments
+Commit = Callable[..., Awaitable[Any]]  # commits a command with its arguments; returns its result
 
-MIN_PERIOD_S, MAX_PERIOD_S = 0.05, 0.25  # between runs of the leader's tasks
+MIN_PERIOD_S, MAX_PERIOD_S = 0.05, 0.25  # bounds of the interval between runs of the tasks
 PERIODS_PER_LEASE = 20
 MS_PER_S = 1000.0
 
@@ -83,7 +83,10 @@
 
     @property
     def term(self) -> int | None:
-        """Raft's term in which this instance serves calls; each term runs service time by another clock."""
+        """Raft's term in which this instance serves calls, or None.
+
+        Each term runs service time by another clock.
+        """
         return self._term
 
     @property
@@ -107,10 +110,11 @@
             raise NotLeadingError
         return self._clock.service_ms(self._clocks.monotonic_ms())
 
-    def out_of_range_by_ms(self, sent_ms: float) -> float | None:
-        """Return the age in ms of a renewal sent at `sent_ms` of service time; None if it is in range.
+    def out_of_range_age_ms(self, sent_ms: float) -> float | None:
+        """Return the age in ms of a renewal sent at service time `sent_ms`, or None if it is in range.
 
-        Out of range is a renewal that is older than allowed, or as far in the future (a negative age).
+        A renewal is out of range if it is older than MAX_DELAY_TERM_FRACTION of the lease term, or that far
+        in the future (a negative age).
         """
         age_ms = self.service_ms() - sent_ms
         return age_ms if abs(age_ms) > MAX_DELAY_TERM_FRACTION * self.ttl_ms else None
@@ -208,10 +212,10 @@
     # Tasks.
 
     def request_leadership(self) -> None:
-        """Lead the fleet if this instance leads Raft, since a call has arrived.
+        """Lead the fleet from now on, if this instance leads Raft; invoked when a call arrives.
 
-        Before the first call ever, the log contains no fleet command, so that a service without members can
-        be upgraded one instance at a time from a release without these commands.
+        No fleet command enters the log before the first call ever. A list service without members can
+        therefore be upgraded one instance at a time from a release that has no such commands.
         """
         if not self._requested:
             self._requested = True
@@ -290,7 +294,7 @@
         return begun
 
     async def _wait_for_leases_to_end(self, begun: TermStart) -> None:
-        """Wait until every lease has ended whose process may rely on the previous service time."""
+        """Wait until all leases granted under the previous service time, which is lost, have ended."""
         wait_ms = begun.ttl_ms + self._config.clock_bound_ms
         self._log.warning("service_time_lost", log_ms=begun.log_ms, wait_ms=begun.ttl_ms)
         self._waits_until_ms = self._clocks.monotonic_ms() + wait_ms
--- a/loadbalancer/registry/fleet_results.py
+++ b/loadbalancer/registry/fleet_results.py
@@ -15,7 +15,7 @@
 class TermStart:
     """The state of the log when a leader's term began."""
 
-    log_ms: float  # the highest stamp
+    log_ms: float  # the highest stamp in the log, in service time
     epoch: int  # the epoch of service time
     ttl_ms: float  # the lease term in force
     renewals: list[tuple[int, int]]  # each record's incarnation and the seq of its last renewal
@@ -25,7 +25,7 @@
 class DueExpiry:
     """The arguments of `FleetState.expire`."""
 
-    expired: list[tuple[int, int]]  # of expired leases: the incarnation and the seq of the last renewal
+    expired: list[tuple[int, int]]  # per expired lease: its incarnation and the seq of its last renewal
     attached: list[int]  # incarnations that are known to be attached
     repeated_enrolments: int  # `FleetState.repeated_enrolments` when the expiry was decided
 
@@ -55,7 +55,10 @@
 
 
 class AppliedRequest(NamedTuple):
-    """An applied enrolment or renewal: its record, if there is one, and the member list its process has."""
+    """An applied enrolment or renewal, with its member record, or None if there is no record.
+
+    `acknowledged_revision` is the revision of the member list that the process has, -1 if it has none.
+    """
 
     record: MemberRecord | None
     acknowledged_revision: int = -1
@@ -86,7 +89,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AppliedRenewal:
-    """An applied renewal or enrolment; the leader measures the lease from its time."""
+    """An applied renewal or enrolment; the leader counts the lease from `at_ms`."""
 
     at_ms: float  # ms of the monotonic clock
     incarnation: int
--- a/loadbalancer/registry/fleet_state.py
+++ b/loadbalancer/registry/fleet_state.py
@@ -11,13 +11,13 @@
 - A leader that does not know how service time continues begins a new epoch of it (service_clock.py).
 - A group is the members in front of one service, with a separate ledger: its records, electors, majority and
   quotas are independent of other groups'. A member that names no service may balance to any service, so its
-  quota counts in the sum of every group, and the free quota of the group without a service is the quota that
-  the fullest other group leaves free.
+  quota counts in the sum of every group. Members without a service may only be granted the quota that is
+  still free in the fullest of the other groups.
 - Incarnations are unique over all groups and only rise. If a process enrols under another service than the
-  earlier process at the same address, the state can't decide at first which of the two has ended, as an
-  enrolment may be delayed. The first renewal decides it: its process has used a response made after the
-  earlier record, so it started after that record's process, and only one process at a time listens at an
-  address. The earlier record is then marked as departed.
+  earlier process at the same address, one of the two has ended, as only one process at a time listens at an
+  address. The state can't decide at once which one, since the new enrolment may have been delayed. The first
+  renewal of the new record decides it: its process has used a response that was made after the earlier
+  record, so it started after the earlier process. The earlier record is then marked as departed.
 """
 
 from __future__ import annotations
@@ -59,12 +59,12 @@
 
     ledger: QuotaLedger = field(default_factory=QuotaLedger)
     routes: ActivationCoordinator = field(default_factory=ActivationCoordinator)
-    log_ms: float = 0.0  # the highest stamp
+    log_ms: float = 0.0  # the highest stamp in the log
     term: int = -1  # the current leader's Raft term
     leader_address: str = ""  # the current leader's host:port for HTTP
     epoch: int = 0  # the epoch of service time
     ttl_ms: float = 0.0  # the lease term: the longest of any leader
-    clock_bound_ms: float = 0.0  # the longest of any leader
+    clock_bound_ms: float = 0.0  # the clock bound: the longest of any leader
     repeated_enrolments: int = 0  # enrolments of a process that already had a record
     services: dict[str, QuotaLedger] = field(default_factory=dict)
     _service_of: dict[int, str] = field(default_factory=dict, compare=False, repr=False)
@@ -164,7 +164,7 @@
     def remove(self, name: str, service: str | None = None) -> list[int]:
         """Remove the processes of this name, which an operator reports as ended; return their incarnations.
 
-        `service` None: in every group.
+        If `service` is None, they are removed from every group, else only from the group of this service.
         """
         ended = []
         for group in [NO_SERVICE, *self.services] if service is None else [service]:
@@ -244,9 +244,10 @@
             yield from ledger.records()
 
     def due_expiry(self, expired: list[tuple[int, int]], attached: list[int]) -> DueExpiry | None:
-        """Return the part of these leases that `expire` would change.
+        """Return the arguments of `expire` for those of these leases whose groups it would change.
 
-        Return None if there is none, so that a fleet without expired leases adds nothing to the log.
+        Return None if it would change nothing, so that a fleet without expired leases adds nothing to the
+        log.
         """
         due: list[tuple[int, int]] = []
         needed: set[int] = set()
@@ -349,7 +350,7 @@
 
 
 def superseded_by(renewed: MemberRecord | None, records: Iterable[MemberRecord]) -> list[int]:
-    """Return the earlier incarnations at the address of this record, which its first renewal ends."""
+    """Return the incarnations that the first renewal of this record ends: the earlier ones at its address."""
     if renewed is None or renewed.renewal_seq > 0:
         return []
     return [
--- a/loadbalancer/registry/forwarding.py
+++ b/loadbalancer/registry/forwarding.py
@@ -19,9 +19,10 @@
 
 HOP_HEADER = "fleet-hop"  # marks a call forwarded by an instance; it is not forwarded again
 RETURNED_HEADERS = ("content-type",)
-# Timeouts; the wait of a watch is added. An attempt lasts longer than an instance waits for its leader.
+# Timeouts, to which the wait of a watch is added. The one of an attempt exceeds the time for which an
+# instance waits for its leader.
 ATTEMPT_TIMEOUT_S = 1.2
-TOTAL_TIMEOUT_S = 4.0  # of all attempts together
+TOTAL_TIMEOUT_S = 4.0  # for all attempts together
 FAILURES_PER_LOG_LINE = 100
 MAX_LOGGED_CHARACTERS = 200
 MAX_LOGGED_PATH_CHARACTERS = 100
--- a/loadbalancer/registry/local.py
+++ b/loadbalancer/registry/local.py
@@ -64,8 +64,8 @@
 class LocalPorts:
     """The programs' loopback ports."""
 
-    http: Sequence[int]  # of each instance
-    raft: Sequence[int]  # of each instance
+    http: Sequence[int]  # one per instance
+    raft: Sequence[int]  # one per instance
     agent: int
     node: int
 
--- a/loadbalancer/registry/messages.py
+++ b/loadbalancer/registry/messages.py
@@ -44,7 +44,7 @@
     acked: CounterOrNone  # the revision of the member list that it acts on
     using: Annotated[float, Meta(ge=0.0, le=1.0)]  # the highest quota that it may be using
     sent: Annotated[float, Meta(ge=-MAX_SERVICE_TIME_MS, le=MAX_SERVICE_TIME_MS)] | None = (
-        None  # in service time
+        None  # service time at the send; None if not known
     )
     answered: CounterOrNone = -1  # the last renewal whose response was used
     delta: bool = False  # whether it accepts a delta of the member list
@@ -61,7 +61,7 @@
     """A process's vote on a route version that is being prepared."""
 
     incarnation: Counter
-    number: Counter  # of the route version
+    number: Counter  # the route version's number
     yes: bool
     why: Annotated[str, Meta(max_length=MAX_REASON_CHARACTERS)] = ""
 
--- a/loadbalancer/registry/raft.py
+++ b/loadbalancer/registry/raft.py
@@ -21,7 +21,7 @@
 
 MAX_TICK_S = 0.05  # period of pysyncobj's thread
 RECONNECT_PERIOD_S = 0.5
-ELECTIONS_WITHOUT_QUORUM = 2  # election timeouts without contact to a majority; then a leader steps down
+ELECTIONS_WITHOUT_QUORUM = 2  # a leader without a majority steps down after this many election timeouts
 MS_PER_S = 1000.0
 
 
@@ -38,7 +38,7 @@
     conf = SyncObjConf(
         journalFile=str(config.data / JOURNAL_FILE),
         fullDumpFile=str(config.data / SNAPSHOT_FILE),
-        # Without it pysyncobj listens on every address of the machine and unpickles all data sent there.
+        # By default pysyncobj listens on every address of the machine and unpickles all data sent there.
         bindAddress=config.raft,
         useFork=False,
         appendEntriesPeriod=period_s,
@@ -73,6 +73,7 @@
     storer = MetaStorer(str(config.data / TERM_FILE))
     stored = storer.getMeta()
     if stored.get("currentTerm", 0) < term:
-        # Its vote in that term is lost. A vote for itself keeps it from voting for another instance.
+        # The record of its vote in that term is lost. Storing a vote for itself keeps it from voting for
+        # another instance in the same term.
         storer.storeMeta(stored | {"currentTerm": term, "votedForNodeId": config.raft})
         log.warning("raft_term_restored", term=term, stored=stored.get("currentTerm", 0))
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -33,7 +33,7 @@
 from loadbalancer.registry.target import Target, validate_target
 from loadbalancer.registry.target_leases import TargetLeases, new_change_id, unix_ms
 
-COMMIT_TIMEOUT_S = 2.0  # for the commit of a write; the response is 503 after it
+COMMIT_TIMEOUT_S = 2.0  # limit for the commit of a write, after which the response is 503
 MAX_ERROR_CHARACTERS = 200
 TARGETS_PATH = "/registry/targets/"
 STALE_HEADER = "Registry-Stale"
@@ -130,10 +130,10 @@
         }
 
     def is_stale(self, raft: dict[str, Any] | None = None) -> bool:
-        """Whether this instance may not have applied all committed commands.
+        """Whether this instance may lack committed commands.
 
-        That is so without a known leader and, on a leader, without a quorum or until a command of its own
-        term is committed.
+        An instance that does not lead Raft may lack some while it knows no leader. A leader may lack some
+        while it has no quorum, and until it has committed a command of its own term.
         """
         raft = raft or self.raft.getStatus()
         if raft["state"] == RAFT_LEADER:
--- a/loadbalancer/registry/service_clock.py
+++ b/loadbalancer/registry/service_clock.py
@@ -9,11 +9,12 @@
   far S is ahead of that clock, too low by the replication delay. The instance keeps the highest bound. As the
   rates of the two clocks may differ by MAX_DRIFT_RATIO, the bound is lowered by this ratio of the time since,
   which keeps it valid and lets newer bounds replace it.
-- A new leader continues from its bound, but not from below `log_ms`, the highest stamp in its log. So S never
-  goes back behind the log; it loses only the shortest replication delay observed, a few ms.
+- A new leader continues from its bound, or from `log_ms`, the highest stamp in its log, if that is higher. So
+  S never falls behind the log, and a change of leader sets it back by only a few ms: the shortest
+  replication delay observed.
 - An instance without a bound (the machine was rebooted and no leader's command was applied since) does not
   know S. If it has to lead, S continues from `log_ms`, which is a jump. The log numbers these jumps
-  (`epoch`); a bound of an earlier epoch is useless.
+  (`epoch`); a bound of an earlier epoch is invalid.
 """
 
 from __future__ import annotations
--- a/loadbalancer/registry/snapshot_file.py
+++ b/loadbalancer/registry/snapshot_file.py
@@ -1,8 +1,9 @@
 """The snapshot file of an instance (`raft.dump`): pysyncobj's layout, readable across releases.
 
 pysyncobj's reader requires a part for each consumer. It fails on a file with fewer parts, and the instance
-then applies no further commands. Here a consumer without a part keeps its initial state (a file written
-before the fleet existed), and surplus parts are ignored (a file of a later release).
+then applies no further commands. The reader in this module accepts such a file, which was written before the
+fleet existed: a consumer without a part keeps its initial state. It ignores surplus parts, which a later
+release has written.
 """
 
 from __future__ import annotations
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -2,7 +2,7 @@
 
 pysyncobj snapshots are pickles, which name a class by its module path and a field by its attribute name. The
 files keep the names in use when the format was first released, so that every release reads the snapshots of
-every other one. Instances are upgraded one at a time and send each other their snapshots. The rules:
+all other releases. Instances are upgraded one at a time and send each other their snapshots. The rules:
 
 - A class that is moved or renamed keeps its entry in `STORED_CLASSES`; only `present` changes.
 - A field that is renamed is added to `renamed` of its class's entry, as current name -> stored name.
@@ -41,7 +41,7 @@
 
     module: str
     name: str
-    present: type[Any]
+    present: type[Any]  # the current class
     renamed: Mapping[str, str] = field(default_factory=dict)  # current field name -> stored field name
 
 
@@ -83,7 +83,7 @@
 
 
 class StoredObject:
-    """Base of placeholders for classes under their stored names, as pickle writes only importable names.
+    """Base of the placeholder classes with the stored names: pickle writes only names that can be imported.
 
     Writing and reading snapshots here creates no instance of it; a plain `pickle.load` of a snapshot does,
     with the stored constructor arguments and state.
--- a/loadbalancer/registry/watch.py
+++ b/loadbalancer/registry/watch.py
@@ -36,7 +36,7 @@
 
 
 def parse_query(call: HttpRequest, max_wait_ms: int = MAX_WAIT_MS) -> WatchQuery:
-    """Return `since` and `timeout_ms` (at most `max_wait_ms`); raise InvalidFieldError if invalid."""
+    """Parse `since` and `timeout_ms`, limited to `max_wait_ms`; raise InvalidFieldError if invalid."""
     since = optional_integer(call, "since")
     wait_ms = optional_integer(call, "timeout_ms") or 0
     return WatchQuery(since, max(0, min(wait_ms, max_wait_ms, MAX_WAIT_MS)) / MS_PER_S)
--- a/tests/node/control/test_lease_recovery.py
+++ b/tests/node/control/test_lease_recovery.py
@@ -205,7 +205,7 @@
             await pause(TTL_MS)
             return late_responses[0]
 
-        await world.until_no_call_is_in_flight()  # whose response would extend the lease
+        await world.until_no_call_is_in_flight()  # the response to such a call would extend the lease
         member.network.fault = delay
         lease_end_ms = member.core.lease_end_ms
         while member.client.mismatched_responses == 0:
--- a/tests/node/discovery/test_discovery_silence.py
+++ b/tests/node/discovery/test_discovery_silence.py
@@ -97,8 +97,8 @@
 def test_rebuilt_discovery_with_lower_revision_is_followed_within_deadline(max_backoff_s, known):
     """A discovery that is rebuilt from nothing counts its revisions from the start.
 
-    Its response to a poll has only the changes since one of its own revisions. Such responses were rejected
-    permanently as stale, or were applied as if they had all changes.
+    Its response to a poll has only the changes since one of its own, lower revisions. The watcher used to
+    reject such responses permanently as stale, or to apply them as if they had all changes.
     """
 
     async def main():
--- a/tests/node/state/test_ejections.py
+++ b/tests/node/state/test_ejections.py
@@ -30,7 +30,7 @@
     assert first.eject("s/1 ü", 1000.0)
     assert second.read_changes(2000.0) == ["s/1 ü"]
     assert second.get("s/1 ü") == Ejection(1000.0)
-    assert second.read_changes(2100.0) == []  # reported only once
+    assert second.read_changes(2100.0) == []  # the change is reported only once
     assert second.restore("s/1 ü", 5000.0)
     assert first.read_changes(5100.0) == ["s/1 ü"]
     assert first.get("s/1 ü") == Ejection(1000.0, 5000.0)
@@ -175,7 +175,7 @@
             new.listener.listen = _skip_listen  # type: ignore[method-assign]
             await new.start()
             assert await status(old, "PUT", ENTER, b"s0") == 200
-            await until(lambda: not new.endpoint_list.available)  # when it reads the folder
+            await until(lambda: not new.endpoint_list.available)  # it reads the folder periodically
             later = Node(old.config)
             later.listener.listen = _skip_listen  # type: ignore[method-assign]
             await later.start()
@@ -189,7 +189,7 @@
 
 
 async def _skip_listen(*_: object) -> None:
-    """Replaces listening for clients, since the first node uses the address."""
+    """Do nothing; replaces `Listener.listen`, since the first node already uses the address."""
 
 
 def test_restore_right_after_ejection_in_other_process_takes_effect(tmp_path):
@@ -228,7 +228,7 @@
 
 def test_restored_endpoint_gets_next_request_allowed_in_slow_start():
     env = BalancerEnvironment(3, slow_start_ms=0.0)
-    env.balancer.endpoints["s0"].latency_ratio = 5.0  # ranked last
+    env.balancer.endpoints["s0"].latency_ratio = 5.0  # so it is ranked last
     env.balancer.endpoints["s0"].last_outcome_ms = env.now
     env.handle(EndpointEjected("s0"))
     assert "s0" not in {env.complete_request() for _ in range(20)}
@@ -243,7 +243,7 @@
         (None, True),
         (-50_000.0, True),
         (-9_900.0, False),
-    ],  # ms relative to its restoration
+    ],  # launch in ms relative to the restoration
 )
 def test_restored_endpoint_is_in_slow_start_unless_list_shows_it_warm(launched, slow_start):
     env = BalancerEnvironment(1)
--- a/tests/node/state/test_handover.py
+++ b/tests/node/state/test_handover.py
@@ -44,7 +44,7 @@
 
 def test_process_reads_files_of_others_and_not_its_own(tmp_path):
     first, second, third = (HandoverFiles(tmp_path / "x", number) for number in (1, 2, 3))
-    assert third.read_siblings(0.0) == (None, {})  # the first process
+    assert third.read_siblings(0.0) == (None, {})  # no other process has written a file
     first.write(1000.0, learned(cursor=1), {"s0": 2.0, "s1": 1.0})
     second.write(1100.0, learned(cursor=2), {"s0": 3.0})
     third.write(1200.0, learned(cursor=3), {"s0": 9.0})
@@ -125,7 +125,7 @@
     new.end_period()
     assert new.balancer.state.baseline_ratio == pytest.approx(
         base, rel=0.1
-    )  # one request does not replace it
+    )  # one request does not replace the baseline
 
 
 @pytest.mark.parametrize(
--- a/tests/node/state/test_recovery.py
+++ b/tests/node/state/test_recovery.py
@@ -90,7 +90,7 @@
     path: Path, listing: DiscoveryResponse, node: str = "n0", at_ms: float | None = None, **body: Any
 ) -> None:
     data = snapshot.encode_state(node, time.time() * 1000.0 if at_ms is None else at_ms, LEARNED, {}, listing)
-    if body:  # another body, with a valid digest
+    if body:  # replace or add fields of the body; the digest stays valid
         fields = msgpack.unpackb(data[frame.FRAME_HEADER.size :]) | body
         raw = msgpack.packb(fields)
         data = frame.encode_frame(raw)
--- a/tests/registry/test_fleet_catalog.py
+++ b/tests/registry/test_fleet_catalog.py
@@ -58,12 +58,12 @@
     assert [renewal.seq for renewal in log.catalog.take_applied_renewals()] == [9]
 
 
-def test_repeated_enrolment_voids_expiry_decided_before() -> None:
+def test_repeated_enrolment_voids_expiry_decided_earlier() -> None:
     log = AppliedLog()
     log.lead(1)
     log("enrol", 10.0, 1, *IDENTITY)
     repeats = log.catalog.read(lambda state: state.repeated_enrolments)
-    log("enrol", 20.0, 1, *IDENTITY)  # its response begins a lease
+    log("enrol", 20.0, 1, *IDENTITY)  # the response to it starts a new lease
     assert log("expire", 21.0, 1, [(1, 0)], [1], repeats) == ([], [])
     assert log("expire", 22.0, 1, [(1, 0)], [], repeats + 1) == ([1], [])
 
@@ -73,11 +73,11 @@
     assert log.lead(1, epoch=None, ttl_ms=9_000.0).epoch == 1
     assert log.lead(2, epoch=1, ttl_ms=500.0).ttl_ms == 9_000.0
     begun = log.lead(3, epoch=None)
-    # A repeated command begins no further epoch.
+    # If the command is repeated in the same term, it begins no further epoch.
     assert (begun.epoch, log.lead(3, epoch=None).epoch) == (2, 2)
 
 
-def test_response_shows_decision_and_activation_by_its_own_log_entry() -> None:
+def test_response_shows_decision_or_activation_caused_by_its_command() -> None:
     log = AppliedLog()
     log.lead(1)
     log("enrol", 10.0, 1, *IDENTITY)
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("parts", [1, 2])
-def test_snapshot_restores_state_and_fleet_part_may_be_missing(tmp_path: Path, parts: int) -> None:
+def test_snapshot_with_or_without_fleet_part_is_restored(tmp_path: Path, parts: int) -> None:
     old, targets = AppliedLog(), TargetCatalog(9, lambda revision: None)
     old.lead(4)
     old("enrol", 10.0, 4, *IDENTITY)
--- a/tests/registry/test_fleet_leader.py
+++ b/tests/registry/test_fleet_leader.py
@@ -1,4 +1,4 @@
-"""`FleetLeader` on an instance that does not lead: the reported reason, and a start that must fail."""
+"""`FleetLeader` before it leads: the reason it reports, and the failing start of a replaced leader."""
 
 from __future__ import annotations
 
--- a/tests/registry/test_group_commands.py
+++ b/tests/registry/test_group_commands.py
@@ -11,8 +11,9 @@
 from loadbalancer.registry.fleet_catalog import FleetCatalog
 from loadbalancer.registry.service_clock import ServiceClock
 
-# The commands of the first release with a fleet, in the order of their numbers, from 0 on. Journals contain
-# these numbers instead of names, so each must permanently mean the same command with the same arguments.
+# The commands of the first release with a fleet, in the order of their numbers, which start at 0. Journals
+# contain these numbers instead of names, so each must permanently mean the same command with the same
+# arguments.
 RELEASED = [
     *("expire", "grace", "put", "remove", "renew"),  # of TargetCatalog
     *("decide", "enrol", "expire", "halt", "lead", "leave", "leaving", "propose", "remove", "renew_many"),
--- a/tests/registry/test_groups.py
+++ b/tests/registry/test_groups.py
@@ -113,7 +113,7 @@
     # No member of `find` is attached, so the lease of 4 expires but its record stays.
     assert (expired, removed) == ([1, 4], [1])
     assert state.services["find"].records_by_incarnation[4].state is MemberState.EXPIRED
-    assert state.due_expiry([(4, seqs[4])], [2, 3]) is None  # another group's majority has no effect here
+    assert state.due_expiry([(4, seqs[4])], [2, 3]) is None  # a majority of another group doesn't count
 
 
 def test_first_renewal_under_another_service_ends_earlier_record() -> None:
@@ -267,7 +267,10 @@
 
 
 def node_with(*names: str) -> tuple[MemberLease, QuotaLedger, MemberRecord]:
-    """Return a process with a group's complete list, of which it is the first member, and the ledger."""
+    """Return a member that has its group's complete list, the group's ledger, and the member's record.
+
+    `names` are the members of the group; the returned one is the first.
+    """
     ledger = QuotaLedger()
     records = [ledger.enrol(name, f"a-{name}", "z", f"s-{name}") for name in names]
     core = MemberLease(names[0], f"a-{names[0]}", "z", f"s-{names[0]}", Random(1))
--- a/tests/registry/test_groups_faults.py
+++ b/tests/registry/test_groups_faults.py
@@ -59,7 +59,8 @@
     revisions = {f"other-{number}": others[number][0].core.revision for number in range(10)}
     ranks = {entry["name"]: entry["rank"] for entry in registry.records("big")}
     big.sort(key=lambda member: ranks[member.name])
-    connected, cut_off = big[0::2], big[1::2]  # the connected half has the lowest rank, which wins the tie
+    # The connected half has the member of lowest rank, which wins the tie.
+    connected, cut_off = big[0::2], big[1::2]
     hollows.are_partitioned = lambda member, other: (member in connected) is not (other in connected)
     for member in cut_off:
         member.registry_link.can_reach = lambda index: False
@@ -70,7 +71,7 @@
         return all(member.quota_in_use(now) == 0.0 for member in cut_off)
 
     hollows.until("the disconnected half without quota", cut_off_yielded)
-    hollows.until_equal_quotas(connected)  # half of the electors with the lowest rank remove the others
+    hollows.until_equal_quotas(connected)  # the half that has the elector of lowest rank removes the others
     assert {round(quota, 6) for quota in quotas} == {round(1 / 3, 6)}
     assert {f"other-{number}": others[number][0].core.revision for number in range(10)} == revisions
     for member in cut_off:
@@ -83,10 +84,10 @@
 
 
 def test_lost_zone_returns_as_new_processes(registry: GroupRegistry, hollows: HollowMembers) -> None:
-    """In a group of five, the other three take the quota of the two lost members.
+    """The quota of lost members may be redistributed only by a majority of their group.
 
-    If the zone had most of a group or the older of two members, the rest keep their quotas and no member gets
-    the whole.
+    In a group of five, the remaining three take the quota of the two lost members. If the zone had most
+    members of a group, or the older of two, the remaining members keep their quotas and get no more.
     """
     groups = {"five": hollows.add("five", 5), "three": hollows.add("three", 3), "two": hollows.add("two", 2)}
     for members in groups.values():
--- a/tests/registry/test_groups_upgrade.py
+++ b/tests/registry/test_groups_upgrade.py
@@ -164,11 +164,11 @@
         member.registry_link.intercept = as_first_release
     hollows.start(old)
     hollows.until_equal_quotas(old)
-    for path in ("services/pay", "members/h0?service=pay"):  # need groups at the leader
+    for path in ("services/pay", "members/h0?service=pay"):  # calls that require groups at the leader
         status, body = registry.call("DELETE", path)
         assert (status, body) == (400, {"error": "groups are off at the instance that leads"})
 
-    registry.grouped = {0, 1}  # one of these will lead
+    registry.grouped = {0, 1}  # one of these leads once instance 2 is killed
     registry.restart(0, 1)
     change_leader(registry, 2)
     new = hollows.add("pay", 2)
--- a/tests/registry/test_registry_fleet.py
+++ b/tests/registry/test_registry_fleet.py
@@ -136,14 +136,14 @@
     fleet.kill(leader)
     renew_until(members, lambda: True)
     assert a.service_offset_ms == pytest.approx(before, abs=BOUND_MS)
-    time.sleep(TTL_MS / 2_000.0)  # past the earlier leases, well within those that the new leader granted
+    time.sleep(TTL_MS / 2_000.0)  # past the end of the old leader's leases, not of the new leader's
     renew_until(members, lambda: True)
     assert not sampler.expired
     assert quotas(members) == [third] * 3
-    # c sends nothing, and two of three electors are attached.
+    # c sends nothing. The attached electors a and b are a majority, so they get c's quota.
     renew_until([a, b], lambda: quotas([a, b]) == [0.5, 0.5])
     assert c.fleet.call("POST", "renew", {"incarnation": 3, "seq": 9, "acked": 0, "using": 0.1})[0] == 404
-    # b is one of two electors and not the oldest, so it is no majority.
+    # b is one of two electors and not the oldest, so it is no majority and does not get a's quota.
     renew_until([b], lambda: 1 in sampler.expired)
     ended = time.monotonic() + 2.5 * TTL_MS / 1000.0
     renew_until([b], lambda: time.monotonic() > ended)
@@ -153,7 +153,7 @@
     again = Member(fleet, "b")  # the same start id: the same record
     other = Member(fleet, "a")
     assert (again.grant["incarnation"], other.grant["incarnation"]) == (2, 4)
-    for index in fleet.live():  # all at once: the log and the clock file must suffice
+    for index in fleet.live():  # all at once, so only the logs and the clock files remain
         fleet.kill(index)
     for index in range(2):  # a majority; the members have to renew soon
         fleet.start(index)
--- a/tests/registry/test_registry_node.py
+++ b/tests/registry/test_registry_node.py
@@ -47,7 +47,7 @@
             lambda: backends.request_counts["s2"] > 5, what="a change committed after the leader was killed"
         )
 
-        relay.set_blocked(True)  # a watch without any response
+        relay.set_blocked(True)  # the node's watch gets no response
         before = backends.request_counts["s2"]
         until(
             lambda: backends.request_counts["s2"] > before + 20,
--- a/tests/registry/test_registry_parts.py
+++ b/tests/registry/test_registry_parts.py
@@ -86,7 +86,7 @@
             received = [await idle_reader.read(), await malformed_reader.read()]
             endless_reader, endless = await asyncio.open_connection(*address)
             endless.write(b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * MAX_HEAD_BYTES)
-            # a reset may arrive before the response
+            # the server's reset may arrive before its response
             with contextlib.suppress(ConnectionError):
                 await endless_reader.read()
             surplus = [await asyncio.open_connection(*address) for _ in range(4)]
--- a/tests/registry/test_stored_form.py
+++ b/tests/registry/test_stored_form.py
@@ -21,7 +21,7 @@
 
 DATA = Path(__file__).parents[1] / "data"
 
-# The classes that the releases before the package's renaming write and can read.
+# The stored names of classes, which are the only ones that earlier releases can read.
 RELEASED_CLASSES = {
     "orchidledge.members.ledger Ledger",
     "orchidledge.members.ledger Row",
