--- a/loadbalancer/node/admin/connection.py
+++ b/loadbalancer/node/admin/connection.py
@@ -12,7 +12,7 @@
 from loadbalancer.node.admin.messages import AdminResponse
 
 MAX_REQUEST_BYTES = 16 * 1024  # limit for head and body together
-REQUEST_TIMEOUT_S = 5.0  # for the complete request to arrive
+REQUEST_TIMEOUT_S = 5.0  # time within which the complete request must arrive
 LINGER_S = 1.0  # how long input after the response is read and dropped before the connection is closed
 
 
--- a/loadbalancer/node/control/control_plane.py
+++ b/loadbalancer/node/control/control_plane.py
@@ -47,7 +47,7 @@
 
 log = logging.getLogger("loadbalancer")
 
-NONCE_BYTES: Final = 8  # of the start id, which distinguishes two starts of the same node
+NONCE_BYTES: Final = 8  # length of the start id, which distinguishes two starts of the same node
 SEED_BYTES: Final = 8
 
 
--- a/loadbalancer/node/control/lease_client.py
+++ b/loadbalancer/node/control/lease_client.py
@@ -169,7 +169,7 @@
         """Whether the response is to this call, and not to an earlier call or to another member's."""
         if call.path == RENEWAL and response.incarnation != call.body["incarnation"]:
             return False
-        if response.call is UNSET:  # from an instance of an earlier release, which does not echo the number
+        if response.call is UNSET:  # an instance of an earlier release does not echo the number
             return not self._service_time.is_older(response)
         return response.call == call.number
 
--- a/loadbalancer/node/control/route_activation.py
+++ b/loadbalancer/node/control/route_activation.py
@@ -44,7 +44,7 @@
         """
         self.participant = participant
         self.switches = 0
-        self.last_delay_ms = 0.0  # of the last switch, after its decided time
+        self.last_delay_ms = 0.0  # delay of the last switch after its decided time
         self._client, self._clock, self._store, self._notify_balancer = client, clock, store, notify
         self._timer = RestartableTimer(self._tick)
         self._due_ms = math.inf  # time of the next switch or of the lease's expiry, whichever is first
--- a/loadbalancer/node/control/status_bodies.py
+++ b/loadbalancer/node/control/status_bodies.py
@@ -21,7 +21,7 @@
     name: str
     incarnation: int
     address: str
-    state: str  # of its lease, as last received from the list service
+    state: str  # state of its lease, as last received from the list service
     reachability: Reachability
     verdict: Verdict
 
--- a/loadbalancer/node/discovery/poll_policy.py
+++ b/loadbalancer/node/discovery/poll_policy.py
@@ -9,10 +9,10 @@
 from random import Random
 
 PROPAGATION_DEADLINE_S = 6.0  # maximum time until the node has a change in discovery
-ADDRESS_CHANGE_DEADLINE_S = 4.0  # the same after a change of discovery's address
+ADDRESS_CHANGE_DEADLINE_S = 4.0  # maximum time until the node has the list of a changed address
 SCHEDULING_SLACK_S = 0.3  # part of a deadline that is reserved for a busy event loop
 RESPONSE_TIMEOUT_S = 1.2  # a poll fails if it has no response this long after its wait
-CONNECT_TIMEOUT_S = 1.0  # included in the time of a poll
+CONNECT_TIMEOUT_S = 1.0  # connecting is part of the time that a poll may take
 LIVENESS_WAIT_MS = 50  # wait of a poll that checks whether discovery responds at all
 LIVENESS_POLL_S = LIVENESS_WAIT_MS / 1000.0 + RESPONSE_TIMEOUT_S  # maximum duration of such a poll
 INITIAL_BACKOFF_S = 0.5  # upper bound of the backoff after the first failure
--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -38,7 +38,7 @@
         self._listener = listener
         self._event_counts = event_counts
         self._handle_event = handle_event
-        self.endpoints: dict[str, tuple[Endpoint, Address]] = {}  # by name, of any status
+        self.endpoints: dict[str, tuple[Endpoint, Address]] = {}  # by name, also those not up
         self.revision = 0  # discovery's revision of the list
         self.service_revision = 0  # the list service's revision of the list; 0 if the agent gives none
         self.confirmed_ms = -math.inf  # Unix time when discovery last sent or confirmed the list
--- a/loadbalancer/node/http/body.py
+++ b/loadbalancer/node/http/body.py
@@ -37,7 +37,7 @@
 class Body:
     """Passes bytes from its source to its sink as they arrive.
 
-    A body up to the high-water mark is buffered, so that a later sink, of a retry, can get it from the start.
+    A body up to the high-water mark is buffered, so that the sink of a retry can get it from the start.
     Once a longer body has a sink, it is no longer buffered, and only that sink gets the rest.
     """
 
--- a/loadbalancer/node/http/service_http.py
+++ b/loadbalancer/node/http/service_http.py
@@ -23,7 +23,7 @@
 CLIENT_IDLE_TIMEOUT_S = 60.0  # less than the server's, so that usually the client closes an idle connection
 MAX_QUEUED_REQUESTS = 8  # pipelined requests on one connection before reading pauses
 MAX_RESPONSE_BODY_BYTES = 64 * 1024 * 1024  # a complete list of 10,000 endpoints takes about 2 MB
-DEFAULT_TIMEOUT_S = 5.0  # of a request
+DEFAULT_TIMEOUT_S = 5.0  # limit for a request and its response
 REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict"}
 REASONS |= {413: "Content Too Large", 500: "Internal Server Error", 503: "Service Unavailable"}
 
--- a/loadbalancer/node/listener/listener.py
+++ b/loadbalancer/node/listener/listener.py
@@ -17,7 +17,7 @@
 log = logging.getLogger("loadbalancer")
 
 BACKLOG = 1024  # connections queued in the kernel until they are accepted
-ACCEPT_PAUSE_S = 0.002  # at capacity: a closed connection frees its descriptor one loop iteration later
+ACCEPT_PAUSE_S = 0.002  # used at capacity; a closed connection frees its descriptor one iteration later
 CLOSE_IDLE_AFTER_S = 0.5  # from the start of a drain; clients open new connections for up to 0.4 s
 DRAIN_INTERVAL_S = 0.01
 NEW_CONNECTION_GRACE_S = 0.5  # time for the first request of a connection, which clients don't retry
--- a/loadbalancer/node/listener/request_parser.py
+++ b/loadbalancer/node/listener/request_parser.py
@@ -14,7 +14,7 @@
 from loadbalancer.node.listener.inbound_request import InboundRequest
 
 # A slow but legitimate client sends a head within 2 s and a body at 64 kB/s.
-HEAD_TIMEOUT_S = 2.3  # to receive a head; for the first request, from the connection's start
+HEAD_TIMEOUT_S = 2.3  # limit for receiving a head; for the first request, it starts with the connection
 MIN_BODY_BYTES_PER_S = 48_000.0  # min rate of a request body, after BODY_GRACE_S
 BODY_GRACE_S = 0.5
 
@@ -50,7 +50,7 @@
         self._arrival = now
         self._parser = httptools.HttpRequestParser(self)
         self.state = ReceiveState.IDLE
-        self.error_status = 0  # of the response to invalid data; 0 if none
+        self.error_status = 0  # status of the response to invalid data; 0 if there was none
         self.request: InboundRequest | None = None  # the request that is being received
         self.is_first = True  # no request has been received completely yet
         self.size = 0  # bytes received of the request's body
--- a/loadbalancer/registry/fleet_results.py
+++ b/loadbalancer/registry/fleet_results.py
@@ -40,8 +40,8 @@
 class Revisions(NamedTuple):
     """The revisions that a member's process watches."""
 
-    members: int  # of its group's member list
-    routes: int
+    members: int  # the revision of its group's member list
+    routes: int  # the revision of the routes
 
 
 class Renewal(NamedTuple):
--- a/loadbalancer/registry/messages.py
+++ b/loadbalancer/registry/messages.py
@@ -46,7 +46,7 @@
     sent: Annotated[float, Meta(ge=-MAX_SERVICE_TIME_MS, le=MAX_SERVICE_TIME_MS)] | None = (
         None  # service time at the send; None if not known
     )
-    answered: CounterOrNone = -1  # the last renewal whose response was used
+    answered: CounterOrNone = -1  # seq of the last renewal whose response was used
     delta: bool = False  # whether it accepts a delta of the member list
     call: Counter | UnsetType = UNSET  # the number of this call, repeated in the response
 
--- a/loadbalancer/registry/renewal_relay.py
+++ b/loadbalancer/registry/renewal_relay.py
@@ -27,7 +27,7 @@
 from loadbalancer.registry.messages import RenewRequest
 
 RENEW_MANY_PATH = "/fleet/renew-many"
-FORWARD_TIMEOUT_S = 1.0  # for the leader's response; a silent leader is replaced within about this time
+FORWARD_TIMEOUT_S = 1.0  # limit for the leader's response; a silent leader is replaced in about this time
 MAX_BATCH_BODY_BYTES = 1024 * MAX_BATCH_COUNT
 
 
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -47,7 +47,7 @@
         self.log = log.bind(instance=config.name)
         self._loop = asyncio.get_running_loop()
         self._next_change: asyncio.Future[None] = self._loop.create_future()
-        self._next_group_change: dict[str, asyncio.Future[None]] = {}  # only of groups that are being watched
+        self._next_group_change: dict[str, asyncio.Future[None]] = {}  # only for watched groups
         config.data.mkdir(parents=True, exist_ok=True)
         self.catalog = TargetCatalog(config.max_tombstones, self._on_catalog_change)
         clocks = ProcessClocks(config.members.clock_offset_ms)
@@ -185,7 +185,7 @@
             return error_response(HTTPStatus.METHOD_NOT_ALLOWED, "PUT or DELETE")
         try:
             target = _target_in(call.body, uid)
-        except ValueError as failure:  # also the base of orjson's error
+        except ValueError as failure:  # includes orjson's error
             reason = str(failure)[:MAX_ERROR_CHARACTERS]
             log.warning("target_rejected", why=reason)
             return error_response(HTTPStatus.BAD_REQUEST, reason)
--- a/loadbalancer/registry/service_clock.py
+++ b/loadbalancer/registry/service_clock.py
@@ -23,7 +23,9 @@
 
 from loadbalancer.registry.errors import ClockNotLeadingError
 
-MAX_DRIFT_RATIO = 200e-6  # between two monotonic clocks; a quartz is accurate to 100 ppm
+MAX_DRIFT_RATIO = (
+    200e-6  # maximum difference in rate of two monotonic clocks; a quartz is accurate to 100 ppm
+)
 
 
 @dataclass(slots=True, frozen=True)
--- a/loadbalancer/registry/stored_form.py
+++ b/loadbalancer/registry/stored_form.py
@@ -32,7 +32,7 @@
 
 Reduced = tuple[Any, ...]  # the result of `object.__reduce__`: a callable, its arguments, often a state
 Writer = Callable[[Any], Reduced]
-State = tuple[None, dict[str, object]] | dict[str, object]  # with slots or without
+State = tuple[None, dict[str, object]] | dict[str, object]  # for a class with slots, or without
 
 
 @dataclass(slots=True, frozen=True)
--- a/loadbalancer/registry/target.py
+++ b/loadbalancer/registry/target.py
@@ -12,7 +12,7 @@
 Target = dict[str, Any]
 
 READY, TERMINATING, GONE = "Ready", "Terminating", "Gone"
-REGISTERED_STATES = (READY, TERMINATING)  # without Gone, the state of tombstones
+REGISTERED_STATES = (READY, TERMINATING)  # excludes Gone, the state of tombstones
 MAX_UID_CHARACTERS = 200
 
 
--- a/loadbalancer/registry/target_leases.py
+++ b/loadbalancer/registry/target_leases.py
@@ -19,7 +19,7 @@
 from loadbalancer.registry.raft import RAFT_LEADER
 
 RENEWAL_WINDOW_S = 0.05  # renewals that arrive within this time share a command
-CHECK_PERIOD_S = 0.25  # between the leader's checks for expired leases
+CHECK_PERIOD_S = 0.25  # interval of the leader's checks for expired leases
 CHANGE_ID_LENGTH = 12
 MS_PER_S = 1000
 
@@ -78,7 +78,7 @@
             failed = True
         for uid, waits in batch.items():
             for wait in waits:
-                if wait.done():  # its caller was cancelled
+                if wait.done():  # done already if its caller was cancelled
                     continue
                 if failed:
                     wait.set_exception(TimeoutError())
--- a/loadbalancer/registry/target_list.py
+++ b/loadbalancer/registry/target_list.py
@@ -28,8 +28,8 @@
         self.revision = revision
         self.horizon = revision  # the earliest revision since which all changes are known
         self.targets: dict[str, Target] = {}
-        self.tombstones: dict[str, Target] = {}  # in order of removal
-        self.change_revisions: dict[str, int] = {}  # of targets and tombstones, in order of change
+        self.tombstones: dict[str, Target] = {}  # by uid, in order of removal
+        self.change_revisions: dict[str, int] = {}  # by uid, also of tombstones, in order of change
 
     def put(self, target: Target, revision: int) -> bool:
         """Add or replace a target; return False if an equal one is already listed."""
--- a/tests/registry/test_group_commands.py
+++ b/tests/registry/test_group_commands.py
@@ -15,7 +15,7 @@
 # contain these numbers instead of names, so each must permanently mean the same command with the same
 # arguments.
 RELEASED = [
-    *("expire", "grace", "put", "remove", "renew"),  # of TargetCatalog
+    *("expire", "grace", "put", "remove", "renew"),  # of TargetCatalog; the others are FleetCatalog's
     *("decide", "enrol", "expire", "halt", "lead", "leave", "leaving", "propose", "remove", "renew_many"),
     *("rollback", "vote"),
 ]
--- a/tests/registry/test_groups_crowd.py
+++ b/tests/registry/test_groups_crowd.py
@@ -19,8 +19,8 @@
 from tests.support.hollow_members import HollowMembers
 from tests.support.registry_processes import http_request, until
 
-TTL_MS = 60_000  # so that leases which nobody renews last for the test
-SIZES = [100, 60, 40, *[6] * 100, *[5] * 40]  # of 143 groups with 1,000 members in total
+TTL_MS = 60_000  # so long that leases which nobody renews last for the test
+SIZES = [100, 60, 40, *[6] * 100, *[5] * 40]  # sizes of 143 groups with 1,000 members in total
 CONCURRENT_ENROLMENTS = 50  # while a group is filled
 
 
@@ -128,7 +128,7 @@
     renewals = renewed.renewals
     hollows.call(restarted.kill)
     first = restarted.incarnations[-1]
-    hollows.start([restarted])  # at the earlier process's address, whose record it replaces
+    hollows.start([restarted])  # it replaces the earlier process's record, as it has the same address
     hollows.until("the restarted process enrolled", lambda now: restarted.incarnations[-1] > first)
     until(lambda: renewed.renewals > renewals, LIMIT_S, "a renewal while the group is full")
     after = {entry["incarnation"] for entry in registry.records("full")}
--- a/tests/registry/test_groups_upgrade.py
+++ b/tests/registry/test_groups_upgrade.py
@@ -25,7 +25,7 @@
 
 DATA = Path(__file__).parents[1] / "data"
 TTL_MS = 4_000
-ADDED_FIELDS = ("aim", "service", "since", "removed")  # of a response, since the first release
+ADDED_FIELDS = ("aim", "service", "since", "removed")  # added to responses since the first release
 
 
 @pytest.fixture
