--- a/bench/fleet_routes.py
+++ b/bench/fleet_routes.py
@@ -228,7 +228,7 @@
             for name, outcome in outcomes.items()
             if outcome.status == 0
             and not any(
-                start < outcome.sent_s + outcome.took_s and outcome.sent_s < end
+                start < outcome.sent_s + outcome.duration_s and outcome.sent_s < end
                 for start, end in self.downtimes[outcome.port]
             )
         ]
@@ -269,7 +269,7 @@
                 continue
             retried += len(servers) > 1
             node_samples = samples[index_by_port[outcome.port]]
-            if not _followed_version(node_samples, outcome.sent_s, outcome.sent_s + outcome.took_s):
+            if not _followed_version(node_samples, outcome.sent_s, outcome.sent_s + outcome.duration_s):
                 continue
             checked += 1
             if len({models[server] for server in servers}) > 1:
--- a/bench/fleet_traffic.py
+++ b/bench/fleet_traffic.py
@@ -146,7 +146,7 @@
         if first in killed:  # of two halves of a group, the one with the first incarnation continues
             killed = set(world.nodes_in_zone(0))
     for node in world.nodes:
-        until(lambda node=node: node.listed() == plan.servers, LIMIT_S, "the endpoint list")
+        until(lambda node=node: node.endpoint_count() == plan.servers, LIMIT_S, "the endpoint list")
     load = PoissonLoad([node.port for node in world.nodes], rate, seed)
     try:
         time.sleep(6.0 + seconds)
@@ -214,7 +214,7 @@
         self._loops.call(lambda: self._start(nodes))
 
     def _start(self, nodes: Sequence[Node]) -> None:
-        self._tasks = [asyncio.create_task(self._read(at, node.door)) for at, node in enumerate(nodes)]
+        self._tasks = [asyncio.create_task(self._read(at, node.admin_port)) for at, node in enumerate(nodes)]
 
     async def _read(self, at: int, operator_port: int) -> None:
         while True:
@@ -329,7 +329,7 @@
                 LIMIT_S,
                 "the version in force at all nodes",
             )
-            until(lambda: off.listed() == 4, LIMIT_S, "the endpoint list")
+            until(lambda: off.endpoint_count() == 4, LIMIT_S, "the endpoint list")
             yield _compare({"on": world.nodes[0], "off": off}, rng, rounds, calls)
         finally:
             off.kill()
--- a/bench/fleet_world.py
+++ b/bench/fleet_world.py
@@ -211,7 +211,7 @@
 
     def status(self, at: int) -> dict[str, Any]:
         """Return the GET /status/members response of node `at`; raise OSError unless it is a 200."""
-        code, members = self.nodes[at].call_door("/status/members")
+        code, members = self.nodes[at].call_admin("/status/members")
         if code != 200:
             raise OSError(f"the admin server of n{at} responded {code}")
         return members  # type: ignore[no-any-return]
@@ -269,7 +269,7 @@
             )
 
     def _knows_all_servers(self, node: Node) -> bool:
-        edges = node.call_door("/status/routes")[1]["edges"]
+        edges = node.call_admin("/status/routes")[1]["edges"]
         levels = [row["mark"] for row in edges if row["kind"] == "server"]
         return len(levels) == self.plan.servers and "blind" not in levels
 
@@ -311,7 +311,7 @@
 
 
 def _is_up(node: Node) -> bool:
-    return node.call_door("/status/metrics")[0] == 200
+    return node.call_admin("/status/metrics")[0] == 200
 
 
 def _kill_if_running(node: Node) -> None:
@@ -332,7 +332,7 @@
         self._loops.call(lambda: self._start(nodes))
 
     def _start(self, nodes: Sequence[Node]) -> None:
-        self._tasks = [asyncio.create_task(self._read(at, node.door)) for at, node in enumerate(nodes)]
+        self._tasks = [asyncio.create_task(self._read(at, node.admin_port)) for at, node in enumerate(nodes)]
 
     async def _read(self, at: int, operator_port: int) -> None:
         while True:
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -295,11 +295,11 @@
         )
         start = time.monotonic()
         node.launch()
-        until(lambda: node.listed() == servers, within_s=60, what="the node's complete list")
+        until(lambda: node.endpoint_count() == servers, within_s=60, what="the node's complete list")
         complete_ms = (time.monotonic() - start) * 1000
         change_start = time.monotonic()
         assert await put(leader, "n-new", "127.0.0.1:9") == 200
-        until(lambda: node.listed() == servers + 1, within_s=30, what="the change at the node")
+        until(lambda: node.endpoint_count() == servers + 1, within_s=30, what="the change at the node")
         return {
             "bench": "node",
             "servers": servers,
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -38,7 +38,7 @@
 from pathlib import Path
 from random import Random
 
-from tests.support.keeping_load import KeepingLoad
+from tests.support.keep_alive_load import KeepAliveLoad
 from tests.support.load import Outcome
 from tests.support.node_fleet import TTL_MS, Fleet, Outage
 
@@ -245,7 +245,7 @@
 
     def _call_operator_server(self, node: int, target: str) -> None:
         with contextlib.suppress(OSError):
-            self._fleet.nodes[node].call_door(target, "PUT")
+            self._fleet.nodes[node].call_admin(target, "PUT")
 
     def _terminate(self, node: int) -> None:
         self._fleet._outages[node].append(Outage(time.monotonic(), drained=True))
@@ -293,7 +293,7 @@
 def soak(seed: int, seconds: float, folder: Path) -> dict[str, object]:
     """Run the test once and return its result; `broken` states the broken rule or the error, if any."""
     rng = Random(seed)
-    fleet = Fleet(folder, len(SERVICES), SERVICES, load=KeepingLoad)
+    fleet = Fleet(folder, len(SERVICES), SERVICES, load=KeepAliveLoad)
     schedule = FaultSchedule(fleet, rng)
     clients = IDLE_CLIENTS_PER_NODE if rng.random() < IDLE_CLIENTS_RATIO else 0
     schedule.plan(seconds)
@@ -353,7 +353,8 @@
             result = soak(seed, arguments.seconds, folder)
             load = round(os.getloadavg()[0], 1)
             print(
-                json.dumps(result | {"took_s": round(time.monotonic() - start, 1), "load": load}), flush=True
+                json.dumps(result | {"took_s": round(time.monotonic() - start, 1), "load": load}),
+                flush=True,
             )
             broken += "broken" in result
     return EXIT_RULE_BROKEN if broken else 0
--- a/tests/fleet/test_fleet_routes.py
+++ b/tests/fleet/test_fleet_routes.py
@@ -186,7 +186,7 @@
             if blocked is not None:
                 until_blocked(blocked)
             time.sleep(pause_s or 0.0)
-            status, response = fleet.nodes[2].call_door("/routes/halt", "PUT", str(number).encode())
+            status, response = fleet.nodes[2].call_admin("/routes/halt", "PUT", str(number).encode())
             assert status == 200
             if blocked is not None:
                 assert response["phase"] == "aborted"
@@ -200,9 +200,9 @@
                 until_followed(fleet, number)
         late = fleet.propose()
         until_decided(fleet, late)
-        assert fleet.nodes[2].call_door("/routes/halt", "PUT")[1]["phase"] == "decided"
+        assert fleet.nodes[2].call_admin("/routes/halt", "PUT")[1]["phase"] == "decided"
         until_followed(fleet, late)
-        status, response = fleet.nodes[3].call_door("/routes/rollback", "PUT", str(first).encode())
+        status, response = fleet.nodes[3].call_admin("/routes/rollback", "PUT", str(first).encode())
         assert (status, response["number"]) == (200, late + 1)
         until_followed(fleet, late + 1)
         until_reads_reach(fleet, "s1")
--- a/tests/support/golden_registry.py
+++ b/tests/support/golden_registry.py
@@ -11,7 +11,16 @@
 import msgpack
 import orjson
 
-from tests.support.golden import Release, StandIn, agent, exchange, instance, masked, play, request_bytes
+from tests.support.golden import (
+    RecordingServer,
+    Release,
+    agent,
+    exchange,
+    instance,
+    masked,
+    play,
+    request_bytes,
+)
 from tests.support.journals import journal_commands
 from tests.support.registry_processes import until
 
@@ -95,15 +104,15 @@
     def respond(path: str, body: str) -> bytes:
         if path.startswith("/fleet/"):
             return b"{}"
-        lists.append(stub.first.pop(f"GET {path}"))
+        lists.append(stub.first_requests.pop(f"GET {path}"))
         time.sleep(WATCH_S if len(lists) > 1 else 0.0)
         return orjson.dumps(NO_CHANGES if len(lists) > 1 else LIST)
 
-    stub = StandIn(respond)
+    stub = RecordingServer(respond)
     with agent(release, folder, stub.port) as (port, names):
         until(lambda: len(lists) > 1, what="two calls of the agent")
         for method, target, body in FORWARDED_CALLS:
             exchange(port, request_bytes(method, target, body))
     stub.close()
-    forwarded = [stub.first[call] for call in sorted(stub.first) if "/fleet/" in call]
+    forwarded = [stub.first_requests[call] for call in sorted(stub.first_requests) if "/fleet/" in call]
     return [masked(call, names) for call in [*lists[:2], *forwarded]]
--- a/tests/support/stub_servers.py
+++ b/tests/support/stub_servers.py
@@ -8,7 +8,7 @@
 from typing import Any, Literal
 
 from tests.support.faults import LoopThread
-from tests.support.loopback import Message, Peer, reply, targets
+from tests.support.loopback import Message, StubServer, http_response, targets
 
 Behaviour = Literal["respond", "hang", "fail", "drop"]
 
@@ -16,7 +16,7 @@
 class ThreadedServer:
     """A loopback server, started on a thread of its own."""
 
-    def __init__(self, peer: Peer) -> None:
+    def __init__(self, peer: StubServer) -> None:
         self.peer = peer
         self._loops = LoopThread()
         self.port = self._loops.run(peer.start()).port
@@ -33,7 +33,7 @@
     uid: str
     latency_ms: float
     capacity: int | None
-    peer: Peer = field(default_factory=Peer)
+    peer: StubServer = field(default_factory=StubServer)
     behaviour: Behaviour = "respond"
     behaviour_changed: asyncio.Event = field(default_factory=asyncio.Event)
     in_flight: int = 0
@@ -62,11 +62,11 @@
     async def _respond(self, server: _Server, message: Message) -> bytes | None:
         server.peer.seen.clear()  # requests are recorded below by id, so that long runs retain no bodies
         self._request_counts[server.uid] += 1
-        self._servers_reached.setdefault(message.headers.get("req-id", message.first[1]), []).append(
+        self._servers_reached.setdefault(message.headers.get("req-id", message.start_line[1]), []).append(
             server.uid
         )
         if server.capacity is not None and server.in_flight >= server.capacity:
-            return reply(503, b"")
+            return http_response(503, b"")
         server.in_flight += 1
         try:
             await asyncio.sleep(server.latency_ms / 1000.0)
@@ -76,7 +76,7 @@
             server.in_flight -= 1
         if server.behaviour == "drop":
             return None
-        return reply(500, b"") if server.behaviour == "fail" else reply()
+        return http_response(500, b"") if server.behaviour == "fail" else http_response()
 
     def set_behaviour(
         self, index: int, behaviour: Behaviour = "respond", latency_ms: float | None = None
