--- a/loadbalancer/node/discovery/poll_policy.py
+++ b/loadbalancer/node/discovery/poll_policy.py
@@ -9,10 +9,10 @@
 from random import Random
 
 PROPAGATION_DEADLINE_S = 6.0  # maximum time until the node has a change in discovery
-ADDRESS_CHANGE_DEADLINE_S = 4.0  # the same after a change of discovery's address
+ADDRESS_CHANGE_DEADLINE_S = 4.0  # maximum time until the node has the list of a changed address
 SCHEDULING_SLACK_S = 0.3  # part of a deadline that is reserved for a busy event loop
 RESPONSE_TIMEOUT_S = 1.2  # a poll fails if it has no response this long after its wait
-CONNECT_TIMEOUT_S = 1.0  # included in the time of a poll
+CONNECT_TIMEOUT_S = 1.0  # connecting is part of the time that a poll may take
 LIVENESS_WAIT_MS = 50  # wait of a poll that checks whether discovery responds at all
 LIVENESS_POLL_S = LIVENESS_WAIT_MS / 1000.0 + RESPONSE_TIMEOUT_S  # maximum duration of such a poll
 INITIAL_BACKOFF_S = 0.5  # upper bound of the backoff after the first failure
@@ -31,7 +31,7 @@
     """Timing of the polls; the same in both registry modes (`push` and `ask`)."""
 
     def __init__(self, max_wait_s: float, max_backoff_s: float, rng: Random) -> None:
-        """`max_wait_s`, `max_backoff_s`: bounds from the node's settings, on top of the policy's own."""
+        """`max_wait_s`, `max_backoff_s`: bounds from the node's settings; the policy's own also apply."""
         self._wait_ms = round(min(max_wait_s, MAX_POLL_WAIT_S) * 1000.0)
         self._max_backoff_s = min(max_backoff_s, MAX_BACKOFF_S)
         self._rng = rng
@@ -44,7 +44,7 @@
 
     @property
     def wait_ms(self) -> int:
-        """How long the next poll lets discovery wait for a change.
+        """How long (ms) the next poll lets discovery wait for a change.
 
         The wait is short until discovery has responded. A discovery that does not respond is then detected
         within the deadline after the start of the process, the end of an outage or a change of address.
@@ -53,7 +53,7 @@
 
     @property
     def timeout_s(self) -> float:
-        """How long the next poll may take, including the time to connect."""
+        """How long (s) the next poll may take, including the time to connect."""
         return self.wait_ms / 1000.0 + RESPONSE_TIMEOUT_S
 
     def record_success(self) -> None:
--- a/loadbalancer/node/endpoint_list.py
+++ b/loadbalancer/node/endpoint_list.py
@@ -19,8 +19,8 @@
 class EndpointList:
     """The endpoint list from discovery, and its available endpoints.
 
-    The balancer receives an event for each change. Available are the endpoints that are up and not ejected by
-    an operator; the connection pool connects only to these.
+    The balancer receives an event for each change. An endpoint is available if it is up and not ejected by an
+    operator; the connection pool connects only to available endpoints.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self._listener = listener
         self._event_counts = event_counts
         self._handle_event = handle_event
-        self.endpoints: dict[str, tuple[Endpoint, Address]] = {}  # by name, of any status
+        self.endpoints: dict[str, tuple[Endpoint, Address]] = {}  # by name, also those not up
         self.revision = 0  # discovery's revision of the list
         self.service_revision = 0  # the list service's revision of the list; 0 if the agent gives none
         self.confirmed_ms = -math.inf  # Unix time when discovery last sent or confirmed the list
--- a/loadbalancer/registry/service.py
+++ b/loadbalancer/registry/service.py
@@ -33,7 +33,7 @@
 from loadbalancer.registry.target import Target, validate_target
 from loadbalancer.registry.target_leases import TargetLeases, new_change_id, unix_ms
 
-COMMIT_TIMEOUT_S = 2.0  # for the commit of a write; the response is 503 after it
+COMMIT_TIMEOUT_S = 2.0  # limit for the commit of a write, after which the response is 503
 MAX_ERROR_CHARACTERS = 200
 TARGETS_PATH = "/registry/targets/"
 STALE_HEADER = "Registry-Stale"
@@ -47,7 +47,7 @@
         self.log = log.bind(instance=config.name)
         self._loop = asyncio.get_running_loop()
         self._next_change: asyncio.Future[None] = self._loop.create_future()
-        self._next_group_change: dict[str, asyncio.Future[None]] = {}  # only of groups that are being watched
+        self._next_group_change: dict[str, asyncio.Future[None]] = {}  # only for watched groups
         config.data.mkdir(parents=True, exist_ok=True)
         self.catalog = TargetCatalog(config.max_tombstones, self._on_catalog_change)
         clocks = ProcessClocks(config.members.clock_offset_ms)
@@ -130,10 +130,10 @@
         }
 
     def is_stale(self, raft: dict[str, Any] | None = None) -> bool:
-        """Whether this instance may not have applied all committed commands.
+        """Whether this instance may lack committed commands.
 
-        That is so without a known leader and, on a leader, without a quorum or until a command of its own
-        term is committed.
+        An instance that does not lead Raft may lack some while it knows no leader. A leader may lack some
+        while it has no quorum, and until it has committed a command of its own term.
         """
         raft = raft or self.raft.getStatus()
         if raft["state"] == RAFT_LEADER:
@@ -185,7 +185,7 @@
             return error_response(HTTPStatus.METHOD_NOT_ALLOWED, "PUT or DELETE")
         try:
             target = _target_in(call.body, uid)
-        except ValueError as failure:  # also the base of orjson's error
+        except ValueError as failure:  # includes orjson's error
             reason = str(failure)[:MAX_ERROR_CHARACTERS]
             log.warning("target_rejected", why=reason)
             return error_response(HTTPStatus.BAD_REQUEST, reason)
