--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -61,7 +61,7 @@
     node = Node(config)
     loop.add_signal_handler(signal.SIGHUP, reload, node)
     await node.start()
-    # Objects created so far live as long as the process; frozen, the garbage collector doesn't scan them.
+    # Objects created so far live as long as the process; once frozen, the garbage collector skips them.
     gc.collect()
     gc.freeze()
     logging.info("%s serves on %s:%d", config.name, *node.listener.address)
